--- a/internal/retrybudget/account.go
+++ b/internal/retrybudget/account.go
@@ -2,66 +2,67 @@
 
 import "time"
 
-// Account is what the endpoints of one service have seen of one request, and the
-// reservation for its next send. One goroutine owns it.
+// Account counts the arrivals of one request at the endpoints of one service, and holds the
+// reservation for its next attempt. It is not safe for concurrent use.
 type Account struct {
-	budget  *Budget
-	service string
-	seen    int
-	next    *Reservation // nil without one
+	budget      *Budget
+	service     string
+	arrivals    int
+	reservation *Reservation // for the next attempt; nil if none
 }
 
-// Open begins the account of a request for a service, and counts the request.
+// Open opens the account of a request for a service, and counts the request.
 func (b *Budget) Open(now time.Time, service string) *Account {
-	b.Request(now, service)
+	b.RecordRequest(now, service)
 	return &Account{budget: b, service: service}
 }
 
-// Seen is how many arrivals there were.
-func (a *Account) Seen() int { return a.seen }
+// Seen returns the number of arrivals so far.
+func (a *Account) Seen() int { return a.arrivals }
 
-// MaySend tells whether the next send may go. One beyond the first takes a reservation,
-// which stays until a send has arrived.
+// MaySend reports whether the next attempt may be sent. For an extra arrival it takes a
+// reservation, which is kept until an attempt has arrived or the account is closed.
 func (a *Account) MaySend(now time.Time) bool {
-	if a.seen > 0 && a.next == nil {
-		a.next = a.budget.Reserve(now, a.service)
+	if a.arrivals > 0 && a.reservation == nil {
+		a.reservation = a.budget.Reserve(now, a.service)
 	}
-	return a.seen == 0 || a.next != nil
+	return a.arrivals == 0 || a.reservation != nil
 }
 
-// Reserve takes a reservation besides, for a send that may turn out to be free.
+// Reserve takes a separate reservation for an attempt that may turn out not to count. It
+// returns nil if the budget is used up.
 func (a *Account) Reserve(now time.Time) *Reservation { return a.budget.Reserve(now, a.service) }
 
-// Arrived takes in that an endpoint has seen the send, or may have, and tells whether it
-// was one beyond the first.
+// Arrived records that an endpoint has received an attempt, or may have, and reports whether
+// it was an extra arrival.
 func (a *Account) Arrived(now time.Time) bool {
-	a.seen++
-	if a.next != nil {
-		a.next.Commit(now)
-		a.next = nil
+	a.arrivals++
+	if a.reservation != nil {
+		a.reservation.Commit(now)
+		a.reservation = nil
 	}
-	return a.seen > 1
+	return a.arrivals > 1
 }
 
-// ArrivedWith is Arrived for a send with a reservation of its own. Where the send was the
-// first, the reservation, which may be nil, is for the next one.
+// ArrivedWith is Arrived for an attempt with a reservation of its own, which may be nil. If
+// the attempt was the first arrival, the reservation is kept for the next attempt.
 func (a *Account) ArrivedWith(now time.Time, own *Reservation) bool {
-	a.seen++
-	if a.seen == 1 {
-		a.next = own
+	a.arrivals++
+	if a.arrivals == 1 {
+		a.reservation = own
 		return false
 	}
 	own.Commit(now)
 	return true
 }
 
-// Left is how many more arrivals the budget allows now.
+// Left returns how many more extra arrivals the budget allows now.
 func (a *Account) Left(now time.Time) float64 { return a.budget.Left(now, a.service) }
 
-// Close gives back a reservation that no send has used.
+// Close cancels a reservation that no attempt has used.
 func (a *Account) Close() {
-	if a.next != nil {
-		a.next.Cancel()
-		a.next = nil
+	if a.reservation != nil {
+		a.reservation.Cancel()
+		a.reservation = nil
 	}
 }
--- a/internal/retrybudget/account_test.go
+++ b/internal/retrybudget/account_test.go
@@ -7,18 +7,18 @@
 	"gotest.tools/v3/assert"
 )
 
-// limited gives a budget of so many arrivals beyond the first.
-func limited(n float64) *Budget {
-	return older(Limits{Slack: n / usedPart, Window: 10 * time.Second}, 1)
+// newBudgetOf returns a budget of n extra arrivals.
+func newBudgetOf(n float64) *Budget {
+	return newWarmBudget(Limits{Slack: n / usableFraction, Window: 10 * time.Second}, 1)
 }
 
-// Guards against a second arrival without a reservation, and against reservations that are
-// kept by requests that have ended.
+// Guards against an extra arrival without a reservation, and against reservations that are
+// kept after their request has ended.
 func TestAccount(t *testing.T) {
 	now := at(0)
-	b := limited(1)
+	b := newBudgetOf(1)
 	first, second := b.Open(now, "s"), b.Open(now, "s")
-	assert.Assert(t, first.MaySend(now) && second.MaySend(now), "the first is free")
+	assert.Assert(t, first.MaySend(now) && second.MaySend(now), "the first arrival needs no reservation")
 	assert.Assert(t, !first.Arrived(now) && !second.Arrived(now))
 	assert.Assert(t, first.MaySend(now))
 	assert.Assert(t, first.MaySend(now), "one reservation is enough")
@@ -27,15 +27,15 @@
 	assert.Assert(t, second.MaySend(now))
 	assert.Assert(t, second.Arrived(now))
 	second.Close()
-	assert.Assert(t, !first.MaySend(now), "what has arrived isn't given back")
+	assert.Assert(t, !first.MaySend(now), "a used reservation is not returned")
 	assert.Equal(t, second.Seen(), 2)
 }
 
-// A send that may be free has a reservation of its own: turned away as the first, it leaves
-// that to the next one; as a later one, both have theirs.
-func TestAccountOfASendThatMayBeFree(t *testing.T) {
+// Covers an attempt whose arrival may not count, which has a reservation of its own: as the
+// first arrival, it leaves the reservation to the next attempt; as a later one, it uses it.
+func TestAccountWithOwnReservation(t *testing.T) {
 	now := at(0)
-	b := limited(2)
+	b := newBudgetOf(2)
 	a := b.Open(now, "s")
 	assert.Assert(t, !a.ArrivedWith(now, a.Reserve(now)))
 	assert.Assert(t, a.MaySend(now))
--- a/internal/retrybudget/budget.go
+++ b/internal/retrybudget/budget.go
@@ -5,98 +5,99 @@
 	"time"
 )
 
-// usedPart is the part of the bound that is used. Callers count a request when they send
-// it and endpoints an arrival when they read it, both a moment apart from what an entry
-// notes.
-const usedPart = 0.8
+// usableFraction is the fraction of the limit that is used. The rest covers differences in
+// timing: callers count a request when they send it and endpoints an arrival when they read
+// it, both slightly before or after the entry records them.
+const usableFraction = 0.8
 
-// Budget is one entry's part of the bound. It is safe for concurrent use.
+// Budget is one entry's part of the fleet's limit. It is safe for concurrent use.
 type Budget struct {
 	limits Limits
 
 	mu       sync.Mutex // guards the fields below
-	share    share
+	share    slackShare
 	services map[string]*usage
 }
 
-// New makes the budget of a process that begins at now.
+// New returns the budget of a process that starts at now.
 func New(now time.Time, limits Limits) *Budget {
 	return &Budget{
 		limits: limits, services: map[string]*usage{},
-		share: share{window: limits.Window, began: now},
+		share: slackShare{window: limits.Window, startedAt: now},
 	}
 }
 
-// Entries tells how many entries may send, as a control instance in touch has just said.
+// Entries sets how many entries may send, as just reported by a control instance with which
+// this entry is in contact.
 func (b *Budget) Entries(now time.Time, n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.share.told(now, n)
-	b.forget(now)
+	b.share.report(now, n)
+	b.dropIdleServices(now)
 }
 
-// forget drops the counts of services that were not used for as long as they matter, since
-// services come and go with the configurations. It is called with b.mu held.
-func (b *Budget) forget(now time.Time) {
-	oldest := b.piece(now) - kept
+// dropIdleServices drops the counts of services whose buckets are all out of date, since
+// services come and go with the configuration. The caller holds b.mu.
+func (b *Budget) dropIdleServices(now time.Time) {
+	oldestBucket := b.bucketAt(now) - bucketsKept
 	for name, u := range b.services {
-		if u.newest < oldest && u.reserved == 0 {
+		if u.newestBucket < oldestBucket && u.reserved == 0 {
 			delete(b.services, name)
 		}
 	}
 }
 
-// piece is the number of the piece of the window that holds now.
-func (b *Budget) piece(now time.Time) int64 {
-	return int64(now.Sub(b.share.began) / (b.limits.Window / pieces))
+// bucketAt returns the number of the bucket that contains now.
+func (b *Budget) bucketAt(now time.Time) int64 {
+	return int64(now.Sub(b.share.startedAt) / (b.limits.Window / bucketsPerWindow))
 }
 
-// Request counts a request for a service.
-func (b *Budget) Request(now time.Time, service string) {
+// RecordRequest counts a request for a service.
+func (b *Budget) RecordRequest(now time.Time, service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.usage(now, service).requested()
+	b.usageAt(now, service).addRequest()
 }
 
-// Reserve permits one more arrival; nil when none is left.
+// Reserve takes a reservation for one extra arrival. It returns nil if none is left.
 func (b *Budget) Reserve(now time.Time, service string) *Reservation {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	u := b.usage(now, service)
-	if b.left(now, u) < 1 {
+	u := b.usageAt(now, service)
+	if b.remaining(now, u) < 1 {
 		return nil
 	}
 	u.reserved++
 	return &Reservation{budget: b, service: service}
 }
 
-// Left is how many more arrivals fit now.
+// Left returns how many more extra arrivals of a service are allowed now.
 func (b *Budget) Left(now time.Time, service string) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.left(now, b.usage(now, service))
+	return b.remaining(now, b.usageAt(now, service))
 }
 
-// Share is this entry's part of the slack now, 0 to 1.
+// Share returns this entry's current fraction of the slack, from 0 to 1.
 func (b *Budget) Share(now time.Time) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.share.part(now)
+	return b.share.fraction(now)
 }
 
-// left is called with b.mu held.
-func (b *Budget) left(now time.Time, u *usage) float64 {
-	return u.left(usedPart*b.limits.Ratio, usedPart*b.limits.Slack*b.share.part(now))
+// remaining is Left for the counts of a service. The caller holds b.mu.
+func (b *Budget) remaining(now time.Time, u *usage) float64 {
+	return u.remaining(usableFraction*b.limits.Ratio, usableFraction*b.limits.Slack*b.share.fraction(now))
 }
 
-// usage gives a service's counts as of now. It is called with b.mu held.
-func (b *Budget) usage(now time.Time, service string) *usage {
-	piece := b.piece(now)
+// usageAt returns the counts of a service, advanced to now. The caller holds b.mu.
+func (b *Budget) usageAt(now time.Time, service string) *usage {
+	bucket := b.bucketAt(now)
 	u := b.services[service]
 	if u == nil {
-		u = &usage{newest: piece}
+		u = &usage{newestBucket: bucket}
 		b.services[service] = u
 	}
-	u.advance(piece)
+	u.advance(bucket)
 	return u
 }
--- a/internal/retrybudget/budget_test.go
+++ b/internal/retrybudget/budget_test.go
@@ -11,125 +11,126 @@
 
 func at(d time.Duration) time.Time { return begin.Add(d) }
 
-// older gives the budget of a process that began a minute ago, one of some entries.
-func older(limits Limits, entries int) *Budget {
+// newWarmBudget returns the budget of a process that started a minute ago and is one of a
+// number of entries.
+func newWarmBudget(limits Limits, entries int) *Budget {
 	b := New(at(-time.Minute), limits)
 	b.Entries(at(0), entries)
 	return b
 }
 
-// spend sends once more, if it may.
-func spend(b *Budget, now time.Time, service string) bool {
-	extra := b.Reserve(now, service)
-	if extra == nil {
+// sendExtra makes an extra arrival if the budget allows it.
+func sendExtra(b *Budget, now time.Time, service string) bool {
+	reservation := b.Reserve(now, service)
+	if reservation == nil {
 		return false
 	}
-	extra.Commit(now)
+	reservation.Commit(now)
 	return true
 }
 
-// All requests of a window fail: sends again stay under the fleet's bound, come near it,
-// and the entries' shares add up to no more than it.
+// All requests of a window fail: the retries stay within the limit of the fleet and come
+// close to it, and the shares of the entries add up to no more than the slack.
 func TestBudget(t *testing.T) {
 	const entries, requests = 7, 200
 	limits := Limits{Ratio: 0.2, Slack: 54, Window: 10 * time.Second}
 	end := at(2 * limits.Window)
 	total := 0
 	for range entries {
-		b := older(limits, entries)
+		b := newWarmBudget(limits, entries)
 		for n := range 2 * requests {
 			now := at(time.Duration(n) * limits.Window / requests)
 			b.Entries(now, entries)
-			b.Request(now, "s")
-			for n >= requests && spend(b, now, "s") {
+			b.RecordRequest(now, "s")
+			for n >= requests && sendExtra(b, now, "s") {
 				total++
 			}
 		}
 		assert.Assert(t, b.Left(end, "s") < 1)
-		assert.Assert(t, spend(b, end, "other"), "each service has its own")
+		assert.Assert(t, sendExtra(b, end, "other"), "each service has its own budget")
 	}
 	bound := limits.Ratio*entries*requests + limits.Slack
 	assert.Assert(t, float64(total) <= bound, "%d over %v", total, bound)
 	assert.Assert(t, float64(total) >= 0.7*bound, "%d far under %v", total, bound)
 }
 
-// Traffic has just begun: half of what it will allow may be sent again from its beginning.
-func TestBudgetOfABeginning(t *testing.T) {
-	b := older(Limits{Ratio: 0.2, Window: 10 * time.Second}, 1)
+// Traffic has just begun: half of the retries that it will allow may be sent at once.
+func TestBudgetWhenTrafficBegins(t *testing.T) {
+	b := newWarmBudget(Limits{Ratio: 0.2, Window: 10 * time.Second}, 1)
 	for n := range 100 {
-		b.Request(at(time.Duration(n)*20*time.Millisecond), "s")
+		b.RecordRequest(at(time.Duration(n)*20*time.Millisecond), "s")
 	}
 	left := b.Left(at(2*time.Second), "s")
 	assert.Assert(t, left > 7.5 && left < 8.5, "%v", left)
 }
 
-// Guards against a process that sends again what the one before it has sent: it has no
-// part of the slack until its first window is over.
+// Guards against a restarted process that spends the slack which its predecessor has already
+// spent: it has no part of the slack until its first window is over.
 func TestBudgetAfterARestart(t *testing.T) {
-	spent := func(age time.Duration) int {
+	countExtras := func(age time.Duration) int {
 		b := New(at(0), Limits{Ratio: 0.2, Slack: 54, Window: 10 * time.Second})
 		b.Entries(at(age), 1)
 		n := 0
-		for spend(b, at(age), "s") {
+		for sendExtra(b, at(age), "s") {
 			n++
 		}
 		return n
 	}
-	assert.Equal(t, spent(0), 0)
-	assert.Equal(t, spent(9*time.Second), 0)
-	assert.Equal(t, spent(11*time.Second), 43)
+	assert.Equal(t, countExtras(0), 0)
+	assert.Equal(t, countExtras(9*time.Second), 0)
+	assert.Equal(t, countExtras(11*time.Second), 43)
 }
 
 func TestBudgetWindowSlides(t *testing.T) {
-	b := older(Limits{Slack: 10, Window: 10 * time.Second}, 1)
-	for spend(b, at(0), "s") {
+	b := newWarmBudget(Limits{Slack: 10, Window: 10 * time.Second}, 1)
+	for sendExtra(b, at(0), "s") {
 	}
-	assert.Assert(t, !spend(b, at(8*time.Second), "s"))
+	assert.Assert(t, !sendExtra(b, at(8*time.Second), "s"))
 	b.Entries(at(11*time.Second), 1)
-	assert.Assert(t, spend(b, at(11*time.Second), "s"))
+	assert.Assert(t, sendExtra(b, at(11*time.Second), "s"))
 	b.Entries(at(10*time.Minute), 1)
-	assert.Assert(t, spend(b, at(10*time.Minute), "s"))
+	assert.Assert(t, sendExtra(b, at(10*time.Minute), "s"))
 }
 
 // Guards against shares that add up to more than the slack while a control instance knows
-// few of the entries, or none answers.
+// only few of the entries, or none answers.
 func TestShareOfTheSlack(t *testing.T) {
-	b := older(Limits{Slack: 10, Window: 10 * time.Second}, 7)
+	b := newWarmBudget(Limits{Slack: 10, Window: 10 * time.Second}, 7)
 	b.Entries(at(time.Second), 2)
 	assert.Equal(t, b.Share(at(2*time.Second)), 1.0/7)
 	b.Entries(at(9*time.Second), 2)
-	assert.Equal(t, b.Share(at(11*time.Second)), 1.0/2, "seven were told longer than a window ago")
-	assert.Equal(t, b.Share(at(20*time.Second)), 0.0, "nobody has told a number for a window")
+	assert.Equal(t, b.Share(at(11*time.Second)), 1.0/2, "seven was reported more than a window ago")
+	assert.Equal(t, b.Share(at(20*time.Second)), 0.0, "no number was reported for a window")
 	b.Entries(at(21*time.Second), 3)
 	assert.Equal(t, b.Share(at(21*time.Second)), 1.0/3)
 }
 
-// Guards against arrivals that are counted before they come: a send that waits may reach
-// its endpoint at any time until its answer.
+// Guards against counting an arrival at the time of its decision only: a delayed attempt may
+// reach its endpoint at any time until its answer.
 func TestReservedCountsUntilItIsSettled(t *testing.T) {
-	b := older(Limits{Slack: 5, Window: 10 * time.Second}, 1)
+	b := newWarmBudget(Limits{Slack: 5, Window: 10 * time.Second}, 1)
 	var held []*Reservation
-	for extra := b.Reserve(at(0), "s"); extra != nil; extra = b.Reserve(at(0), "s") {
-		held = append(held, extra)
+	for reservation := b.Reserve(at(0), "s"); reservation != nil; reservation = b.Reserve(at(0), "s") {
+		held = append(held, reservation)
 	}
 	assert.Equal(t, len(held), 4)
 	b.Entries(at(11*time.Second), 1)
 	assert.Assert(t, b.Reserve(at(11*time.Second), "s") == nil)
 	held[0].Commit(at(11 * time.Second))
 	held[0].Cancel()
-	assert.Assert(t, b.Reserve(at(11*time.Second), "s") == nil, "it has arrived, and isn't given back")
+	assert.Assert(t, b.Reserve(at(11*time.Second), "s") == nil, "a used reservation is not returned")
 	held[1].Cancel()
 	held[1].Cancel()
-	assert.Assert(t, spend(b, at(11*time.Second), "s"))
-	assert.Assert(t, !spend(b, at(20*time.Second), "s"))
+	assert.Assert(t, sendExtra(b, at(11*time.Second), "s"))
+	assert.Assert(t, !sendExtra(b, at(20*time.Second), "s"))
 }
 
-// Guards against memory that grows with each service that ever was.
+// Guards against memory that grows with every service that ever existed.
 func TestUnusedServicesAreForgotten(t *testing.T) {
-	b := older(Limits{Slack: 5, Window: 10 * time.Second}, 1)
-	b.Request(at(0), "unused")
+	b := newWarmBudget(Limits{Slack: 5, Window: 10 * time.Second}, 1)
+	b.RecordRequest(at(0), "unused")
 	held := b.Reserve(at(0), "held")
-	b.Request(at(25*time.Second), "used")
+	b.RecordRequest(at(25*time.Second), "used")
 	b.Entries(at(25*time.Second), 1)
 	assert.Equal(t, len(b.services), 2)
 	held.Commit(at(25 * time.Second))
--- a/internal/retrybudget/share.go
+++ b/internal/retrybudget/share.go
@@ -2,51 +2,51 @@
 
 import "time"
 
-// share is an entry's part of the slack.
-type share struct {
-	window time.Duration
-	began  time.Time // of the process
-	counts []count
+// slackShare computes an entry's fraction of the slack.
+type slackShare struct {
+	window    time.Duration
+	startedAt time.Time // start of the process
+	counts    []entryCount
 }
 
-// count is a number of entries.
-type count struct {
-	entries int
-	last    time.Time // when it was told last
+// entryCount is a reported number of entries.
+type entryCount struct {
+	entries      int
+	lastReported time.Time // when this number was last reported
 }
 
-// told takes in how many entries may send.
-func (s *share) told(now time.Time, entries int) {
-	s.forget(now)
-	for n := range s.counts {
-		if s.counts[n].entries == entries {
-			s.counts[n].last = now
+// report records how many entries may send.
+func (s *slackShare) report(now time.Time, entries int) {
+	s.dropExpired(now)
+	for i := range s.counts {
+		if s.counts[i].entries == entries {
+			s.counts[i].lastReported = now
 			return
 		}
 	}
-	s.counts = append(s.counts, count{entries: entries, last: now})
+	s.counts = append(s.counts, entryCount{entries: entries, lastReported: now})
 }
 
-// forget drops what was told longer than a window ago.
-func (s *share) forget(now time.Time) {
-	fresh := s.counts[:0]
+// dropExpired drops the numbers that were last reported more than a window ago.
+func (s *slackShare) dropExpired(now time.Time) {
+	current := s.counts[:0]
 	for _, c := range s.counts {
-		if now.Sub(c.last) <= s.window {
-			fresh = append(fresh, c)
+		if now.Sub(c.lastReported) <= s.window {
+			current = append(current, c)
 		}
 	}
-	s.counts = fresh
+	s.counts = current
 }
 
-// part is the entry's part, 0 to 1.
-func (s *share) part(now time.Time) float64 {
-	s.forget(now)
-	if now.Sub(s.began) < s.window || len(s.counts) == 0 {
+// fraction returns the entry's fraction of the slack, from 0 to 1.
+func (s *slackShare) fraction(now time.Time) float64 {
+	s.dropExpired(now)
+	if now.Sub(s.startedAt) < s.window || len(s.counts) == 0 {
 		return 0
 	}
-	most := 1
+	maxEntries := 1
 	for _, c := range s.counts {
-		most = max(most, c.entries)
+		maxEntries = max(maxEntries, c.entries)
 	}
-	return 1 / float64(most)
+	return 1 / float64(maxEntries)
 }
--- a/internal/retrybudget/usage.go
+++ b/internal/retrybudget/usage.go
@@ -2,57 +2,56 @@
 
 import "math"
 
-// A window is counted in pieces. kept are those that a decision looks at: the windows that
-// hold the present begin up to one window ago, and the requests of the window before each
-// count for it too.
+// A window is counted in buckets. A decision looks at the last bucketsKept of them: the
+// windows that contain the present begin up to one window ago, and the requests of the
+// window before each of them count as well.
 const (
-	pieces = 20
-	kept   = 2 * pieces
+	bucketsPerWindow = 20
+	bucketsKept      = 2 * bucketsPerWindow
 )
 
-// usage counts a service's requests and arrivals beyond the first in pieces of the window,
-// newest last.
+// usage counts the requests and extra arrivals of a service in buckets, oldest first.
 type usage struct {
-	newest   int64 // number of the newest piece
-	requests [kept]int
-	extras   [kept]int
-	reserved int // arrivals that may come at any moment
+	newestBucket  int64 // number of the newest bucket
+	requests      [bucketsKept]int
+	extraArrivals [bucketsKept]int
+	reserved      int // extra arrivals that may happen at any moment
 }
 
-// advance begins the pieces up to a newer one.
-func (u *usage) advance(piece int64) {
-	passed := min(piece-u.newest, kept)
-	if passed <= 0 {
+// advance begins new buckets up to the given one.
+func (u *usage) advance(bucket int64) {
+	elapsed := min(bucket-u.newestBucket, bucketsKept)
+	if elapsed <= 0 {
 		return
 	}
-	copy(u.requests[:], u.requests[passed:])
-	copy(u.extras[:], u.extras[passed:])
-	clear(u.requests[kept-passed:])
-	clear(u.extras[kept-passed:])
-	u.newest = piece
+	copy(u.requests[:], u.requests[elapsed:])
+	copy(u.extraArrivals[:], u.extraArrivals[elapsed:])
+	clear(u.requests[bucketsKept-elapsed:])
+	clear(u.extraArrivals[bucketsKept-elapsed:])
+	u.newestBucket = bucket
 }
 
-func (u *usage) requested() { u.requests[kept-1]++ }
+func (u *usage) addRequest() { u.requests[bucketsKept-1]++ }
 
-func (u *usage) arrived() { u.extras[kept-1]++ }
+func (u *usage) addExtraArrival() { u.extraArrivals[bucketsKept-1]++ }
 
-// left is how many more arrivals fit each window that holds the present. A window may
-// begin anywhere in a piece: all arrivals of that piece count, and so do its requests,
-// which are in the window or in the one before it.
-func (u *usage) left(ratio, slack float64) float64 {
-	least := math.Inf(1)
-	extras := u.reserved
-	for first := kept - 1; first >= kept-1-pieces; first-- {
-		extras += u.extras[first]
-		requests := sum(u.requests[first-pieces+1 : min(first+pieces, kept)])
-		least = min(least, ratio*float64(requests)/2+slack-float64(extras))
+// remaining returns how many more extra arrivals fit into every window that contains the
+// present. A window may begin anywhere within a bucket: all arrivals of that bucket count,
+// and so do its requests, which are in the window or in the one before it.
+func (u *usage) remaining(ratio, slack float64) float64 {
+	minimum := math.Inf(1)
+	extraArrivals := u.reserved
+	for start := bucketsKept - 1; start >= bucketsKept-1-bucketsPerWindow; start-- {
+		extraArrivals += u.extraArrivals[start]
+		requests := sum(u.requests[start-bucketsPerWindow+1 : min(start+bucketsPerWindow, bucketsKept)])
+		minimum = min(minimum, ratio*float64(requests)/2+slack-float64(extraArrivals))
 	}
-	return least
+	return minimum
 }
 
-func sum(list []int) int {
+func sum(counts []int) int {
 	total := 0
-	for _, n := range list {
+	for _, n := range counts {
 		total += n
 	}
 	return total
