--- a/internal/crashboard/board.go
+++ b/internal/crashboard/board.go
@@ -12,19 +12,20 @@
 	"github.com/hyssopsail/hyssopsail/internal/suspect"
 )
 
-// Board is what one control instance knows.
+// Board holds the findings of one control instance. It is safe for concurrent use.
 type Board struct {
 	epoch   uint64
 	metrics *boardMetrics
 
 	mu      sync.Mutex // guards the fields below
 	losses  *suspect.Losses
-	changed chan struct{} // closed and replaced when there is news
+	changed chan struct{} // closed and replaced when there are new findings to share
 }
 
 var _ pb.DRPCCrashBoardServer = (*Board)(nil)
 
-// NewBoard makes an empty board. epoch is that of no other process; to may be nil.
+// NewBoard returns an empty board. epoch must differ from that of any other process, also of an
+// earlier one of this instance; to may be nil.
 func NewBoard(epoch uint64, to prometheus.Registerer) *Board {
 	return &Board{
 		epoch: epoch, metrics: newBoardMetrics(to),
@@ -50,19 +51,19 @@
 	}
 	for _, wire := range r.Known {
 		if f, ok := findingFromWire(now, wire); ok {
-			b.losses.Told(now, f)
+			b.losses.Merge(now, f)
 		}
 	}
-	b.metrics.reported(len(r.Losses), b.losses.Len())
-	if len(b.losses.Shared(before)) > 0 {
+	b.metrics.recordReport(len(r.Losses), b.losses.Len())
+	if len(b.losses.SharedSince(before)) > 0 {
 		close(b.changed)
 		b.changed = make(chan struct{})
 	}
 	return &pb.ReportCrashesReply{}, nil
 }
 
-// News gives what has changed after a mark, nil for none read yet, and a channel that is
-// closed when there is more.
+// News returns the findings that have changed after a mark, and a channel that is closed at the
+// next change. A nil mark, or one of another epoch, returns all of them.
 func (b *Board) News(mark *pb.CrashMark) (*pb.CrashNews, <-chan struct{}) {
 	now := time.Now()
 	b.mu.Lock()
@@ -73,7 +74,7 @@
 	}
 	news := &pb.CrashNews{Mark: &pb.CrashMark{Epoch: b.epoch, Revision: b.losses.Revision()}}
 	if after < b.losses.Revision() {
-		news.Findings = findingsToWire(now, b.losses.Shared(after))
+		news.Findings = findingsToWire(now, b.losses.SharedSince(after))
 	}
 	return news, b.changed
 }
--- a/internal/crashboard/board_test.go
+++ b/internal/crashboard/board_test.go
@@ -15,10 +15,10 @@
 	"github.com/hyssopsail/hyssopsail/internal/testkit"
 )
 
-// contact is how long after the third crash all entries in touch must know of it.
-const contact = 3 * time.Second
+// propagationTime is how long after the third crash all entries in contact must know of it.
+const propagationTime = 3 * time.Second
 
-// group is control instances with their boards, and entries that follow them.
+// group is a set of control instances with their boards, and of entries that poll them.
 type group struct {
 	net     *testkit.Network
 	members []string
@@ -40,7 +40,7 @@
 	return g
 }
 
-// restart gives a member an empty board.
+// restart replaces the board of a member by an empty one.
 func (g *group) restart(member string) {
 	g.epoch++
 	g.boards[member] = NewBoard(g.epoch, nil)
@@ -54,26 +54,26 @@
 	return c
 }
 
-// follow has all entries ask two members each, as they do all the time.
-func (g *group) follow() {
+// poll lets every entry poll two members, as entries do all the time.
+func (g *group) poll() {
 	for n, c := range g.entries {
-		for way := range 2 {
-			member := g.members[(n+way)%len(g.members)]
+		for offset := range 2 {
+			member := g.members[(n+offset)%len(g.members)]
 			news, _ := g.boards[member].News(c.Mark(member))
 			c.Take(member, news)
 		}
 	}
 }
 
-// run lets time pass, in which entries follow.
+// run lets time pass, with a poll every 50 ms.
 func (g *group) run(d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-		g.follow()
+		g.poll()
 	}
 }
 
-// send sends a request that crashes endpoints by an entry, unless that refuses it, and tells
-// whether it was sent.
+// send sends a request that crashes its endpoint from an entry, unless the entry refuses it, and
+// reports whether it was sent.
 func (g *group) send(c *Client, f fleet.Fingerprint) bool {
 	if _, refused := c.Refused(f); refused {
 		return false
@@ -87,8 +87,8 @@
 
 var crasher = fleet.Fingerprint{1}
 
-// Guards against a request that takes down one endpoint after another, since its caller
-// sends it to another entry each time.
+// Guards against a request that crashes one endpoint after another because its caller repeats it
+// at another entry each time.
 func TestRequestIsRefusedAtAllEntries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGroup(5, 69)
@@ -96,21 +96,21 @@
 			g.send(g.entries[7*n%len(g.entries)], crasher)
 			g.run(500 * time.Millisecond)
 		}
-		assert.Equal(t, g.sent, suspect.CompanyCrashes)
+		assert.Equal(t, g.sent, suspect.MultiSuspectCrashes)
 	})
 }
 
-// The faults under which a crashing request must still be stopped: after the third crash
-// and the time for it to be known, entries in touch send it three times at most.
+// A crashing request must be stopped under each of these faults: once the third crash has had
+// the time to become known, entries in contact send the request at most three more times.
 func TestCrashingRequestIsStoppedWhateverFails(t *testing.T) {
 	cases := map[string]func(g *group, n int){
-		"members restart in turn":     func(g *group, n int) { g.restart(g.members[n%len(g.members)]) },
-		"all members are killed":      func(g *group, n int) { restartAll(g, n%6 == 5) },
-		"entries start":               func(g *group, _ int) { g.join() },
-		"a member is cut off":         func(g *group, n int) { g.cut(g.members[0], n < 10) },
-		"most members are cut off":    func(g *group, n int) { g.cut(g.members[n%3], n%2 == 0) },
-		"all requests come by one":    func(g *group, _ int) { g.entries[0], g.entries[1] = g.entries[1], g.entries[0] },
-		"the members that answer die": func(g *group, n int) { g.restart(g.members[0]); g.restart(g.members[1]) },
+		"members restart in turn":    func(g *group, n int) { g.restart(g.members[n%len(g.members)]) },
+		"all members are killed":     func(g *group, n int) { restartAll(g, n%6 == 5) },
+		"entries start":              func(g *group, _ int) { g.join() },
+		"a member is cut off":        func(g *group, n int) { g.cut(g.members[0], n < 10) },
+		"most members are cut off":   func(g *group, n int) { g.cut(g.members[n%3], n%2 == 0) },
+		"all requests use one entry": func(g *group, _ int) { g.entries[0], g.entries[1] = g.entries[1], g.entries[0] },
+		"the polled members restart": func(g *group, n int) { g.restart(g.members[0]); g.restart(g.members[1]) },
 	}
 	for name, fault := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -124,15 +124,15 @@
 					if !g.send(g.entries[n%len(g.entries)], crasher) {
 						continue
 					}
-					if crashes++; crashes == suspect.CompanyCrashes {
+					if crashes++; crashes == suspect.MultiSuspectCrashes {
 						third = time.Now()
 					}
-					if !third.IsZero() && time.Since(third) > contact {
+					if !third.IsZero() && time.Since(third) > propagationTime {
 						late++
 					}
 				}
-				assert.Assert(t, crashes >= suspect.CompanyCrashes)
-				assert.Assert(t, late <= 3, "%d of %d crashes came later than %s after the third", late, crashes, contact)
+				assert.Assert(t, crashes >= suspect.MultiSuspectCrashes)
+				assert.Assert(t, late <= 3, "%d of %d crashes came later than %s after the third", late, crashes, propagationTime)
 			})
 		})
 	}
@@ -146,43 +146,43 @@
 	}
 }
 
-// cut keeps a member from hearing any entry.
+// cut cuts the connections from all entries to a member, or restores them.
 func (g *group) cut(member string, cut bool) {
 	for n := range g.entries {
 		g.net.SetCut(cut, fmt.Sprint("entry", n), member)
 	}
 }
 
-// Guards against a member that is frozen and holds up the word to the others.
-func TestFrozenMemberHoldsUpNobody(t *testing.T) {
+// Guards against a frozen member that delays the reports to the other members.
+func TestFrozenMemberDoesNotDelayOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGroup(3, 4)
 		g.cut("member0", true)
 		for n := range 3 {
 			g.send(g.entries[n], crasher)
 			time.Sleep(20 * time.Millisecond)
-			g.follow()
+			g.poll()
 		}
 		_, refused := g.entries[3].Refused(crasher)
 		assert.Assert(t, refused)
 		time.Sleep(time.Minute)
 		synctest.Wait()
 		for _, c := range g.entries {
-			assert.Equal(t, len(c.boxes), 0, "nothing waits for ever")
+			assert.Equal(t, len(c.outboxes), 0, "no outbox stays forever")
 		}
 	})
 }
 
-// Guards against traffic and memory that grow where nothing crashes, and against telling
-// everybody of all that ran on an endpoint when it died.
-func TestOnlySuspectsAreTold(t *testing.T) {
+// Guards against traffic and memory that grow while nothing crashes, and against sharing every
+// request that ran on an endpoint when it died.
+func TestOnlySuspectsAreShared(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGroup(3, 3)
 		for n := range 30 {
 			g.send(g.entries[0], fleet.Fingerprint{2, byte(n)})
 		}
 		time.Sleep(time.Second)
-		g.follow()
+		g.poll()
 		assert.Assert(t, g.entries[0].Watches())
 		assert.Assert(t, !g.entries[1].Watches())
 		calls := g.net.Calls("member0")
@@ -194,7 +194,7 @@
 	})
 }
 
-// Guards against refusing for good what was found to be harmless at another entry.
+// Guards against refusing a request that another entry has found to be harmless.
 func TestAnswerClearsARequestEverywhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGroup(3, 4)
@@ -211,8 +211,8 @@
 	})
 }
 
-// Guards against words of another writer: what can't be read changes nothing.
-func TestWordsThatCantBeRead(t *testing.T) {
+// Guards against malformed reports: they change no findings.
+func TestMalformedReportsAreIgnored(t *testing.T) {
 	b := NewBoard(1, nil)
 	_, err := b.ReportCrashes(t.Context(), &pb.ReportCrashesRequest{
 		Losses: []*pb.RunLoss{{Fingerprint: []byte("short")}}, Answered: [][]byte{{1}},
--- a/internal/crashboard/client.go
+++ b/internal/crashboard/client.go
@@ -20,39 +20,40 @@
 	Conn(ctx context.Context, address string) (drpc.Conn, error)
 }
 
-// Options tell a Client what it works with.
+// Options configure a Client.
 type Options struct {
 	Dialer  Dialer
-	Members func() []string // addresses of the control instances
+	Members func() []string // returns the addresses of the control instances
 	Part    logging.Part
 	Metrics prometheus.Registerer // nil for none
 }
 
-// Client is what one entry knows. It is safe for concurrent use.
+// Client holds an entry's findings. It is safe for concurrent use.
 type Client struct {
-	options Options
-	metrics *clientMetrics
-	known   atomic.Int64 // requests of which something is known
-
-	mu     sync.Mutex // guards the fields below
-	losses *suspect.Losses
-	marks  map[string]*pb.CrashMark // by member
-	boxes  map[string]*outbox       // by member; those with nothing to send have none
+	options    Options
+	metrics    *clientMetrics
+	knownCount atomic.Int64 // number of requests that have a finding
+
+	mu       sync.Mutex // guards the fields below
+	losses   *suspect.Losses
+	marks    map[string]*pb.CrashMark // by member
+	outboxes map[string]*outbox       // by member; only those with reports to send or being sent
 }
 
-// NewClient makes a Client that knows of nothing.
+// NewClient returns a Client without findings.
 func NewClient(options Options) *Client {
 	return &Client{
 		options: options, metrics: newClientMetrics(options.Metrics),
-		losses: suspect.NewLosses(suspect.DefaultLimits), marks: map[string]*pb.CrashMark{}, boxes: map[string]*outbox{},
+		losses: suspect.NewLosses(suspect.DefaultLimits), marks: map[string]*pb.CrashMark{}, outboxes: map[string]*outbox{},
 	}
 }
 
-// Watches tells whether anything is known of any request, so that it is worth to compute a
-// fingerprint.
-func (c *Client) Watches() bool { return c.known.Load() > 0 }
+// Watches reports whether there is any finding. Without one, no fingerprint needs to be
+// computed.
+func (c *Client) Watches() bool { return c.knownCount.Load() > 0 }
 
-// Refused tells whether a request is refused since it crashes endpoints, and for how long.
+// Refused reports whether a request is refused because it crashes endpoints, and for how
+// long.
 func (c *Client) Refused(f fleet.Fingerprint) (wait time.Duration, refused bool) {
 	now := time.Now()
 	c.mu.Lock()
@@ -61,38 +62,41 @@
 	if !found.Quarantined(now, suspect.DefaultLimits) {
 		return 0, false
 	}
-	return found.At.Add(suspect.DefaultLimits.Life).Sub(now), true
+	return found.Updated.Add(suspect.DefaultLimits.Life).Sub(now), true
 }
 
-// Lost takes in a loss that this entry saw, and reports it.
+// Lost records a loss that this entry saw, and reports it to the control instances.
 func (c *Client) Lost(loss suspect.Loss) {
 	members, now := c.options.Members(), time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	before := c.losses.Find(loss.Fingerprint)
-	c.noteQuarantine(now, before, c.losses.Lost(now, loss))
-	c.report(members, func(r *pb.ReportCrashesRequest) { r.Losses = append(r.Losses, lossToWire(now, loss)) })
-	c.counted()
+	c.recordQuarantine(now, before, c.losses.Lost(now, loss))
+	c.enqueueForAll(members, func(r *pb.ReportCrashesRequest) { r.Losses = append(r.Losses, lossToWire(now, loss)) })
+	c.updateKnownCount()
 }
 
-// Answered takes in that an endpoint has run a request and answered it.
+// Answered records that an endpoint has run a request and answered it. If this changes the
+// findings, it is reported to the control instances.
 func (c *Client) Answered(f fleet.Fingerprint) {
 	members, now := c.options.Members(), time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.losses.Answered(now, f) {
-		c.report(members, func(r *pb.ReportCrashesRequest) { r.Answered = append(r.Answered, f[:]) })
+		c.enqueueForAll(members, func(r *pb.ReportCrashesRequest) { r.Answered = append(r.Answered, f[:]) })
 	}
 }
 
-// Mark is how far a member's findings were read, to be sent with a question to it.
+// Mark returns the mark up to which the findings of a member were read, to be sent with the
+// next poll of it; nil if none were read.
 func (c *Client) Mark(member string) *pb.CrashMark {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.marks[member]
 }
 
-// Take takes in what a member knows. One whose process has begun anew is told what it lacks.
+// Take records the findings of a member. If the member has restarted, the findings that it
+// lacks are reported to it.
 func (c *Client) Take(member string, news *pb.CrashNews) {
 	if news.GetMark() == nil {
 		return
@@ -100,7 +104,7 @@
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	begun := c.marks[member].GetEpoch() != news.Mark.Epoch
+	restarted := c.marks[member].GetEpoch() != news.Mark.Epoch
 	c.marks[member] = news.Mark
 	listed := map[fleet.Fingerprint]bool{}
 	for _, wire := range news.Findings {
@@ -110,46 +114,49 @@
 		}
 		listed[found.Fingerprint] = true
 		before := c.losses.Find(found.Fingerprint)
-		if c.losses.Told(now, found) {
-			c.noteQuarantine(now, before, c.losses.Find(found.Fingerprint))
+		if c.losses.Merge(now, found) {
+			c.recordQuarantine(now, before, c.losses.Find(found.Fingerprint))
 		}
 	}
-	if begun {
-		c.tellMissing(now, member, listed)
+	if restarted {
+		c.reportMissing(now, member, listed)
 	}
-	c.counted()
+	c.updateKnownCount()
 }
 
-// tellMissing tells a member the findings that it doesn't list. It is called with c.mu held.
-func (c *Client) tellMissing(now time.Time, member string, listed map[fleet.Fingerprint]bool) {
+// reportMissing reports to a member the findings that it doesn't list. The caller holds
+// c.mu.
+func (c *Client) reportMissing(now time.Time, member string, listed map[fleet.Fingerprint]bool) {
 	var missing []suspect.Finding
-	for _, found := range c.losses.Shared(0) {
+	for _, found := range c.losses.SharedSince(0) {
 		if !listed[found.Fingerprint] {
 			missing = append(missing, found)
 		}
 	}
 	if len(missing) > 0 {
-		c.reportTo(member, func(r *pb.ReportCrashesRequest) { r.Known = findingsToWire(now, missing) })
+		c.enqueue(member, func(r *pb.ReportCrashesRequest) { r.Known = findingsToWire(now, missing) })
 	}
 }
 
-// noteQuarantine writes a line when a request begins to be refused here.
-func (c *Client) noteQuarantine(now time.Time, before, after suspect.Finding) {
+// recordQuarantine counts and logs a request that is refused here from now on. The caller holds
+// c.mu.
+func (c *Client) recordQuarantine(now time.Time, before, after suspect.Finding) {
 	if before.Quarantined(now, suspect.DefaultLimits) || !after.Quarantined(now, suspect.DefaultLimits) {
 		return
 	}
 	c.metrics.quarantined.Inc()
 	c.options.Part.Warn("A request crashes endpoints and is refused from now on.", "fingerprint", after.Fingerprint,
-		"weight", after.Weight, "last_ms", now.Sub(after.At).Milliseconds())
+		"weight", after.Weight, "last_ms", now.Sub(after.Updated).Milliseconds())
 }
 
-// Sweep forgets what is over.
+// Sweep removes expired findings.
 func (c *Client) Sweep(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.losses.Sweep(now)
-	c.counted()
+	c.updateKnownCount()
 }
 
-// counted is called with c.mu held after the number of known requests may have changed.
-func (c *Client) counted() { c.known.Store(int64(c.losses.Len())) }
+// updateKnownCount must be called, with c.mu held, after the number of findings may have
+// changed.
+func (c *Client) updateKnownCount() { c.knownCount.Store(int64(c.losses.Len())) }
--- a/internal/crashboard/doc.go
+++ b/internal/crashboard/doc.go
@@ -1,14 +1,16 @@
-// Package crashboard tells all entries which requests crash endpoints, so that such a
-// request is refused wherever its caller sends it again.
+// Package crashboard shares findings on requests that crash endpoints between all entries, so
+// that such a request is refused at whichever entry its caller repeats it.
 //
-// An entry's Client counts what that entry sees and reports it to each control instance,
-// whose Board counts what all entries see. Boards answer with what is new on them when
-// entries ask what else has changed; the rule is suspect.Losses for both.
+// The Client of an entry counts the losses that this entry sees, and reports them to every
+// control instance, whose Board counts the losses that all entries see. Entries receive the
+// changes of a board in the replies when they poll its instance. Both apply the rule of
+// suspect.Losses.
 //
-//   - Control instances need no word of each other: each hears all entries that reach it.
-//   - A board that begins anew is empty. An entry that finds something missing there tells
-//     it, so that instances may all be killed at the same moment.
-//   - An entry that is cut off goes on by what it knows.
+//   - Control instances don't exchange findings: each receives those of all entries that can
+//     reach it.
+//   - The board of a restarted control instance is empty. An entry that finds one of its
+//     findings missing there reports it, so all instances may be killed at the same time.
+//   - An entry that has lost contact applies the findings that it has.
 //
-// Locks: Client.mu and Board.mu are leaves.
+// Client.mu and Board.mu are leaf locks: no other lock is taken while one of them is held.
 package crashboard
--- a/internal/crashboard/metrics.go
+++ b/internal/crashboard/metrics.go
@@ -5,7 +5,7 @@
 	"github.com/prometheus/client_golang/prometheus/promauto"
 )
 
-// boardMetrics are those of a control instance.
+// boardMetrics are the metrics of a control instance.
 type boardMetrics struct {
 	losses prometheus.Counter
 	known  prometheus.Gauge
@@ -25,21 +25,21 @@
 	}
 }
 
-func (m *boardMetrics) reported(losses, known int) {
+func (m *boardMetrics) recordReport(losses, known int) {
 	m.losses.Add(float64(losses))
 	m.known.Set(float64(known))
 }
 
-// clientMetrics are those of an entry.
+// clientMetrics are the metrics of an entry.
 type clientMetrics struct {
-	unreported  prometheus.Counter
-	quarantined prometheus.Counter
+	failedReports prometheus.Counter
+	quarantined   prometheus.Counter
 }
 
 func newClientMetrics(to prometheus.Registerer) *clientMetrics {
 	with := promauto.With(to)
 	return &clientMetrics{
-		unreported: with.NewCounter(prometheus.CounterOpts{
+		failedReports: with.NewCounter(prometheus.CounterOpts{
 			Name: "hyssopsail_crash_reports_failed_total",
 			Help: "Reports on requests that may crash endpoints which a control instance did not take.",
 		}),
--- a/internal/crashboard/outbox.go
+++ b/internal/crashboard/outbox.go
@@ -7,95 +7,97 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// The bounds of reports.
+// Limits of reports.
 const (
-	// reportPace is how long a report waits for others: an endpoint that dies takes up to
-	// some dozens of an entry's requests with it.
-	reportPace = 5 * time.Millisecond
-	// reportTimeout bounds one call. A control instance answers within milliseconds; one
-	// that doesn't is frozen or cut off.
+	// reportBatchDelay is how long a report waits for others: an endpoint that dies ends up to
+	// some dozens of an entry's requests.
+	reportBatchDelay = 5 * time.Millisecond
+	// reportTimeout limits one call. A control instance answers within milliseconds; one that
+	// doesn't is frozen or unreachable.
 	reportTimeout = 400 * time.Millisecond
-	// reportTries is how often an instance is told, retryPause the wait between: one that
-	// is restarted takes a moment. Others have it meanwhile.
-	reportTries = 3
-	retryPause  = 150 * time.Millisecond
-	// mostWaiting bounds the losses that wait for one control instance.
-	mostWaiting = 1024
+	// maxReportAttempts is how often a report is sent to one instance, with reportRetryDelay in
+	// between: a restart takes a moment. The other instances receive the report meanwhile.
+	maxReportAttempts = 3
+	reportRetryDelay  = 150 * time.Millisecond
+	// maxQueuedLosses limits the losses that are queued for one control instance.
+	maxQueuedLosses = 1024
 )
 
-// outbox is what waits for one control instance. Each has its own, so that one that is
-// frozen holds up no other. It is guarded by Client.mu.
+// outbox queues the reports to one control instance. Each instance has its own, so that a frozen
+// one delays no other. It is guarded by Client.mu.
 type outbox struct {
-	waiting *pb.ReportCrashesRequest // nil for nothing
+	pending *pb.ReportCrashesRequest // nil if empty
 	sending bool
 }
 
-// report adds to what goes to each member. It is called with c.mu held.
-func (c *Client) report(members []string, add func(r *pb.ReportCrashesRequest)) {
+// enqueueForAll adds to the pending report to each member. The caller holds c.mu.
+func (c *Client) enqueueForAll(members []string, add func(r *pb.ReportCrashesRequest)) {
 	for _, member := range members {
-		c.reportTo(member, add)
+		c.enqueue(member, add)
 	}
 }
 
-// reportTo adds to what goes to one member. It is called with c.mu held.
-func (c *Client) reportTo(member string, add func(r *pb.ReportCrashesRequest)) {
-	box := c.boxes[member]
-	if box == nil {
-		box = &outbox{}
-		c.boxes[member] = box
+// enqueue adds to the pending report to a member, and starts sending it. Beyond maxQueuedLosses
+// nothing is added. The caller holds c.mu.
+func (c *Client) enqueue(member string, add func(r *pb.ReportCrashesRequest)) {
+	queue := c.outboxes[member]
+	if queue == nil {
+		queue = &outbox{}
+		c.outboxes[member] = queue
 	}
-	if box.waiting == nil {
-		box.waiting = &pb.ReportCrashesRequest{}
+	if queue.pending == nil {
+		queue.pending = &pb.ReportCrashesRequest{}
 	}
-	if len(box.waiting.Losses) < mostWaiting {
-		add(box.waiting)
+	if len(queue.pending.Losses) < maxQueuedLosses {
+		add(queue.pending)
 	}
-	if !box.sending {
-		box.sending = true
-		go c.send(member, box)
+	if !queue.sending {
+		queue.sending = true
+		go c.drainOutbox(member, queue)
 	}
 }
 
-// send sends what waits for a member until nothing does.
-func (c *Client) send(member string, box *outbox) {
+// drainOutbox sends the pending reports to a member until there are none.
+func (c *Client) drainOutbox(member string, queue *outbox) {
 	for {
-		time.Sleep(reportPace)
-		report := c.takeReport(member, box)
+		time.Sleep(reportBatchDelay)
+		report := c.takePending(member, queue)
 		if report == nil {
 			return
 		}
-		c.tell(member, report)
+		c.sendWithRetries(member, report)
 	}
 }
 
-// takeReport gives what waits, and ends the use of an outbox in which nothing does.
-func (c *Client) takeReport(member string, box *outbox) *pb.ReportCrashesRequest {
+// takePending returns the pending report and empties the outbox. If there is none, it removes
+// the outbox and returns nil.
+func (c *Client) takePending(member string, queue *outbox) *pb.ReportCrashesRequest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	report := box.waiting
-	box.waiting = nil
+	report := queue.pending
+	queue.pending = nil
 	if report == nil {
-		delete(c.boxes, member)
+		delete(c.outboxes, member)
 	}
 	return report
 }
 
-func (c *Client) tell(member string, report *pb.ReportCrashesRequest) {
+func (c *Client) sendWithRetries(member string, report *pb.ReportCrashesRequest) {
 	var err error
-	for try := range reportTries {
-		if try > 0 {
-			time.Sleep(retryPause)
+	for attempt := range maxReportAttempts {
+		if attempt > 0 {
+			time.Sleep(reportRetryDelay)
 		}
-		if err = c.call(member, report); err == nil {
+		if err = c.sendReport(member, report); err == nil {
 			return
 		}
 	}
-	c.metrics.unreported.Inc()
-	c.options.Part.Info("A control instance did not take a report.", "member", member, "losses", len(report.Losses),
+	c.metrics.failedReports.Inc()
+	c.options.Part.Info("Failed to send a crash report to a control instance.", "member", member, "losses", len(report.Losses),
 		"answered", len(report.Answered), "known", len(report.Known), "err", err)
 }
 
-func (c *Client) call(member string, report *pb.ReportCrashesRequest) error {
+func (c *Client) sendReport(member string, report *pb.ReportCrashesRequest) error {
 	ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 	defer cancel()
 	conn, err := c.options.Dialer.Conn(ctx, member)
--- a/internal/quarantine/limits.go
+++ b/internal/quarantine/limits.go
@@ -21,7 +21,7 @@
 // known, and the neighbours of both can't be told from it. SuspectLife follows the settings' quarantine life.
 var DefaultLimits = Limits{
 	SuspectLife:  suspect.DefaultLimits.Life,
-	ProvenLife:   suspect.ProvenLife,
+	ProvenLife:   suspect.ProvenTTL,
 	RunLife:      10 * time.Minute,
 	UnprovenRuns: 1,
 	MaxTracked:   65536,
--- a/internal/retrybudget/doc.go
+++ b/internal/retrybudget/doc.go
@@ -33,6 +33,6 @@
 // The control instances that report the number count an entry for one window after its last
 // contact.
 //
-// The package does no I/O and reads no clock. No other lock is taken while Budget.mu is
-// held.
+// The package does no I/O and reads no clock. Budget.mu is a leaf lock: no other lock is taken
+// while it is held.
 package retrybudget
--- a/internal/suspect/apply.go
+++ b/internal/suspect/apply.go
@@ -9,30 +9,29 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// AloneCrashes is the number of crashes after which a fingerprint that
-// was the only suspect on the endpoint is refused for good.
+// AloneCrashes is the number of crashes after which a fingerprint is quarantined, if at the
+// last one it was the only suspect on the endpoint.
 const AloneCrashes = 2
 
-// CompanyCrashes is the number of crashes after which a suspect is refused for
-// good although other suspects were on the endpoint each time. Suspects run
-// apart as long as their guard instances answer; without this bound a pair
-// that comes together all the same would take down endpoints for ever.
-const CompanyCrashes = 3
+// MultiSuspectCrashes is the number of crashes after which a suspect is quarantined even if
+// other suspects were on the endpoint each time. Suspects run apart as long as their guard
+// instances answer; without this limit, two suspects that run together nevertheless could
+// crash endpoints forever.
+const MultiSuspectCrashes = 3
 
-// Apply gives the suspects that an endpoint's death changes, in
-// the order of their fingerprints, so that each replica of the shared state
-// computes the same list. It leaves suspects as it is. A changed suspect with
-// Crashes 0 is to be removed. The caller applies each endpoint incarnation's
-// death once: a report that is sent again would count neighbours
-// twice.
+// Apply returns the suspects that the death of an endpoint changes, in the order of their
+// fingerprints, so that each replica of the shared state computes the same list. It doesn't
+// modify suspects. A changed suspect with Crashes 0 is to be removed. The caller must apply
+// the death of each endpoint incarnation only once: a repeated report would count its
+// requests twice.
 //
-// When nothing that ran was a suspect, all of it becomes so. When exactly one
-// was, it is quarantined and its neighbours aren't counted: they were there by
-// chance. When several were, only these are counted, up to CompanyCrashes.
+// If no request that ran was a suspect, all of them become suspects. If exactly one was, it
+// is quarantined and the other requests aren't counted: they ran there by chance. If several
+// were, only these are counted, and quarantined at MultiSuspectCrashes.
 func Apply(suspects map[fleet.Fingerprint]fleet.Suspect, report *pb.ReportCrash, now time.Time, limits Limits) []fleet.Suspect {
-	ran := reported(report)
-	changed := expired(suspects, ran, now, limits)
-	known := stillSuspect(suspects, ran, now, limits)
+	ran := distinctFingerprints(report)
+	changed := expiredRemovals(suspects, ran, now, limits)
+	known := unexpiredSuspects(suspects, ran, now, limits)
 	switch {
 	case len(known) == 0:
 		for _, f := range ran {
@@ -43,19 +42,19 @@
 			s := suspects[f]
 			s.Crashes++
 			s.Updated = now
-			s.Quarantined = s.Quarantined || s.Crashes >= CompanyCrashes || (len(known) == 1 && s.Crashes >= AloneCrashes)
+			s.Quarantined = s.Quarantined || s.Crashes >= MultiSuspectCrashes || (len(known) == 1 && s.Crashes >= AloneCrashes)
 			changed = append(changed, s)
 		}
 	}
-	changed = append(changed, evicted(suspects, changed, limits)...)
+	changed = append(changed, evictionRemovals(suspects, changed, limits)...)
 	slices.SortFunc(changed, func(a, b fleet.Suspect) int {
 		return bytes.Compare(a.Fingerprint[:], b.Fingerprint[:])
 	})
 	return changed
 }
 
-// reported gives the report's distinct, well-formed fingerprints.
-func reported(report *pb.ReportCrash) []fleet.Fingerprint {
+// distinctFingerprints returns the distinct, well-formed fingerprints of a report.
+func distinctFingerprints(report *pb.ReportCrash) []fleet.Fingerprint {
 	seen := make(map[fleet.Fingerprint]struct{}, len(report.GetFingerprints()))
 	var ran []fleet.Fingerprint
 	for _, raw := range report.GetFingerprints() {
@@ -72,7 +71,8 @@
 	return ran
 }
 
-func stillSuspect(suspects map[fleet.Fingerprint]fleet.Suspect, ran []fleet.Fingerprint, now time.Time, limits Limits) []fleet.Fingerprint {
+// unexpiredSuspects returns the fingerprints in ran that are suspects and have not expired.
+func unexpiredSuspects(suspects map[fleet.Fingerprint]fleet.Suspect, ran []fleet.Fingerprint, now time.Time, limits Limits) []fleet.Fingerprint {
 	var known []fleet.Fingerprint
 	for _, f := range ran {
 		s, ok := suspects[f]
@@ -83,9 +83,9 @@
 	return known
 }
 
-// expired gives removals for suspects whose life has run out. Those that ran
-// begin anew or stay, as the rule says.
-func expired(suspects map[fleet.Fingerprint]fleet.Suspect, ran []fleet.Fingerprint, now time.Time, limits Limits) []fleet.Suspect {
+// expiredRemovals returns removals of the suspects that have expired. Those that are in ran
+// are left to the rule of Apply.
+func expiredRemovals(suspects map[fleet.Fingerprint]fleet.Suspect, ran []fleet.Fingerprint, now time.Time, limits Limits) []fleet.Suspect {
 	var out []fleet.Suspect
 	for f, s := range suspects {
 		if now.Sub(s.Updated) >= limits.Life && !slices.Contains(ran, f) {
@@ -95,11 +95,10 @@
 	return out
 }
 
-// evicted gives removals that keep the shared state within Limits.Most: the
-// longest unchanged first, quarantined ones last, so that a flood of crashes
-// with many neighbours doesn't free a request that is known to crash
-// endpoints.
-func evicted(suspects map[fleet.Fingerprint]fleet.Suspect, changed []fleet.Suspect, limits Limits) []fleet.Suspect {
+// evictionRemovals returns removals that keep the number of suspects within Limits.Most: those
+// unchanged for longest first and quarantined ones last, so that many crashes of requests
+// with many neighbours don't release a request that is known to crash endpoints.
+func evictionRemovals(suspects map[fleet.Fingerprint]fleet.Suspect, changed []fleet.Suspect, limits Limits) []fleet.Suspect {
 	after := make(map[fleet.Fingerprint]fleet.Suspect, len(suspects)+len(changed))
 	for f, s := range suspects {
 		after[f] = s
@@ -122,7 +121,7 @@
 	for _, s := range after {
 		order = append(order, s)
 	}
-	slices.SortFunc(order, olderFirst)
+	slices.SortFunc(order, compareForEviction)
 	out := make([]fleet.Suspect, 0, excess)
 	for _, s := range order[:min(excess, len(order))] {
 		out = append(out, fleet.Suspect{Fingerprint: s.Fingerprint})
@@ -130,7 +129,9 @@
 	return out
 }
 
-func olderFirst(a, b fleet.Suspect) int {
+// compareForEviction orders suspects by quarantine (last), time of the latest crash and
+// fingerprint.
+func compareForEviction(a, b fleet.Suspect) int {
 	if a.Quarantined != b.Quarantined {
 		if b.Quarantined {
 			return -1
--- a/internal/suspect/apply_test.go
+++ b/internal/suspect/apply_test.go
@@ -32,21 +32,21 @@
 		ran    []byte
 		want   list
 	}{
-		"none was a suspect": {nil, []byte{2, 1, 2}, list{suspect(1, 1, false, now), suspect(2, 1, false, now)}},
-		"one was":            {list{suspect(1, 1, false, fresh)}, []byte{1, 2, 3}, list{suspect(1, 2, true, now)}},
-		"two were": {
+		"no suspect ran":  {nil, []byte{2, 1, 2}, list{suspect(1, 1, false, now), suspect(2, 1, false, now)}},
+		"one suspect ran": {list{suspect(1, 1, false, fresh)}, []byte{1, 2, 3}, list{suspect(1, 2, true, now)}},
+		"two suspects ran": {
 			before: list{suspect(1, 1, false, fresh), suspect(2, 1, false, fresh)},
 			ran:    []byte{1, 2, 3},
 			want:   list{suspect(1, 2, false, now), suspect(2, 2, false, now)},
 		},
-		"two were, for the third time": {
+		"two suspects ran, one for the third time": {
 			before: list{suspect(1, 2, false, fresh), suspect(2, 1, false, fresh)},
 			ran:    []byte{1, 2, 3},
 			want:   list{suspect(1, 3, true, now), suspect(2, 2, false, now)},
 		},
-		"one was long ago": {list{suspect(1, 1, false, stale)}, []byte{1, 2}, list{suspect(1, 1, false, now), suspect(2, 1, false, now)}},
-		"an old one goes":  {list{suspect(9, 2, true, stale)}, []byte{1}, list{suspect(1, 1, false, now), {Fingerprint: fleet.Fingerprint{9}}}},
-		"nothing ran":      {},
+		"an expired suspect ran":        {list{suspect(1, 1, false, stale)}, []byte{1, 2}, list{suspect(1, 1, false, now), suspect(2, 1, false, now)}},
+		"an expired suspect is removed": {list{suspect(9, 2, true, stale)}, []byte{1}, list{suspect(1, 1, false, now), {Fingerprint: fleet.Fingerprint{9}}}},
+		"nothing ran":                   {},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -57,8 +57,8 @@
 	}
 }
 
-// Endpoints with many neighbours die one after another. The shared suspects
-// must stay within their bound and keep the quarantined one.
+// Guards against unbounded suspects, and against evicting a quarantined one, when endpoints
+// with many requests die one after another.
 func TestSuspectsAreBounded(t *testing.T) {
 	limits := DefaultLimits
 	limits.Most = 10
--- a/internal/suspect/bench_test.go
+++ b/internal/suspect/bench_test.go
@@ -8,7 +8,8 @@
 	"github.com/hyssopsail/hyssopsail/internal/fleet"
 )
 
-// BenchmarkFingerprint is what a request of 4 KB costs while anything is known of any.
+// BenchmarkFingerprint measures the fingerprint of a request of 4 KB, which is computed for
+// each request while there is any finding.
 func BenchmarkFingerprint(b *testing.B) {
 	body := make([]byte, 4<<10)
 	b.SetBytes(int64(len(body)))
@@ -17,7 +18,8 @@
 	}
 }
 
-// BenchmarkLosses is a table that is full: each endpoint that dies adds what ran there.
+// BenchmarkLosses measures adding losses to a full table, as after the deaths of many
+// endpoints.
 func BenchmarkLosses(b *testing.B) {
 	l := NewLosses(DefaultLimits)
 	now := time.Unix(1_000_000, 0)
--- a/internal/suspect/fingerprint.go
+++ b/internal/suspect/fingerprint.go
@@ -8,13 +8,13 @@
 	"github.com/hyssopsail/hyssopsail/internal/fleet"
 )
 
-// fingerprintDomain keeps fingerprints apart from other hashes under the same
-// secret.
+// fingerprintDomain separates fingerprints from other hashes with the same secret.
 const fingerprintDomain = "hyssopsail/fingerprint/1"
 
-// FingerprintOf hashes a request's caller, what it asks for (a model, or a plain service and
-// its route) and its body with the fleet's secret. The name that a caller gives to an
-// attempt isn't part of it: the same request sent again has the same fingerprint.
+// FingerprintOf returns the keyed hash of a request's caller, of what it asks for (a model, or
+// a plain service and its route) and of its body, with the fleet's secret as the key. The
+// caller's name for an attempt is not part of it: a repeat of the same request has the same
+// fingerprint.
 func FingerprintOf(secret []byte, caller, what string, body []byte) fleet.Fingerprint {
 	mac := hmac.New(sha256.New, secret)
 	for _, field := range []string{fingerprintDomain, caller, what} {
--- a/internal/suspect/limits.go
+++ b/internal/suspect/limits.go
@@ -2,12 +2,11 @@
 
 import "time"
 
-// Limits bound the suspects.
+// Limits limit how long suspects are kept, and how many.
 type Limits struct {
-	Life time.Duration // a suspect or quarantine lapses after this long without a crash
-	Most int           // suspects kept; quarantined ones are evicted last
+	Life time.Duration // a suspect or quarantine expires after this time without a crash
+	Most int           // maximum number of suspects; quarantined ones are evicted last
 }
 
-// DefaultLimits hold where the settings say nothing: Life follows their
-// quarantine life.
+// DefaultLimits apply where the settings have no value: Life follows their quarantine life.
 var DefaultLimits = Limits{Life: time.Hour, Most: 4096}
--- a/internal/suspect/loss.go
+++ b/internal/suspect/loss.go
@@ -6,42 +6,42 @@
 	"github.com/hyssopsail/hyssopsail/internal/fleet"
 )
 
-// Loss is a run of a request that ended with its endpoint's connections, before a part of
-// the answer had come.
+// Loss is a run of a request whose connection to the endpoint ended before any part of the
+// answer had arrived.
 type Loss struct {
 	Fingerprint fleet.Fingerprint
-	Sent        time.Time // when the request was sent there
-	Ended       time.Time // when its connection ended
-	Exchange    string    // names the one that it was sent for, in the whole fleet
-	Nth         int       // of this exchange's losses, from 1
-	// Outlived tells that the endpoint kept other connections. It may have lost an answer
-	// only, and such a loss counts half.
+	Sent        time.Time // when the request was sent to the endpoint
+	Ended       time.Time // when the connection ended
+	Exchange    string    // ID of the exchange, unique in the fleet
+	Nth         int       // number of this loss among those of the exchange, from 1
+	// Outlived reports whether other connections to the endpoint stayed open. Then perhaps only
+	// the answer was lost, and the loss counts half.
 	Outlived bool
 }
 
-// The weights of losses.
+// Weights of losses.
 const (
 	crashWeight    = 2
-	outlivedWeight = 1
+	survivedWeight = 1
 )
 
 func (l Loss) weight() int {
 	if l.Outlived {
-		return outlivedWeight
+		return survivedWeight
 	}
 	return crashWeight
 }
 
-// Finding is what is known of a request.
+// Finding is what is known about a request.
 type Finding struct {
 	Fingerprint fleet.Fingerprint
-	Weight      int       // of the losses that came one after another
-	Proven      bool      // an endpoint has answered it: it doesn't crash endpoints
-	At          time.Time // of the newest loss or answer
+	Weight      int       // total weight of its consecutive losses
+	Proven      bool      // an endpoint has answered it: it does not crash endpoints
+	Updated     time.Time // time of the latest loss or answer
 }
 
-// Quarantined tells whether the request is refused at a moment, by the rule for a request
-// whose neighbours aren't known.
+// Quarantined reports whether the request is refused at now, by the rule for a request of which
+// it isn't known what else ran on the endpoints.
 func (f Finding) Quarantined(now time.Time, limits Limits) bool {
-	return !f.Proven && f.Weight >= CompanyCrashes*crashWeight && now.Sub(f.At) < limits.Life
+	return !f.Proven && f.Weight >= MultiSuspectCrashes*crashWeight && now.Sub(f.Updated) < limits.Life
 }
--- a/internal/suspect/losses.go
+++ b/internal/suspect/losses.go
@@ -9,22 +9,23 @@
 )
 
 const (
-	// ProvenLife is how long an answer vouches for a request.
-	ProvenLife = 10 * time.Minute
-	// sharedWeight is from which weight on a finding is told to others: that of two crashes.
-	// When an endpoint dies all that ran there has one, which is too much to tell everybody.
-	sharedWeight = (CompanyCrashes - 1) * crashWeight
-	// keptShare is the part of Limits.Most that is left after an eviction.
-	keptShare = 0.75
+	// ProvenTTL is how long an answer proves that a request is harmless.
+	ProvenTTL = 10 * time.Minute
+	// minSharedWeight is the weight from which a finding is shared with other processes: that
+	// of one crash less than a quarantine takes. When an endpoint dies, every request that ran
+	// there has the weight of one crash, which is too many findings to share.
+	minSharedWeight = (MultiSuspectCrashes - 1) * crashWeight
+	// evictionKeepFraction is the fraction of Limits.Most that an eviction leaves.
+	evictionKeepFraction = 0.75
 )
 
-// Losses finds the requests that crash endpoints where nobody knows all that ran on an
-// endpoint when it died: by the losses of each request that came one after another.
+// Losses finds the requests that crash endpoints where no process knows every request that
+// ran on an endpoint when it died. It counts the consecutive losses of each request.
 //
-// Losses of runs beside each other count as one. A request that many callers send is at many
-// endpoints, and of those that die at once it would else be found to have crashed each.
+// Losses of concurrent runs count as one. A request that many callers send runs on many
+// endpoints; if several of these died at once, it would otherwise be blamed for each death.
 //
-// It is pure and not safe for concurrent use.
+// It does no I/O and is not safe for concurrent use.
 type Losses struct {
 	limits   Limits
 	records  map[fleet.Fingerprint]*lossRecord
@@ -33,86 +34,88 @@
 
 type lossRecord struct {
 	Finding
-	revision uint64 // of its newest change
-	exchange string // whose loss was counted last
-	counted  uint64 // losses of that exchange, by lossBit
+	revision      uint64 // of its latest change
+	lastExchange  string // exchange whose loss was counted last
+	countedLosses uint64 // bit set of the counted losses of lastExchange, see lossBit
 }
 
-// NewLosses makes an empty table.
+// NewLosses returns an empty table.
 func NewLosses(limits Limits) *Losses {
 	return &Losses{limits: limits, records: map[fleet.Fingerprint]*lossRecord{}}
 }
 
-// Len is the number of requests of which something is known.
+// Len returns the number of requests that have a finding.
 func (l *Losses) Len() int { return len(l.records) }
 
-// Revision grows with each change.
+// Revision returns the number of changes so far.
 func (l *Losses) Revision() uint64 { return l.revision }
 
-// Lost takes in a loss, which may have been some time ago, and gives what is known then.
+// Lost records a loss, which may have happened some time ago, and returns the resulting
+// finding.
 func (l *Losses) Lost(now time.Time, loss Loss) Finding {
-	r := l.record(now, loss.Fingerprint)
-	if !r.Proven && r.follows(loss) {
+	r := l.getOrCreate(now, loss.Fingerprint)
+	if !r.Proven && r.isConsecutive(loss) {
 		r.Weight += loss.weight()
-		if loss.Ended.After(r.At) {
-			r.At = loss.Ended
+		if loss.Ended.After(r.Updated) {
+			r.Updated = loss.Ended
 		}
-		r.count(loss)
-		l.changed(r)
+		r.markCounted(loss)
+		l.bumpRevision(r)
 	}
 	return r.Finding
 }
 
-// follows tells whether a loss comes after the one that was counted last: it is another one
-// of the same exchange, of a run that began after it, or of an exchange that has gone on
-// after another loss. A report that comes twice counts once.
-func (r *lossRecord) follows(loss Loss) bool {
-	if r.exchange == loss.Exchange {
-		return r.counted&lossBit(loss) == 0
+// isConsecutive reports whether a loss counts in addition to those counted so far: it is a new
+// loss of the same exchange, its run began after the latest counted loss, or its exchange
+// has had an earlier loss and was retried. A report that is received twice counts once.
+func (r *lossRecord) isConsecutive(loss Loss) bool {
+	if r.lastExchange == loss.Exchange {
+		return r.countedLosses&lossBit(loss) == 0
 	}
-	return r.Weight == 0 || loss.Nth > 1 || !loss.Sent.Before(r.At)
+	return r.Weight == 0 || loss.Nth > 1 || !loss.Sent.Before(r.Updated)
 }
 
-func (r *lossRecord) count(loss Loss) {
-	if r.exchange != loss.Exchange {
-		r.exchange, r.counted = loss.Exchange, 0
+// markCounted records that a loss has been counted.
+func (r *lossRecord) markCounted(loss Loss) {
+	if r.lastExchange != loss.Exchange {
+		r.lastExchange, r.countedLosses = loss.Exchange, 0
 	}
-	r.counted |= lossBit(loss)
+	r.countedLosses |= lossBit(loss)
 }
 
-// lossBit names a loss among those of its exchange, which are a few.
+// lossBit returns the bit of a loss among those of its exchange, which has few of them.
 func lossBit(loss Loss) uint64 { return 1 << (loss.Nth % 64) }
 
-// Answered takes in that an endpoint has run a request and answered it. It tells whether
-// that is news.
+// Answered records that an endpoint has run a request and answered it. It reports whether this
+// changed the table.
 func (l *Losses) Answered(now time.Time, f fleet.Fingerprint) bool {
 	r := l.records[f]
 	if r == nil || r.Proven {
 		return false
 	}
 	r.Proven = true
-	r.At = now
-	l.changed(r)
+	r.Updated = now
+	l.bumpRevision(r)
 	return true
 }
 
-// Told takes in what another process knows, and tells whether that is news.
-func (l *Losses) Told(now time.Time, f Finding) bool {
-	if f.Weight < 1 || now.Sub(f.At) >= l.limits.Life {
+// Merge records a finding of another process, and reports whether this changed the table.
+func (l *Losses) Merge(now time.Time, f Finding) bool {
+	if f.Weight < 1 || now.Sub(f.Updated) >= l.limits.Life {
 		return false
 	}
-	r := l.record(now, f.Fingerprint)
+	r := l.getOrCreate(now, f.Fingerprint)
 	if r.Proven || !f.Proven && f.Weight <= r.Weight {
 		return false
 	}
 	r.Weight = max(r.Weight, f.Weight)
 	r.Proven = f.Proven
-	r.At = f.At
-	l.changed(r)
+	r.Updated = f.Updated
+	l.bumpRevision(r)
 	return true
 }
 
-// Find gives what is known of a request; the zero Finding for nothing.
+// Find returns the finding on a request, or the zero Finding if there is none.
 func (l *Losses) Find(f fleet.Fingerprint) Finding {
 	if r := l.records[f]; r != nil {
 		return r.Finding
@@ -120,12 +123,12 @@
 	return Finding{}
 }
 
-// Shared lists the findings that others should know and that have changed after a revision,
-// in the order of their changes.
-func (l *Losses) Shared(after uint64) []Finding {
+// SharedSince returns the findings that should be shared with other processes and that have
+// changed after a revision, in the order of their changes.
+func (l *Losses) SharedSince(revision uint64) []Finding {
 	var changed []*lossRecord
 	for _, r := range l.records {
-		if r.revision > after && r.Weight >= sharedWeight {
+		if r.revision > revision && r.Weight >= minSharedWeight {
 			changed = append(changed, r)
 		}
 	}
@@ -137,42 +140,44 @@
 	return list
 }
 
-// Sweep forgets what is over.
+// Sweep removes expired findings.
 func (l *Losses) Sweep(now time.Time) {
 	for f, r := range l.records {
-		if l.isOver(now, r) {
+		if l.isExpired(now, r) {
 			delete(l.records, f)
 		}
 	}
 }
 
-func (l *Losses) isOver(now time.Time, r *lossRecord) bool {
-	life := l.limits.Life
+func (l *Losses) isExpired(now time.Time, r *lossRecord) bool {
+	ttl := l.limits.Life
 	if r.Proven {
-		life = ProvenLife
+		ttl = ProvenTTL
 	}
-	return now.Sub(r.At) >= life
+	return now.Sub(r.Updated) >= ttl
 }
 
-// record gives that of a request, a new one where it has none or the old one is over.
-func (l *Losses) record(now time.Time, f fleet.Fingerprint) *lossRecord {
+// getOrCreate returns the record of a request. It creates one if there is none, or if the old
+// one has expired.
+func (l *Losses) getOrCreate(now time.Time, f fleet.Fingerprint) *lossRecord {
 	r := l.records[f]
-	if r == nil || l.isOver(now, r) {
-		l.makeRoom()
+	if r == nil || l.isExpired(now, r) {
+		l.evictIfFull()
 		r = &lossRecord{Finding: Finding{Fingerprint: f}}
 		l.records[f] = r
 	}
 	return r
 }
 
-func (l *Losses) changed(r *lossRecord) {
+// bumpRevision marks a record as changed.
+func (l *Losses) bumpRevision(r *lossRecord) {
 	l.revision++
 	r.revision = l.revision
 }
 
-// makeRoom keeps the table within its bound: those of the least weight go first, the oldest of
-// them before others.
-func (l *Losses) makeRoom() {
+// evictIfFull evicts records if the table is full: those with the lowest rank first, among
+// these the oldest first.
+func (l *Losses) evictIfFull() {
 	if len(l.records) < l.limits.Most {
 		return
 	}
@@ -181,15 +186,16 @@
 		all = append(all, r)
 	}
 	slices.SortFunc(all, func(a, b *lossRecord) int {
-		return cmp.Or(cmp.Compare(a.worth(), b.worth()), a.At.Compare(b.At))
+		return cmp.Or(cmp.Compare(a.evictionRank(), b.evictionRank()), a.Updated.Compare(b.Updated))
 	})
-	for _, r := range all[:len(all)-int(keptShare*float64(l.limits.Most))] {
+	for _, r := range all[:len(all)-int(evictionKeepFraction*float64(l.limits.Most))] {
 		delete(l.records, r.Fingerprint)
 	}
 }
 
-// worth orders records by how much is lost with them.
-func (r *lossRecord) worth() int {
+// evictionRank returns the weight that is lost with a record; records with a low rank are
+// evicted first.
+func (r *lossRecord) evictionRank() int {
 	if r.Proven {
 		return 0
 	}
--- a/internal/suspect/losses_test.go
+++ b/internal/suspect/losses_test.go
@@ -13,7 +13,7 @@
 
 func lossAt(d time.Duration) time.Time { return lossBegin.Add(d) }
 
-// sentAndLost is a loss of a request that was sent at a moment.
+// sentAndLost returns a loss, after 1 ms, of a request that was sent at a time.
 func sentAndLost(f byte, sent time.Duration) Loss {
 	return Loss{Fingerprint: fleet.Fingerprint{f}, Sent: lossAt(sent), Ended: lossAt(sent + time.Millisecond), Exchange: sent.String(), Nth: 1}
 }
@@ -22,7 +22,7 @@
 	return l.Find(fleet.Fingerprint{f}).Quarantined(now, l.limits)
 }
 
-// Guards against a request that takes down one endpoint after another.
+// Guards against a request that crashes one endpoint after another.
 func TestThirdLossQuarantines(t *testing.T) {
 	l := NewLosses(DefaultLimits)
 	for n := range 3 {
@@ -35,9 +35,9 @@
 	assert.Assert(t, !l.quarantines(lossAt(2*time.Hour), 1))
 }
 
-// Guards against refusing what many callers send: it is at many endpoints, of which a part
-// dies at once.
-func TestLossesBesideEachOtherCountAsOne(t *testing.T) {
+// Guards against refusing a request that many callers send: it runs on many endpoints, of
+// which several die at once.
+func TestConcurrentLossesCountAsOne(t *testing.T) {
 	l := NewLosses(DefaultLimits)
 	for n := range 30 {
 		loss := sentAndLost(1, time.Duration(n)*time.Millisecond)
@@ -49,11 +49,11 @@
 	l.Lost(lossAt(101*time.Millisecond), second)
 	assert.Equal(t, l.Find(fleet.Fingerprint{1}).Weight, 2*crashWeight)
 	l.Lost(lossAt(time.Second), second)
-	assert.Equal(t, l.Find(fleet.Fingerprint{1}).Weight, 2*crashWeight, "a report that comes twice counts once")
+	assert.Equal(t, l.Find(fleet.Fingerprint{1}).Weight, 2*crashWeight, "a repeated report counts once")
 }
 
-// Guards against refusing a request whose answers get lost now and then.
-func TestAnswerVouchesForARequest(t *testing.T) {
+// Guards against refusing a harmless request whose answers get lost now and then.
+func TestAnsweredRequestIsNotQuarantined(t *testing.T) {
 	l := NewLosses(DefaultLimits)
 	assert.Assert(t, !l.Answered(lossAt(0), fleet.Fingerprint{1}))
 	l.Lost(lossAt(0), sentAndLost(1, 0))
@@ -63,32 +63,32 @@
 		l.Lost(lossAt(time.Duration(n)*time.Second), sentAndLost(1, time.Duration(n)*time.Second))
 	}
 	assert.Assert(t, !l.quarantines(lossAt(30*time.Second), 1))
-	assert.Equal(t, l.Shared(0)[0].Proven, true)
+	assert.Equal(t, l.SharedSince(0)[0].Proven, true)
 }
 
-// Guards against processes that each know of too few losses to refuse a request.
+// Guards against processes that each know too few losses to refuse a request.
 func TestFindingsAreShared(t *testing.T) {
 	board, entry := NewLosses(DefaultLimits), NewLosses(DefaultLimits)
 	for n := range byte(100) {
 		board.Lost(lossAt(0), sentAndLost(n, 0))
 	}
-	assert.Equal(t, len(board.Shared(0)), 0, "one loss is too little to tell everybody")
+	assert.Equal(t, len(board.SharedSince(0)), 0, "one loss is too little to share")
 	board.Lost(lossAt(time.Second), sentAndLost(7, time.Second))
 	seen := board.Revision()
-	assert.Equal(t, len(board.Shared(0)), 1)
-	assert.Equal(t, len(board.Shared(seen)), 0)
-	for _, f := range board.Shared(0) {
-		assert.Assert(t, entry.Told(lossAt(time.Second), f))
-		assert.Assert(t, !entry.Told(lossAt(time.Second), f), "it is no news any more")
+	assert.Equal(t, len(board.SharedSince(0)), 1)
+	assert.Equal(t, len(board.SharedSince(seen)), 0)
+	for _, f := range board.SharedSince(0) {
+		assert.Assert(t, entry.Merge(lossAt(time.Second), f))
+		assert.Assert(t, !entry.Merge(lossAt(time.Second), f), "it is known already")
 	}
 	entry.Lost(lossAt(2*time.Second), sentAndLost(7, 2*time.Second))
 	assert.Assert(t, entry.quarantines(lossAt(2*time.Second), 7))
 	entry.Answered(lossAt(3*time.Second), fleet.Fingerprint{7})
-	assert.Assert(t, !entry.Told(lossAt(4*time.Second), Finding{Fingerprint: fleet.Fingerprint{7}, Weight: 6, At: lossAt(4 * time.Second)}))
+	assert.Assert(t, !entry.Merge(lossAt(4*time.Second), Finding{Fingerprint: fleet.Fingerprint{7}, Weight: 6, Updated: lossAt(4 * time.Second)}))
 }
 
-// Guards against a flood of endpoints that die with all that ran there: memory is bounded,
-// and a request that is known to crash endpoints isn't forgotten for it.
+// Guards against unbounded memory when many endpoints die with all their requests, and against
+// evicting a request that is known to crash endpoints.
 func TestLossesAreBounded(t *testing.T) {
 	limits := Limits{Life: time.Hour, Most: 100}
 	l := NewLosses(limits)
@@ -106,10 +106,10 @@
 }
 
 // Guards against a request that crashes endpoints whose other connections stay open, and
-// against refusing one that has lost a few answers as soon as that.
-func TestOutlivedLossesCountHalf(t *testing.T) {
+// against refusing a request too soon that has only lost a few answers.
+func TestLossesAtSurvivingEndpointsCountHalf(t *testing.T) {
 	l := NewLosses(DefaultLimits)
-	for n := range 2 * CompanyCrashes {
+	for n := range 2 * MultiSuspectCrashes {
 		assert.Assert(t, !l.quarantines(lossAt(time.Hour/2), 1), "after %d losses", n)
 		loss := sentAndLost(1, time.Duration(n)*time.Second)
 		loss.Outlived = true
@@ -118,11 +118,11 @@
 	assert.Assert(t, l.quarantines(lossAt(time.Minute), 1))
 }
 
-// Guards against missing runs that began after a loss and before it was reported, which may
-// be a second later.
+// Guards against ignoring runs that began after a loss and before its report, which may come
+// a second later.
 func TestLossesThatAreReportedLateCount(t *testing.T) {
 	l := NewLosses(DefaultLimits)
-	for n := range CompanyCrashes {
+	for n := range MultiSuspectCrashes {
 		loss := sentAndLost(1, time.Duration(n)*100*time.Millisecond)
 		l.Lost(loss.Ended.Add(time.Second), loss)
 	}
--- a/internal/suspect/neighbours_test.go
+++ b/internal/suspect/neighbours_test.go
@@ -12,130 +12,130 @@
 )
 
 const (
-	crowdEndpoints = 12
-	crowdStep      = time.Millisecond
-	crowdRun       = 12 * time.Second
-	crowdWork      = 300 * time.Millisecond
-	crowdSends     = 2 // of one exchange
-	crowdExchanges = 2 // of one request: its caller sends it again once
+	simEndpoints    = 12
+	simTick         = time.Millisecond
+	simDuration     = 12 * time.Second
+	simServiceTime  = 300 * time.Millisecond
+	simMaxAttempts  = 2 // of one exchange
+	simMaxExchanges = 2 // of one request: its caller repeats it once
 )
 
-// crowd is requests at endpoints, and what is known of them.
-type crowd struct {
+// simulation is a fleet of endpoints with running requests, and the findings on these.
+type simulation struct {
 	random  *rand.Rand
 	now     time.Duration
 	losses  *Losses
-	running []*crowdRequest
-	refused []*crowdRequest
+	running []*simRequest
+	refused []*simRequest
 	served  int
 }
 
-// crowdRequest is one request that crashes nothing.
-type crowdRequest struct {
-	fingerprint     fleet.Fingerprint
-	exchange, sends int
-	endpoint        int
-	sent            time.Duration
-	metDeaths       int
+// simRequest is a request that doesn't crash endpoints.
+type simRequest struct {
+	fingerprint        fleet.Fingerprint
+	exchange, attempts int
+	endpoint           int
+	sent               time.Duration
+	deathsMet          int
 }
 
-func newCrowd() *crowd {
-	return &crowd{random: rand.New(rand.NewPCG(1, 2)), losses: NewLosses(DefaultLimits)}
+func newSimulation() *simulation {
+	return &simulation{random: rand.New(rand.NewPCG(1, 2)), losses: NewLosses(DefaultLimits)}
 }
 
-func (c *crowd) at() time.Time { return lossAt(c.now) }
+func (s *simulation) at() time.Time { return lossAt(s.now) }
 
-// run lets a hundred requests a second come and end.
-func (c *crowd) run(each func(now time.Duration)) {
-	for n := 0; c.now < crowdRun; c.now += crowdStep {
-		if c.random.Float64() < 0.1 {
+// run simulates about a hundred new requests per second, and calls each after every tick.
+func (s *simulation) run(each func(now time.Duration)) {
+	for n := 0; s.now < simDuration; s.now += simTick {
+		if s.random.Float64() < 0.1 {
 			n++
-			c.send(&crowdRequest{fingerprint: fleet.Fingerprint{2, byte(n), byte(n >> 8)}})
+			s.send(&simRequest{fingerprint: fleet.Fingerprint{2, byte(n), byte(n >> 8)}})
 		}
-		c.serve()
-		each(c.now)
+		s.serve()
+		each(s.now)
 	}
 }
 
-func (c *crowd) send(r *crowdRequest) {
-	if c.losses.Find(r.fingerprint).Quarantined(c.at(), DefaultLimits) {
-		c.refused = append(c.refused, r)
+func (s *simulation) send(r *simRequest) {
+	if s.losses.Find(r.fingerprint).Quarantined(s.at(), DefaultLimits) {
+		s.refused = append(s.refused, r)
 		return
 	}
-	r.sends++
-	r.endpoint, r.sent = c.random.IntN(crowdEndpoints), c.now
-	c.running = append(c.running, r)
+	r.attempts++
+	r.endpoint, r.sent = s.random.IntN(simEndpoints), s.now
+	s.running = append(s.running, r)
 }
 
-func (c *crowd) serve() {
-	going := c.running[:0]
-	for _, r := range c.running {
-		if c.now-r.sent < crowdWork {
-			going = append(going, r)
+func (s *simulation) serve() {
+	remaining := s.running[:0]
+	for _, r := range s.running {
+		if s.now-r.sent < simServiceTime {
+			remaining = append(remaining, r)
 			continue
 		}
-		c.losses.Answered(c.at(), r.fingerprint)
-		c.served++
+		s.losses.Answered(s.at(), r.fingerprint)
+		s.served++
 	}
-	c.running = going
+	s.running = remaining
 }
 
-// crash ends an endpoint with all that runs there.
-func (c *crowd) crash(endpoint int) {
-	var lost []*crowdRequest
-	going := c.running[:0]
-	for _, r := range c.running {
+// crash ends all runs on an endpoint.
+func (s *simulation) crash(endpoint int) {
+	var lost []*simRequest
+	remaining := s.running[:0]
+	for _, r := range s.running {
 		if r.endpoint == endpoint {
 			lost = append(lost, r)
 		} else {
-			going = append(going, r)
+			remaining = append(remaining, r)
 		}
 	}
-	c.running = going
+	s.running = remaining
 	for _, r := range lost {
-		r.metDeaths++
-		c.losses.Lost(c.at(), Loss{Fingerprint: r.fingerprint, Sent: lossAt(r.sent), Ended: c.at(), Exchange: fmt.Sprint(r.fingerprint, r.exchange), Nth: r.sends})
-		if r.sends == crowdSends {
-			r.exchange, r.sends = r.exchange+1, 0
+		r.deathsMet++
+		s.losses.Lost(s.at(), Loss{Fingerprint: r.fingerprint, Sent: lossAt(r.sent), Ended: s.at(), Exchange: fmt.Sprint(r.fingerprint, r.exchange), Nth: r.attempts})
+		if r.attempts == simMaxAttempts {
+			r.exchange, r.attempts = r.exchange+1, 0
 		}
-		if r.exchange < crowdExchanges {
-			c.send(r)
+		if r.exchange < simMaxExchanges {
+			s.send(r)
 		}
 	}
 }
 
-// A request crashes an endpoint whenever it is sent, beside a dozen others each time. It is
-// stopped, and none of them is.
+// A request crashes its endpoint each time it is sent, while others run there. It must be
+// refused, and none of the others.
 func TestNeighboursOfACrashingRequestGoOn(t *testing.T) {
-	c := newCrowd()
+	s := newSimulation()
 	crashes := 0
-	c.run(func(now time.Duration) {
-		if now%(500*time.Millisecond) != 0 || c.losses.Find(fleet.Fingerprint{1}).Quarantined(c.at(), DefaultLimits) {
+	s.run(func(now time.Duration) {
+		if now%(500*time.Millisecond) != 0 || s.losses.Find(fleet.Fingerprint{1}).Quarantined(s.at(), DefaultLimits) {
 			return
 		}
 		crashes++
-		c.losses.Lost(c.at(), Loss{Fingerprint: fleet.Fingerprint{1}, Sent: c.at(), Ended: c.at(), Exchange: now.String(), Nth: 1})
-		c.crash(c.random.IntN(crowdEndpoints))
+		s.losses.Lost(s.at(), Loss{Fingerprint: fleet.Fingerprint{1}, Sent: s.at(), Ended: s.at(), Exchange: now.String(), Nth: 1})
+		s.crash(s.random.IntN(simEndpoints))
 	})
-	assert.Equal(t, crashes, CompanyCrashes)
-	assert.Equal(t, len(c.refused), 0)
+	assert.Equal(t, crashes, MultiSuspectCrashes)
+	assert.Equal(t, len(s.refused), 0)
 }
 
-// A quarter of all endpoints dies at once, three times within a second. Only a request that
-// was on one of them each time may be refused.
+// A quarter of the endpoints dies at once, three times within a second. Only a request that
+// ran on one of them each time may be refused.
 func TestRequestsGoOnWhenManyEndpointsDie(t *testing.T) {
-	c := newCrowd()
-	c.run(func(now time.Duration) {
+	s := newSimulation()
+	s.run(func(now time.Duration) {
 		for _, at := range []time.Duration{5000, 5250, 5500} {
 			if now == at*time.Millisecond {
-				for n := range crowdEndpoints / 4 {
-					c.crash(n)
+				for n := range simEndpoints / 4 {
+					s.crash(n)
 				}
 			}
 		}
 	})
-	for _, r := range c.refused {
-		assert.Assert(t, r.metDeaths >= CompanyCrashes, "refused after %d deaths", r.metDeaths)
+	for _, r := range s.refused {
+		assert.Assert(t, r.deathsMet >= MultiSuspectCrashes, "refused after %d deaths", r.deathsMet)
 	}
-	t.Logf("%d served, %d refused", c.served, len(c.refused))
+	t.Logf("%d served, %d refused", s.served, len(s.refused))
 }
