--- a/internal/quota/client.go
+++ b/internal/quota/client.go
@@ -14,29 +14,29 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// ErrNoKeeper: no keeper of quotas could be asked.
-var ErrNoKeeper = errors.New("no keeper of quotas answers")
+// ErrNoKeeper means that no quota server has answered.
+var ErrNoKeeper = errors.New("no quota server answered")
 
-// SpentError: nothing is left of a team's quota.
+// SpentError means that nothing is left of a team's quota.
 type SpentError struct {
-	Again time.Duration // when there may be some again
+	Again time.Duration // time until the quota may be available again
 }
 
 // Error implements error.
 func (e *SpentError) Error() string { return "the quota is spent" }
 
-// The bounds of a Client.
+// Limits of a Client.
 const (
-	// keeperTimeout bounds one question. A keeper answers within a few milliseconds;
-	// one that does not is frozen or cut off, and another one has a share too.
-	keeperTimeout = 40 * time.Millisecond
-	// firstLeft and longestLeft bound how long a keeper that failed is passed over.
-	firstLeft   = 250 * time.Millisecond
-	longestLeft = 4 * time.Second
-	// mostFailed bounds the keepers that one question waits for in vain: where this
-	// many are silent it is this entry that is cut off.
-	mostFailed = 3
-	// returnTimeout bounds the word that a request did not run.
+	// serverTimeout limits one call. A quota server answers within a few milliseconds; one
+	// that doesn't is frozen or unreachable, and the others have shares too.
+	serverTimeout = 40 * time.Millisecond
+	// minBackoff and maxBackoff limit how long a server is skipped after it failed.
+	minBackoff = 250 * time.Millisecond
+	maxBackoff = 4 * time.Second
+	// maxFailedServers limits the servers that may time out for one request: if this many
+	// don't answer, it is this entry that has lost contact.
+	maxFailedServers = 3
+	// returnTimeout limits the call that returns a grant.
 	returnTimeout = 400 * time.Millisecond
 )
 
@@ -45,102 +45,103 @@
 	Conn(ctx context.Context, address string) (drpc.Conn, error)
 }
 
-// Client asks keepers for an entry.
+// Client takes quota from the quota servers on behalf of an entry. It is safe for concurrent
+// use if shuffle is.
 type Client struct {
 	dialer  Dialer
 	members func() []string
 	shuffle func(n int, swap func(i, j int))
-	failed  *backoff.Peers
+	peers   *backoff.Peers
 
-	mu    sync.Mutex
-	spent map[string]map[string]time.Time // by team and keeper: until when nothing is left there
+	mu        sync.Mutex
+	exhausted map[string]map[string]time.Time // by team and server: until when nothing is left there
 }
 
-// NewClient makes a Client that knows the control instances by members. shuffle is
-// that of a source of random numbers that is safe for concurrent use.
+// NewClient returns a Client; members returns the addresses of the control instances. shuffle
+// must use a source of random numbers that is safe for concurrent use.
 func NewClient(dialer Dialer, members func() []string, shuffle func(n int, swap func(i, j int))) *Client {
 	return &Client{
-		dialer: dialer, members: members, shuffle: shuffle, failed: backoff.New(firstLeft, longestLeft),
-		spent: map[string]map[string]time.Time{},
+		dialer: dialer, members: members, shuffle: shuffle, peers: backoff.New(minBackoff, maxBackoff),
+		exhausted: map[string]map[string]time.Time{},
 	}
 }
 
-// Grant is a part of a quota that a request took.
+// Grant is a part of a quota that a request has taken.
 type Grant struct {
 	Team   string
-	keeper string
+	server string
 	id     uint64
 }
 
-// answer is what came of asking one keeper.
-type answer int
+// takeOutcome is the outcome of taking quota from one server.
+type takeOutcome int
 
 const (
-	answerGranted answer = iota
-	answerSpent          // nothing is left there
-	answerFailed         // it did not answer
-	answerNone           // it was not asked, since it failed a moment ago
+	outcomeGranted   takeOutcome = iota
+	outcomeExhausted             // nothing is left there
+	outcomeFailed                // it did not answer
+	outcomeSkipped               // it was not asked, since it failed recently
 )
 
-// Take takes a request's cost from a team's quota. The error is a *SpentError or
+// Take takes the cost of a request from a team's quota. The error is a *SpentError or
 // ErrNoKeeper.
 func (c *Client) Take(ctx context.Context, team string, limit Limit, cost float64) (Grant, error) {
-	spent, failed := 0, 0
-	for _, keeper := range c.shuffled() {
-		if failed == mostFailed || ctx.Err() != nil {
+	exhausted, failed := 0, 0
+	for _, server := range c.shuffledServers() {
+		if failed == maxFailedServers || ctx.Err() != nil {
 			break
 		}
-		grant, result := c.takeFrom(ctx, keeper, team, limit, cost)
+		grant, result := c.takeFrom(ctx, server, team, limit, cost)
 		switch result {
-		case answerGranted:
+		case outcomeGranted:
 			return grant, nil
-		case answerSpent:
-			spent++
-		case answerFailed:
+		case outcomeExhausted:
+			exhausted++
+		case outcomeFailed:
 			failed++
-		case answerNone:
+		case outcomeSkipped:
 		}
 	}
-	if spent == 0 {
+	if exhausted == 0 {
 		return Grant{}, trace.Wrap(ErrNoKeeper)
 	}
-	return Grant{}, &SpentError{Again: c.again(team, time.Now())}
+	return Grant{}, &SpentError{Again: c.retryAfter(team, time.Now())}
 }
 
-func (c *Client) takeFrom(ctx context.Context, keeper, team string, limit Limit, cost float64) (Grant, answer) {
+func (c *Client) takeFrom(ctx context.Context, server, team string, limit Limit, cost float64) (Grant, takeOutcome) {
 	now := time.Now()
 	switch {
-	case !c.failed.Open(keeper, now):
-		return Grant{}, answerNone
-	case c.isSpent(team, keeper, now):
-		return Grant{}, answerSpent
+	case !c.peers.Open(server, now):
+		return Grant{}, outcomeSkipped
+	case c.isExhausted(team, server, now):
+		return Grant{}, outcomeExhausted
 	}
-	reply, err := c.ask(ctx, keeper, team, limit, cost)
+	reply, err := c.callTake(ctx, server, team, limit, cost)
 	if err != nil {
 		if ctx.Err() == nil {
-			c.failed.Failed(keeper, time.Now())
+			c.peers.Failed(server, time.Now())
 		}
-		return Grant{}, answerFailed
+		return Grant{}, outcomeFailed
 	}
-	c.failed.Answered(keeper)
+	c.peers.Answered(server)
 	if reply.Grant == 0 {
-		c.noteSpent(team, keeper, time.Now(), time.Duration(reply.AgainMs)*time.Millisecond)
-		return Grant{}, answerSpent
+		c.markExhausted(team, server, time.Now(), time.Duration(reply.AgainMs)*time.Millisecond)
+		return Grant{}, outcomeExhausted
 	}
-	return Grant{Team: team, keeper: keeper, id: reply.Grant}, answerGranted
+	return Grant{Team: team, server: server, id: reply.Grant}, outcomeGranted
 }
 
-// shuffled gives the keepers in any order, so that entries use all shares alike.
-func (c *Client) shuffled() []string {
-	keepers := slices.Clone(c.members())
-	c.shuffle(len(keepers), func(i, j int) { keepers[i], keepers[j] = keepers[j], keepers[i] })
-	return keepers
+// shuffledServers returns the servers in random order, so that entries use all shares evenly.
+func (c *Client) shuffledServers() []string {
+	servers := slices.Clone(c.members())
+	c.shuffle(len(servers), func(i, j int) { servers[i], servers[j] = servers[j], servers[i] })
+	return servers
 }
 
-func (c *Client) ask(ctx context.Context, keeper, team string, limit Limit, cost float64) (*pb.TakeQuotaReply, error) {
-	ctx, cancel := context.WithTimeout(ctx, keeperTimeout)
+func (c *Client) callTake(ctx context.Context, server, team string, limit Limit, cost float64) (*pb.TakeQuotaReply, error) {
+	ctx, cancel := context.WithTimeout(ctx, serverTimeout)
 	defer cancel()
-	conn, err := c.dialer.Conn(ctx, keeper)
+	conn, err := c.dialer.Conn(ctx, server)
 	if err != nil {
 		return nil, err
 	}
@@ -150,54 +151,54 @@
 	})
 }
 
-// isSpent tells whether a keeper is known to have nothing left. One that says so once
-// isn't asked again with each request that comes meanwhile.
-func (c *Client) isSpent(team, keeper string, now time.Time) bool {
+// isExhausted reports whether a server is known to have nothing left. It is then not asked
+// with each request until the time that it has named.
+func (c *Client) isExhausted(team, server string, now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return now.Before(c.spent[team][keeper])
+	return now.Before(c.exhausted[team][server])
 }
 
-func (c *Client) noteSpent(team, keeper string, now time.Time, again time.Duration) {
+func (c *Client) markExhausted(team, server string, now time.Time, retryAfter time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.forgetOver(now)
-	if c.spent[team] == nil {
-		c.spent[team] = map[string]time.Time{}
+	c.dropExpired(now)
+	if c.exhausted[team] == nil {
+		c.exhausted[team] = map[string]time.Time{}
 	}
-	c.spent[team][keeper] = now.Add(again)
+	c.exhausted[team][server] = now.Add(retryAfter)
 }
 
-// forgetOver is called with c.mu held.
-func (c *Client) forgetOver(now time.Time) {
-	for team, keepers := range c.spent {
-		for keeper, until := range keepers {
+// dropExpired drops the times that are over. The caller holds c.mu.
+func (c *Client) dropExpired(now time.Time) {
+	for team, servers := range c.exhausted {
+		for server, until := range servers {
 			if !now.Before(until) {
-				delete(keepers, keeper)
+				delete(servers, server)
 			}
 		}
-		if len(keepers) == 0 {
-			delete(c.spent, team)
+		if len(servers) == 0 {
+			delete(c.exhausted, team)
 		}
 	}
 }
 
-// again is the time until the first keeper may have something left.
-func (c *Client) again(team string, now time.Time) time.Duration {
+// retryAfter returns the time until the first server may have something left.
+func (c *Client) retryAfter(team string, now time.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	least := longestAgain
-	for _, until := range c.spent[team] {
-		least = min(least, until.Sub(now))
+	earliest := maxRetryAfter
+	for _, until := range c.exhausted[team] {
+		earliest = min(earliest, until.Sub(now))
 	}
-	return max(0, least)
+	return max(0, earliest)
 }
 
-// Return gives back what a request took that did not run.
+// Return returns the grant of a request that did not run.
 func (c *Client) Return(ctx context.Context, g Grant) error {
 	ctx, cancel := context.WithTimeout(ctx, returnTimeout)
 	defer cancel()
-	conn, err := c.dialer.Conn(ctx, g.keeper)
+	conn, err := c.dialer.Conn(ctx, g.server)
 	if err != nil {
 		return trace.Wrap(err)
 	}
--- a/internal/quota/client_test.go
+++ b/internal/quota/client_test.go
@@ -14,7 +14,7 @@
 	"github.com/hyssopsail/hyssopsail/internal/testkit"
 )
 
-// group is the keepers of a test.
+// group is the quota servers of a test.
 type group struct {
 	net     *testkit.Network
 	members []string
@@ -23,13 +23,13 @@
 func newGroup(n int) *group {
 	g := &group{net: &testkit.Network{}}
 	for i := range n {
-		g.members = append(g.members, fmt.Sprint("keeper", i))
+		g.members = append(g.members, fmt.Sprint("server", i))
 		g.serve(g.members[i], n)
 	}
 	return g
 }
 
-// serve starts a keeper that has saved up nothing.
+// serve starts a quota server with an empty ledger.
 func (g *group) serve(address string, n int) {
 	g.net.Serve(address, NewServer(func() int { return n }, nil), pb.DRPCQuotaKeeperDescription{})
 }
@@ -38,7 +38,7 @@
 	return NewClient(g.net.Dialer(entry), func() []string { return g.members }, rand.New(rand.NewPCG(1, 2)).Shuffle)
 }
 
-// calls counts the questions that were asked.
+// calls returns the number of calls to all servers.
 func (g *group) calls() int {
 	total := 0
 	for _, m := range g.members {
@@ -47,104 +47,104 @@
 	return total
 }
 
-// takeAll takes until the quota is spent.
-func takeAll(t *testing.T, c *Client, cost float64) (taken float64, spent *SpentError) {
+// takeUntilExhausted takes until the quota is exhausted.
+func takeUntilExhausted(t *testing.T, c *Client, cost float64) (taken float64, exhausted *SpentError) {
 	t.Helper()
 	for {
 		_, err := c.Take(t.Context(), "team", limit, cost)
-		if errors.As(err, &spent) {
-			return taken, spent
+		if errors.As(err, &exhausted) {
+			return taken, exhausted
 		}
 		assert.NilError(t, err)
 		taken += cost
 	}
 }
 
-// All of a team's callers come to one entry. It must be able to use the whole quota,
-// though each keeper has a part of it only, and at once.
+// All requests of a team arrive at one entry. It must be able to use the whole quota at once,
+// although each quota server has only a part of it.
 func TestOneEntryCanUseAllOfAQuota(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGroup(8)
 		time.Sleep(time.Minute)
 		began := time.Now()
-		taken, spent := takeAll(t, g.client("entry"), 1)
+		taken, exhausted := takeUntilExhausted(t, g.client("entry"), 1)
 		assert.Assert(t, taken >= 300 && taken < 320, "%v", taken)
-		assert.Assert(t, spent.Again > 0)
+		assert.Assert(t, exhausted.Again > 0)
 		assert.Assert(t, time.Since(began) < 50*time.Millisecond)
 	})
 }
 
-// A team goes on sending after its quota is spent. Keepers that have said so are not
-// asked again before there can be something left.
-func TestSpentKeepersAreNotAskedAgain(t *testing.T) {
+// A team goes on sending after its quota is exhausted. Servers that have said so are not asked
+// again before something can be left.
+func TestExhaustedServersAreNotAskedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGroup(8)
 		time.Sleep(time.Minute)
 		c := g.client("entry")
-		_, spent := takeAll(t, c, 50)
+		_, exhausted := takeUntilExhausted(t, c, 50)
 		before := g.calls()
 		for range 100 {
 			_, err := c.Take(t.Context(), "team", limit, 1)
 			assert.Assert(t, errors.As(err, new(*SpentError)))
 		}
 		assert.Equal(t, g.calls(), before)
-		time.Sleep(spent.Again + time.Millisecond)
+		time.Sleep(exhausted.Again + time.Millisecond)
 		_, err := c.Take(t.Context(), "team", limit, 1)
 		assert.NilError(t, err)
 		assert.Equal(t, g.calls(), before+1)
 	})
 }
 
-// Keepers die, or are cut off one way or the other. A request goes on to another one in
-// a few hundredths of a second, and the next ones don't wait again.
-func TestKeepersFail(t *testing.T) {
-	for name, fail := range map[string]func(g *group, keeper string){
-		"die":                 func(g *group, keeper string) { g.net.Remove(keeper) },
-		"hear nobody":         func(g *group, keeper string) { g.net.SetCut(true, "entry", keeper) },
-		"are heard by nobody": func(g *group, keeper string) { g.net.SetCut(true, keeper, "entry") },
-		"begin anew":          func(g *group, keeper string) { g.serve(keeper, 8) },
+// Quota servers die, restart, or lose contact in one direction. A request goes on to another
+// server within some tens of milliseconds, and the next requests don't wait again.
+func TestQuotaServersFail(t *testing.T) {
+	for name, fail := range map[string]func(g *group, server string){
+		"die":             func(g *group, server string) { g.net.Remove(server) },
+		"receive nothing": func(g *group, server string) { g.net.SetCut(true, "entry", server) },
+		"send nothing":    func(g *group, server string) { g.net.SetCut(true, server, "entry") },
+		"restart":         func(g *group, server string) { g.serve(server, 8) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := newGroup(8)
 				time.Sleep(time.Minute)
 				c := g.client("entry")
-				for _, keeper := range g.members[:3] {
-					fail(g, keeper)
+				for _, server := range g.members[:3] {
+					fail(g, server)
 				}
 				began := time.Now()
 				for range 10 {
 					_, err := c.Take(t.Context(), "team", limit, 1)
 					assert.NilError(t, err)
 				}
-				assert.Assert(t, time.Since(began) <= 3*keeperTimeout)
+				assert.Assert(t, time.Since(began) <= 3*serverTimeout)
 			})
 		})
 	}
 }
 
-// An entry is cut off from all keepers. No request may wait for each of them in turn:
-// its caller can be served by another entry in that time.
-func TestEntryThatIsCutOffFromAllKeepers(t *testing.T) {
+// An entry has lost contact with all quota servers. No request may wait for each of them in
+// turn: its caller can be served by another entry in that time.
+func TestEntryCutOffFromAllQuotaServers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGroup(9)
 		g.net.SetCut(true, "entry", g.members...)
 		c := g.client("entry")
 		began := time.Now()
 		for range 100 {
-			asked := time.Now()
+			sent := time.Now()
 			_, err := c.Take(t.Context(), "team", limit, 1)
 			assert.ErrorIs(t, err, ErrNoKeeper)
-			assert.Assert(t, time.Since(asked) <= mostFailed*keeperTimeout)
+			assert.Assert(t, time.Since(sent) <= maxFailedServers*serverTimeout)
 			time.Sleep(10 * time.Millisecond)
 		}
 		assert.Assert(t, time.Since(began) < 3*time.Second, "%v", time.Since(began))
 	})
 }
 
-// No keeper can be reached: who asks is told, and asks again with the next request once
-// the first one is back.
-func TestNoKeeper(t *testing.T) {
+// No quota server can be reached: Take returns an error, and asks again with the next request
+// once the first server is back.
+func TestNoQuotaServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGroup(3)
 		for _, m := range g.members {
@@ -156,14 +156,15 @@
 		for _, m := range g.members {
 			g.serve(m, 3)
 		}
-		time.Sleep(firstLeft)
+		time.Sleep(minBackoff)
 		_, err = c.Take(t.Context(), "team", limit, 1)
 		assert.NilError(t, err)
 	})
 }
 
-// A keeper that does not know yet how many there are must not give out the whole.
-func TestKeeperWithoutAGroup(t *testing.T) {
+// A quota server that doesn't know yet how many servers there are must not grant anything: it
+// could grant the whole quota.
+func TestQuotaServerWithoutAGroup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGroup(1)
 		g.serve(g.members[0], 0)
@@ -173,7 +174,7 @@
 }
 
 // A request didn't run after all: its part of the quota can be taken again.
-func TestReturnReachesTheKeeper(t *testing.T) {
+func TestReturnReachesTheQuotaServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGroup(1)
 		time.Sleep(time.Minute)
@@ -188,13 +189,13 @@
 	})
 }
 
-// Thousands of teams have metrics of a bounded number.
+// Thousands of teams have a limited number of metric series.
 func TestMetricsAreBounded(t *testing.T) {
 	m := newMetrics(nil)
 	names := map[string]bool{}
 	for n := range 1000 {
 		names[m.label(fmt.Sprint(n))] = true
 	}
-	assert.Equal(t, len(names), mostTeams+1)
+	assert.Equal(t, len(names), maxTeamLabels+1)
 	assert.Equal(t, m.label("7"), "7")
 }
--- a/internal/quota/costs.go
+++ b/internal/quota/costs.go
@@ -1,23 +1,23 @@
 package quota
 
-// costFade is by how much a team's earlier requests count less with each one.
-const costFade = 0.01
+// costDecay is the weight of the newest request in the moving averages.
+const costDecay = 0.01
 
-// costs is what a team's requests have cost lately.
+// costs holds exponentially weighted averages of the costs of a team's requests.
 type costs struct {
-	sum, squares float64 // that fade
+	mean, meanSquare float64
 }
 
-func (c *costs) note(cost float64) {
-	c.sum += costFade * (cost - c.sum)
-	c.squares += costFade * (cost*cost - c.squares)
+func (c *costs) add(cost float64) {
+	c.mean += costDecay * (cost - c.mean)
+	c.meanSquare += costDecay * (cost*cost - c.meanSquare)
 }
 
-// usual is the cost of the request that an average part of the quota goes to: a few
-// large ones count more than many small ones.
-func (c *costs) usual() float64 {
-	if c.sum <= 0 {
+// typical returns the average cost, weighted by cost: the cost of the request that an average
+// unit of the quota goes to. A few large requests count more than many small ones.
+func (c *costs) typical() float64 {
+	if c.mean <= 0 {
 		return 0
 	}
-	return c.squares / c.sum
+	return c.meanSquare / c.mean
 }
--- a/internal/quota/doc.go
+++ b/internal/quota/doc.go
@@ -1,12 +1,12 @@
-// Package quota keeps teams within their quotas over all entries.
+// Package quota enforces the quotas of teams over all entries.
 //
-// Each control instance is a keeper: it has an equal share of every team's quota in a
-// Ledger of its own, and gives parts of it to the entries that ask, one question for
-// each request (Client, Server). A request is turned away for its quota only when all
-// keepers that can be reached have nothing left.
+// Each control instance is a quota server: it holds an equal share of every team's quota in a
+// Ledger of its own, and grants parts of it to the entries, which ask once for each request
+// (Client, Server). A request is rejected for its quota only if all quota servers that can
+// be reached have nothing left.
 //
-// Keepers need no word of each other, so that no failure lets a quota be spent twice:
-// a keeper that dies, freezes or is cut off takes its share with it, one that begins
-// anew has saved up nothing, and one that wakes has earned for the time of its sleep
-// no more than a full share.
+// Quota servers don't communicate with each other, so that no failure lets a quota be used
+// twice: the share of a server that dies, freezes or loses contact is unavailable, a server
+// that restarts has an empty ledger, and one that resumes after a freeze has accrued no more
+// than a full share for that time.
 package quota
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -2,87 +2,87 @@
 
 import "time"
 
-// The figures of a Ledger.
+// Limits of a Ledger.
 const (
-	// returnWithin is how old a grant may be that is given back: who waits for room
-	// longer is past its target. What comes back later could be spent in a window of
-	// time in which it was not earned.
-	returnWithin = time.Second
-	// keptIdle is how long a team's account is kept that nobody uses. A full one
-	// holds what a new one would.
-	keptIdle = time.Minute
-	// longestAgain bounds when something may be left again, as of a quota of nothing.
-	longestAgain = time.Minute
-	// laggard is when an entry may ask again that knows an older configuration than
-	// others: it gets the newest one within this time, or is cut off.
-	laggard = 100 * time.Millisecond
+	// maxReturnAge is the maximum age of a grant that is returned: a request that waits longer
+	// for capacity has missed its target. Quota returned later could be used in a window of
+	// time other than the one in which it accrued.
+	maxReturnAge = time.Second
+	// idleAccountTTL is how long the account of an idle team is kept. A full account holds
+	// what a new one would.
+	idleAccountTTL = time.Minute
+	// maxRetryAfter limits the time after which to ask again, such as for a quota of zero.
+	maxRetryAfter = time.Minute
+	// staleEntryRetryAfter is when an entry may ask again whose configuration is older than
+	// that of others: it receives the latest one within this time, or has lost contact.
+	staleEntryRetryAfter = 100 * time.Millisecond
 )
 
-// Ledger is one keeper's share of all teams' quotas. It is not safe for concurrent use.
+// Ledger is one quota server's share of the quotas of all teams. It is not safe for concurrent
+// use.
 type Ledger struct {
-	began time.Time
-	// next names the next grant. It begins at random, so that a grant of an earlier
-	// keeper at the same address is not taken for one of this.
-	next  uint64
-	teams map[string]*account
-	// newest is the newest version of any limit that was told.
-	newest int64
-	tidy   time.Time // when idle accounts were last forgotten
+	startedAt time.Time
+	// nextGrant is the ID of the next grant. It starts at random, so that a grant of an earlier
+	// server at the same address is not mistaken for one of this server.
+	nextGrant uint64
+	teams     map[string]*account
+	// latestVersion is the latest version of any limit that an entry has sent.
+	latestVersion int64
+	lastCleanup   time.Time // when idle accounts were last dropped
 }
 
-// NewLedger makes a Ledger that has saved up nothing: what the keeper before it gave
-// out just now is not known.
+// NewLedger returns a Ledger that has accrued nothing, since it isn't known what the previous
+// server has just granted.
 func NewLedger(now time.Time, firstGrant uint64) *Ledger {
-	return &Ledger{began: now, next: max(1, firstGrant), teams: map[string]*account{}, tidy: now}
+	return &Ledger{startedAt: now, nextGrant: max(1, firstGrant), teams: map[string]*account{}, lastCleanup: now}
 }
 
-// Taken is the answer to a request.
-type Taken struct {
-	Grant uint64        // 0: nothing was taken
-	Again time.Duration // when there may be some again, where nothing was taken
-	Left  float64
+// TakeResult is the result of Ledger.Take.
+type TakeResult struct {
+	Grant      uint64        // ID of the grant; 0 if nothing was taken
+	RetryAfter time.Duration // if nothing was taken, the time until something may be left
+	Remaining  float64       // balance after the request; may be negative
 }
 
-// Take takes a request's cost from a team's share, which is a part from 0 to 1 of its
-// limit. A request can be larger than the share; a small one may also go into the
-// reserve.
-func (l *Ledger) Take(now time.Time, team string, limit Limit, share, cost float64) Taken {
-	l.forgetIdle(now)
-	l.newest = max(l.newest, limit.Version)
+// Take takes the cost of a request from a team's share of its limit; share is from 0 to 1. A
+// request may cost more than the share holds; a small one may also use the reserve.
+func (l *Ledger) Take(now time.Time, team string, limit Limit, share, cost float64) TakeResult {
+	l.dropIdleAccounts(now)
+	l.latestVersion = max(l.latestVersion, limit.Version)
 	a := l.teams[team]
-	if a == nil && limit.Version < l.newest {
-		return Taken{Again: laggard} // the limit may have been lowered since
+	if a == nil && limit.Version < l.latestVersion {
+		return TakeResult{RetryAfter: staleEntryRetryAfter} // the limit may have been lowered since
 	}
 	if a == nil {
-		a = newAccount(now, l.began, limit, share)
+		a = newAccount(now, l.startedAt, limit, share)
 		l.teams[team] = a
 	}
-	a.fill(now, limit, share)
-	a.costs.note(cost)
-	if !a.has(cost, share) && !a.fitsReserve(cost, share) {
-		return Taken{Again: a.until(cost, share), Left: a.level}
+	a.refill(now, limit, share)
+	a.costs.add(cost)
+	if !a.canTake(cost, share) && !a.fitsReserve(cost, share) {
+		return TakeResult{RetryAfter: a.retryAfter(cost, share), Remaining: a.balance}
 	}
-	grant := l.next
-	l.next++
+	grant := l.nextGrant
+	l.nextGrant++
 	a.take(now, grant, cost)
-	return Taken{Grant: grant, Left: a.level}
+	return TakeResult{Grant: grant, Remaining: a.balance}
 }
 
-// Return gives back what a grant took; one that is unknown, or too old, changes
+// Return returns what a grant has taken. An unknown grant, or one that is too old, changes
 // nothing.
 func (l *Ledger) Return(now time.Time, team string, grant uint64) {
 	if a := l.teams[team]; a != nil {
-		a.giveBack(now, grant)
+		a.refund(now, grant)
 	}
 }
 
-func (l *Ledger) forgetIdle(now time.Time) {
-	if now.Sub(l.tidy) < keptIdle {
+func (l *Ledger) dropIdleAccounts(now time.Time) {
+	if now.Sub(l.lastCleanup) < idleAccountTTL {
 		return
 	}
-	l.tidy = now
+	l.lastCleanup = now
 	for team, a := range l.teams {
-		if now.Sub(a.filled) > keptIdle && a.level >= 0 {
+		if now.Sub(a.lastRefill) > idleAccountTTL && a.balance >= 0 {
 			delete(l.teams, team)
 		}
 	}
--- a/internal/quota/metrics.go
+++ b/internal/quota/metrics.go
@@ -7,51 +7,51 @@
 	"github.com/prometheus/client_golang/prometheus/promauto"
 )
 
-// The results of questions for a part of a quota.
+// Values of the label result.
 const (
-	resultTaken = "taken"
-	resultSpent = "spent"
+	resultTaken     = "taken"
+	resultExhausted = "spent"
 )
 
-// mostTeams bounds the teams that have metrics of their own; the rest share
-// otherTeams, so that thousands of teams don't make thousands of series.
+// maxTeamLabels limits the teams that have metric series of their own; the others share
+// otherTeams, so that thousands of teams don't create thousands of series.
 const (
-	mostTeams  = 100
-	otherTeams = "others"
+	maxTeamLabels = 100
+	otherTeams    = "others"
 )
 
-// metrics are those of a keeper.
+// metrics are the metrics of a quota server.
 type metrics struct {
-	asked *prometheus.CounterVec
+	requests *prometheus.CounterVec
 
-	mu    sync.Mutex
-	named map[string]bool // teams with metrics of their own
+	mu       sync.Mutex
+	labelled map[string]bool // teams that have series of their own
 }
 
 func newMetrics(to prometheus.Registerer) *metrics {
 	return &metrics{
-		asked: promauto.With(to).NewCounterVec(prometheus.CounterOpts{
+		requests: promauto.With(to).NewCounterVec(prometheus.CounterOpts{
 			Name: "hyssopsail_quota_asked_total",
 			Help: "Questions of entries for a part of a team's quota, by team and result.",
 		}, []string{"team", "result"}),
-		named: map[string]bool{},
+		labelled: map[string]bool{},
 	}
 }
 
-func (m *metrics) count(team string, taken Taken) {
+func (m *metrics) count(team string, taken TakeResult) {
 	result := resultTaken
 	if taken.Grant == 0 {
-		result = resultSpent
+		result = resultExhausted
 	}
-	m.asked.WithLabelValues(m.label(team), result).Inc()
+	m.requests.WithLabelValues(m.label(team), result).Inc()
 }
 
 func (m *metrics) label(team string) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !m.named[team] && len(m.named) >= mostTeams {
+	if !m.labelled[team] && len(m.labelled) >= maxTeamLabels {
 		return otherTeams
 	}
-	m.named[team] = true
+	m.labelled[team] = true
 	return team
 }
--- a/internal/quota/server.go
+++ b/internal/quota/server.go
@@ -12,12 +12,13 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// errNoKeepers: this instance knows of no group yet, and so not its share.
-var errNoKeepers = errors.New("the keepers of quotas are not known yet")
+// errServersUnknown means that this instance doesn't know its group yet, and therefore not its
+// share.
+var errServersUnknown = errors.New("the keepers of quotas are not known yet")
 
-// Server answers entries as a keeper.
+// Server is a quota server, which answers the entries. It is safe for concurrent use.
 type Server struct {
-	keepers func() int
+	servers func() int
 	metrics *metrics
 
 	mu     sync.Mutex // guards ledger
@@ -26,25 +27,25 @@
 
 var _ pb.DRPCQuotaKeeperServer = (*Server)(nil)
 
-// NewServer makes a Server; keepers tells how many there are, this one included, 0
-// while that isn't known. to may be nil.
-func NewServer(keepers func() int, to prometheus.Registerer) *Server {
-	return &Server{keepers: keepers, metrics: newMetrics(to), ledger: NewLedger(time.Now(), rand.Uint64())}
+// NewServer returns a Server. servers returns the number of quota servers including this one, or
+// 0 while it isn't known. to may be nil.
+func NewServer(servers func() int, to prometheus.Registerer) *Server {
+	return &Server{servers: servers, metrics: newMetrics(to), ledger: NewLedger(time.Now(), rand.Uint64())}
 }
 
 // TakeQuota implements pb.DRPCQuotaKeeperServer.
 func (s *Server) TakeQuota(_ context.Context, r *pb.TakeQuotaRequest) (*pb.TakeQuotaReply, error) {
-	keepers := s.keepers()
-	if keepers == 0 {
-		return nil, errNoKeepers
+	servers := s.servers()
+	if servers == 0 {
+		return nil, errServersUnknown
 	}
 	limit := Limit{Version: r.Version, PerSecond: r.PerSecond, Burst: r.Burst, ExtraPerSecond: r.ExtraPerSecond, Debt: r.Debt, Reserve: r.Reserve}
-	taken := s.take(r.Team, limit, 1/float64(keepers), r.Cost)
+	taken := s.take(r.Team, limit, 1/float64(servers), r.Cost)
 	s.metrics.count(r.Team, taken)
-	return &pb.TakeQuotaReply{Grant: taken.Grant, AgainMs: uint32(taken.Again.Milliseconds())}, nil
+	return &pb.TakeQuotaReply{Grant: taken.Grant, AgainMs: uint32(taken.RetryAfter.Milliseconds())}, nil
 }
 
-func (s *Server) take(team string, limit Limit, share, cost float64) Taken {
+func (s *Server) take(team string, limit Limit, share, cost float64) TakeResult {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.ledger.Take(time.Now(), team, limit, share, cost)
