--- a/internal/quarantine/bench_test.go
+++ b/internal/quarantine/bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/hyssopsail/hyssopsail/internal/fleet"
 )
 
-// BenchmarkRegister is a guard's own work for a run of a new fingerprint and
-// the memory that it keeps of it.
+// BenchmarkRegister measures the work of a guard for a run of a new fingerprint, and the memory
+// that it keeps for it.
 func BenchmarkRegister(b *testing.B) {
 	limits := DefaultLimits
 	limits.MaxTracked = 1 << 30
--- a/internal/quarantine/guard.go
+++ b/internal/quarantine/guard.go
@@ -11,9 +11,9 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// guardOf gives the instance that guards a fingerprint: the first ready
-// replica in the view of the ledger group that the fingerprint falls to. All
-// entries with the same state give the same one.
+// guardOf returns the instance that guards a fingerprint: the first replica in the fingerprint's
+// ledger group that is ready and in the view. All entries with the same state get the same
+// one.
 func guardOf(f fleet.Fingerprint, permitted fleet.ZoneSet, state *membership.State) (fleet.Owner, bool) {
 	shard := fleet.LedgerShard{ZoneClass: permitted.Class(), Shard: uint32(f[0]) % fleet.LedgerShards}
 	for _, r := range state.Groups[shard].Replicas {
@@ -24,9 +24,9 @@
 	return fleet.Owner{}, false
 }
 
-// client gives a connection to a guard instance, checking at the last moment
-// before bytes leave that it is in the view and in the team's zones.
-func (s *Service) client(ctx context.Context, guard fleet.Owner, permitted fleet.ZoneSet) (pb.DRPCLedgerClient, error) {
+// guardClient returns a client of a guard instance. It checks at the last moment before bytes
+// are sent that the instance is in the view and in the zones permitted for the team.
+func (s *Service) guardClient(ctx context.Context, guard fleet.Owner, permitted fleet.ZoneSet) (pb.DRPCLedgerClient, error) {
 	view := s.options.Source.State().View
 	if !view.Holds(guard) {
 		return nil, trace.NotFound("guard %s is not in the view", guard)
@@ -42,12 +42,13 @@
 	return pb.NewDRPCLedgerClient(conn), nil
 }
 
-func (s *Service) ask(ctx context.Context, guard fleet.Owner, permitted fleet.ZoneSet, run Run) (Answer, error) {
-	ctx, cancel := context.WithTimeout(ctx, s.options.Call)
+// callBegin asks a guard instance for a run.
+func (s *Service) callBegin(ctx context.Context, guard fleet.Owner, permitted fleet.ZoneSet, run Run) (Decision, error) {
+	ctx, cancel := context.WithTimeout(ctx, s.options.CallTimeout)
 	defer cancel()
-	client, err := s.client(ctx, guard, permitted)
+	client, err := s.guardClient(ctx, guard, permitted)
 	if err != nil {
-		return Answer{}, trace.Wrap(err)
+		return Decision{}, trace.Wrap(err)
 	}
 	reply, err := client.BeginRun(ctx, &pb.BeginRunRequest{
 		Fingerprint: run.Fingerprint[:],
@@ -55,11 +56,11 @@
 		Owner:       run.Owner.Proto(),
 	})
 	if err != nil {
-		return Answer{}, trace.Wrap(err)
+		return Decision{}, trace.Wrap(err)
 	}
-	wait := time.Duration(min(reply.GetRetryAfterMs(), maxRetryMs)) * time.Millisecond
-	return Answer{Verdict: reply.GetVerdict(), RetryAfter: wait}, nil
+	wait := time.Duration(min(reply.GetRetryAfterMs(), maxRetryAfterMs)) * time.Millisecond
+	return Decision{Verdict: reply.GetVerdict(), RetryAfter: wait}, nil
 }
 
-// maxRetryMs bounds what a guard instance may ask a run to wait.
-const maxRetryMs = 60_000
+// maxRetryAfterMs limits the wait that a guard instance may demand, in ms.
+const maxRetryAfterMs = 60_000
--- a/internal/quarantine/limits.go
+++ b/internal/quarantine/limits.go
@@ -6,24 +6,24 @@
 	"github.com/hyssopsail/hyssopsail/internal/suspect"
 )
 
-// Limits bound what the register and the shared suspects keep.
+// Limits limit what the register and the shared suspects keep.
 type Limits struct {
-	SuspectLife  time.Duration // a suspect or quarantine lapses after this long without a crash
-	ProvenLife   time.Duration // a completed run vouches for its fingerprint for so long
-	RunLife      time.Duration // a run whose end was lost is forgotten after this long
-	UnprovenRuns int           // concurrent runs of a fingerprint that never completed
-	MaxTracked   int           // fingerprints tracked by one register
-	RetryAfter   time.Duration // a waiting run asks again after this long
+	SuspectTTL      time.Duration // a suspect or quarantine expires after this time without a crash
+	ProvenTTL       time.Duration // a completed run proves its fingerprint harmless for this time
+	RunTTL          time.Duration // a run whose end was not reported is dropped after this time
+	MaxUnprovenRuns int           // concurrent runs of a fingerprint that has not completed
+	MaxTracked      int           // fingerprints tracked by one register
+	RetryAfter      time.Duration // time after which a waiting run asks again
 }
 
-// DefaultLimits allow one run of an unproven fingerprint: with two, a request
-// sent by two entries at once takes down two endpoints before either death is
-// known, and the neighbours of both can't be told from it. SuspectLife follows the settings' quarantine life.
+// DefaultLimits allow one run of an unproven fingerprint: with two, a request that two entries
+// send at once crashes two endpoints before either death is known, and it can't be told apart
+// from the other requests on both. SuspectTTL follows the quarantine life of the settings.
 var DefaultLimits = Limits{
-	SuspectLife:  suspect.DefaultLimits.Life,
-	ProvenLife:   suspect.ProvenTTL,
-	RunLife:      10 * time.Minute,
-	UnprovenRuns: 1,
-	MaxTracked:   65536,
-	RetryAfter:   50 * time.Millisecond,
+	SuspectTTL:      suspect.DefaultLimits.Life,
+	ProvenTTL:       suspect.ProvenTTL,
+	RunTTL:          10 * time.Minute,
+	MaxUnprovenRuns: 1,
+	MaxTracked:      65536,
+	RetryAfter:      50 * time.Millisecond,
 }
--- a/internal/quarantine/metrics.go
+++ b/internal/quarantine/metrics.go
@@ -38,7 +38,8 @@
 	return m
 }
 
-func (m *metrics) begun(v pb.RunVerdict) {
+// countVerdict counts the verdict on a run.
+func (m *metrics) countVerdict(v pb.RunVerdict) {
 	label := "invalid"
 	if name, ok := pb.RunVerdict_name[int32(v)]; ok {
 		label = name
--- a/internal/quarantine/options.go
+++ b/internal/quarantine/options.go
@@ -11,27 +11,27 @@
 	"github.com/hyssopsail/hyssopsail/internal/timeline"
 )
 
-// Options are what a Service needs. Zero limits take DefaultLimits.
+// Options configure a Service. Zero limits mean DefaultLimits.
 type Options struct {
-	Source     membership.Source
-	Dialer     rpc.Dialer
-	Seed       uint64 // of the spread of waits
-	Limits     Limits
-	Part       logging.Part
-	Recorder   timeline.Recorder     // nil: none
-	Registerer prometheus.Registerer // nil: none
-	Call       time.Duration         // longest call to a guard instance, default DefaultCall
+	Source      membership.Source
+	Dialer      rpc.Dialer
+	Seed        uint64 // of the random part of waits
+	Limits      Limits
+	Part        logging.Part
+	Recorder    timeline.Recorder     // nil: none
+	Registerer  prometheus.Registerer // nil: none
+	CallTimeout time.Duration         // of a call to a guard instance; 0: DefaultCallTimeout
 }
 
-// DefaultCall bounds one call to a guard instance.
-const DefaultCall = 250 * time.Millisecond
+// DefaultCallTimeout is the default timeout of a call to a guard instance.
+const DefaultCallTimeout = 250 * time.Millisecond
 
 func (o Options) withDefaults() Options {
 	if o.Limits == (Limits{}) {
 		o.Limits = DefaultLimits
 	}
-	if o.Call == 0 {
-		o.Call = DefaultCall
+	if o.CallTimeout == 0 {
+		o.CallTimeout = DefaultCallTimeout
 	}
 	return o
 }
--- a/internal/quarantine/register.go
+++ b/internal/quarantine/register.go
@@ -7,176 +7,180 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// Run asks to start a run of a fingerprint.
+// Run is a request to start a run of a fingerprint.
 type Run struct {
 	Fingerprint fleet.Fingerprint
 	Attempt     fleet.AttemptID
 	Owner       fleet.Owner
 }
 
-// Answer tells whether a run may start. RetryAfter is set with WAIT.
-type Answer struct {
+// Decision is the answer to a Run. RetryAfter is set with the verdict WAIT.
+type Decision struct {
 	Verdict    pb.RunVerdict
 	RetryAfter time.Duration
 }
 
-// Shared is what the shared state tells a register.
+// Shared is the part of the shared state that a register needs.
 type Shared struct {
 	Suspects map[fleet.Fingerprint]fleet.Suspect
 	Alive    func(fleet.Owner) bool
 }
 
-// activeRun is a run that has begun and not ended.
+// activeRun is a run that has begun and has not ended.
 type activeRun struct {
 	owner fleet.Owner
 	begun time.Time
 	alone bool
 }
 
-// track is what a register keeps of a fingerprint.
-type track struct {
-	runs        map[fleet.AttemptID]activeRun // nil when there are none
-	proven      time.Time                     // when a run last completed
-	crashed     time.Time                     // when a run here last ended with the endpoint's death
-	quarantined time.Time                     // when a lone suspect's run did
-	cleared     time.Time                     // Updated of the shared suspicion that a completed run refuted
-	used        time.Time
+// fingerprintState is what a register knows about a fingerprint.
+type fingerprintState struct {
+	runs             map[fleet.AttemptID]activeRun // nil if there are none
+	lastCompleted    time.Time                     // when a run last completed
+	lastCrashed      time.Time                     // when a run last ended with the death of its endpoint
+	quarantinedAt    time.Time                     // when a run with the verdict ALONE last ended like that
+	clearedSuspicion time.Time                     // Updated of the shared suspect that a completed run has refuted
+	lastUsed         time.Time
 }
 
-// Register decides which runs may start, for the fingerprints that one guard
-// instance is asked about. It is pure and not safe for concurrent use.
+// Register decides which runs may start, for the fingerprints of one guard instance. It does no
+// I/O, reads no clock and is not safe for concurrent use.
 type Register struct {
 	limits  Limits
-	tracked map[fleet.Fingerprint]*track
-	order   []orderMark // one for each tracked fingerprint, oldest first
+	tracked map[fleet.Fingerprint]*fingerprintState
+	order   []orderMark // one mark for each tracked fingerprint, oldest first
 }
 
+// orderMark is a place in the order in which fingerprints are checked for expiry.
 type orderMark struct {
 	fingerprint fleet.Fingerprint
 	used        time.Time
 }
 
-// NewRegister makes an empty register.
+// NewRegister returns an empty register.
 func NewRegister(limits Limits) *Register {
-	return &Register{limits: limits, tracked: make(map[fleet.Fingerprint]*track)}
+	return &Register{limits: limits, tracked: make(map[fleet.Fingerprint]*fingerprintState)}
 }
 
-// SetSuspectLife changes how long a suspect or quarantine lasts.
-func (r *Register) SetSuspectLife(life time.Duration) { r.limits.SuspectLife = life }
+// SetSuspectTTL sets how long a suspect or quarantine is kept.
+func (r *Register) SetSuspectTTL(ttl time.Duration) { r.limits.SuspectTTL = ttl }
 
-// Len gives the number of tracked fingerprints.
+// Len returns the number of tracked fingerprints.
 func (r *Register) Len() int { return len(r.tracked) }
 
-// Begin decides on a run. GO and ALONE note it as running until End.
+// Begin decides on a run. After the verdicts GO and ALONE the run counts as active until End.
 //
-// The failure guarded against: a request that crashes each endpoint is sent
-// again and again, with new keys and to several entries, and takes down one
-// endpoint after another. Until a fingerprint has completed once, only few of
-// it run at a time; once it was on an endpoint that died, one at a time, and
-// its endpoint is given no other suspect, so that the next death tells.
-func (r *Register) Begin(now time.Time, q Run, shared Shared) Answer {
-	suspect, suspected := liveSuspect(shared.Suspects, q.Fingerprint, now, r.limits.SuspectLife)
+// Guards against a request that crashes every endpoint and is repeated with new keys and at
+// several entries. Until a fingerprint has completed once, only a few of its runs are active
+// at a time; once it has run on an endpoint that died, only one is, and its endpoint gets no
+// other suspect, so that the next death identifies the cause.
+func (r *Register) Begin(now time.Time, q Run, shared Shared) Decision {
+	suspect, suspected := unexpiredSuspect(shared.Suspects, q.Fingerprint, now, r.limits.SuspectTTL)
 	if suspected && suspect.Quarantined {
-		return Answer{Verdict: pb.RunVerdict_RUN_VERDICT_QUARANTINED}
+		return Decision{Verdict: pb.RunVerdict_RUN_VERDICT_QUARANTINED}
 	}
-	t := r.track(now, q.Fingerprint)
-	if t == nil {
-		return r.wait()
+	state := r.getOrCreate(now, q.Fingerprint)
+	if state == nil {
+		return r.waitDecision()
 	}
-	t.used = now
-	if now.Sub(t.quarantined) < r.limits.SuspectLife {
-		return Answer{Verdict: pb.RunVerdict_RUN_VERDICT_QUARANTINED}
+	state.lastUsed = now
+	if now.Sub(state.quarantinedAt) < r.limits.SuspectTTL {
+		return Decision{Verdict: pb.RunVerdict_RUN_VERDICT_QUARANTINED}
 	}
-	r.dropLost(now, t, shared.Alive)
-	if run, repeated := t.runs[q.Attempt]; repeated {
-		return started(run.alone)
+	r.dropLostRuns(now, state, shared.Alive)
+	if run, repeated := state.runs[q.Attempt]; repeated {
+		return startDecision(run.alone)
 	}
-	alone := (suspected && !suspect.Updated.Equal(t.cleared)) || now.Sub(t.crashed) < r.limits.SuspectLife
-	if r.busy(now, t, alone) {
-		return r.wait()
+	alone := (suspected && !suspect.Updated.Equal(state.clearedSuspicion)) || now.Sub(state.lastCrashed) < r.limits.SuspectTTL
+	if r.mustWait(now, state, alone) {
+		return r.waitDecision()
 	}
-	if t.runs == nil {
-		t.runs = make(map[fleet.AttemptID]activeRun, 1)
+	if state.runs == nil {
+		state.runs = make(map[fleet.AttemptID]activeRun, 1)
 	}
-	t.runs[q.Attempt] = activeRun{owner: q.Owner, begun: now, alone: alone}
-	return started(alone)
+	state.runs[q.Attempt] = activeRun{owner: q.Owner, begun: now, alone: alone}
+	return startDecision(alone)
 }
 
-// liveSuspect gives the shared suspect unless its life is over. The shared
-// state drops old ones only with its next command, which may be long in coming
-// when the control group has no leader: a quarantine would go on meanwhile.
-func liveSuspect(suspects map[fleet.Fingerprint]fleet.Suspect, f fleet.Fingerprint, now time.Time, life time.Duration) (fleet.Suspect, bool) {
+// unexpiredSuspect returns the shared suspect of a fingerprint, and whether it exists and has
+// not expired. The shared state removes expired suspects only with its next command, which
+// may be long delayed while the control group has no leader; a quarantine would last longer
+// meanwhile.
+func unexpiredSuspect(suspects map[fleet.Fingerprint]fleet.Suspect, f fleet.Fingerprint, now time.Time, ttl time.Duration) (fleet.Suspect, bool) {
 	s, ok := suspects[f]
-	return s, ok && now.Sub(s.Updated) < life
+	return s, ok && now.Sub(s.Updated) < ttl
 }
 
-func started(alone bool) Answer {
+// startDecision returns the decision that a run may start.
+func startDecision(alone bool) Decision {
 	if alone {
-		return Answer{Verdict: pb.RunVerdict_RUN_VERDICT_ALONE}
+		return Decision{Verdict: pb.RunVerdict_RUN_VERDICT_ALONE}
 	}
-	return Answer{Verdict: pb.RunVerdict_RUN_VERDICT_GO}
+	return Decision{Verdict: pb.RunVerdict_RUN_VERDICT_GO}
 }
 
-func (r *Register) wait() Answer {
-	return Answer{Verdict: pb.RunVerdict_RUN_VERDICT_WAIT, RetryAfter: r.limits.RetryAfter}
+// waitDecision returns the decision that a run must wait.
+func (r *Register) waitDecision() Decision {
+	return Decision{Verdict: pb.RunVerdict_RUN_VERDICT_WAIT, RetryAfter: r.limits.RetryAfter}
 }
 
-func (r *Register) busy(now time.Time, t *track, alone bool) bool {
+// mustWait reports whether a run must wait for active runs of its fingerprint.
+func (r *Register) mustWait(now time.Time, state *fingerprintState, alone bool) bool {
 	switch {
 	case alone:
-		return len(t.runs) > 0
-	case now.Sub(t.proven) < r.limits.ProvenLife:
+		return len(state.runs) > 0
+	case now.Sub(state.lastCompleted) < r.limits.ProvenTTL:
 		return false
 	}
-	return len(t.runs) >= r.limits.UnprovenRuns
+	return len(state.runs) >= r.limits.MaxUnprovenRuns
 }
 
-// End notes how a run ended. A completed run lifts the suspicion until the
-// next death.
+// End records how a run has ended. A completed run clears the suspicion until the next death.
 func (r *Register) End(now time.Time, f fleet.Fingerprint, attempt fleet.AttemptID, completed, endpointCrashed bool, shared Shared) {
-	t := r.tracked[f]
-	if t == nil {
+	state := r.tracked[f]
+	if state == nil {
 		return
 	}
-	run, known := t.runs[attempt]
-	delete(t.runs, attempt)
-	if len(t.runs) == 0 {
-		t.runs = nil // most fingerprints run once; an empty map is larger than the rest
+	run, known := state.runs[attempt]
+	delete(state.runs, attempt)
+	if len(state.runs) == 0 {
+		state.runs = nil // most fingerprints run once, and an empty map is larger than the rest
 	}
 	switch {
 	case endpointCrashed:
-		t.crashed = now
-		t.proven = time.Time{}
+		state.lastCrashed = now
+		state.lastCompleted = time.Time{}
 		if known && run.alone {
-			t.quarantined = now
+			state.quarantinedAt = now
 		}
 	case completed:
-		t.proven = now
-		t.crashed = time.Time{}
-		t.cleared = shared.Suspects[f].Updated
+		state.lastCompleted = now
+		state.lastCrashed = time.Time{}
+		state.clearedSuspicion = shared.Suspects[f].Updated
 	}
 }
 
-// dropLost forgets runs whose end was lost, or whose owner is gone.
-func (r *Register) dropLost(now time.Time, t *track, alive func(fleet.Owner) bool) {
-	for attempt, run := range t.runs {
-		if now.Sub(run.begun) >= r.limits.RunLife || !alive(run.owner) {
-			delete(t.runs, attempt)
+// dropLostRuns drops the runs whose end was not reported in time, or whose owner is no longer
+// alive.
+func (r *Register) dropLostRuns(now time.Time, state *fingerprintState, alive func(fleet.Owner) bool) {
+	for attempt, run := range state.runs {
+		if now.Sub(run.begun) >= r.limits.RunTTL || !alive(run.owner) {
+			delete(state.runs, attempt)
 		}
 	}
 }
 
-// track gives the fingerprint's track; nil when there is no room.
-func (r *Register) track(now time.Time, f fleet.Fingerprint) *track {
-	if t, ok := r.tracked[f]; ok {
-		return t
+// getOrCreate returns the state of a fingerprint; nil if there is no capacity for it.
+func (r *Register) getOrCreate(now time.Time, f fleet.Fingerprint) *fingerprintState {
+	if state, ok := r.tracked[f]; ok {
+		return state
 	}
 	r.Expire(now, expireBatch)
 	if len(r.tracked) >= r.limits.MaxTracked && !r.evict() {
 		return nil
 	}
-	t := &track{used: now}
-	r.tracked[f] = t
+	state := &fingerprintState{lastUsed: now}
+	r.tracked[f] = state
 	r.order = append(r.order, orderMark{fingerprint: f, used: now})
-	return t
+	return state
 }
--- a/internal/quarantine/register_expire.go
+++ b/internal/quarantine/register_expire.go
@@ -2,53 +2,56 @@
 
 import "time"
 
-// expireBatch bounds the work of one call.
+// expireBatch limits the fingerprints that one call checks.
 const expireBatch = 64
 
-// Expire forgets up to limit fingerprints that have nothing left to tell.
+// Expire checks up to limit of the oldest fingerprints and drops those that have expired.
 func (r *Register) Expire(now time.Time, limit int) {
 	for range limit {
-		if len(r.order) == 0 || now.Sub(r.order[0].used) < r.idleLife() {
+		if len(r.order) == 0 || now.Sub(r.order[0].used) < r.minTTL() {
 			return
 		}
-		r.requeue(func(t *track) bool { return now.Sub(t.used) >= r.life(t) })
+		r.requeue(func(state *fingerprintState) bool { return now.Sub(state.lastUsed) >= r.ttl(state) })
 	}
 }
 
-// idleLife is the shortest time after which a fingerprint may be forgotten.
-func (r *Register) idleLife() time.Duration {
-	return min(r.limits.ProvenLife, r.limits.RunLife, r.limits.SuspectLife)
+// minTTL returns the shortest time after which a fingerprint may expire.
+func (r *Register) minTTL() time.Duration {
+	return min(r.limits.ProvenTTL, r.limits.RunTTL, r.limits.SuspectTTL)
 }
 
-func (r *Register) life(t *track) time.Duration {
-	if !t.crashed.IsZero() || !t.quarantined.IsZero() {
-		return r.limits.SuspectLife
+// ttl returns how long a fingerprint is kept after its last use.
+func (r *Register) ttl(state *fingerprintState) time.Duration {
+	if !state.lastCrashed.IsZero() || !state.quarantinedAt.IsZero() {
+		return r.limits.SuspectTTL
 	}
-	return max(r.limits.ProvenLife, r.limits.RunLife)
+	return max(r.limits.ProvenTTL, r.limits.RunTTL)
 }
 
-// evict makes room: the first of the oldest that doesn't run and didn't crash.
-// What it loses is the memory of a completed run, which costs a wait at most.
+// evict drops the first of the oldest fingerprints that has no active run and no crash.
+// Forgetting a completed run costs a wait at most.
 func (r *Register) evict() bool {
 	for range min(len(r.order), expireBatch) {
-		gone := r.requeue(func(t *track) bool { return len(t.runs) == 0 && t.crashed.IsZero() && t.quarantined.IsZero() })
-		if gone {
+		dropped := r.requeue(func(state *fingerprintState) bool {
+			return len(state.runs) == 0 && state.lastCrashed.IsZero() && state.quarantinedAt.IsZero()
+		})
+		if dropped {
 			return true
 		}
 	}
 	return false
 }
 
-// requeue takes the oldest mark: the fingerprint goes when drop says so, else
-// its mark goes to the end.
-func (r *Register) requeue(drop func(*track) bool) bool {
+// requeue takes the oldest mark. It drops the fingerprint if drop returns true; otherwise the
+// mark is moved to the end. It reports whether the fingerprint was dropped.
+func (r *Register) requeue(drop func(*fingerprintState) bool) bool {
 	mark := r.order[0]
 	r.order = r.order[1:]
-	t := r.tracked[mark.fingerprint]
-	if drop(t) {
+	state := r.tracked[mark.fingerprint]
+	if drop(state) {
 		delete(r.tracked, mark.fingerprint)
 		return true
 	}
-	r.order = append(r.order, orderMark{fingerprint: mark.fingerprint, used: t.used})
+	r.order = append(r.order, orderMark{fingerprint: mark.fingerprint, used: state.lastUsed})
 	return false
 }
--- a/internal/quarantine/register_test.go
+++ b/internal/quarantine/register_test.go
@@ -10,7 +10,7 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// registerFixture asks one register about one fingerprint.
+// registerFixture asks a register about one fingerprint.
 type registerFixture struct {
 	*Register
 	now    time.Time
@@ -55,12 +55,12 @@
 	for _, attempt := range []string{"2", "3", "4"} {
 		assert.Equal(t, x.begin(attempt), verdictGo)
 	}
-	x.now = x.now.Add(DefaultLimits.ProvenLife - time.Second)
+	x.now = x.now.Add(DefaultLimits.ProvenTTL - time.Second)
 	assert.Equal(t, x.begin("5"), verdictWait)
 }
 
-// An entry dies while it runs an unproven request, and the caller asks at
-// another. The dead entry's run must not keep the other waiting.
+// An entry dies while it runs an unproven request, and the caller turns to another entry. The
+// run of the dead entry must not make it wait.
 func TestRunOfDeadOwner(t *testing.T) {
 	x := newRegisterFixture()
 	assert.Equal(t, x.begin("1"), verdictGo)
@@ -68,8 +68,8 @@
 	assert.Equal(t, x.begin("2"), verdictGo)
 }
 
-// An endpoint dies under an innocent request. Its caller waits until it has
-// run alone, and after that it is served as before.
+// An endpoint dies while it runs a harmless request. Its repeats wait until one of them has run
+// alone, and are then served as before.
 func TestSuspicionIsLifted(t *testing.T) {
 	x := newRegisterFixture()
 	assert.Equal(t, x.begin("1"), verdictGo)
@@ -84,8 +84,8 @@
 	assert.Equal(t, x.begin("4"), verdictAlone)
 }
 
-// A request crashes a second endpoint, on which it ran as a suspect, before the
-// control group has told anybody. The next run must be refused all the same.
+// A request that runs as a suspect crashes a second endpoint, before the shared state has
+// reported the first crash. The next run must be refused nevertheless.
 func TestQuarantinedBeforeTheStateKnows(t *testing.T) {
 	x := newRegisterFixture()
 	assert.Equal(t, x.begin("1"), verdictGo)
@@ -93,12 +93,12 @@
 	assert.Equal(t, x.begin("2"), verdictAlone)
 	x.end("2", false, true)
 	assert.Equal(t, x.begin("3"), verdictQuarantined)
-	x.now = x.now.Add(DefaultLimits.SuspectLife)
+	x.now = x.now.Add(DefaultLimits.SuspectTTL)
 	assert.Equal(t, x.begin("4"), verdictGo)
 }
 
-// A flood of different requests must not grow the register, nor make it forget
-// a request that crashed an endpoint.
+// A flood of different requests must neither grow the register nor make it drop a request that
+// has crashed an endpoint.
 func TestRegisterIsBounded(t *testing.T) {
 	x := newRegisterFixture()
 	x.limits.MaxTracked = 100
@@ -112,7 +112,7 @@
 		assert.Assert(t, x.Len() <= 100 && len(x.order) <= 100)
 	}
 	assert.Equal(t, x.begin("2"), verdictAlone)
-	x.now = x.now.Add(2 * DefaultLimits.SuspectLife)
+	x.now = x.now.Add(2 * DefaultLimits.SuspectTTL)
 	for range 4 {
 		x.Expire(x.now, expireBatch)
 	}
--- a/internal/quarantine/run.go
+++ b/internal/quarantine/run.go
@@ -10,7 +10,7 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// Run sends the ends of runs to their guard instances until ctx ends.
+// Run reports the ends of runs to their guard instances until ctx is done.
 func (s *Service) Run(ctx context.Context) error {
 	workers, ctx := errgroup.WithContext(ctx)
 	for range endWorkers {
@@ -34,7 +34,7 @@
 }
 
 func (s *Service) sendEnd(ctx context.Context, end runEnd) {
-	for range endTries {
+	for range maxEndAttempts {
 		if s.tryEnd(ctx, end) == nil {
 			return
 		}
@@ -48,12 +48,12 @@
 		return trace.NotFound("no guard for the fingerprint")
 	}
 	if guard == s.self {
-		s.endHere(end.fingerprint, end.attempt, end.completed, end.crashed)
+		s.endLocally(end.fingerprint, end.attempt, end.completed, end.crashed)
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, s.options.Call)
+	ctx, cancel := context.WithTimeout(ctx, s.options.CallTimeout)
 	defer cancel()
-	client, err := s.client(ctx, guard, end.permitted)
+	client, err := s.guardClient(ctx, guard, end.permitted)
 	if err != nil {
 		return trace.Wrap(err)
 	}
--- a/internal/quarantine/service.go
+++ b/internal/quarantine/service.go
@@ -14,8 +14,9 @@
 	"github.com/hyssopsail/hyssopsail/internal/timeline"
 )
 
-// Service asks the guard instances of fingerprints for local requests, and is
-// itself the guard of some. It implements Guard and outcome.RunGuard.
+// Service asks the guard instances of fingerprints on behalf of local requests, and is itself
+// the guard of some fingerprints. It implements Guard and outcome.RunGuard, and is safe for
+// concurrent use.
 //
 // mu guards register and random and is not held during a call.
 type Service struct {
@@ -31,7 +32,7 @@
 
 var _ Guard = (*Service)(nil)
 
-// runEnd is a finished run on its way to its guard instance.
+// runEnd is the end of a run that is to be reported to the guard instance.
 type runEnd struct {
 	fingerprint fleet.Fingerprint
 	permitted   fleet.ZoneSet
@@ -40,15 +41,15 @@
 	crashed     bool
 }
 
-// The bounds of the reports that wait to be sent. A report that finds no room
-// is lost; its run then counts as running for Limits.RunLife.
+// Limits of the queued reports. A report that finds the queue full is lost; its run then counts
+// as active for Limits.RunTTL.
 const (
-	endQueue   = 8192
-	endWorkers = 8
-	endTries   = 3
+	endQueue       = 8192
+	endWorkers     = 8
+	maxEndAttempts = 3
 )
 
-// NewService makes the service. Run must run for ends to be sent.
+// NewService returns a Service. Ends of runs are only reported while Run is running.
 func NewService(o Options) *Service {
 	o = o.withDefaults()
 	return &Service{
@@ -63,68 +64,69 @@
 
 // Begin implements Guard.
 func (s *Service) Begin(ctx context.Context, f fleet.Fingerprint, permitted fleet.ZoneSet, attempt fleet.AttemptID) (pb.RunVerdict, time.Duration) {
-	answer := s.begin(ctx, f, permitted, attempt)
-	s.metrics.begun(answer.Verdict)
-	if answer.Verdict == pb.RunVerdict_RUN_VERDICT_QUARANTINED && s.options.Recorder != nil {
+	decision := s.begin(ctx, f, permitted, attempt)
+	s.metrics.countVerdict(decision.Verdict)
+	if decision.Verdict == pb.RunVerdict_RUN_VERDICT_QUARANTINED && s.options.Recorder != nil {
 		s.options.Recorder.Record(timeline.Event{Kind: timeline.KindQuarantined, Attempt: attempt, Detail: f.String()})
 	}
-	return answer.Verdict, answer.RetryAfter
+	return decision.Verdict, decision.RetryAfter
 }
 
-func (s *Service) begin(ctx context.Context, f fleet.Fingerprint, permitted fleet.ZoneSet, attempt fleet.AttemptID) Answer {
+func (s *Service) begin(ctx context.Context, f fleet.Fingerprint, permitted fleet.ZoneSet, attempt fleet.AttemptID) Decision {
 	state := s.options.Source.State()
-	// The refusal of a quarantined request needs no call: it is at once, also
-	// on an entry that is cut off.
-	suspect, suspected := liveSuspect(state.Suspects, f, time.Now(), s.suspectLife(state))
+	// A quarantined request is refused without a call, so also on an entry that has
+	// lost contact.
+	suspect, suspected := unexpiredSuspect(state.Suspects, f, time.Now(), s.suspectTTL(state))
 	if suspected && suspect.Quarantined {
-		return Answer{Verdict: pb.RunVerdict_RUN_VERDICT_QUARANTINED}
+		return Decision{Verdict: pb.RunVerdict_RUN_VERDICT_QUARANTINED}
 	}
 	guard, ok := guardOf(f, permitted, state)
 	if !ok {
-		return started(suspected)
+		return startDecision(suspected)
 	}
 	run := Run{Fingerprint: f, Attempt: attempt, Owner: s.self}
 	if guard == s.self {
-		return s.spread(s.beginHere(run))
+		return s.addJitter(s.beginLocally(run))
 	}
-	answer, err := s.ask(ctx, guard, permitted, run)
+	decision, err := s.callBegin(ctx, guard, permitted, run)
 	if err != nil {
 		s.metrics.unreachable.Inc()
 		s.options.Part.Debug("Guard instance did not answer.", "guard", guard, "err", err)
 		// The shared state alone decides.
-		return started(suspected)
+		return startDecision(suspected)
 	}
-	return s.spread(answer)
+	return s.addJitter(decision)
 }
 
-func (s *Service) suspectLife(state *membership.State) time.Duration {
+func (s *Service) suspectTTL(state *membership.State) time.Duration {
 	if state.Tree != nil && state.Tree.Fleet.Timeouts.QuarantineLife > 0 {
 		return state.Tree.Fleet.Timeouts.QuarantineLife
 	}
-	return s.options.Limits.SuspectLife
+	return s.options.Limits.SuspectTTL
 }
 
-func (s *Service) beginHere(run Run) Answer {
+func (s *Service) beginLocally(run Run) Decision {
 	state := s.options.Source.State()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.register.SetSuspectLife(s.suspectLife(state))
-	return s.register.Begin(time.Now(), run, sharedOf(state))
+	s.register.SetSuspectTTL(s.suspectTTL(state))
+	return s.register.Begin(time.Now(), run, sharedState(state))
 }
 
-func sharedOf(state *membership.State) Shared {
+func sharedState(state *membership.State) Shared {
 	return Shared{Suspects: state.Suspects, Alive: state.View.Holds}
 }
 
-// spread varies a wait, so that waiting runs don't come back together.
-func (s *Service) spread(a Answer) Answer {
-	if a.RetryAfter <= 0 {
-		return a
+// addJitter lengthens a wait by a random part, so that waiting runs don't ask again at the
+// same time.
+func (s *Service) addJitter(d Decision) Decision {
+	if d.RetryAfter <= 0 {
+		return d
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	a.RetryAfter += time.Duration(s.random.Int64N(int64(a.RetryAfter)))
-	return a
+	d.RetryAfter += time.Duration(s.random.Int64N(int64(d.RetryAfter)))
+	return d
 }
 
 // End implements Guard. It doesn't wait for the guard instance.
@@ -137,11 +139,11 @@
 	}
 }
 
-func (s *Service) endHere(f fleet.Fingerprint, attempt fleet.AttemptID, completed, crashed bool) {
+func (s *Service) endLocally(f fleet.Fingerprint, attempt fleet.AttemptID, completed, crashed bool) {
 	state := s.options.Source.State()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.register.End(time.Now(), f, attempt, completed, crashed, sharedOf(state))
+	s.register.End(time.Now(), f, attempt, completed, crashed, sharedState(state))
 	s.metrics.tracked.Set(float64(s.register.Len()))
 }
 
@@ -151,15 +153,15 @@
 	if !ok || q.GetAttemptId() == "" || len(q.GetAttemptId()) > maxAttemptBytes || len(q.GetOwner().GetInstanceId()) > maxAttemptBytes {
 		return nil, trace.BadParameter("run without a valid fingerprint and attempt")
 	}
-	answer := s.beginHere(Run{
+	decision := s.beginLocally(Run{
 		Fingerprint: f,
 		Attempt:     fleet.AttemptID(q.GetAttemptId()),
 		Owner:       fleet.OwnerFromProto(q.GetOwner()),
 	})
-	return &pb.BeginRunReply{Verdict: answer.Verdict, RetryAfterMs: uint64(answer.RetryAfter.Milliseconds())}, nil
+	return &pb.BeginRunReply{Verdict: decision.Verdict, RetryAfterMs: uint64(decision.RetryAfter.Milliseconds())}, nil
 }
 
-// maxAttemptBytes bounds the names that a peer can have kept.
+// maxAttemptBytes limits the length of the IDs that a peer can make this process keep.
 const maxAttemptBytes = 128
 
 // EndRun implements outcome.RunGuard.
@@ -168,6 +170,6 @@
 	if !ok {
 		return nil, trace.BadParameter("fingerprint of %d bytes", len(q.GetFingerprint()))
 	}
-	s.endHere(f, fleet.AttemptID(q.GetAttemptId()), q.GetCompleted(), q.GetEndpointCrashed())
+	s.endLocally(f, fleet.AttemptID(q.GetAttemptId()), q.GetCompleted(), q.GetEndpointCrashed())
 	return &pb.EndRunReply{}, nil
 }
--- a/internal/quarantine/service_test.go
+++ b/internal/quarantine/service_test.go
@@ -14,14 +14,14 @@
 
 var testZones = fleet.NewZoneSet("howrah", "barasat")
 
-// testEntry is a process whose state the test sets, and its way to the others.
+// testEntry is an entry whose state the test sets, and its network.
 type testEntry struct {
 	membership.Static
 	service *Service
 	net     *testkit.Network
 }
 
-// ledgerServer has the calls of a guard and no others.
+// ledgerServer serves the calls of a guard instance only.
 type ledgerServer struct {
 	noCalls
 	*Service
@@ -31,7 +31,7 @@
 	pb.DRPCLedgerUnimplementedServer
 }
 
-// newPair gives two entries; the first is the guard of all fingerprints.
+// newPair returns two entries; the first is the guard of all fingerprints.
 func newPair() (guard, other *testEntry) {
 	view := fleet.View{Instances: make(map[fleet.InstanceID]fleet.Instance)}
 	groups := make(map[fleet.LedgerShard]fleet.LedgerGroup)
@@ -62,15 +62,15 @@
 	return verdict
 }
 
-// drain sends the ends that wait, as Run does.
+// drain sends the queued ends, as Run does.
 func (e *testEntry) drain(t *testing.T) {
 	for len(e.service.ends) > 0 {
 		e.service.sendEnd(t.Context(), <-e.service.ends)
 	}
 }
 
-// The same request comes to two entries. Both ask the same guard instance, so
-// the second waits until the first has completed.
+// Two entries receive the same request. Both ask the same guard instance, so the second waits
+// until the first has completed.
 func TestOneGuardForAllEntries(t *testing.T) {
 	guard, other := newPair()
 	assert.Equal(t, other.begin(t, "1"), verdictGo)
@@ -79,12 +79,12 @@
 	other.drain(t)
 	assert.Equal(t, guard.begin(t, "2"), verdictGo)
 	assert.Equal(t, other.begin(t, "3"), verdictGo)
-	// The first replica of the group is not ready and is asked nothing.
+	// The first replica of the group is not ready and must not be asked.
 	assert.Equal(t, other.service.register.Len(), 0)
 }
 
-// The guard instance can't be reached. Requests go on by what the shared state
-// says: one in quarantine is refused at once, a suspect runs alone.
+// The guard instance can't be reached. The shared state decides: a quarantined request is
+// refused, a suspect runs alone.
 func TestGuardOutOfReach(t *testing.T) {
 	guard, other := newPair()
 	other.net.Remove("a")
@@ -96,11 +96,11 @@
 	assert.Equal(t, guard.net.Calls("a"), 0)
 }
 
-// The control group has no leader for longer than a quarantine lasts, so that
-// nothing is dropped from the shared state. The request is served again all
-// the same, when its guard instance answers and when it doesn't.
+// The control group has no leader for longer than a quarantine lasts, so the shared state keeps
+// expired suspects. The request must be served again nevertheless, whether its guard instance
+// answers or not.
 func TestQuarantineEndsWithoutTheControlGroup(t *testing.T) {
-	old := time.Now().Add(-DefaultLimits.SuspectLife)
+	old := time.Now().Add(-DefaultLimits.SuspectTTL)
 	for _, suspect := range []fleet.Suspect{
 		{Fingerprint: testPrint, Crashes: 2, Quarantined: true, Updated: old},
 		{Fingerprint: testPrint, Crashes: 1, Updated: old},
@@ -114,8 +114,8 @@
 	}
 }
 
-// The guard instance is in a zone that the team's data may not touch. Nothing
-// may be sent there.
+// The guard instance is in a zone that the data of the team may not enter. Nothing may be sent
+// to it.
 func TestGuardOutsideTheZones(t *testing.T) {
 	guard, other := newPair()
 	moved := guard.Instance
@@ -127,7 +127,7 @@
 	assert.Equal(t, guard.net.Calls("a"), 0)
 }
 
-// FuzzRuns gives the calls fields from outside.
+// FuzzRuns calls the RPC handlers with fields from another process.
 func FuzzRuns(f *testing.F) {
 	f.Add(testPrint[:], "attempt", "owner", true, false)
 	f.Add([]byte{1}, "", "", false, true)
@@ -137,6 +137,6 @@
 		_, begun := guard.service.BeginRun(ctx, &pb.BeginRunRequest{Fingerprint: print, AttemptId: attempt, Owner: &pb.Owner{InstanceId: owner}})
 		_, ended := guard.service.EndRun(ctx, &pb.EndRunRequest{Fingerprint: print, AttemptId: attempt, Completed: completed, EndpointCrashed: crashed})
 		wellFormed := len(print) == len(testPrint)
-		assert.Assert(t, wellFormed || begun != nil && ended != nil, "a malformed fingerprint was taken")
+		assert.Assert(t, wellFormed || begun != nil && ended != nil, "a malformed fingerprint was accepted")
 	})
 }
--- a/internal/quarantine/sim_run_test.go
+++ b/internal/quarantine/sim_run_test.go
@@ -6,9 +6,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// simTotals are counts over many seeds.
+// simTotals are totals over many seeds.
 type simTotals struct {
-	mostCrashes     int
+	maxCrashes      int
 	innocentRefused int
 	innocentWaiting int
 	crasherWaiting  int
@@ -20,7 +20,7 @@
 		s := newSim(seed, limits)
 		s.crowded = crowded
 		s.run()
-		total.mostCrashes = max(total.mostCrashes, s.crashes)
+		total.maxCrashes = max(total.maxCrashes, s.crashes)
 		for _, r := range s.requests {
 			switch {
 			case r.crashes && !r.refused:
@@ -35,23 +35,23 @@
 	return total
 }
 
-// Two entries get the same crashing request at once, under different keys,
-// among nineteen innocent ones. It takes down the endpoint it runs on with all
-// that run beside it, and its caller sends it again and again. It must be
-// refused for good after two deaths over the fleet, and the nineteen served.
+// Two entries receive the same crashing request at once, with different keys, among nineteen
+// harmless ones. It crashes its endpoint with everything that runs there, and its caller
+// repeats it each time. It must be refused after two deaths in the whole fleet, and the
+// nineteen must be served.
 func TestCrashingRequestAmongNineteen(t *testing.T) {
 	total := simulate(2000, DefaultLimits, false)
-	assert.Equal(t, total.mostCrashes, 2)
+	assert.Equal(t, total.maxCrashes, 2)
 	assert.Equal(t, total.innocentRefused, 0)
 	assert.Equal(t, total.innocentWaiting, 0)
 	assert.Equal(t, total.crasherWaiting, 0)
 }
 
-// With a guard off the same simulation must show more deaths, or innocent
-// requests refused.
-func TestSimulationSeesGuardsMissing(t *testing.T) {
+// With one of the rules disabled, the same simulation must show more deaths or refused harmless
+// requests.
+func TestSimulationDetectsDisabledRules(t *testing.T) {
 	two := DefaultLimits
-	two.UnprovenRuns = 2
+	two.MaxUnprovenRuns = 2
 	cases := map[string]struct {
 		limits  Limits
 		crowded bool
@@ -63,7 +63,7 @@
 		t.Run(name, func(t *testing.T) {
 			total := simulate(300, c.limits, c.crowded)
 			t.Logf("%+v", total)
-			assert.Assert(t, total.mostCrashes > 2 || total.innocentRefused > 0)
+			assert.Assert(t, total.maxCrashes > 2 || total.innocentRefused > 0)
 		})
 	}
 }
--- a/internal/quarantine/sim_test.go
+++ b/internal/quarantine/sim_test.go
@@ -14,43 +14,43 @@
 
 const simTick = 10 * time.Millisecond
 
-// simRequest is a caller's request; the crashing one is sent again, with a new
-// key and to another entry, each time it fails.
+// simRequest is a request of a caller; the crashing one is repeated, with a new key and at
+// another entry, each time it fails.
 type simRequest struct {
 	fingerprint fleet.Fingerprint
 	crashes     bool
 	begun       bool
 	attempt     fleet.AttemptID
 	alone       bool
-	again       time.Time // not before
+	notBefore   time.Time // next step
 	endpoint    *simEndpoint
-	ends        time.Time
+	ends        time.Time // when the run ends
 	served      bool
 	refused     bool
 }
 
-// simEndpoint runs requests until one of them crashes it.
+// simEndpoint is an endpoint, which runs requests until one of them crashes it.
 type simEndpoint struct {
 	id          int
 	incarnation uint64
-	down        time.Time // until then
+	down        time.Time // until this time
 	running     []*simRequest
 }
 
-// sim is a fleet with a real Register as guard and the real rule for crashes,
-// whose result reaches the guard late.
+// sim is a fleet with a real Register as the guard and the real rule for crashes, whose result
+// reaches the guard with a delay.
 type sim struct {
-	random    *rand.Rand
-	now       time.Time
-	register  *Register
-	truth     map[fleet.Fingerprint]fleet.Suspect // at the control group
-	seen      map[fleet.Fingerprint]fleet.Suspect // at the guard
-	endpoints []*simEndpoint
-	requests  []*simRequest
-	later     []simEvent
-	crashes   int
-	attempts  int
-	crowded   bool // suspects share endpoints: a guard is off
+	random          *rand.Rand
+	now             time.Time
+	register        *Register
+	controlSuspects map[fleet.Fingerprint]fleet.Suspect // as the control group knows them
+	guardSuspects   map[fleet.Fingerprint]fleet.Suspect // as the guard knows them
+	endpoints       []*simEndpoint
+	requests        []*simRequest
+	pendingEvents   []simEvent
+	crashes         int
+	attempts        int
+	crowded         bool // disables the rule that keeps suspects apart
 }
 
 type simEvent struct {
@@ -60,33 +60,34 @@
 
 func newSim(seed uint64, limits Limits) *sim {
 	s := &sim{
-		random:   rand.New(rand.NewPCG(seed, 3)),
-		now:      time.Unix(1_000_000, 0),
-		register: NewRegister(limits),
-		truth:    make(map[fleet.Fingerprint]fleet.Suspect),
-		seen:     make(map[fleet.Fingerprint]fleet.Suspect),
+		random:          rand.New(rand.NewPCG(seed, 3)),
+		now:             time.Unix(1_000_000, 0),
+		register:        NewRegister(limits),
+		controlSuspects: make(map[fleet.Fingerprint]fleet.Suspect),
+		guardSuspects:   make(map[fleet.Fingerprint]fleet.Suspect),
 	}
 	for n := range 4 {
 		s.endpoints = append(s.endpoints, &simEndpoint{id: n, incarnation: 1})
 	}
 	for n := range 19 {
-		s.requests = append(s.requests, &simRequest{fingerprint: fleet.Fingerprint{byte(n + 1)}, again: s.soon(300)})
+		s.requests = append(s.requests, &simRequest{fingerprint: fleet.Fingerprint{byte(n + 1)}, notBefore: s.randomTime(300)})
 	}
 	for range 2 {
-		s.requests = append(s.requests, &simRequest{fingerprint: fleet.Fingerprint{255}, crashes: true, again: s.soon(300)})
+		s.requests = append(s.requests, &simRequest{fingerprint: fleet.Fingerprint{255}, crashes: true, notBefore: s.randomTime(300)})
 	}
 	return s
 }
 
-func (s *sim) soon(mostMs int) time.Time {
-	return s.now.Add(time.Duration(s.random.IntN(mostMs)) * time.Millisecond)
+// randomTime returns a random time less than maxMs from now.
+func (s *sim) randomTime(maxMs int) time.Time {
+	return s.now.Add(time.Duration(s.random.IntN(maxMs)) * time.Millisecond)
 }
 
 func (s *sim) shared() Shared {
-	return Shared{Suspects: s.seen, Alive: func(fleet.Owner) bool { return true }}
+	return Shared{Suspects: s.guardSuspects, Alive: func(fleet.Owner) bool { return true }}
 }
 
-// run goes on until all is answered, or for a simulated minute.
+// run simulates until all requests are served or refused, for a minute at most.
 func (s *sim) run() {
 	for range 6000 {
 		s.now = s.now.Add(simTick)
@@ -105,11 +106,11 @@
 }
 
 func (s *sim) events() {
-	due := s.later
-	s.later = nil
+	due := s.pendingEvents
+	s.pendingEvents = nil
 	for _, e := range due {
 		if e.at.After(s.now) {
-			s.later = append(s.later, e)
+			s.pendingEvents = append(s.pendingEvents, e)
 			continue
 		}
 		e.do()
@@ -118,7 +119,7 @@
 
 func (s *sim) step(r *simRequest) {
 	switch {
-	case r.served, r.refused, r.again.After(s.now):
+	case r.served, r.refused, r.notBefore.After(s.now):
 	case r.endpoint != nil:
 		s.progress(r)
 	case r.begun:
@@ -131,21 +132,20 @@
 func (s *sim) begin(r *simRequest) {
 	s.attempts++
 	r.attempt = fleet.AttemptID(fmt.Sprint(s.attempts))
-	answer := s.register.Begin(s.now, Run{Fingerprint: r.fingerprint, Attempt: r.attempt}, s.shared())
-	switch answer.Verdict {
+	decision := s.register.Begin(s.now, Run{Fingerprint: r.fingerprint, Attempt: r.attempt}, s.shared())
+	switch decision.Verdict {
 	case pb.RunVerdict_RUN_VERDICT_QUARANTINED:
 		r.refused = true
 	case pb.RunVerdict_RUN_VERDICT_WAIT:
-		r.again = s.now.Add(answer.RetryAfter)
+		r.notBefore = s.now.Add(decision.RetryAfter)
 	default:
 		r.begun = true
-		r.alone = answer.Verdict == pb.RunVerdict_RUN_VERDICT_ALONE
+		r.alone = decision.Verdict == pb.RunVerdict_RUN_VERDICT_ALONE
 		s.place(r)
 	}
 }
 
-// place follows the homes' rule: at most one run that must be alone on an
-// endpoint.
+// place applies the rule of the homes: at most one run on an endpoint that must be alone.
 func (s *sim) place(r *simRequest) {
 	for _, n := range s.random.Perm(len(s.endpoints)) {
 		e := s.endpoints[n]
@@ -154,7 +154,7 @@
 		}
 		e.running = append(e.running, r)
 		r.endpoint = e
-		r.ends = s.soon(600).Add(100 * time.Millisecond)
+		r.ends = s.randomTime(600).Add(100 * time.Millisecond)
 		return
 	}
 }
@@ -177,8 +177,8 @@
 	s.register.End(s.now, r.fingerprint, r.attempt, true, false, s.shared())
 }
 
-// crash ends an endpoint: entries see it at once, the home reports it later,
-// and the guard learns of the suspects later still.
+// crash ends an endpoint and its runs: entries notice it at once, the home reports it later, and
+// the guard receives the suspects later still.
 func (s *sim) crash(e *simEndpoint) {
 	s.crashes++
 	report := &pb.ReportCrash{EndpointId: fmt.Sprint(e.id), EndpointIncarnation: e.incarnation}
@@ -186,16 +186,16 @@
 		report.Fingerprints = append(report.Fingerprints, r.fingerprint[:])
 		s.register.End(s.now, r.fingerprint, r.attempt, false, true, s.shared())
 		r.endpoint, r.begun, r.alone = nil, false, false
-		r.again = s.soon(200)
+		r.notBefore = s.randomTime(200)
 	}
 	e.running = nil
 	e.incarnation++
 	e.down = s.now.Add(500 * time.Millisecond)
-	s.later = append(s.later, simEvent{at: s.soon(400), do: func() { s.reported(report) }})
+	s.pendingEvents = append(s.pendingEvents, simEvent{at: s.randomTime(400), do: func() { s.reported(report) }})
 }
 
 func (s *sim) reported(report *pb.ReportCrash) {
-	changed := suspect.Apply(s.truth, report, s.now, suspect.DefaultLimits)
-	testkit.PutSuspects(s.truth, changed)
-	s.later = append(s.later, simEvent{at: s.soon(100), do: func() { testkit.PutSuspects(s.seen, changed) }})
+	changed := suspect.Apply(s.controlSuspects, report, s.now, suspect.DefaultLimits)
+	testkit.PutSuspects(s.controlSuspects, changed)
+	s.pendingEvents = append(s.pendingEvents, simEvent{at: s.randomTime(100), do: func() { testkit.PutSuspects(s.guardSuspects, changed) }})
 }
