--- a/internal/routetable/check.go
+++ b/internal/routetable/check.go
@@ -6,29 +6,29 @@
 	"github.com/gravitational/trace"
 )
 
-// Check tells why a document can't be in force; nil when it can.
+// Check returns why a document is invalid; nil if it is valid.
 func (d *Document) Check() error {
 	services := map[string]bool{}
 	for _, s := range d.Services {
 		services[s.Name] = true
 	}
-	seen := map[place]string{}
+	seen := map[routeKey]string{}
 	for i := range d.Routes {
 		r := &d.Routes[i]
 		if err := r.check(services); err != nil {
 			return err
 		}
-		at := place{host: strings.ToLower(r.Host), prefix: r.Prefix}
-		if other, ok := seen[at]; ok {
+		key := routeKey{host: strings.ToLower(r.Host), prefix: r.Prefix}
+		if other, ok := seen[key]; ok {
 			return trace.BadParameter("routes %q and %q share host %q and prefix %q", other, r.Name, r.Host, r.Prefix)
 		}
-		seen[at] = r.Name
+		seen[key] = r.Name
 	}
 	return checkTeams(d.Teams)
 }
 
-// place is where a route stands.
-type place struct{ host, prefix string }
+// routeKey identifies a route: no two routes of a document share a host and prefix.
+type routeKey struct{ host, prefix string }
 
 func (r *Route) check(services map[string]bool) error {
 	if r.Timeout <= 0 {
--- a/internal/routetable/document.go
+++ b/internal/routetable/document.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// Document is a whole configuration under its operator's version.
+// Document is a complete configuration, with the version that its operator gave it.
 type Document struct {
 	Version  int64
 	Routes   []Route
 	Services []Service
-	// Teams hold the keys that callers show; nil: callers need none.
+	// Teams hold the keys that callers present; nil: callers need no key.
 	Teams  []Team
 	Limits Limits
 }
 
-// Kind tells what of an exchange may be repeated.
+// Kind determines whether an exchange may be retried.
 type Kind int
 
-// The kinds of a route.
+// Kinds of routes.
 const (
-	// KindAtMostOnce runs at most once for each attempt of the caller.
+	// KindAtMostOnce runs at most once for each time that the caller sends it.
 	KindAtMostOnce Kind = iota
 	// KindIdempotent may run more than once.
 	KindIdempotent
@@ -26,7 +26,7 @@
 	KindStream
 )
 
-// String gives the name used in logs.
+// String returns the name used in logs.
 func (k Kind) String() string {
 	switch k {
 	case KindAtMostOnce:
@@ -39,96 +39,95 @@
 	return "unknown"
 }
 
-// Route leads a host and a path prefix to services.
+// Route maps a host and a path prefix to services.
 type Route struct {
 	Name     string
 	Host     string
 	Prefix   string // begins and ends with a slash
 	Kind     Kind
 	Backends []Backend
-	// Timeout is the longest that the operator lets a caller wait for the end
-	// of the answer.
+	// Timeout is the longest time that the operator lets a caller wait for the end of the
+	// answer.
 	Timeout time.Duration
-	// Target is the time within which an answer, or the first event of a
-	// stream, is worth most to its caller; 0 for none.
+	// Target is the target time for an answer, or for the first event of a stream; a later one
+	// is worth less to its caller. 0 for none.
 	Target time.Duration
-	// EventGap is the longest pause between events of a stream in target.
+	// EventGap is the longest pause between events of a stream that meets its target.
 	EventGap time.Duration
-	// Priority ranks the route; 0 is the most urgent.
+	// Priority is the rank of the route; 0 is the most urgent.
 	Priority int
-	// MaxAttempts is the most endpoints on which one attempt may run.
+	// MaxAttempts is the maximum number of endpoints on which one exchange may run.
 	MaxAttempts int
-	// Resumable streams may go on at another endpoint after a given event.
+	// Resumable streams may be continued at another endpoint after a given event.
 	Resumable bool
-	// Anonymous routes take requests without a key.
+	// Anonymous routes accept requests without a key.
 	Anonymous bool
-	// Source is the text that the route was decoded from; empty where its
-	// document keeps none.
+	// Source is the text from which the route was decoded; empty if the document keeps none.
 	Source string
 }
 
-// RoutesBySource names the routes of a document, which may be nil, by their text.
+// RoutesBySource returns the routes of a document, which may be nil, by their source text.
 func (d *Document) RoutesBySource() map[string]*Route {
 	if d == nil {
 		return nil
 	}
-	return bySource(d.Routes, func(r *Route) string { return r.Source })
+	return indexBySource(d.Routes, func(r *Route) string { return r.Source })
 }
 
-// TeamsBySource names the teams of a document, which may be nil, by their text.
+// TeamsBySource returns the teams of a document, which may be nil, by their source text.
 func (d *Document) TeamsBySource() map[string]*Team {
 	if d == nil {
 		return nil
 	}
-	return bySource(d.Teams, func(t *Team) string { return t.Source })
+	return indexBySource(d.Teams, func(t *Team) string { return t.Source })
 }
 
-func bySource[T any](list []T, source func(*T) string) map[string]*T {
-	named := make(map[string]*T, len(list))
+func indexBySource[T any](list []T, source func(*T) string) map[string]*T {
+	result := make(map[string]*T, len(list))
 	for i := range list {
-		named[source(&list[i])] = &list[i]
+		result[source(&list[i])] = &list[i]
 	}
-	return named
+	return result
 }
 
-// Repeatable tells whether an exchange of this route may run again when it is
-// not known whether it ran.
+// Repeatable reports whether an exchange of this route may run again if it is unknown whether
+// it has run.
 func (r *Route) Repeatable() bool {
 	return r.Kind == KindIdempotent || r.Kind == KindStream && r.Resumable
 }
 
-// Backend is a service with its share of a route's exchanges.
+// Backend is a service and its share of a route's exchanges.
 type Backend struct {
 	Service string
 	Weight  float64
 }
 
-// Service is a set of endpoints that serve the same.
+// Service is a set of endpoints that serve the same requests.
 type Service struct {
 	Name       string
 	HealthPath string
-	// MaxConnections bounds the connections that one endpoint takes from all
-	// entries together; 0 for no bound known.
+	// MaxConnections is the maximum number of connections that one endpoint accepts from all
+	// entries together; 0 if unknown.
 	MaxConnections int
 	// Engine describes model endpoints; nil for a plain service.
 	Engine *Engine
 }
 
-// Engine tells what a service's model endpoints can do.
+// Engine describes what the model endpoints of a service can do.
 type Engine struct {
-	Slots           int     // requests in one batch
-	KVTokens        int     // tokens that the memory of one endpoint holds
-	KVBytesPerToken float64 // of the KV cache
-	LinkMbps        float64 // for KV caches between endpoints
+	Slots           int     // maximum number of requests in one batch
+	KVTokens        int     // tokens that fit into the memory of one endpoint
+	KVBytesPerToken float64 // size of the KV cache
+	LinkMbps        float64 // for the transfer of KV caches between endpoints
 	Moves, Backups  bool
-	Block           int           // tokens in one block of memory
-	HandleLife      time.Duration // how long a prefill's result is kept
-	// HoldLife is the longest that an endpoint sets memory aside for a request
-	// before it comes; 0 where endpoints don't.
+	Block           int           // tokens per memory block
+	HandleLife      time.Duration // how long the result of a prefill is kept
+	// HoldLife is the longest time that an endpoint reserves memory for a request before it
+	// arrives; 0 if endpoints don't.
 	HoldLife time.Duration
 }
 
-// Limits bound what a caller may send.
+// Limits limit what a caller may send.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int
--- a/internal/routetable/routetable_test.go
+++ b/internal/routetable/routetable_test.go
@@ -50,8 +50,8 @@
 		change func(d *Document)
 		want   string
 	}{
-		"unknown service": {func(d *Document) { d.Routes[0].Backends[0].Service = "none" }, "unknown"},
-		"same place":      {func(d *Document) { d.Routes[1].Prefix = "/x/" }, "share"},
+		"unknown service":      {func(d *Document) { d.Routes[0].Backends[0].Service = "none" }, "unknown"},
+		"same host and prefix": {func(d *Document) { d.Routes[1].Prefix = "/x/" }, "share"},
 		"same host, other case": {func(d *Document) {
 			d.Routes[2] = d.Routes[0]
 			d.Routes[2].Host = "A.EXAMPLE"
@@ -82,7 +82,7 @@
 	assert.Assert(t, !(&Route{Kind: KindAtMostOnce, Resumable: true}).Repeatable())
 }
 
-// Prefixes of many lengths, one in another, on one host.
+// Prefixes of many lengths on one host, some of which are prefixes of others.
 func TestLongestPrefixOfMany(t *testing.T) {
 	d := &Document{}
 	for n, prefix := range []string{"/a/b/c/", "/", "/a/", "/aa/", "/a/b/", "/b/c/d/e/"} {
--- a/internal/routetable/team.go
+++ b/internal/routetable/team.go
@@ -8,42 +8,40 @@
 	"github.com/hyssopsail/hyssopsail/internal/keyhash"
 )
 
-// Team is a group of callers who share keys, a rank and a quota.
+// Team is a group of callers who share keys, a priority and a quota.
 type Team struct {
 	Name string
 	Keys []keyhash.Hash
-	// Priority ranks the team's requests instead of their route's; nil: the
-	// route's counts.
+	// Priority replaces the priority of the route; nil: the route's applies.
 	Priority *int
 	Quota    Quota
-	// Source is the text that the team was decoded from; empty where its document
-	// keeps none.
+	// Source is the text from which the team was decoded; empty if the document keeps none.
 	Source string
 }
 
 // Unit is what a quota counts.
 type Unit int
 
-// The units.
+// Units of quotas.
 const (
 	UnitRequest Unit = iota
-	UnitToken        // prompt and most output of a model request
+	UnitToken        // prompt and maximum output of a model request
 )
 
-// Quota bounds what a team may use of the fleet. The zero Quota has no limit.
+// Quota limits what a team may use of the fleet. The zero Quota means no limit.
 type Quota struct {
 	Unit      Unit
 	PerSecond float64 // 0 for no limit
-	Burst     float64 // saved up at most
-	// Unsized is what a request without a told size counts, where tokens count.
+	Burst     float64 // maximum that accrues while the quota is not used
+	// Unsized is the cost of a request without a stated size, if tokens are counted.
 	Unsized float64
 }
 
-// Limited tells whether there is a limit.
+// Limited reports whether there is a limit.
 func (q Quota) Limited() bool { return q.PerSecond > 0 }
 
-// Cost is what a request counts; tokens are those of a model request, and sized is
-// false where it told none.
+// Cost returns the cost of a request in the unit of the quota. tokens is the size of a model
+// request; sized is false if the request states none.
 func (q Quota) Cost(tokens int, sized bool) float64 {
 	switch {
 	case q.Unit == UnitRequest:
@@ -66,11 +64,11 @@
 	return nil
 }
 
-// emptyKey is the hash of a key without a single character.
+// emptyKey is the hash of the empty key.
 var emptyKey = keyhash.Of("")
 
-// checkTeams refuses teams that can't be told apart. Reasons name teams, never a
-// key or its hash: they go to logs and to whoever sent the document.
+// checkTeams rejects teams that can't be told apart. Errors name teams, never a key or its hash:
+// they go to logs and to the sender of the document.
 func checkTeams(teams []Team) error {
 	names := make(map[string]bool, len(teams))
 	owners := map[keyhash.Hash]string{}
