--- a/internal/quarantine/limits.go
+++ b/internal/quarantine/limits.go
@@ -6,7 +6,7 @@
 	"github.com/hyssopsail/hyssopsail/internal/suspect"
 )
 
-// Limits limit what the register and the shared suspects keep.
+// Limits bounds what the register and the shared suspects keep.
 type Limits struct {
 	SuspectTTL      time.Duration // a suspect or quarantine expires after this time without a crash
 	ProvenTTL       time.Duration // a completed run proves its fingerprint harmless for this time
--- a/internal/quarantine/register.go
+++ b/internal/quarantine/register.go
@@ -28,9 +28,9 @@
 
 // activeRun is a run that has begun and has not ended.
 type activeRun struct {
-	owner fleet.Owner
-	begun time.Time
-	alone bool
+	owner     fleet.Owner
+	startedAt time.Time
+	alone     bool
 }
 
 // fingerprintState is what a register knows about a fingerprint.
@@ -98,7 +98,7 @@
 	if state.runs == nil {
 		state.runs = make(map[fleet.AttemptID]activeRun, 1)
 	}
-	state.runs[q.Attempt] = activeRun{owner: q.Owner, begun: now, alone: alone}
+	state.runs[q.Attempt] = activeRun{owner: q.Owner, startedAt: now, alone: alone}
 	return startDecision(alone)
 }
 
@@ -164,7 +164,7 @@
 // alive.
 func (r *Register) dropLostRuns(now time.Time, state *fingerprintState, alive func(fleet.Owner) bool) {
 	for attempt, run := range state.runs {
-		if now.Sub(run.begun) >= r.limits.RunTTL || !alive(run.owner) {
+		if now.Sub(run.startedAt) >= r.limits.RunTTL || !alive(run.owner) {
 			delete(state.runs, attempt)
 		}
 	}
--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -34,9 +34,9 @@
 	at   time.Time
 }
 
-func newAccount(now, began time.Time, limit Limit, share float64) *account {
-	earned := limit.rate() * now.Sub(began).Seconds()
-	return &account{limit: limit, balance: share * min(earned, limit.Burst), lastRefill: now}
+func newAccount(now, ledgerStart time.Time, limit Limit, share float64) *account {
+	accrued := limit.rate() * now.Sub(ledgerStart).Seconds()
+	return &account{limit: limit, balance: share * min(accrued, limit.Burst), lastRefill: now}
 }
 
 // refill adds what has accrued since the last refill. A newer limit applies from now on.
--- a/internal/retrybudget/limits.go
+++ b/internal/retrybudget/limits.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Limits is the limit of the whole fleet for each service.
+// Limits is the bound for the whole fleet, for each service.
 type Limits struct {
 	Ratio  float64       // extra arrivals allowed per request
 	Slack  float64       // extra arrivals allowed in addition
--- a/internal/routetable/document.go
+++ b/internal/routetable/document.go
@@ -127,7 +127,7 @@
 	HoldLife time.Duration
 }
 
-// Limits limit what a caller may send.
+// Limits bounds what a caller may send.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int
--- a/internal/suspect/limits.go
+++ b/internal/suspect/limits.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Limits limit how long suspects are kept, and how many.
+// Limits bounds the number of suspects and how long they are kept.
 type Limits struct {
 	Life time.Duration // a suspect or quarantine expires after this time without a crash
 	Most int           // maximum number of suspects; quarantined ones are evicted last
