--- a/internal/allocation/client.go
+++ b/internal/allocation/client.go
@@ -13,19 +13,19 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// ErrNoHome: no home could be asked.
+// ErrNoHome means that no home of the service could be reached.
 var ErrNoHome = errors.New("no home of the service answers")
 
 // The bounds of a Client.
 const (
-	// homeTimeout bounds an answer beyond the wait that was asked for. A home
-	// answers within a few milliseconds; one that does not is frozen or cut off.
+	// homeTimeout is the timeout of a request to a home, beyond the requested wait. A
+	// home answers within a few milliseconds; one that doesn't is frozen or cut off.
 	homeTimeout = 80 * time.Millisecond
-	// firstLeft and longestLeft bound how long a home that failed is passed over.
-	firstLeft   = 2 * time.Second
-	longestLeft = 16 * time.Second
-	// settleTimeout bounds the word that a place is free.
-	settleTimeout = 400 * time.Millisecond
+	// minBackoff and maxBackoff bound how long a home is skipped after a failure.
+	minBackoff = 2 * time.Second
+	maxBackoff = 16 * time.Second
+	// reportTimeout is the timeout of a release or of a report about prefill.
+	reportTimeout = 400 * time.Millisecond
 )
 
 // Dialer connects to control instances.
@@ -33,56 +33,59 @@
 	Conn(ctx context.Context, address string) (drpc.Conn, error)
 }
 
-// Client asks the homes of services for an entry.
+// Client requests reservations from the homes of services for one entry. It is safe for
+// concurrent use.
 type Client struct {
-	entry   string // ID of this incarnation
-	dialer  Dialer
-	members func() []string
-	failed  *backoff.Peers
+	entry       string // ID of this incarnation of the entry
+	dialer      Dialer
+	members     func() []string
+	homeBackoff *backoff.Peers
 }
 
-// NewClient makes a Client that knows the control instances by members.
+// NewClient returns a Client for an entry. members returns the addresses of the control
+// instances.
 func NewClient(entry string, dialer Dialer, members func() []string) *Client {
-	return &Client{entry: entry, dialer: dialer, members: members, failed: backoff.New(firstLeft, longestLeft)}
+	return &Client{entry: entry, dialer: dialer, members: members, homeBackoff: backoff.New(minBackoff, maxBackoff)}
 }
 
-// Place is a grant, and where it is given back.
+// Place is a reservation, with what is needed to release it.
 type Place struct {
 	Grant
-	Room     Room // where there was none
+	Room     Room // free memory if there is no reservation
 	Home     string
 	Service  string
 	Exchange string
 }
 
-// Allot asks the service's home for a place, and waits for one to come free. The
-// error is ErrNoHome; no error and no endpoint: there was none in that time.
-func (c *Client) Allot(ctx context.Context, service string, ask Ask, wait time.Duration) (Place, error) {
+// Allot requests a reservation from the service's home, which holds the request for up to
+// wait if there is no capacity. The result has no Endpoint if there was none in that time.
+// The error wraps ErrNoHome.
+func (c *Client) Allot(ctx context.Context, service string, request Ask, wait time.Duration) (Place, error) {
 	home := c.home(service, time.Now())
 	if home == "" {
 		return Place{}, ErrNoHome
 	}
-	asking, cancel := context.WithTimeout(ctx, wait+homeTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, wait+homeTimeout)
 	defer cancel()
-	reply, err := c.call(asking, home, c.request(service, ask, wait))
+	reply, err := c.call(callCtx, home, c.wireRequest(service, request, wait))
 	if err != nil {
 		if ctx.Err() == nil {
-			c.failed.Failed(home, time.Now())
+			c.homeBackoff.Failed(home, time.Now())
 		}
 		return Place{}, trace.Wrap(ErrNoHome, "%s: %v", home, err)
 	}
-	c.failed.Answered(home)
-	grant := Grant{Endpoint: reply.Endpoint, Reader: reply.Reader, Backlog: time.Duration(reply.BacklogMs) * time.Millisecond}
-	room := Room{Among: int(reply.Among), MostFree: int(reply.MostFree)}
-	return Place{Grant: grant, Room: room, Home: home, Service: service, Exchange: ask.Exchange}, nil
+	c.homeBackoff.Answered(home)
+	placement := Grant{Endpoint: reply.Endpoint, Reader: reply.Reader, Backlog: time.Duration(reply.BacklogMs) * time.Millisecond}
+	free := Room{Among: int(reply.Among), MostFree: int(reply.MostFree)}
+	return Place{Grant: placement, Room: free, Home: home, Service: service, Exchange: request.Exchange}, nil
 }
 
-func (c *Client) request(service string, ask Ask, wait time.Duration) *pb.AllotRequest {
+func (c *Client) wireRequest(service string, request Ask, wait time.Duration) *pb.AllotRequest {
 	return &pb.AllotRequest{
-		Exchange: ask.Exchange, Entry: c.entry, Service: service, Model: ask.Model, Zone: ask.Zone,
-		Prompt: uint32(ask.Prompt), Output: uint32(ask.Output), Capacity: uint32(ask.Capacity),
-		LengthMs: wireMillis(ask.Length), ReadingMs: wireMillis(ask.Reading), LongestBacklogMs: wireMillis(ask.LongestBacklog),
-		ReadsOwn: ask.ReadsOwn, Excluded: ask.Excluded, WaitMs: wireMillis(wait),
+		Exchange: request.Exchange, Entry: c.entry, Service: service, Model: request.Model, Zone: request.Zone,
+		Prompt: uint32(request.Prompt), Output: uint32(request.Output), Capacity: uint32(request.Capacity),
+		LengthMs: wireMillis(request.Length), ReadingMs: wireMillis(request.Reading), LongestBacklogMs: wireMillis(request.LongestBacklog),
+		ReadsOwn: request.ReadsOwn, Excluded: request.Excluded, WaitMs: wireMillis(wait),
 	}
 }
 
@@ -94,22 +97,22 @@
 	return pb.NewDRPCAllotterClient(conn).Allot(ctx, r)
 }
 
-// home is the control instance that all entries agree on for a service as long
-// as they know the same ones: the one of the highest hash with it.
+// home returns the home of a service, by rendezvous hashing: entries that know the same
+// control instances agree on it. Control instances that failed lately are left out.
 func (c *Client) home(service string, now time.Time) string {
-	best, most := "", uint64(0)
+	best, bestWeight := "", uint64(0)
 	for _, m := range c.members() {
 		weight := xxhash.Sum64String(service + "\x00" + m)
-		if c.failed.Open(m, now) && (best == "" || weight > most) {
-			best, most = m, weight
+		if c.homeBackoff.Open(m, now) && (best == "" || weight > bestWeight) {
+			best, bestWeight = m, weight
 		}
 	}
 	return best
 }
 
-// Settle gives a place back, and tells how its use ended.
+// Settle releases a reservation and reports how its use ended.
 func (c *Client) Settle(ctx context.Context, p Place, o Outcome) error {
-	return c.tell(ctx, p.Home, func(ctx context.Context, home pb.DRPCAllotterClient) error {
+	return c.callHome(ctx, p.Home, func(ctx context.Context, home pb.DRPCAllotterClient) error {
 		_, err := home.Settle(ctx, &pb.SettleRequest{
 			Exchange: p.Exchange, Service: p.Service, Endpoint: p.Endpoint, Outcome: wireOutcome(o), Entry: c.entry,
 		})
@@ -117,26 +120,26 @@
 	})
 }
 
-// Read tells that the reader of a place took other than was promised, reading
-// being what it takes for the prompt alone.
-func (c *Client) Read(ctx context.Context, p Place, o Outcome, reading, took time.Duration) error {
-	return c.tell(ctx, p.Home, func(ctx context.Context, home pb.DRPCAllotterClient) error {
+// Read reports that the prefill endpoint of a reservation failed or was late. alone is the
+// expected duration of the prefill without its wait.
+func (c *Client) Read(ctx context.Context, p Place, o Outcome, alone, took time.Duration) error {
+	return c.callHome(ctx, p.Home, func(ctx context.Context, home pb.DRPCAllotterClient) error {
 		_, err := home.Read(ctx, &pb.ReadRequest{
 			Service: p.Service, Reader: p.Reader, Outcome: wireOutcome(o), Entry: c.entry,
-			PromisedMs: wireMillis(p.Backlog + reading), TookMs: wireMillis(took),
+			PromisedMs: wireMillis(p.Backlog + alone), TookMs: wireMillis(took),
 		})
 		return err
 	})
 }
 
-func (c *Client) tell(ctx context.Context, home string, what func(context.Context, pb.DRPCAllotterClient) error) error {
-	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
+func (c *Client) callHome(ctx context.Context, home string, call func(context.Context, pb.DRPCAllotterClient) error) error {
+	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	conn, err := c.dialer.Conn(ctx, home)
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	return trace.Wrap(what(ctx, pb.NewDRPCAllotterClient(conn)))
+	return trace.Wrap(call(ctx, pb.NewDRPCAllotterClient(conn)))
 }
 
 func wireMillis(d time.Duration) uint32 { return uint32(max(0, d.Milliseconds())) }
--- a/internal/allocation/doc.go
+++ b/internal/allocation/doc.go
@@ -1,14 +1,15 @@
-// Package allocation gives out places at model endpoints for a whole fleet of
-// entries. One control instance, the home of a service, keeps account of which
-// request holds how much memory at which endpoint and how long each reader of
-// prompts is busy; entries ask it where a request goes.
+// Package allocation assigns model requests to endpoints for the whole fleet of
+// entries. One control instance, the home of a service, tracks which request
+// reserves how much memory at which decode endpoint and how long each prefill
+// endpoint is busy; entries ask it where to send a request.
 //
-// The account is advice. An endpoint's own word on its memory is final, a home
-// that can't be reached is passed over, and an entry without one asks endpoints
-// by itself. Two homes at once, or one that knows nothing yet, cost questions
-// to endpoints that are full, and never a promise.
+// A reservation is only advice: the endpoint decides whether it has memory. A
+// home that can't be reached is skipped, and an entry without a home asks
+// endpoints by itself. Two homes at once, or one that has just started and knows
+// no reservations, cause requests for memory to full endpoints, but never break
+// a promise.
 //
-// Account is pure: the time and what is known go in. Server and Client are the
-// shells. Locks: Client.mu is a leaf. Server.mu is held while the Fleet is asked for
-// entries, whose lock is a leaf.
+// UsageTracker is pure: it takes the time and the known endpoints as input, and
+// Server and Client do the I/O. Locks: Server.mu is held while the Fleet, whose
+// lock is a leaf, is asked for entries. The lock of a Client's backoff is a leaf.
 package allocation
--- a/internal/allocation/fleet.go
+++ b/internal/allocation/fleet.go
@@ -1,9 +1,9 @@
 package allocation
 
-// Fleet is what a Server knows of the fleet.
+// Fleet is a Server's view of the fleet.
 type Fleet interface {
-	// ModelEndpoints lists the endpoints of a service that take work.
+	// ModelEndpoints returns the endpoints of a service that accept requests.
 	ModelEndpoints(service string) []Endpoint
-	// HasEntry tells whether an incarnation of an entry is known.
+	// HasEntry reports whether an incarnation of an entry is known.
 	HasEntry(id string) bool
 }
--- a/internal/allocation/home_test.go
+++ b/internal/allocation/home_test.go
@@ -15,7 +15,7 @@
 	"github.com/hyssopsail/hyssopsail/internal/testkit"
 )
 
-// fleet is a service of generating endpoints with room for one request each.
+// fleet is a service of decode endpoints with one slot each, and its homes.
 type fleet struct {
 	net     *testkit.Network
 	members []string
@@ -31,7 +31,7 @@
 	return f
 }
 
-// serve starts a home that knows of no use.
+// serve starts a home without reservations.
 func (f *fleet) serve(address string) {
 	f.net.Serve(address, allocation.NewServer(f, nil), pb.DRPCAllotterDescription{})
 }
@@ -52,19 +52,20 @@
 	return allocation.NewClient(entry, f.net.Dialer(entry), func() []string { return f.members })
 }
 
-func ask(exchange string) allocation.Ask {
+func request(exchange string) allocation.Ask {
 	return allocation.Ask{Exchange: exchange, Prompt: 10, Capacity: 10, Length: 3 * time.Second}
 }
 
-// homeOf gives who is home of the service.
+// homeOf returns the address of the service's home.
 func (f *fleet) homeOf(t *testing.T, c *allocation.Client) string {
-	p, err := c.Allot(t.Context(), "s", ask("first"), 0)
+	p, err := c.Allot(t.Context(), "s", request("first"), 0)
 	assert.NilError(t, err)
 	assert.NilError(t, c.Settle(t.Context(), p, allocation.OutcomeDone))
 	return p.Home
 }
 
-// All entries must take the same instance for the home, or nobody keeps account.
+// Guards against entries that choose different homes, none of which then tracks all
+// reservations.
 func TestEntriesAgreeOnTheHome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(5, 3)
@@ -75,15 +76,15 @@
 	})
 }
 
-// A home dies, or falls silent. Nobody may wait for it past a tenth of a second:
-// the next one by hash answers, and the first is asked again later.
+// Guards against requests that wait longer than 100 ms for a home that died or doesn't
+// respond: the next home by hash serves them, and the first one is used again later.
 func TestHomeFails(t *testing.T) {
 	for name, fail := range map[string]func(f *fleet, home string){
-		"dies":                     func(f *fleet, home string) { f.net.Remove(home) },
-		"hears nobody":             func(f *fleet, home string) { f.net.SetCut(true, "entry", home) },
-		"is heard by nobody":       func(f *fleet, home string) { f.net.SetCut(true, home, "entry") },
-		"knows nothing of before":  func(f *fleet, home string) { f.serve(home) },
-		"is taken for one by some": func(f *fleet, home string) { f.net.SetCut(true, "entry", home) },
+		"dies":                   func(f *fleet, home string) { f.net.Remove(home) },
+		"receives nothing":       func(f *fleet, home string) { f.net.SetCut(true, "entry", home) },
+		"answers are lost":       func(f *fleet, home string) { f.net.SetCut(true, home, "entry") },
+		"restarts without state": func(f *fleet, home string) { f.serve(home) },
+		"is cut off from one":    func(f *fleet, home string) { f.net.SetCut(true, "entry", home) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -91,15 +92,15 @@
 				c := f.client("entry")
 				home := f.homeOf(t, c)
 				fail(f, home)
-				began := time.Now()
-				p, err := c.Allot(t.Context(), "s", ask("x"), 0)
+				start := time.Now()
+				p, err := c.Allot(t.Context(), "s", request("x"), 0)
 				if err != nil {
 					assert.ErrorIs(t, err, allocation.ErrNoHome)
-					p, err = c.Allot(t.Context(), "s", ask("x"), 0)
+					p, err = c.Allot(t.Context(), "s", request("x"), 0)
 				}
 				assert.NilError(t, err)
 				assert.Assert(t, p.Endpoint != "")
-				assert.Assert(t, time.Since(began) < 100*time.Millisecond, "%v", time.Since(began))
+				assert.Assert(t, time.Since(start) < 100*time.Millisecond, "%v", time.Since(start))
 				time.Sleep(3 * time.Second)
 				f.serve(home)
 				f.net.SetCut(false, "entry", home)
@@ -110,25 +111,24 @@
 	}
 }
 
-// No control instance can be reached: who asks is told at once, and goes on by
-// itself.
+// Guards against an entry that waits although no control instance can be reached.
 func TestNoHome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(0, 1)
-		began := time.Now()
-		_, err := f.client("entry").Allot(t.Context(), "s", ask("x"), time.Second)
+		start := time.Now()
+		_, err := f.client("entry").Allot(t.Context(), "s", request("x"), time.Second)
 		assert.ErrorIs(t, err, allocation.ErrNoHome)
-		assert.Equal(t, time.Since(began), time.Duration(0))
+		assert.Equal(t, time.Since(start), time.Duration(0))
 	})
 }
 
-// Who waits gets the place that comes free, the oldest first; who has waited for
-// as long as it wanted gets none, and does not keep the place from others.
-func TestWhoWaitsIsServed(t *testing.T) {
+// Waiting requests get released capacity, the oldest first. A request whose wait has ended
+// gets none, and must not keep it from others.
+func TestWaitingRequestsAreServedInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(1, 1)
 		c := f.client("entry")
-		held, err := c.Allot(t.Context(), "s", ask("held"), 0)
+		held, err := c.Allot(t.Context(), "s", request("held"), 0)
 		assert.NilError(t, err)
 		var mu sync.Mutex
 		got := map[string]allocation.Place{}
@@ -136,7 +136,7 @@
 		for n, wait := range []time.Duration{50, 300, 300} {
 			all.Go(func() {
 				time.Sleep(time.Duration(n) * time.Millisecond)
-				p, err := c.Allot(context.Background(), "s", ask(fmt.Sprint(n)), wait*time.Millisecond)
+				p, err := c.Allot(context.Background(), "s", request(fmt.Sprint(n)), wait*time.Millisecond)
 				assert.Check(t, err)
 				mu.Lock()
 				defer mu.Unlock()
@@ -150,25 +150,25 @@
 		assert.Equal(t, got["1"].Endpoint, "e0")
 		assert.Equal(t, got["2"].Endpoint, "")
 		assert.NilError(t, c.Settle(t.Context(), got["1"], allocation.OutcomeDone))
-		last, err := c.Allot(t.Context(), "s", ask("last"), 0)
+		last, err := c.Allot(t.Context(), "s", request("last"), 0)
 		assert.NilError(t, err)
 		assert.Equal(t, last.Endpoint, "e0")
 	})
 }
 
-// The entry gives up while its place is on the way: nobody uses it, and it must
-// come free by itself.
-func TestGrantThatNobodyTakesLapses(t *testing.T) {
+// Guards against a reservation that is never released, since its entry had given up before
+// the reply arrived: it must expire.
+func TestUnusedReservationExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(1, 1)
 		c := f.client("entry")
 		home := f.homeOf(t, c)
 		f.net.SetCut(true, home, "entry")
-		_, err := c.Allot(t.Context(), "s", ask("lost"), 0)
+		_, err := c.Allot(t.Context(), "s", request("lost"), 0)
 		assert.ErrorIs(t, err, allocation.ErrNoHome)
 		f.net.SetCut(false, home, "entry")
 		time.Sleep(9 * time.Second)
-		p, err := c.Allot(t.Context(), "s", ask("next"), 0)
+		p, err := c.Allot(t.Context(), "s", request("next"), 0)
 		assert.NilError(t, err)
 		assert.Equal(t, p.Endpoint, "e0")
 	})
--- a/internal/allocation/metrics.go
+++ b/internal/allocation/metrics.go
@@ -5,32 +5,32 @@
 	"github.com/prometheus/client_golang/prometheus/promauto"
 )
 
-// The results of questions for a place.
+// The results of requests for a reservation: label values.
 const (
-	resultAtOnce = "at-once"
-	resultWaited = "waited" // and came free
-	resultNone   = "none"
+	resultImmediate = "at-once"
+	resultWaited    = "waited" // reserved after a wait
+	resultNone      = "none"
 )
 
-// metrics are those of a home.
+// metrics are the metrics of a home.
 type metrics struct {
-	asked *prometheus.CounterVec
+	requests *prometheus.CounterVec
 }
 
 func newMetrics(to prometheus.Registerer) *metrics {
-	return &metrics{asked: promauto.With(to).NewCounterVec(prometheus.CounterOpts{
+	return &metrics{requests: promauto.With(to).NewCounterVec(prometheus.CounterOpts{
 		Name: "hyssopsail_allocation_asked_total",
 		Help: "Questions of entries for a place at a model endpoint, by result.",
 	}, []string{"result"})}
 }
 
-func (m *metrics) count(g Grant, waited bool) {
-	result := resultAtOnce
+func (m *metrics) count(placement Grant, waited bool) {
+	result := resultImmediate
 	switch {
-	case g.Endpoint == "":
+	case placement.Endpoint == "":
 		result = resultNone
 	case waited:
 		result = resultWaited
 	}
-	m.asked.WithLabelValues(result).Inc()
+	m.requests.WithLabelValues(result).Inc()
 }
--- a/internal/allocation/server.go
+++ b/internal/allocation/server.go
@@ -13,125 +13,126 @@
 
 // The bounds of a Server.
 const (
-	// longestWait bounds how long a question is held for a place to come free.
-	longestWait = 500 * time.Millisecond
-	// mostWaiting bounds the questions of a service that are held.
-	mostWaiting = 1024
-	// tidyInterval is the least pause between two looks for what is gone.
-	tidyInterval = 250 * time.Millisecond
+	// maxWait bounds how long a request waits for capacity.
+	maxWait = 500 * time.Millisecond
+	// maxWaiters bounds the waiting requests of a service.
+	maxWaiters = 1024
+	// cleanupInterval is the minimum interval between two cleanups of a service.
+	cleanupInterval = 250 * time.Millisecond
 )
 
-// Server answers entries as the home of services.
+// Server serves entries as the home of services.
 type Server struct {
 	fleet   Fleet
 	metrics *metrics
 
-	mu       sync.Mutex // guards services and all in them
-	services map[string]*desk
+	mu       sync.Mutex // guards services and their contents
+	services map[string]*serviceQueue
 }
 
 var _ pb.DRPCAllotterServer = (*Server)(nil)
 
-// NewServer makes a Server; to may be nil.
-func NewServer(fleet Fleet, to prometheus.Registerer) *Server {
-	return &Server{fleet: fleet, metrics: newMetrics(to), services: map[string]*desk{}}
+// NewServer returns a Server that registers its metrics with registerer, which may be nil.
+func NewServer(fleet Fleet, registerer prometheus.Registerer) *Server {
+	return &Server{fleet: fleet, metrics: newMetrics(registerer), services: map[string]*serviceQueue{}}
 }
 
 // Allot implements pb.DRPCAllotterServer.
 func (s *Server) Allot(ctx context.Context, r *pb.AllotRequest) (*pb.AllotReply, error) {
-	ask := askOf(r)
-	grant, w := s.allotOrWait(r.Service, ask)
+	request := requestFromWire(r)
+	placement, w := s.reserveOrQueue(r.Service, request)
 	if w != nil {
-		grant = s.await(ctx, r.Service, w, min(longestWait, millis(r.WaitMs)))
+		placement = s.await(ctx, r.Service, w, min(maxWait, durationOfMillis(r.WaitMs)))
 	}
-	s.metrics.count(grant, w != nil)
-	reply := &pb.AllotReply{Endpoint: grant.Endpoint, Reader: grant.Reader, BacklogMs: uint32(grant.Backlog.Milliseconds())}
-	if grant.Endpoint == "" {
-		room := s.room(r.Service, ask)
-		reply.Among, reply.MostFree = uint32(room.Among), uint32(room.MostFree)
+	s.metrics.count(placement, w != nil)
+	reply := &pb.AllotReply{Endpoint: placement.Endpoint, Reader: placement.Reader, BacklogMs: uint32(placement.Backlog.Milliseconds())}
+	if placement.Endpoint == "" {
+		free := s.freeCapacity(r.Service, request)
+		reply.Among, reply.MostFree = uint32(free.Among), uint32(free.MostFree)
 	}
 	return reply, nil
 }
 
-func (s *Server) room(service string, ask Ask) Room {
+func (s *Server) freeCapacity(service string, request Ask) Room {
 	endpoints := s.fleet.ModelEndpoints(service)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.desk(service).account.Room(time.Now(), endpoints, ask)
+	return s.queueOf(service).tracker.FreeCapacity(time.Now(), endpoints, request)
 }
 
-func askOf(r *pb.AllotRequest) Ask {
+func requestFromWire(r *pb.AllotRequest) Ask {
 	return Ask{
 		Exchange: r.Exchange, Entry: r.Entry, Model: r.Model, Zone: r.Zone, Prompt: int(r.Prompt), Output: int(r.Output),
-		Capacity: int(r.Capacity), Length: millis(r.LengthMs), Reading: millis(r.ReadingMs),
-		LongestBacklog: millis(r.LongestBacklogMs), ReadsOwn: r.ReadsOwn, Excluded: r.Excluded,
+		Capacity: int(r.Capacity), Length: durationOfMillis(r.LengthMs), Reading: durationOfMillis(r.ReadingMs),
+		LongestBacklog: durationOfMillis(r.LongestBacklogMs), ReadsOwn: r.ReadsOwn, Excluded: r.Excluded,
 	}
 }
 
-// allotOrWait gives a place, or a waiter in the queue; neither when the queue is
-// full.
-func (s *Server) allotOrWait(service string, ask Ask) (Grant, *waiter) {
+// reserveOrQueue returns a reservation, or a waiter in the queue, or neither if the queue
+// is full.
+func (s *Server) reserveOrQueue(service string, request Ask) (Grant, *waiter) {
 	endpoints := s.fleet.ModelEndpoints(service)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	d := s.desk(service)
-	s.tidy(d, endpoints)
-	if grant := d.account.Allot(time.Now(), endpoints, ask); grant.Endpoint != "" {
-		return grant, nil
+	q := s.queueOf(service)
+	s.cleanUp(q, endpoints)
+	if placement := q.tracker.Reserve(time.Now(), endpoints, request); placement.Endpoint != "" {
+		return placement, nil
 	}
-	if len(d.waiting) >= mostWaiting {
+	if len(q.waiters) >= maxWaiters {
 		return Grant{}, nil
 	}
-	w := &waiter{ask: ask, grant: make(chan Grant, 1)}
-	d.waiting = append(d.waiting, w)
+	w := &waiter{request: request, placement: make(chan Grant, 1)}
+	q.waiters = append(q.waiters, w)
 	return Grant{}, w
 }
 
-func (s *Server) desk(service string) *desk {
-	d := s.services[service]
-	if d == nil {
-		d = &desk{account: NewAccount()}
-		s.services[service] = d
+func (s *Server) queueOf(service string) *serviceQueue {
+	q := s.services[service]
+	if q == nil {
+		q = &serviceQueue{tracker: NewUsageTracker()}
+		s.services[service] = q
 	}
-	return d
+	return q
 }
 
-// tidy forgets, from time to time, what is gone.
-func (s *Server) tidy(d *desk, endpoints []Endpoint) {
+// cleanUp removes the usage of dead entries and removed endpoints, at most once per
+// cleanupInterval.
+func (s *Server) cleanUp(q *serviceQueue, endpoints []Endpoint) {
 	now := time.Now()
-	if now.Sub(d.tidied) < tidyInterval {
+	if now.Sub(q.cleanedAt) < cleanupInterval {
 		return
 	}
-	d.tidied = now
-	d.account.DropEntries(now, s.fleet.HasEntry)
-	d.account.Keep(endpoints)
+	q.cleanedAt = now
+	q.tracker.DropEntries(now, s.fleet.HasEntry)
+	q.tracker.RetainEndpoints(endpoints)
 }
 
 func (s *Server) await(ctx context.Context, service string, w *waiter, limit time.Duration) Grant {
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
 	select {
-	case g := <-w.grant:
-		return g
+	case placement := <-w.placement:
+		return placement
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	return s.withdraw(ctx, service, w)
+	return s.cancelWait(ctx, service, w)
 }
 
-// withdraw ends a wait. A grant that came at the last moment is given back where
-// its asker has left.
-func (s *Server) withdraw(ctx context.Context, service string, w *waiter) Grant {
+// cancelWait ends a wait. A reservation that was made at the last moment is returned, or
+// released if the caller has disconnected.
+func (s *Server) cancelWait(ctx context.Context, service string, w *waiter) Grant {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	d := s.desk(service)
-	d.waiting = slices.DeleteFunc(d.waiting, func(other *waiter) bool { return other == w })
+	q := s.queueOf(service)
+	q.waiters = slices.DeleteFunc(q.waiters, func(other *waiter) bool { return other == w })
 	select {
-	case g := <-w.grant:
+	case placement := <-w.placement:
 		if ctx.Err() == nil {
-			return g
+			return placement
 		}
-		d.account.Settle(time.Now(), g.Endpoint, w.ask.Exchange, w.ask.Entry, OutcomeDone)
+		q.tracker.Release(time.Now(), placement.Endpoint, w.request.Exchange, w.request.Entry, OutcomeDone)
 	default:
 	}
 	return Grant{}
@@ -142,10 +143,10 @@
 	endpoints := s.fleet.ModelEndpoints(r.Service)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	d := s.desk(r.Service)
+	q := s.queueOf(r.Service)
 	now := time.Now()
-	d.account.Settle(now, r.Endpoint, r.Exchange, r.Entry, outcomeOf(r.Outcome))
-	d.serveWaiting(now, endpoints)
+	q.tracker.Release(now, r.Endpoint, r.Exchange, r.Entry, outcomeFromWire(r.Outcome))
+	q.serveWaiters(now, endpoints)
 	return &pb.SettleReply{}, nil
 }
 
@@ -153,13 +154,13 @@
 func (s *Server) Read(_ context.Context, r *pb.ReadRequest) (*pb.ReadReply, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.desk(r.Service).account.Read(time.Now(), r.Reader, r.Entry, outcomeOf(r.Outcome), millis(r.PromisedMs), millis(r.TookMs))
+	s.queueOf(r.Service).tracker.RecordPrefill(time.Now(), r.Reader, r.Entry, outcomeFromWire(r.Outcome), durationOfMillis(r.PromisedMs), durationOfMillis(r.TookMs))
 	return &pb.ReadReply{}, nil
 }
 
-func millis(n uint32) time.Duration { return time.Duration(n) * time.Millisecond }
+func durationOfMillis(n uint32) time.Duration { return time.Duration(n) * time.Millisecond }
 
-func outcomeOf(o pb.AllotOutcome) Outcome {
+func outcomeFromWire(o pb.AllotOutcome) Outcome {
 	switch o {
 	case pb.AllotOutcome_ALLOT_OUTCOME_FULL:
 		return OutcomeFull
--- /dev/null
+++ b/internal/allocation/usage_tracker_test.go
@@ -0,0 +1,193 @@
+package allocation
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+)
+
+var start = time.Unix(1_000_000, 0)
+
+// at returns the time ms milliseconds after start.
+func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
+
+// fleetOf returns prefill and then decode endpoints of one zone, named e0 and so on.
+func fleetOf(prefill, decode int) []Endpoint {
+	var list []Endpoint
+	for n := range prefill + decode {
+		list = append(list, Endpoint{ID: fmt.Sprint("e", n), Slots: 12, Reads: n < prefill})
+	}
+	return list
+}
+
+func requestOf(exchange string, prompt, output int) Ask {
+	return Ask{
+		Exchange: exchange, Entry: "entry", Prompt: prompt, Output: output, Capacity: 10_000,
+		Length: 3 * time.Second, Reading: 100 * time.Millisecond, LongestBacklog: 300 * time.Millisecond,
+	}
+}
+
+func TestReserve(t *testing.T) {
+	for name, row := range map[string]struct {
+		fleet   []Endpoint
+		before  []Ask
+		request Ask
+		want    Grant
+	}{
+		"idle endpoints":    {fleet: fleetOf(1, 1), request: requestOf("x", 3000, 500), want: Grant{Endpoint: "e1", Reader: "e0"}},
+		"emptier endpoint":  {fleet: fleetOf(1, 2), before: []Ask{requestOf("a", 3000, 500)}, request: requestOf("x", 3000, 500), want: Grant{Endpoint: "e2", Reader: "e0", Backlog: 100 * time.Millisecond}},
+		"idle prefill":      {fleet: fleetOf(2, 1), before: []Ask{requestOf("a", 3000, 500)}, request: requestOf("x", 3000, 500), want: Grant{Endpoint: "e2", Reader: "e1"}},
+		"larger than any":   {fleet: fleetOf(1, 1), request: requestOf("x", 10_000, 500)},
+		"all full":          {fleet: fleetOf(1, 1), before: []Ask{requestOf("a", 8000, 500)}, request: requestOf("x", 3000, 500)},
+		"no endpoints":      {request: requestOf("x", 3000, 500)},
+		"prefill too busy":  {fleet: fleetOf(1, 9), before: []Ask{requestOf("a", 900, 0), requestOf("b", 900, 0), requestOf("c", 900, 0), requestOf("d", 900, 0)}, request: requestOf("x", 900, 0)},
+		"excluded endpoint": {fleet: fleetOf(0, 2), request: Ask{Capacity: 10, Prompt: 1, Excluded: []string{"e0"}}, want: Grant{Endpoint: "e1"}},
+		"another model":     {fleet: []Endpoint{{ID: "e", Slots: 1, Models: []string{"other"}}}, request: Ask{Capacity: 10, Model: "m"}},
+		"the entry's zone":  {fleet: []Endpoint{{ID: "far", Zone: "b", Slots: 1}, {ID: "near", Zone: "a", Slots: 1}}, request: Ask{Capacity: 10, Zone: "a"}, want: Grant{Endpoint: "near"}},
+		"no free slot":      {fleet: []Endpoint{{ID: "e", Slots: 1}}, before: []Ask{{Exchange: "a", Capacity: 10}}, request: Ask{Exchange: "x", Capacity: 10}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			tracker := NewUsageTracker()
+			for _, request := range row.before {
+				assert.Assert(t, tracker.Reserve(start, row.fleet, request).Endpoint != "")
+			}
+			assert.Equal(t, tracker.Reserve(start, row.fleet, row.request), row.want)
+		})
+	}
+}
+
+// If no prefill endpoint is free in time, a prompt that the decode endpoint may prefill
+// itself gets a reservation without a prefill endpoint.
+func TestReserveWithLocalPrefill(t *testing.T) {
+	tracker, fleet := NewUsageTracker(), fleetOf(1, 9)
+	for n := range 4 {
+		assert.Equal(t, tracker.Reserve(start, fleet, requestOf(fmt.Sprint(n), 900, 0)).Reader, "e0")
+	}
+	request := requestOf("x", 900, 0)
+	request.ReadsOwn = true
+	got := tracker.Reserve(start, fleet, request)
+	assert.Assert(t, got.Endpoint != "")
+	assert.Equal(t, got.Reader, "")
+}
+
+// A reservation ends when it is released, when it expires, and when its entry is no
+// longer alive.
+func TestReservationEnds(t *testing.T) {
+	fleet := fleetOf(0, 1)
+	full := Ask{Exchange: "a", Entry: "entry", Prompt: 8000, Capacity: 10_000, Length: 3 * time.Second}
+	next := Ask{Exchange: "x", Entry: "other", Prompt: 8000, Capacity: 10_000, Length: 3 * time.Second}
+	for name, row := range map[string]struct {
+		free func(tracker *UsageTracker)
+		when int // ms
+		want bool
+	}{
+		"not yet":          {free: func(*UsageTracker) {}, when: 7900},
+		"released":         {free: func(tracker *UsageTracker) { tracker.Release(at(10), "e0", "a", "entry", OutcomeDone) }, when: 10, want: true},
+		"another released": {free: func(tracker *UsageTracker) { tracker.Release(at(10), "e0", "b", "entry", OutcomeDone) }, when: 10},
+		"expired":          {free: func(*UsageTracker) {}, when: 8100, want: true},
+		"its entry died": {free: func(tracker *UsageTracker) {
+			tracker.DropEntries(at(2100), func(e string) bool { return e != "entry" })
+		}, when: 2100, want: true},
+		"its entry is new": {free: func(tracker *UsageTracker) {
+			tracker.DropEntries(at(1900), func(e string) bool { return e != "entry" })
+		}, when: 1900},
+		"endpoint removed": {free: func(tracker *UsageTracker) { tracker.RetainEndpoints(nil) }, when: 10, want: true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			tracker := NewUsageTracker()
+			assert.Equal(t, tracker.Reserve(start, fleet, full).Endpoint, "e0")
+			row.free(tracker)
+			assert.Equal(t, tracker.Reserve(at(row.when), fleet, next).Endpoint != "", row.want)
+		})
+	}
+}
+
+// Guards against one entry, cut off from an endpoint that all others reach, whose reports
+// keep the fleet from using it: the endpoint is skipped for a moment, and for longer only
+// when a second entry reports the same.
+func TestOneEntryCannotExcludeEndpoint(t *testing.T) {
+	request := Ask{Exchange: "x", Capacity: 10, Prompt: 1}
+	for name, row := range map[string]struct {
+		reporters []string
+		ms        int
+		want      bool
+	}{
+		"at once":                {reporters: []string{"a"}, ms: 10},
+		"after a short pause":    {reporters: []string{"a"}, ms: 310, want: true},
+		"repeated by one":        {reporters: []string{"a", "a", "a"}, ms: 310, want: true},
+		"confirmed":              {reporters: []string{"a", "b"}, ms: 310},
+		"confirmed, after pause": {reporters: []string{"a", "b"}, ms: 1010, want: true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			tracker := NewUsageTracker()
+			for _, entry := range row.reporters {
+				tracker.Release(start, "e0", "gone", entry, OutcomeGone)
+			}
+			assert.Equal(t, tracker.Reserve(at(row.ms), fleetOf(0, 1), request).Endpoint != "", row.want)
+		})
+	}
+}
+
+// Guards against many requests sent to an unreachable endpoint that looks best since it
+// has no reservations. One request probes it; the others wait for the result.
+func TestOneRequestProbesUnreachableEndpoint(t *testing.T) {
+	tracker, fleet := NewUsageTracker(), fleetOf(0, 1)
+	tracker.Release(start, "e0", "x", "a", OutcomeGone)
+	request := Ask{Capacity: 10, Prompt: 1}
+	assert.Equal(t, tracker.Reserve(at(400), fleet, request).Endpoint, "e0")
+	assert.Equal(t, tracker.Reserve(at(410), fleet, request).Endpoint, "")
+	assert.Equal(t, tracker.Reserve(at(810), fleet, request).Endpoint, "e0", "no failure was reported")
+}
+
+// Guards against a home that has just started and keeps choosing a full endpoint that it
+// takes for empty. After one refusal it chooses the endpoint only for what may still fit,
+// and for more as the answers that it doesn't know of end.
+func TestRefusalShowsUntrackedUse(t *testing.T) {
+	tracker, fleet := NewUsageTracker(), fleetOf(0, 1)
+	request := func(tokens int) Ask {
+		return Ask{Exchange: "x", Prompt: tokens, Capacity: 10_000, Length: 3 * time.Second}
+	}
+	assert.Equal(t, tracker.Reserve(start, fleet, request(4000)).Endpoint, "e0")
+	tracker.Release(start, "e0", "x", "entry", OutcomeFull)
+	assert.Equal(t, tracker.Reserve(start, fleet, request(4000)).Endpoint, "")
+	assert.Equal(t, tracker.Reserve(at(10), fleet, request(3000)).Endpoint, "e0", "may still fit")
+	tracker.Release(at(10), "e0", "x", "entry", OutcomeDone)
+	assert.Equal(t, tracker.Reserve(at(1500), fleet, request(6000)).Endpoint, "e0", "half of the untracked use has faded")
+}
+
+// Guards against prompts that pile up at a prefill endpoint that takes eight times as long
+// as expected while its health checks pass: its backlog is computed from expected times.
+func TestSlowPrefillEndpointGetsLess(t *testing.T) {
+	tracker, fleet := NewUsageTracker(), fleetOf(2, 100)
+	counts := map[string]int{}
+	for n := range 100 {
+		now := at(n * 100)
+		g := tracker.Reserve(now, fleet, requestOf(fmt.Sprint(n), 100, 0))
+		counts[g.Reader]++
+		if g.Reader == "e0" {
+			tracker.RecordPrefill(now, "e0", "entry", OutcomeDone, 100*time.Millisecond, 800*time.Millisecond)
+		}
+	}
+	assert.Assert(t, counts["e0"] < 20, "%v", counts)
+}
+
+// Guards against a small fleet that never uses a prefill endpoint again after a short
+// delay there, as by a slow link or a frozen process.
+func TestRecoveredPrefillEndpointIsUsedAgain(t *testing.T) {
+	tracker, fleet := NewUsageTracker(), fleetOf(1, 1)
+	tracker.RecordPrefill(start, "e0", "entry", OutcomeDone, 100*time.Millisecond, 1100*time.Millisecond)
+	request := requestOf("x", 100, 0)
+	assert.Equal(t, tracker.Reserve(at(10), fleet, request).Endpoint, "", "expected to take ten times as long")
+	assert.Equal(t, tracker.Reserve(at(3500), fleet, request).Reader, "e0")
+}
+
+// Guards against a prefill endpoint that counts as busy with a prompt that never arrives,
+// since the decode endpoint had no memory for the request.
+func TestPrefillOfRefusedRequestIsCanceled(t *testing.T) {
+	tracker, fleet := NewUsageTracker(), fleetOf(1, 2)
+	placement := tracker.Reserve(start, fleet, requestOf("x", 3000, 0))
+	tracker.Release(start, placement.Endpoint, "x", "entry", OutcomeFull)
+	assert.Equal(t, tracker.Reserve(start, fleet, requestOf("y", 3000, 0)).Backlog, time.Duration(0))
+}
