--- a/internal/endpointlimit/client.go
+++ b/internal/endpointlimit/client.go
@@ -11,33 +11,34 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// DeniedError: nothing may be sent to an endpoint now.
+// DeniedError means that nothing may be sent to an endpoint now.
 type DeniedError struct {
-	Again time.Duration // when there may be leave again
-	// NoKeeper tells that no keeper answered, so that it isn't known what others send.
+	Again time.Duration // delay until a permit may be available
+	// NoKeeper is whether no limit server responded, so that the traffic of other entries
+	// is unknown.
 	NoKeeper bool
 }
 
 // Error implements error.
 func (e *DeniedError) Error() string {
 	if e.NoKeeper {
-		return "no keeper of the endpoint's limit answers"
+		return "no limit server of the endpoint responded"
 	}
 	return "the endpoint's limit is used up"
 }
 
 // The bounds of a Client.
 const (
-	// keeperTimeout bounds one question. A keeper answers within a few milliseconds; one
-	// that does not is frozen or cut off.
-	keeperTimeout = 40 * time.Millisecond
-	// firstLeft and longestLeft bound how long a keeper that failed is passed over.
-	firstLeft   = 250 * time.Millisecond
-	longestLeft = 4 * time.Second
-	// leastAgain is the least pause before an endpoint is asked for again.
-	leastAgain = 20 * time.Millisecond
-	// tellTimeout bounds the word to one keeper that a limit has ended.
-	tellTimeout = 400 * time.Millisecond
+	// permitTimeout is the timeout of a request for a permit. A limit server answers within a
+	// few milliseconds; one that doesn't is frozen or cut off.
+	permitTimeout = 40 * time.Millisecond
+	// minBackoff and maxBackoff bound how long a limit server is skipped after a failure.
+	minBackoff = 250 * time.Millisecond
+	maxBackoff = 4 * time.Second
+	// minRetryAfter is the minimum delay until a permit is requested again.
+	minRetryAfter = 20 * time.Millisecond
+	// reportTimeout is the timeout of reporting a limit to one limit server.
+	reportTimeout = 400 * time.Millisecond
 )
 
 // Dialer connects to control instances.
@@ -45,100 +46,104 @@
 	Conn(ctx context.Context, address string) (drpc.Conn, error)
 }
 
-// Client asks keepers for an entry. What the entry has heard is in its Known.
+// Client requests permits from limit servers for one entry. Its LimitView is the entry's
+// view of endpoints' limits. It is safe for concurrent use.
 type Client struct {
-	*Known
-	dialer  Dialer
-	members func() []string
-	shuffle func(n int, swap func(i, j int))
-	failed  *backoff.Peers
+	*LimitView
+	dialer        Dialer
+	members       func() []string
+	shuffle       func(n int, swap func(i, j int))
+	serverBackoff *backoff.Peers
 }
 
-// NewClient makes a Client that knows the control instances by members. shuffle is that of
-// a source of random numbers that is safe for concurrent use.
+// NewClient returns a Client. members returns the addresses of the control instances. shuffle
+// must be safe for concurrent use.
 func NewClient(dialer Dialer, members func() []string, shuffle func(n int, swap func(i, j int))) *Client {
 	return &Client{
-		Known: NewKnown(), dialer: dialer, members: members, shuffle: shuffle,
-		failed: backoff.New(firstLeft, longestLeft),
+		LimitView: NewLimitView(), dialer: dialer, members: members, shuffle: shuffle,
+		serverBackoff: backoff.New(minBackoff, maxBackoff),
 	}
 }
 
-// Unkept makes a Client that reaches no keeper: endpoints that name a limit get nothing.
+// Unkept returns a Client that reaches no limit server: endpoints that name a limit get
+// nothing.
 func Unkept() *Client {
 	return NewClient(nil, func() []string { return nil }, func(int, func(i, j int)) {})
 }
 
-// Take asks for leave to send one request to an endpoint, soon. It gives nil as well where
-// a keeper knows that the limit has ended.
+// Take requests a permit to send one request to an endpoint, which must be used soon. It also
+// returns nil if a limit server knows that the limit has ended.
 func (c *Client) Take(ctx context.Context, e Endpoint) *DeniedError {
-	denied := &DeniedError{Again: firstLeft, NoKeeper: true}
-	for _, keeper := range c.keepers(e) {
-		reply, ok := c.ask(ctx, keeper, e)
+	denied := &DeniedError{Again: minBackoff, NoKeeper: true}
+	for _, server := range c.limitServers(e) {
+		reply, ok := c.requestPermit(ctx, server, e)
 		switch {
 		case !ok:
 			continue
 		case reply.Granted || !c.Limit(e).Limited:
 			return nil
 		case denied.NoKeeper:
-			denied.NoKeeper, denied.Again = false, longestAgain
+			denied.NoKeeper, denied.Again = false, maxRetryAfter
 		}
-		denied.Again = max(leastAgain, min(denied.Again, time.Duration(reply.AgainMs)*time.Millisecond))
+		denied.Again = max(minRetryAfter, min(denied.Again, time.Duration(reply.AgainMs)*time.Millisecond))
 	}
 	return denied
 }
 
-// keepers gives those of an endpoint in any order, so that their parts are used alike.
-func (c *Client) keepers(e Endpoint) []string {
-	keepers := Keepers(c.members(), e)
-	c.shuffle(len(keepers), func(i, j int) { keepers[i], keepers[j] = keepers[j], keepers[i] })
-	return keepers
+// limitServers returns an endpoint's limit servers in random order, so that their shares are
+// used evenly.
+func (c *Client) limitServers(e Endpoint) []string {
+	servers := LimitServers(c.members(), e)
+	c.shuffle(len(servers), func(i, j int) { servers[i], servers[j] = servers[j], servers[i] })
+	return servers
 }
 
-// ask asks one keeper, and takes in what it knows. ok is false when it gave no answer.
-func (c *Client) ask(ctx context.Context, keeper string, e Endpoint) (reply *pb.TakePermitReply, ok bool) {
-	asked := time.Now()
-	if ctx.Err() != nil || !c.failed.Open(keeper, asked) {
+// requestPermit requests a permit from one limit server and merges the limit that it knows.
+// ok is false if there is no answer.
+func (c *Client) requestPermit(ctx context.Context, server string, e Endpoint) (reply *pb.TakePermitReply, ok bool) {
+	sentAt := time.Now()
+	if ctx.Err() != nil || !c.serverBackoff.Open(server, sentAt) {
 		return nil, false
 	}
-	asking, cancel := context.WithTimeout(ctx, keeperTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, permitTimeout)
 	defer cancel()
-	reply, err := c.call(asking, keeper, &pb.TakePermitRequest{Endpoint: e.ID, Born: e.Born, Heard: toWire(asked, c.Limit(e))})
+	reply, err := c.call(callCtx, server, &pb.TakePermitRequest{Endpoint: e.ID, Born: e.Born, Heard: toWire(sentAt, c.Limit(e))})
 	if err != nil {
 		if ctx.Err() == nil {
-			c.failed.Failed(keeper, time.Now())
+			c.serverBackoff.Failed(server, time.Now())
 		}
 		return nil, false
 	}
-	c.failed.Answered(keeper)
-	c.merge(e, fromWire(asked, reply.Heard))
+	c.serverBackoff.Answered(server)
+	c.merge(e, fromWire(sentAt, reply.Heard))
 	return reply, true
 }
 
-func (c *Client) call(ctx context.Context, keeper string, r *pb.TakePermitRequest) (*pb.TakePermitReply, error) {
-	conn, err := c.dialer.Conn(ctx, keeper)
+func (c *Client) call(ctx context.Context, server string, r *pb.TakePermitRequest) (*pb.TakePermitReply, error) {
+	conn, err := c.dialer.Conn(ctx, server)
 	if err != nil {
 		return nil, err
 	}
 	return pb.NewDRPCLimitKeeperClient(conn).TakePermit(ctx, r)
 }
 
-// Tell tells an endpoint's keepers what is known here of its limit.
+// Tell reports the entry's view of an endpoint's limit to the endpoint's limit servers.
 func (c *Client) Tell(ctx context.Context, e Endpoint) error {
-	var failed []error
-	for _, keeper := range c.keepers(e) {
-		failed = append(failed, c.tell(ctx, keeper, e))
+	var errs []error
+	for _, server := range c.limitServers(e) {
+		errs = append(errs, c.reportTo(ctx, server, e))
 	}
-	return trace.NewAggregate(failed...)
+	return trace.NewAggregate(errs...)
 }
 
-func (c *Client) tell(ctx context.Context, keeper string, e Endpoint) error {
-	ctx, cancel := context.WithTimeout(ctx, tellTimeout)
+func (c *Client) reportTo(ctx context.Context, server string, e Endpoint) error {
+	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	conn, err := c.dialer.Conn(ctx, keeper)
+	conn, err := c.dialer.Conn(ctx, server)
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	heard := toWire(time.Now(), c.Limit(e))
-	_, err = pb.NewDRPCLimitKeeperClient(conn).TellLimit(ctx, &pb.TellLimitRequest{Endpoint: e.ID, Born: e.Born, Heard: heard})
+	known := toWire(time.Now(), c.Limit(e))
+	_, err = pb.NewDRPCLimitKeeperClient(conn).TellLimit(ctx, &pb.TellLimitRequest{Endpoint: e.ID, Born: e.Born, Heard: known})
 	return trace.Wrap(err)
 }
--- a/internal/endpointlimit/client_test.go
+++ b/internal/endpointlimit/client_test.go
@@ -14,121 +14,121 @@
 	"github.com/hyssopsail/hyssopsail/internal/testkit"
 )
 
-// served is a control group whose members answer.
-type served struct {
+// controlGroup is a control group with a Server at each member.
+type controlGroup struct {
 	net     *testkit.Network
 	members []string
 }
 
-func newServed(n int) *served {
-	s := &served{net: &testkit.Network{}}
+func newControlGroup(n int) *controlGroup {
+	g := &controlGroup{net: &testkit.Network{}}
 	for i := range n {
-		s.members = append(s.members, fmt.Sprint("member", i))
+		g.members = append(g.members, fmt.Sprint("member", i))
 	}
-	for _, m := range s.members {
-		s.net.Serve(m, NewServer(m, func() []string { return s.members }, nil), pb.DRPCLimitKeeperDescription{})
+	for _, m := range g.members {
+		g.net.Serve(m, NewServer(m, func() []string { return g.members }, nil), pb.DRPCLimitKeeperDescription{})
 	}
-	return s
+	return g
 }
 
-func (s *served) client(entry string) *Client {
-	return NewClient(s.net.Dialer(entry), func() []string { return s.members }, rand.New(rand.NewPCG(1, 2)).Shuffle)
+func (g *controlGroup) client(entry string) *Client {
+	return NewClient(g.net.Dialer(entry), func() []string { return g.members }, rand.New(rand.NewPCG(1, 2)).Shuffle)
 }
 
-func (s *served) calls() int {
+func (g *controlGroup) calls() int {
 	total := 0
-	for _, m := range s.members {
-		total += s.net.Calls(m)
+	for _, m := range g.members {
+		total += g.net.Calls(m)
 	}
 	return total
 }
 
 var someEndpoint = Endpoint{ID: "e1"}
 
-// hears has a client hear a word now, in answer to a request that was sent just before.
-func hears(c *Client, w Word) {
+// receive passes a signal to a client now, from the answer to a request that was sent just before.
+func receive(c *Client, w Word) {
 	time.Sleep(time.Millisecond)
 	c.Hear(time.Now(), time.Now().Add(-time.Microsecond), someEndpoint, w)
 }
 
 func named(perSecond float64) Word { return Word{Kind: KindNamed, PerSecond: perSecond} }
 
-// Guards against an entry that keeps to a limit which ended, since it sends nothing by
-// which it could hear so: another one has told the keepers.
-func TestEndOfALimitReachesOtherEntries(t *testing.T) {
+// Guards against an entry that observes a limit which has ended, since it sends no request
+// whose answer would say so: another entry has reported the end to the limit servers.
+func TestEndOfLimitReachesOtherEntries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newServed(5)
-		one, other := s.client("one"), s.client("other")
-		hears(one, named(0.2))
-		hears(other, named(0.2))
+		g := newControlGroup(5)
+		one, other := g.client("one"), g.client("other")
+		receive(one, named(0.2))
+		receive(other, named(0.2))
 		assert.Assert(t, other.Take(t.Context(), someEndpoint) != nil)
-		hears(one, Word{})
+		receive(one, Word{})
 		assert.NilError(t, one.Tell(t.Context(), someEndpoint))
 		assert.Assert(t, other.Take(t.Context(), someEndpoint) == nil)
 		assert.Assert(t, !other.Limit(someEndpoint).Limited)
 	})
 }
 
-// Guards against old news: an entry that heard of the end before the limit was named anew
-// must not lift it, and neither must an answer that was made before the limit was named.
-func TestOldNewsDoesNotLiftALimit(t *testing.T) {
+// Guards against outdated signals that end a limit: one that an entry received before the
+// limit was named again, and an answer that was made before the limit was named.
+func TestOutdatedSignalDoesNotEndLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newServed(3)
-		one, other := s.client("one"), s.client("other")
-		hears(one, named(1))
-		hears(one, Word{})
+		g := newControlGroup(3)
+		one, other := g.client("one"), g.client("other")
+		receive(one, named(1))
+		receive(one, Word{})
 		assert.NilError(t, one.Tell(t.Context(), someEndpoint))
 		sent := time.Now()
-		hears(other, named(1))
+		receive(other, named(1))
 		assert.Assert(t, other.Take(t.Context(), someEndpoint) != nil)
 		other.Hear(time.Now(), sent, someEndpoint, Word{})
 		assert.Assert(t, other.Limit(someEndpoint).Limited)
 	})
 }
 
-// Guards against a limit that is lifted by what can't be read.
-func TestUnreadableWordChangesNothing(t *testing.T) {
+// Guards against an invalid signal that ends a limit.
+func TestInvalidSignalChangesNothing(t *testing.T) {
 	c := Unkept()
-	hears(c, named(2))
-	hears(c, Word{Kind: KindUnreadable})
+	receive(c, named(2))
+	receive(c, Word{Kind: KindUnreadable})
 	assert.Equal(t, c.Limit(someEndpoint).PerSecond, 2.0)
 }
 
-// Guards against another run of an endpoint that is bound by what the one before it said.
-func TestLimitIsOfOneRun(t *testing.T) {
+// Guards against a limit that binds another incarnation than the one that named it.
+func TestLimitIsOfOneIncarnation(t *testing.T) {
 	c := Unkept()
-	hears(c, named(2))
+	receive(c, named(2))
 	assert.Assert(t, !c.Limit(Endpoint{ID: someEndpoint.ID, Born: 7}).Limited)
 }
 
-// Guards against an entry that goes by its own word when it reaches no keeper: others send
-// too.
-func TestEntryWithoutKeepersSendsNothing(t *testing.T) {
+// Guards against an entry that sends without a permit when it reaches no limit server, while
+// other entries send as well.
+func TestEntryWithoutLimitServersSendsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newServed(5)
-		c := s.client("entry")
-		hears(c, named(50))
+		g := newControlGroup(5)
+		c := g.client("entry")
+		receive(c, named(50))
 		time.Sleep(time.Minute)
 		assert.Assert(t, c.Take(t.Context(), someEndpoint) == nil)
-		s.net.SetCut(true, "entry", s.members...)
-		began := time.Now()
+		g.net.SetCut(true, "entry", g.members...)
+		start := time.Now()
 		for range 20 {
 			denied := c.Take(t.Context(), someEndpoint)
 			assert.Assert(t, denied != nil && denied.NoKeeper && denied.Again > 0)
 		}
-		assert.Assert(t, time.Since(began) < time.Second, "keepers that are silent are asked once for a while")
+		assert.Assert(t, time.Since(start) < time.Second, "unreachable limit servers must be skipped for a while")
 	})
 }
 
-// Guards against hundreds of entries that ask again and again for the same few requests.
-func TestDeniedEntriesAskSeldom(t *testing.T) {
+// Guards against hundreds of entries that retry all the time for the same few permits.
+func TestDeniedEntriesRetryRarely(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newServed(5)
+		g := newControlGroup(5)
 		const entries = 200
 		var all sync.WaitGroup
 		for n := range entries {
-			c := s.client(fmt.Sprint("entry", n))
-			hears(c, named(1))
+			c := g.client(fmt.Sprint("entry", n))
+			receive(c, named(1))
 			all.Go(func() {
 				for end := time.Now().Add(20 * time.Second); time.Now().Before(end); {
 					pause := 20 * time.Millisecond
@@ -140,30 +140,30 @@
 			})
 		}
 		all.Wait()
-		t.Logf("%d questions in 20 s", s.calls())
-		assert.Assert(t, s.calls() < 5000, "%d questions in 20 s", s.calls())
+		t.Logf("%d calls in 20 s", g.calls())
+		assert.Assert(t, g.calls() < 5000, "%d calls in 20 s", g.calls())
 	})
 }
 
-// Guards against a list of endpoints that were long gone.
-func TestKnownForgetsWhatIsUnlisted(t *testing.T) {
+// Guards against a view that keeps limits of endpoints that were removed long ago.
+func TestUnlistedEndpointsAreRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := Unkept()
-		hears(c, named(2))
+		receive(c, named(2))
 		unlisted := func(Endpoint) bool { return false }
 		c.Keep(time.Now().Add(time.Second), unlisted)
 		assert.Assert(t, c.Limit(someEndpoint).Limited)
-		c.Keep(time.Now().Add(2*keptUnlisted), unlisted)
+		c.Keep(time.Now().Add(2*unlistedRetention), unlisted)
 		assert.Assert(t, !c.Limit(someEndpoint).Limited)
 	})
 }
 
-// Guards against members that agree on the group and not on the keepers.
-func TestKeepersDoNotDependOnTheOrder(t *testing.T) {
+// Guards against processes that agree on the members of the group but not on the limit servers.
+func TestLimitServersDoNotDependOnOrder(t *testing.T) {
 	members := []string{"a", "b", "c", "d", "e", "f"}
-	want := Keepers(members, someEndpoint)
-	assert.Equal(t, len(want), mostKeepers)
+	want := LimitServers(members, someEndpoint)
+	assert.Equal(t, len(want), maxLimitServers)
 	rand.New(rand.NewPCG(4, 4)).Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
-	assert.DeepEqual(t, Keepers(append(members, members[0]), someEndpoint), want)
-	assert.Equal(t, len(Keepers(nil, someEndpoint)), 0)
+	assert.DeepEqual(t, LimitServers(append(members, members[0]), someEndpoint), want)
+	assert.Equal(t, len(LimitServers(nil, someEndpoint)), 0)
 }
--- a/internal/endpointlimit/ledger.go
+++ b/internal/endpointlimit/ledger.go
@@ -2,67 +2,68 @@
 
 import "time"
 
-// keptIdle is how long an account is kept that nobody asks for. A new one has by then
-// earned as much.
-const keptIdle = time.Minute
+// idleRetention is how long the state of a share without requests is kept. By then a new
+// state earns as many permits.
+const idleRetention = time.Minute
 
-// Ledger is one keeper's parts of endpoints' limits. It is not safe for concurrent use.
+// Ledger tracks one limit server's shares of endpoints' limits. It is not safe for concurrent
+// use.
 type Ledger struct {
-	began    time.Time
-	accounts map[Endpoint]*account
-	tidied   time.Time
+	startedAt time.Time
+	shares    map[Endpoint]*shareState
+	cleanedAt time.Time
 }
 
-// NewLedger makes the Ledger of a keeper that begins now: what the one before it gave is
-// not known, so it has saved up nothing.
+// NewLedger returns the Ledger of a limit server that starts now. It has saved up no permits,
+// since it doesn't know which ones were granted before its start.
 func NewLedger(now time.Time) *Ledger {
-	return &Ledger{began: now, accounts: map[Endpoint]*account{}, tidied: now}
+	return &Ledger{startedAt: now, shares: map[Endpoint]*shareState{}, cleanedAt: now}
 }
 
-// Taken is the answer to an entry that asks for leave.
-type Taken struct {
-	Granted bool
-	Again   time.Duration // when there may be leave again, where it wasn't granted
-	Heard   Heard         // the newest that is known; not limited: no leave is needed
+// TakeResult is the answer to a request for a permit.
+type TakeResult struct {
+	Granted    bool
+	RetryAfter time.Duration // delay until a retry, if not granted
+	Limit      KnownLimit    // latest known limit; if not limited, no permit is needed
 }
 
-// Take takes leave for one request to an endpoint, of whose limit the keeper has
-// a part. heard is what the asker knows of it.
-func (l *Ledger) Take(now time.Time, e Endpoint, heard Heard, p Part) Taken {
-	a := l.account(now, e, heard, p)
-	if !a.heard.Limited {
-		return Taken{Heard: a.heard}
+// Take requests a permit for one request to an endpoint. known is the entry's view of the
+// endpoint's limit, and share the limit server's share of it.
+func (l *Ledger) Take(now time.Time, e Endpoint, known KnownLimit, share Share) TakeResult {
+	s := l.shareStateOf(now, e, known, share)
+	if !s.limit.Limited {
+		return TakeResult{Limit: s.limit}
 	}
-	a.fill(now, p)
-	granted, again := a.take(p)
-	return Taken{Granted: granted, Again: again, Heard: a.heard}
+	s.fill(now, share)
+	granted, retryAfter := s.take(share)
+	return TakeResult{Granted: granted, RetryAfter: retryAfter, Limit: s.limit}
 }
 
-// Told takes in what an entry knows of an endpoint's limit.
-func (l *Ledger) Told(now time.Time, e Endpoint, heard Heard, p Part) {
-	l.account(now, e, heard, p)
+// UpdateLimit records an entry's view of an endpoint's limit.
+func (l *Ledger) UpdateLimit(now time.Time, e Endpoint, known KnownLimit, share Share) {
+	l.shareStateOf(now, e, known, share)
 }
 
-func (l *Ledger) account(now time.Time, e Endpoint, heard Heard, p Part) *account {
-	l.forgetIdle(now)
-	a := l.accounts[e]
-	if a == nil {
-		a = newAccount(now, l.began, heard, p)
-		l.accounts[e] = a
+func (l *Ledger) shareStateOf(now time.Time, e Endpoint, known KnownLimit, share Share) *shareState {
+	l.removeIdle(now)
+	s := l.shares[e]
+	if s == nil {
+		s = newShareState(now, l.startedAt, known, share)
+		l.shares[e] = s
 	}
-	a.asked = now
-	a.heard.newer(heard)
-	return a
+	s.lastRequest = now
+	s.limit.merge(known)
+	return s
 }
 
-func (l *Ledger) forgetIdle(now time.Time) {
-	if now.Sub(l.tidied) < keptIdle {
+func (l *Ledger) removeIdle(now time.Time) {
+	if now.Sub(l.cleanedAt) < idleRetention {
 		return
 	}
-	l.tidied = now
-	for e, a := range l.accounts {
-		if now.Sub(a.asked) > keptIdle {
-			delete(l.accounts, e)
+	l.cleanedAt = now
+	for e, s := range l.shares {
+		if now.Sub(s.lastRequest) > idleRetention {
+			delete(l.shares, e)
 		}
 	}
 }
--- a/internal/endpointlimit/server.go
+++ b/internal/endpointlimit/server.go
@@ -11,10 +11,10 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// errNoKeeper: this instance keeps no part of the endpoint's limit.
-var errNoKeeper = errors.New("not a keeper of the endpoint's limit")
+// errNotLimitServer is the error of an instance that has no share of the endpoint's limit.
+var errNotLimitServer = errors.New("not a keeper of the endpoint's limit")
 
-// Server answers entries as a keeper.
+// Server serves entries as a limit server.
 type Server struct {
 	self    string
 	members func() []string
@@ -26,37 +26,37 @@
 
 var _ pb.DRPCLimitKeeperServer = (*Server)(nil)
 
-// NewServer makes the Server of the member at address self; members lists the addresses of
-// the control group as it is known here. to may be nil.
-func NewServer(self string, members func() []string, to prometheus.Registerer) *Server {
-	return &Server{self: self, members: members, metrics: newServerMetrics(to), ledger: NewLedger(time.Now())}
+// NewServer returns the Server of the control instance at address self. members returns the
+// addresses of the control group in this instance's view. registerer may be nil.
+func NewServer(self string, members func() []string, registerer prometheus.Registerer) *Server {
+	return &Server{self: self, members: members, metrics: newServerMetrics(registerer), ledger: NewLedger(time.Now())}
 }
 
 // TakePermit implements pb.DRPCLimitKeeperServer.
 func (s *Server) TakePermit(_ context.Context, r *pb.TakePermitRequest) (*pb.TakePermitReply, error) {
 	e := Endpoint{ID: r.Endpoint, Born: r.Born}
-	part, ok := PartOf(s.self, s.members(), e)
+	share, ok := ShareOf(s.self, s.members(), e)
 	if !ok {
-		return nil, errNoKeeper
+		return nil, errNotLimitServer
 	}
 	now := time.Now()
 	s.mu.Lock()
-	taken := s.ledger.Take(now, e, fromWire(now, r.Heard), part)
+	result := s.ledger.Take(now, e, fromWire(now, r.Heard), share)
 	s.mu.Unlock()
-	s.metrics.count(taken)
-	return &pb.TakePermitReply{Granted: taken.Granted, AgainMs: uint32(taken.Again.Milliseconds()), Heard: toWire(now, taken.Heard)}, nil
+	s.metrics.count(result)
+	return &pb.TakePermitReply{Granted: result.Granted, AgainMs: uint32(result.RetryAfter.Milliseconds()), Heard: toWire(now, result.Limit)}, nil
 }
 
 // TellLimit implements pb.DRPCLimitKeeperServer.
 func (s *Server) TellLimit(_ context.Context, r *pb.TellLimitRequest) (*pb.TellLimitReply, error) {
 	e := Endpoint{ID: r.Endpoint, Born: r.Born}
-	part, ok := PartOf(s.self, s.members(), e)
+	share, ok := ShareOf(s.self, s.members(), e)
 	if !ok {
-		return nil, errNoKeeper
+		return nil, errNotLimitServer
 	}
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ledger.Told(now, e, fromWire(now, r.Heard), part)
+	s.ledger.UpdateLimit(now, e, fromWire(now, r.Heard), share)
 	return &pb.TellLimitReply{}, nil
 }
--- /dev/null
+++ b/internal/endpointlimit/signal.go
@@ -0,0 +1,75 @@
+package endpointlimit
+
+import (
+	"math"
+	"strconv"
+	"strings"
+)
+
+// Endpoint identifies one incarnation of an endpoint. A limit that it names doesn't bind
+// other incarnations.
+type Endpoint struct {
+	ID   string
+	Born uint64 // start of the process, Unix ms; 0 if unknown
+}
+
+// SignalKind is the kind of a limit signal.
+type SignalKind int
+
+// The kinds.
+const (
+	KindNone       SignalKind = iota // names no limit
+	KindNamed                        // names a limit
+	KindUnreadable                   // names an invalid limit: the one known before stays valid
+)
+
+// String returns the name used in logs and metrics.
+func (k SignalKind) String() string { return [...]string{"none", "named", "unreadable"}[k] }
+
+// Word is the limit signal of one answer.
+type Word struct {
+	Kind SignalKind
+	// PerSecond is the number of requests a second that the endpoint accepts. It is only
+	// set if the answer names a limit.
+	PerSecond float64
+}
+
+// maxPerSecond bounds a valid limit. No endpoint serves as many requests, and a larger number
+// would in effect end the limit that was named before.
+const maxPerSecond = 1e6
+
+// ParseWord parses the values of a header: each is a decimal number or a comma-separated list
+// of them. The lowest one counts, since it satisfies all of them.
+func ParseWord(values []string) Word {
+	signal := Word{Kind: KindNone}
+	for _, value := range values {
+		for _, number := range strings.Split(value, ",") {
+			signal = signal.combine(parseNumber(number))
+		}
+	}
+	return signal
+}
+
+// IsLimit reports whether a number of requests a second is a valid limit.
+func IsLimit(perSecond float64) bool {
+	return !math.IsNaN(perSecond) && perSecond >= 0 && perSecond <= maxPerSecond
+}
+
+func parseNumber(text string) Word {
+	perSecond, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
+	if err != nil || !IsLimit(perSecond) {
+		return Word{Kind: KindUnreadable}
+	}
+	return Word{Kind: KindNamed, PerSecond: perSecond}
+}
+
+// combine returns the signal of two values together.
+func (w Word) combine(other Word) Word {
+	switch {
+	case w.Kind != KindNamed:
+		return other
+	case other.Kind != KindNamed:
+		return w
+	}
+	return Word{Kind: KindNamed, PerSecond: min(w.PerSecond, other.PerSecond)}
+}
--- a/internal/endpointlimit/wire.go
+++ b/internal/endpointlimit/wire.go
@@ -7,13 +7,13 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-func toWire(now time.Time, h Heard) *pb.EndpointLimit {
-	age := min(max(0, now.Sub(h.At).Milliseconds()), math.MaxUint32)
-	return &pb.EndpointLimit{Limited: h.Limited, PerSecond: h.PerSecond, AgeMs: uint32(age)}
+func toWire(now time.Time, limit KnownLimit) *pb.EndpointLimit {
+	ageMs := min(max(0, now.Sub(limit.At).Milliseconds()), math.MaxUint32)
+	return &pb.EndpointLimit{Limited: limit.Limited, PerSecond: limit.PerSecond, AgeMs: uint32(ageMs)}
 }
 
-// fromWire reads what another process knows, whose age counts from at.
-func fromWire(at time.Time, w *pb.EndpointLimit) Heard {
+// fromWire decodes a limit known to another process. Its age counts back from at.
+func fromWire(at time.Time, w *pb.EndpointLimit) KnownLimit {
 	age := time.Duration(w.GetAgeMs()) * time.Millisecond
-	return Heard{Limited: w.GetLimited(), PerSecond: w.GetPerSecond(), At: at.Add(-age)}
+	return KnownLimit{Limited: w.GetLimited(), PerSecond: w.GetPerSecond(), At: at.Add(-age)}
 }
