--- a/internal/staging/doc.go
+++ b/internal/staging/doc.go
@@ -1,4 +1,4 @@
-// Package staging decides which of a service's model endpoints read prompts
-// for others and which generate. It is pure: the time and what is known go in,
-// at most one change comes out.
+// Package staging decides which of a service's model endpoints run prefill and
+// which decode. It is pure: it takes the time and the known endpoints as input
+// and returns at most one change.
 package staging
--- a/internal/staging/planner.go
+++ b/internal/staging/planner.go
@@ -9,110 +9,111 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// Server is one endpoint as it is known.
+// Server is the known state of one endpoint.
 type Server struct {
 	ID         string
 	Stage      pb.Stage
-	Ready      bool     // takes work, or is being changed
-	Assigned   pb.Stage // that it is being changed to; unspecified for none
+	Ready      bool     // accepts requests, or changes its stage
+	Assigned   pb.Stage // stage that it is changing to; unspecified for none
 	Registered uint64
 }
 
-// Change is what one endpoint is to become.
+// Change is a new stage for one endpoint.
 type Change struct {
 	ID    string
 	Stage pb.Stage
 }
 
-// The figures of a plan.
+// The parameters of a plan.
 const (
-	// readingLoad is the part of a service's endpoints that would be busy with
-	// reading all the time at the load that it is built for: a prompt of 3,000
-	// tokens takes one some 0.1 s, and its answer some 4 s of an eighth of a
-	// generating one's memory.
-	readingLoad = 0.12
-	// spareReaders is how many more there are, in square roots of that load:
-	// prompts come in clumps, and what waits at a reader misses its target. By
-	// the square root, since clumps even out over many readers; a share that
-	// suits 12 endpoints takes memory for answers from 60, where it is short: of
-	// 889 requests replayed to 60 endpoints, 863 were in time with 11 readers, 843
-	// with 15.
-	spareReaders = 1.5
-	// wrongFor is how long the shares must be off before one is changed. An
-	// endpoint that crashed is missed only once its heartbeats have stopped for
-	// some four seconds, and is back by then in most cases.
-	wrongFor = 1500 * time.Millisecond
-	// oneOf is of how many endpoints one may be changed at a time. A change
-	// takes it out of work for some ten seconds.
-	oneOf = 6
+	// prefillLoadShare is the share of a service's endpoints that would be kept fully
+	// busy by prefill at the service's design load: prefill of a prompt of 3,000
+	// tokens takes about 0.1 s, and its answer an eighth of a decode endpoint's
+	// memory for about 4 s.
+	prefillLoadShare = 0.12
+	// sparePrefillFactor is the number of spare prefill endpoints per square root of
+	// that load: prompts arrive in bursts, and those that wait for prefill miss their
+	// targets. The square root is used since bursts average out over many endpoints;
+	// a share that suits 12 endpoints leaves too little memory for answers at 60: of
+	// 889 requests replayed to 60 endpoints, 863 were in time with 11 prefill
+	// endpoints, and 843 with 15.
+	sparePrefillFactor = 1.5
+	// imbalanceDelay is how long the number of prefill endpoints must be off before
+	// an endpoint is changed. A crashed endpoint counts as missing only after some
+	// four seconds without heartbeats, and in most cases is back by then.
+	imbalanceDelay = 1500 * time.Millisecond
+	// endpointsPerChange is the number of endpoints per concurrent change. A change
+	// takes an endpoint out of service for some ten seconds.
+	endpointsPerChange = 6
 )
 
-// Planner watches one service.
+// Planner plans the stages of one service's endpoints. The zero Planner is ready to use. It
+// is not safe for concurrent use.
 type Planner struct {
-	wrongSince time.Time // zero while the shares are right
-	short      bool      // what was wrong: too few readers
+	imbalancedSince time.Time // zero while the number of prefill endpoints is right
+	tooFewPrefill   bool      // the imbalance: too few prefill endpoints, or too many
 }
 
-// Step gives the change that is due; ok is false when there is none. Few are
-// under way at a time: each takes an endpoint out of work.
-func (p *Planner) Step(now time.Time, servers []Server) (change Change, ok bool) {
-	ready := readyOf(servers)
-	readers, changing := countReaders(ready)
-	due := Due(len(ready))
-	if changing >= max(1, len(ready)/oneOf) || len(ready) < 2 || readers == due {
-		p.wrongSince = time.Time{}
+// Step returns the change that is due; ok is false if there is none. Only a few
+// changes run at a time, since each takes an endpoint out of service.
+func (p *Planner) Step(now time.Time, endpoints []Server) (change Change, ok bool) {
+	ready := readyOf(endpoints)
+	prefill, changing := countPrefill(ready)
+	target := Due(len(ready))
+	if changing >= max(1, len(ready)/endpointsPerChange) || len(ready) < 2 || prefill == target {
+		p.imbalancedSince = time.Time{}
 		return Change{}, false
 	}
-	short := readers < due
-	if p.wrongSince.IsZero() || p.short != short {
-		p.wrongSince, p.short = now, short
+	tooFew := prefill < target
+	if p.imbalancedSince.IsZero() || p.tooFewPrefill != tooFew {
+		p.imbalancedSince, p.tooFewPrefill = now, tooFew
 	}
-	if now.Sub(p.wrongSince) < wrongFor {
+	if now.Sub(p.imbalancedSince) < imbalanceDelay {
 		return Change{}, false
 	}
-	if short {
-		return pick(ready, pb.Stage_STAGE_DECODE, pb.Stage_STAGE_PREFILL)
+	if tooFew {
+		return changeNewest(ready, pb.Stage_STAGE_DECODE, pb.Stage_STAGE_PREFILL)
 	}
-	return pick(ready, pb.Stage_STAGE_PREFILL, pb.Stage_STAGE_DECODE)
+	return changeNewest(ready, pb.Stage_STAGE_PREFILL, pb.Stage_STAGE_DECODE)
 }
 
-// Due is how many of n endpoints read prompts.
+// Due returns the number of prefill endpoints that n endpoints should include.
 func Due(n int) int {
-	load := readingLoad * float64(n)
-	return max(1, int(math.Round(load+spareReaders*math.Sqrt(load))))
+	load := prefillLoadShare * float64(n)
+	return max(1, int(math.Round(load+sparePrefillFactor*math.Sqrt(load))))
 }
 
-func readyOf(servers []Server) []Server {
+func readyOf(endpoints []Server) []Server {
 	var ready []Server
-	for _, s := range servers {
-		if s.Ready && s.Stage != pb.Stage_STAGE_UNSPECIFIED {
-			ready = append(ready, s)
+	for _, e := range endpoints {
+		if e.Ready && e.Stage != pb.Stage_STAGE_UNSPECIFIED {
+			ready = append(ready, e)
 		}
 	}
 	return ready
 }
 
-// countReaders counts the endpoints that read prompts, as they will be once
-// the changes under way are done.
-func countReaders(servers []Server) (readers, changing int) {
-	for _, s := range servers {
-		if cmp.Or(s.Assigned, s.Stage) == pb.Stage_STAGE_PREFILL {
-			readers++
+// countPrefill counts the prefill endpoints that there will be once the changes under
+// way are done, and these changes.
+func countPrefill(endpoints []Server) (prefill, changing int) {
+	for _, e := range endpoints {
+		if cmp.Or(e.Assigned, e.Stage) == pb.Stage_STAGE_PREFILL {
+			prefill++
 		}
-		if s.Assigned != pb.Stage_STAGE_UNSPECIFIED {
+		if e.Assigned != pb.Stage_STAGE_UNSPECIFIED {
 			changing++
 		}
 	}
-	return readers, changing
+	return prefill, changing
 }
 
-// pick takes the newest endpoint of a stage: it holds the fewest cached
+// changeNewest returns a change of the newest endpoint of a stage: it caches the fewest
 // prompts.
-func pick(servers []Server, from, to pb.Stage) (Change, bool) {
-	servers = slices.DeleteFunc(slices.Clone(servers), func(s Server) bool { return s.Stage != from || s.Assigned != pb.Stage_STAGE_UNSPECIFIED })
-	if len(servers) == 0 {
+func changeNewest(endpoints []Server, from, to pb.Stage) (Change, bool) {
+	candidates := slices.DeleteFunc(slices.Clone(endpoints), func(e Server) bool { return e.Stage != from || e.Assigned != pb.Stage_STAGE_UNSPECIFIED })
+	if len(candidates) == 0 {
 		return Change{}, false
 	}
-	newest := slices.MaxFunc(servers, func(a, b Server) int { return cmp.Compare(a.Registered, b.Registered) })
+	newest := slices.MaxFunc(candidates, func(a, b Server) int { return cmp.Compare(a.Registered, b.Registered) })
 	return Change{ID: newest.ID, Stage: to}, true
 }
--- a/internal/staging/planner_test.go
+++ b/internal/staging/planner_test.go
@@ -10,7 +10,8 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-func servers(prefill, decode int) []Server {
+// endpoints returns ready endpoints, prefill before decode, the newest last.
+func endpoints(prefill, decode int) []Server {
 	var list []Server
 	for n := range prefill + decode {
 		stage := pb.Stage_STAGE_PREFILL
@@ -22,7 +23,7 @@
 	return list
 }
 
-// run steps a planner for a while and gives the first change.
+// run steps a planner for the given time and returns the first change.
 func run(p *Planner, list []Server, d time.Duration) (Change, bool) {
 	start := time.Unix(0, 0)
 	for at := time.Duration(0); at <= d; at += 400 * time.Millisecond {
@@ -47,44 +48,44 @@
 		{1, 0, 0},
 		{0, 0, 0},
 	} {
-		change, ok := run(&Planner{}, servers(test.prefill, test.decode), 5*time.Second)
+		change, ok := run(&Planner{}, endpoints(test.prefill, test.decode), 5*time.Second)
 		assert.Equal(t, ok, test.want != 0, "%d and %d", test.prefill, test.decode)
 		assert.Equal(t, change.Stage, test.want)
 	}
 }
 
-// A reader crashes and is back at once: its place is not given to another,
-// which would be out of work for ten seconds for nothing.
+// Guards against the replacement of a prefill endpoint that crashes and is back at once: the
+// replacement would be out of service for ten seconds for nothing.
 func TestBriefLossChangesNothing(t *testing.T) {
 	p := &Planner{}
 	start := time.Unix(0, 0)
 	for n := range 20 {
-		list := servers(3, 9)
+		list := endpoints(3, 9)
 		list[0].Ready = n%3 == 0
 		_, ok := p.Step(start.Add(time.Duration(n)*400*time.Millisecond), list)
 		assert.Assert(t, !ok)
 	}
 }
 
-// Changes under way count as done, and only a part of the endpoints is out of
-// work at a time.
+// Changes under way count as done, and only a part of the endpoints is out of service at
+// a time.
 func TestChangesUnderWayAreCounted(t *testing.T) {
-	list := servers(5, 7)
+	list := endpoints(5, 7)
 	list[4].Assigned, list[3].Assigned = pb.Stage_STAGE_DECODE, pb.Stage_STAGE_DECODE
 	_, ok := run(&Planner{}, list, 10*time.Second)
-	assert.Assert(t, !ok, "two of twelve are changing, and three will be left")
-	list = servers(6, 6)
+	assert.Assert(t, !ok, "two of twelve are changing, and three prefill endpoints will be left")
+	list = endpoints(6, 6)
 	list[5].Assigned, list[4].Assigned = pb.Stage_STAGE_DECODE, pb.Stage_STAGE_DECODE
 	_, ok = run(&Planner{}, list, 10*time.Second)
 	assert.Assert(t, !ok, "two of twelve are changing")
 	list[5].Assigned = 0
 	change, ok := run(&Planner{}, list, 10*time.Second)
 	assert.Assert(t, ok)
-	assert.Equal(t, change.ID, "5", "the newest that is not changing")
+	assert.Equal(t, change.ID, "5", "the newest endpoint that is not changing")
 }
 
-// Small fleets keep a quarter as readers, large ones fewer.
-func TestReadersGrowByTheSquareRoot(t *testing.T) {
+// The share of prefill endpoints falls with the size of the fleet: a quarter of a small one.
+func TestPrefillShareFallsWithSize(t *testing.T) {
 	for n, want := range map[int]int{1: 1, 8: 2, 12: 3, 15: 4, 60: 11, 90: 16, 300: 45} {
 		assert.Equal(t, Due(n), want, "%d endpoints", n)
 	}
