--- a/internal/allocation/usage_tracker.go
+++ b/internal/allocation/usage_tracker.go
@@ -54,7 +54,7 @@
 }
 
 // Reserve chooses endpoints for a request and records its reservation. It returns the zero
-// Grant if there is no capacity now.
+// value if there is no capacity now.
 func (t *UsageTracker) Reserve(now time.Time, endpoints []Endpoint, request Ask) Grant {
 	decode := t.decodeEndpoint(now, endpoints, request)
 	if decode == nil {
--- a/internal/dispatch/choose.go
+++ b/internal/dispatch/choose.go
@@ -14,7 +14,7 @@
 	// fullCost ranks an endpoint that just rejected a request for lack of capacity
 	// behind all others.
 	fullCost = 10.0
-	// costJitter is the random part of a cost. Without it, entries with the same
+	// costJitter bounds the random part of a cost. Without it, entries with the same
 	// view would all send to the same endpoint at once.
 	costJitter = 0.08
 )
@@ -23,10 +23,10 @@
 type Choice struct {
 	Endpoint *Endpoint
 	Cost     float64
-	Before   float64 // load of the endpoint, by the Measure or the waits observed there
+	Before   float64 // load of the endpoint, as measured or by the waits observed there
 	Own      int     // attempts of this entry in flight there
 	Others   float64 // estimate of other entries' attempts in flight there
-	AgeMs    int64   // age of the reported load behind Others; -1 if none was reported
+	AgeMs    int64   // age of the reported load behind that estimate; -1 if none was reported
 	Among    int     // number of eligible endpoints
 }
 
@@ -40,8 +40,8 @@
 }
 
 // Choose returns the eligible endpoint of least cost. If all are ejected, it
-// returns the one whose ejection ends first, since waiting for that would delay
-// the request for no gain. ok is false if there are no candidates.
+// returns the one whose ejection ends first, since waiting until then would serve
+// no request. ok is false if there are no candidates.
 func (b *Book) Choose(now time.Time, candidates []*Endpoint, load Measure) (choice Choice, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/dispatch/cooldown.go
+++ b/internal/dispatch/cooldown.go
@@ -60,8 +60,8 @@
 // Failure guarded: an endpoint restarts and requests a cooldown in answer to a request that
 // was sent before the entry knew the new incarnation. Recorded for the old incarnation only,
 // the cooldown would not stop the next request to the new one.
-func (r requestedCooldown) appliesTo(id Incarnation) bool {
-	return id.Born > 0 && !r.receivedAt.IsZero() && r.receivedAt.UnixMilli() >= int64(id.Born)
+func (c requestedCooldown) appliesTo(id Incarnation) bool {
+	return id.Born > 0 && !c.receivedAt.IsZero() && c.receivedAt.UnixMilli() >= int64(id.Born)
 }
 
 // applyCooldown extends the cooldown of an endpoint to until. The caller must hold b.mu.
--- a/internal/dispatch/endpoint_stats.go
+++ b/internal/dispatch/endpoint_stats.go
@@ -22,7 +22,8 @@
 	cooldowns    map[string]requestedCooldown // latest of each endpoint, by endpoint ID
 }
 
-// NewBook returns an empty Book for an entry in the given zone.
+// NewBook returns empty statistics for an entry in the given zone. seed seeds the random part
+// of choices.
 func NewBook(zone string, seed uint64, policy Policy) *Book {
 	return &Book{zone: zone, policy: policy, random: rand.New(rand.NewPCG(seed, 1)), states: map[Incarnation]*endpointState{}, prefillSpeeds: map[string]*prefillSpeed{}, tokenDurationsNs: map[string]float64{}, cooldowns: map[string]requestedCooldown{}}
 }
@@ -39,8 +40,8 @@
 // lookup returns the state of an endpoint, with a cooldown that was requested under its
 // ID; nil if there is neither.
 func (b *Book) lookup(id Incarnation) *endpointState {
-	if r := b.cooldowns[id.ID]; r.appliesTo(id) {
-		b.applyCooldown(b.stateOf(id), r.until)
+	if c := b.cooldowns[id.ID]; c.appliesTo(id) {
+		b.applyCooldown(b.stateOf(id), c.until)
 	}
 	return b.states[id]
 }
@@ -159,8 +160,8 @@
 	return list
 }
 
-// Sweep removes the state of endpoints that have been idle for idleStateTimeout, and
-// expired cooldowns.
+// Sweep removes expired cooldowns and the state of endpoints that have been idle for
+// idleStateTimeout, unless they are blocked, leaving or in a cooldown.
 func (b *Book) Sweep(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -169,8 +170,8 @@
 			delete(b.states, id)
 		}
 	}
-	for id, r := range b.cooldowns {
-		if !now.Before(r.until) {
+	for id, c := range b.cooldowns {
+		if !now.Before(c.until) {
 			delete(b.cooldowns, id)
 		}
 	}
--- a/internal/dispatch/memory_wait.go
+++ b/internal/dispatch/memory_wait.go
@@ -18,7 +18,7 @@
 	Length   time.Duration // expected duration of the answer
 }
 
-// The parameters of Waiting.
+// The parameters of a wait for memory.
 const (
 	// pollInterval is the interval between two requests for memory. In a fully loaded
 	// fleet of 12 endpoints about 20 answers end per second.
--- a/internal/dispatch/prefill.go
+++ b/internal/dispatch/prefill.go
@@ -63,7 +63,7 @@
 // Place is where a prompt is prefilled.
 type Place int
 
-// The places.
+// The places where a prompt is prefilled.
 const (
 	PlaceReader Place = iota // by a prefill endpoint
 	PlaceOwn                 // by the decode endpoint that generates the answer
@@ -73,7 +73,7 @@
 // String returns the name used in logs and metrics.
 func (p Place) String() string { return [...]string{"reader", "own", "later"}[p] }
 
-// The parameters of a Reading.
+// The parameters of prefill placement.
 const (
 	// localPrefillFactor is the ratio of the prefill durations of a decode and a
 	// prefill endpoint.
--- a/internal/endpointlimit/signal.go
+++ b/internal/endpointlimit/signal.go
@@ -13,7 +13,7 @@
 	Born uint64 // start of the process, Unix ms; 0 if unknown
 }
 
-// SignalKind is the kind of a Word.
+// SignalKind is the kind of a limit signal.
 type SignalKind int
 
 // The kinds.
@@ -30,7 +30,7 @@
 type Word struct {
 	Kind SignalKind
 	// PerSecond is the number of requests a second that the endpoint accepts. It is only
-	// set for KindNamed.
+	// set if the answer names a limit.
 	PerSecond float64
 }
 
