--- a/internal/coordinator/addresses.go
+++ b/internal/coordinator/addresses.go
@@ -7,17 +7,18 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// The lists that callers get.
+// Bounds of the address lists that callers get.
 const (
-	// mostAddresses bounds a list.
-	mostAddresses = 64
-	// fewAddresses is the least number of entries in a list where there are
-	// more: a caller whose only entry is down would have nowhere to go.
-	fewAddresses = 2
+	// maxAddresses is the maximum length of a list.
+	maxAddresses = 64
+	// minAddresses is the minimum length of a list if that many entries are ready: a
+	// caller that knows one entry only could not send anything while that entry is down.
+	minAddresses = 2
 )
 
-// AddressesFor lists where a caller in a zone connects: the entries of its
-// zone, and others where these are too few, of its region first.
+// AddressesFor returns the addresses to which a caller in the given zone connects: the
+// entries of its zone and, if there are fewer than minAddresses, further entries, those
+// of its region first.
 func (c *Coordinator) AddressesFor(zone, region string) []string {
 	entries := c.options.Machine.ReadyEntries()
 	slices.SortFunc(entries, func(a, b *pb.EntryRecord) int {
@@ -28,7 +29,7 @@
 	})
 	var list []string
 	for _, e := range entries {
-		if len(list) >= mostAddresses || len(list) >= fewAddresses && distance(e, zone, region) > 0 {
+		if len(list) >= maxAddresses || len(list) >= minAddresses && distance(e, zone, region) > 0 {
 			break
 		}
 		list = append(list, e.Address)
--- a/internal/coordinator/commands.go
+++ b/internal/coordinator/commands.go
@@ -12,19 +12,19 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// PutDocument commits a configuration document, which the caller has checked.
-// A version that is not higher than the one held is a success without effect.
+// PutDocument commits a configuration document, which the caller has checked. A version
+// that is not higher than the current one is accepted without effect.
 func (c *Coordinator) PutDocument(ctx context.Context, version int64, source []byte) error {
 	err := c.putDocument(ctx, blocks.Split(version, source))
 	c.metrics.documents.WithLabelValues(resultOf(err)).Inc()
 	c.metrics.version.Set(float64(c.options.Machine.Document().GetVersion()))
-	c.options.Part.Info("Configuration was sent.", "version", version, "bytes", len(source), "err", err)
+	c.options.Part.Info("Configuration update processed.", "version", version, "bytes", len(source), "err", err)
 	return err
 }
 
-// putDocument commits what the document in force lacks. Where another one came
-// into force meanwhile the command may lack blocks and change nothing, and is
-// made anew.
+// putDocument commits the blocks that the document in force lacks. If another document
+// came into force meanwhile, the command may lack blocks and have no effect; it is then
+// built again on the new base.
 func (c *Coordinator) putDocument(ctx context.Context, document *blocks.Document) error {
 	for {
 		base := c.options.Machine.InForce()
@@ -40,8 +40,8 @@
 	}
 }
 
-// ReadDocument gives the newest document, nil when there is none yet. It asks
-// the leader's quorum: a member that was cut off holds an older one.
+// ReadDocument returns the newest document, or nil if there is none yet. It confirms with
+// a quorum, as a member that was cut off may hold an older document.
 func (c *Coordinator) ReadDocument(ctx context.Context) (*pb.ConfigDocument, error) {
 	index, err := c.readIndex(ctx)
 	if err != nil {
@@ -53,17 +53,17 @@
 	return c.options.Machine.Document(), nil
 }
 
-// ReportEndpoint takes in an endpoint's heartbeat. Only one that changes its
-// record goes through the log; the others count as heard, at a member that
-// knows itself in touch: elsewhere the leader wouldn't hear of them, and the
-// endpoint must turn to another member.
+// ReportEndpoint processes an endpoint's heartbeat. Only a heartbeat that changes the
+// endpoint's record goes through the log. Others are counted as heard, but only while
+// this member is in contact with the leader: otherwise the leader would not learn of
+// them, and the endpoint must turn to another member.
 func (c *Coordinator) ReportEndpoint(ctx context.Context, r *pb.EndpointRecord) error {
-	err := c.takeHeartbeat(ctx, r)
+	err := c.applyHeartbeat(ctx, r)
 	c.metrics.heartbeats.WithLabelValues(resultOf(err)).Inc()
 	return err
 }
 
-func (c *Coordinator) takeHeartbeat(ctx context.Context, r *pb.EndpointRecord) error {
+func (c *Coordinator) applyHeartbeat(ctx context.Context, r *pb.EndpointRecord) error {
 	known := c.options.Machine.Endpoint(r.Id)
 	if catalog.Contradicts(known, r) {
 		return trace.Wrap(ErrContradiction, "endpoint %s of service %s at %s", r.Id, known.Service, known.Address)
@@ -77,55 +77,55 @@
 		return trace.Wrap(ErrUnavailable, "this member is out of touch")
 	}
 	if known.GetState() != pb.EndpointState_ENDPOINT_STATE_GONE && known.GetBorn() == r.Born {
-		c.noteHeard(r.Id)
+		c.recordEndpointHeard(r.Id)
 	}
 	return nil
 }
 
-// commitReport tries once: an endpoint sends its next heartbeat, or turns to
-// another member, by itself. One that leaves is waited for: it may be gone
-// before it finds a member that knows a leader.
+// commitReport makes one attempt: an endpoint sends its next heartbeat, or turns to
+// another member, by itself. The report of an endpoint that drains is retried until ctx
+// ends: it may have stopped before it finds a member that knows a leader.
 //
-// Failure: thousands of endpoints start with the fleet, before there is a
-// leader. Heartbeats that each tried on until their time was up took all of
-// the processor, and the group was never formed. The guard holds because what
-// can't be committed now is answered at once, and the rest goes together.
+// One attempt only, because thousands of endpoints start with the fleet before there is a
+// leader: when each heartbeat was retried until its deadline, the retries used up the
+// processor and the group was never formed. So a report that can't be committed now is
+// refused at once, and the others are committed in batches.
 func (c *Coordinator) commitReport(ctx context.Context, r *pb.EndpointRecord) error {
-	err := c.sendReport(ctx, r)
+	err := c.submitReport(ctx, r)
 	c.options.Part.Info("Endpoint reported.", "endpoint", r.Id, "service", r.Service, "address", r.Address,
 		"state", r.State, "stage", r.Stage, "born", r.Born, "seq", r.Sequence, "err", err)
 	return err
 }
 
-func (c *Coordinator) sendReport(ctx context.Context, r *pb.EndpointRecord) error {
+func (c *Coordinator) submitReport(ctx context.Context, r *pb.EndpointRecord) error {
 	if r.State == pb.EndpointState_ENDPOINT_STATE_DRAINING {
 		return c.commit(ctx, &pb.CatalogCommand{Kind: &pb.CatalogCommand_ReportEndpoint{ReportEndpoint: r}})
 	}
 	if c.leaderAddress() == "" {
 		return trace.Wrap(ErrUnavailable, "no leader is known")
 	}
-	return c.reports.endpoint(ctx, r)
+	return c.reports.submitEndpoint(ctx, r)
 }
 
-// RetireEndpoint ends an endpoint's incarnation for good: the one that started
-// at born, Unix ms, or the one that is known where born is 0.
+// RetireEndpoint ends an endpoint's incarnation permanently: the one that started at born
+// (Unix ms), or the known one if born is 0.
 func (c *Coordinator) RetireEndpoint(ctx context.Context, id string, born uint64) error {
 	err := c.commit(ctx, &pb.CatalogCommand{Kind: &pb.CatalogCommand_RetireEndpoint{RetireEndpoint: &pb.RetireEndpoint{Id: id, Born: born}}})
-	c.options.Part.Info("Endpoint left.", "endpoint", id, "born", born, "err", err)
+	c.options.Part.Info("Endpoint retired.", "endpoint", id, "born", born, "err", err)
 	return err
 }
 
-// RefuseHeartbeat notes a heartbeat that could not be taken in. Whoever sends
-// them may send many: lines are bounded, the counter tells the rest.
+// RefuseHeartbeat counts and logs a heartbeat that could not be processed. The log is
+// rate-limited, as a faulty sender may send many; the counter has them all.
 func (c *Coordinator) RefuseHeartbeat(id string, cause error) {
 	c.metrics.heartbeats.WithLabelValues("refused").Inc()
-	if !c.refusals.Allow() {
+	if !c.refusalLog.Allow() {
 		return
 	}
-	c.options.Part.Warn("Heartbeat was refused.", "endpoint", id, "err", cause)
+	c.options.Part.Warn("Heartbeat rejected.", "endpoint", id, "err", cause)
 }
 
-// commitOnce is commit without a second try.
+// commitOnce is commit without retries.
 func (c *Coordinator) commitOnce(ctx context.Context, command *pb.CatalogCommand) error {
 	data, err := proto.Marshal(command)
 	if err != nil {
@@ -135,11 +135,12 @@
 	if err != nil {
 		return trace.Wrap(ErrUnavailable, "%v", err)
 	}
-	return nilOrUnavailable(c.options.Machine.AwaitApplied(ctx, index))
+	return wrapUnavailable(c.options.Machine.AwaitApplied(ctx, index))
 }
 
-// commit has a command applied, here too, before it returns nil. All commands
-// are idempotent, so one whose outcome is uncertain is just sent again.
+// commit commits a command and returns nil once it is applied at this member. All
+// commands are idempotent, so a command whose outcome is uncertain is sent again until
+// ctx ends.
 func (c *Coordinator) commit(ctx context.Context, command *pb.CatalogCommand) error {
 	data, err := proto.Marshal(command)
 	if err != nil {
@@ -148,30 +149,30 @@
 	for {
 		index, err := c.propose(ctx, data)
 		if err == nil {
-			return nilOrUnavailable(c.options.Machine.AwaitApplied(ctx, index))
+			return wrapUnavailable(c.options.Machine.AwaitApplied(ctx, index))
 		}
-		c.options.Part.Debug("Command was not committed yet.", "err", err)
-		if err := pause(ctx, retryPause); err != nil {
+		c.options.Part.Debug("Command not committed; retrying.", "err", err)
+		if err := pause(ctx, retryDelay); err != nil {
 			return err
 		}
 	}
 }
 
-func nilOrUnavailable(err error) error {
+func wrapUnavailable(err error) error {
 	if err == nil {
 		return nil
 	}
 	return trace.Wrap(ErrUnavailable, "%v", err)
 }
 
-// propose hands a command to the leader.
+// propose submits a command to the leader and returns its log index.
 func (c *Coordinator) propose(ctx context.Context, command []byte) (uint64, error) {
 	if c.options.Group.Status().IsLeader {
-		return c.proposeHere(ctx, command)
+		return c.proposeAsLeader(ctx, command)
 	}
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout(len(command)))
 	defer cancel()
-	client, err := c.leader(ctx)
+	client, err := c.leaderClient(ctx)
 	if err != nil {
 		return 0, err
 	}
@@ -179,7 +180,7 @@
 	return reply.GetIndex(), err
 }
 
-func (c *Coordinator) leader(ctx context.Context) (pb.DRPCCoordinatorClient, error) {
+func (c *Coordinator) leaderClient(ctx context.Context) (pb.DRPCCoordinatorClient, error) {
 	address := c.leaderAddress()
 	if address == "" {
 		return nil, trace.Wrap(ErrUnavailable, "no leader is known")
@@ -187,16 +188,17 @@
 	return c.client(ctx, address)
 }
 
-// proposeHere commits a command as leader.
-func (c *Coordinator) proposeHere(ctx context.Context, command []byte) (uint64, error) {
-	if voters := c.voters(); voters < c.options.firstVoters() {
+// proposeAsLeader commits a command while this member leads. It refuses until enough
+// control instances vote.
+func (c *Coordinator) proposeAsLeader(ctx context.Context, command []byte) (uint64, error) {
+	if voters := c.voterCount(); voters < c.options.requiredVoters() {
 		return 0, trace.Wrap(ErrUnavailable, "only %d control instances vote yet", voters)
 	}
 	applied, err := c.options.Group.Propose(ctx, command)
 	return applied.Index, trace.Wrap(err)
 }
 
-func (c *Coordinator) voters() int {
+func (c *Coordinator) voterCount() int {
 	n := 0
 	for _, m := range c.options.Group.Status().Members {
 		if !m.Member.Learner {
@@ -206,15 +208,15 @@
 	return n
 }
 
-// readIndex gives the index up to which a reader must have applied the log to
-// hold all that was committed before the call.
+// readIndex returns the log index that a reader must have applied to see everything
+// committed before the call. It retries until ctx ends.
 func (c *Coordinator) readIndex(ctx context.Context) (uint64, error) {
 	for {
 		index, err := c.tryReadIndex(ctx)
 		if err == nil {
 			return index, nil
 		}
-		if err := pause(ctx, retryPause); err != nil {
+		if err := pause(ctx, retryDelay); err != nil {
 			return 0, err
 		}
 	}
@@ -222,11 +224,11 @@
 
 func (c *Coordinator) tryReadIndex(ctx context.Context) (uint64, error) {
 	if c.options.Group.Status().IsLeader {
-		return c.readIndexHere(ctx)
+		return c.readIndexAsLeader(ctx)
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	client, err := c.leader(ctx)
+	client, err := c.leaderClient(ctx)
 	if err != nil {
 		return 0, err
 	}
@@ -234,7 +236,7 @@
 	return reply.GetIndex(), err
 }
 
-func (c *Coordinator) readIndexHere(ctx context.Context) (uint64, error) {
+func (c *Coordinator) readIndexAsLeader(ctx context.Context) (uint64, error) {
 	if err := c.options.Group.ReadBarrier(ctx); err != nil {
 		return 0, trace.Wrap(err)
 	}
--- a/internal/coordinator/word_test.go
+++ b/internal/coordinator/confirmation_age_test.go
@@ -9,8 +9,9 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// ask has a member tell an entry, which has all news, how old its word is.
-func (f *fleet) ask(i *instance) *pb.FollowReply {
+// followWithoutChanges sends a Follow call of an entry that has all changes and returns
+// the reply.
+func (f *fleet) followWithoutChanges(i *instance) *pb.FollowReply {
 	f.t.Helper()
 	revision, _ := i.machine.Revision()
 	reply, err := i.Follow(f.within(2*time.Second), &pb.FollowRequest{DocumentVersion: 1, Revision: revision, WaitMs: 1000})
@@ -18,9 +19,9 @@
 	return reply
 }
 
-// A member is cut off from its leader. What it tells entries must get older with each
-// moment: by a word that looks young, keys would be accepted that are gone.
-func TestWordOfAMemberThatIsCutOff(t *testing.T) {
+// A member is cut off from its leader. The age of its view that it reports to entries
+// must keep growing: with an age that is too low, entries would accept revoked keys.
+func TestConfirmationAgeOfAPartitionedMember(t *testing.T) {
 	runFleet(t, 3, func(t *testing.T, f *fleet) {
 		f.formed()
 		assert.NilError(t, f.put(f.instances[0], 1))
@@ -29,20 +30,21 @@
 			i = f.instances[2]
 		}
 		time.Sleep(time.Second)
-		age := time.Duration(f.ask(i).AgeUs) * time.Microsecond
-		assert.Assert(t, age > 0 && age <= 2*seenInterval, "%v", age)
-		f.cut(true, i)
+		age := time.Duration(f.followWithoutChanges(i).AgeUs) * time.Microsecond
+		assert.Assert(t, age > 0 && age <= 2*seenReportInterval, "%v", age)
+		f.setCut(true, i)
 		time.Sleep(5 * time.Second)
-		age = time.Duration(f.ask(i).AgeUs) * time.Microsecond
+		age = time.Duration(f.followWithoutChanges(i).AgeUs) * time.Microsecond
 		assert.Assert(t, age >= 5*time.Second, "%v", age)
-		f.cut(false, i)
+		f.setCut(false, i)
 	})
 }
 
-// All members are killed and start again. Before there is a leader nobody can tell that
-// no newer configuration was confirmed; entries that wait for that word must get it with
-// the first report to the leader, or they turn callers away for another second.
-func TestWordAfterAllWereKilled(t *testing.T) {
+// All members are killed and restart. Before there is a leader, no member can confirm
+// that it knows the newest configuration. Entries that wait for that confirmation must
+// get it with the first report to the leader; otherwise they reject callers for another
+// second.
+func TestConfirmationAfterAllMembersRestart(t *testing.T) {
 	runFleet(t, 5, func(t *testing.T, f *fleet) {
 		f.formed()
 		assert.NilError(t, f.put(f.instances[0], 1))
@@ -53,7 +55,7 @@
 		revision, _ := f.instances[3].machine.Revision()
 		reply, err := f.instances[3].Follow(f.within(2*time.Second), &pb.FollowRequest{DocumentVersion: 1, Revision: revision + 1000, WaitMs: 1000})
 		assert.NilError(t, err)
-		assert.Assert(t, reply.AgeUs > 0, "answered after %v without a word", time.Since(began))
+		assert.Assert(t, reply.AgeUs > 0, "answered after %v without a confirmation", time.Since(began))
 		led := f.await(time.Second, "a leader", func() bool { return f.leader(f.instances...) != nil })
 		assert.Assert(t, led == 0)
 		assert.Assert(t, time.Since(began) < 1100*time.Millisecond, "%v", time.Since(began))
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -14,79 +14,79 @@
 	"github.com/hyssopsail/hyssopsail/internal/sleep"
 )
 
-// ErrUnavailable: no leader with a quorum was reached in time. What was asked
-// may or may not come into force.
+// ErrUnavailable reports that no leader with a quorum was reached in time. The requested
+// change may or may not come into force.
 var ErrUnavailable = errors.New("no quorum of control instances answers")
 
-// ErrContradiction: a heartbeat bears the ID and start of a live endpoint, and
-// says what can't be true of it.
+// ErrContradiction reports a heartbeat that has the ID and start time of a live endpoint
+// and contradicts its record.
 var ErrContradiction = errors.New("the heartbeat contradicts what its endpoint said before")
 
 // Coordinator is one control instance.
 type Coordinator struct {
 	options  Options
 	metrics  *metrics
-	ready    chan struct{} // closed by isReady
-	reports  *reports
-	stages   *stages // used by the goroutine that leads alone
+	ready    chan struct{} // closed when isReady is set
+	reports  *reportQueue
+	stages   *stageManager // used only by the goroutine that runs runLeaderTasks
 	versions *entryVersions
 	models   modelEndpoints
-	// refusals bounds the log lines on heartbeats that were refused.
-	refusals *rate.Limiter
-
-	mu           sync.Mutex
-	heardHere    map[string]bool      // endpoints heard since the last report to the leader
-	entriesHere  map[string]bool      // entries heard since then
-	heard        map[string]time.Time // as leader: when each was heard
-	leadingSince time.Time            // zero when not leading
-	lastLook     time.Time            // as leader
-	currentUntil time.Time
-	confirmedAt  time.Duration // by Options.Uptime: until when all that was confirmed is known here; 0 before the first word
-	started      time.Time
-	isReady      bool            // ready is closed
-	inTouch      bool            // as the log said last
-	touched      chan struct{}   // closed and replaced when this member comes into touch
-	reporting    map[string]bool // entries whose change is being committed
+	// refusalLog limits the log lines about refused heartbeats.
+	refusalLog *rate.Limiter
+
+	mu              sync.Mutex
+	endpointsHeard  map[string]bool      // endpoints heard since the last report to the leader
+	entriesHeard    map[string]bool      // entries heard since then
+	lastHeard       map[string]time.Time // as leader: when each endpoint and entry was last heard
+	leadingSince    time.Time            // zero when not leading
+	lastLeaderRun   time.Time            // as leader: when runLeaderTasks last looked for expired records
+	contactUntil    time.Time
+	confirmedUptime time.Duration // by Options.Uptime: documents confirmed until then are known here; 0 before the leader's first reply
+	started         time.Time
+	isReady         bool            // ready is closed
+	inContact       bool            // as last logged
+	contactRegained chan struct{}   // closed and replaced when contact with the leader is regained
+	inProgress      map[string]bool // IDs with a background task, see beginTask
 }
 
-// New makes a Coordinator; Run makes it work.
+// New creates a Coordinator; call Run to start it.
 func New(options Options) *Coordinator {
 	c := &Coordinator{
-		options:     options,
-		versions:    newEntryVersions(),
-		ready:       make(chan struct{}),
-		refusals:    rate.NewLimiter(refusalLines, refusalBurst),
-		heardHere:   map[string]bool{},
-		entriesHere: map[string]bool{},
-		heard:       map[string]time.Time{},
-		reporting:   map[string]bool{},
-		touched:     make(chan struct{}),
+		options:         options,
+		versions:        newEntryVersions(),
+		ready:           make(chan struct{}),
+		refusalLog:      rate.NewLimiter(refusalLogsPerSecond, refusalLogBurst),
+		endpointsHeard:  map[string]bool{},
+		entriesHeard:    map[string]bool{},
+		lastHeard:       map[string]time.Time{},
+		inProgress:      map[string]bool{},
+		contactRegained: make(chan struct{}),
 	}
 	c.metrics = newMetrics(options.Metrics, c.entriesBehind)
-	c.stages = newStages(c)
-	c.reports = newReports(c.commitOnce)
+	c.stages = newStageManager(c)
+	c.reports = newReportQueue(c.commitOnce)
 	return c
 }
 
-// entriesBehind is for the metrics.
+// entriesBehind returns the number of entries behind, for the metrics.
 func (c *Coordinator) entriesBehind() float64 {
 	return float64(c.versions.behind(c.options.Machine.InForce().Version(), time.Now()))
 }
 
-// Run works until ctx ends.
+// Run runs the control instance until ctx ends.
 func (c *Coordinator) Run(ctx context.Context) error {
 	c.mu.Lock()
 	c.started = time.Now()
 	c.mu.Unlock()
 	group, ctx := errgroup.WithContext(ctx)
-	group.Go(func() error { return every(ctx, joinInterval, c.keepMembership) })
-	group.Go(func() error { return c.reportRegularly(ctx) })
-	group.Go(func() error { return every(ctx, leaderInterval, c.lead) })
+	group.Go(func() error { return runEvery(ctx, joinInterval, c.keepMembership) })
+	group.Go(func() error { return c.runSeenReports(ctx) })
+	group.Go(func() error { return runEvery(ctx, leaderRunInterval, c.runLeaderTasks) })
 	group.Go(func() error { return c.reports.run(ctx) })
 	return group.Wait()
 }
 
-func every(ctx context.Context, interval time.Duration, work func(context.Context)) error {
+func runEvery(ctx context.Context, interval time.Duration, work func(context.Context)) error {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
@@ -99,17 +99,17 @@
 	}
 }
 
-// Ready is closed once this member has been in touch with the leader of a group
-// that takes commands. Before that it can answer nobody but its peers, and
-// should not be listening for others: a refused connection costs it nothing,
-// while each one that it takes keeps it from forming the group.
+// Ready returns a channel that is closed once this member has been in contact with the
+// leader of a group that accepts commands. Before that it can serve its peers only and
+// should not listen for others: a refused connection costs nothing, while accepted ones
+// slow down the forming of the group.
 func (c *Coordinator) Ready() <-chan struct{} { return c.ready }
 
-// current tells whether this member was in touch with a live leader lately.
+// current reports whether this member had contact with the leader within contactValidity.
 func (c *Coordinator) current(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	current := now.Before(c.currentUntil)
+	current := now.Before(c.contactUntil)
 	if current {
 		c.metrics.current.Set(1)
 	} else {
@@ -118,7 +118,7 @@
 	return current
 }
 
-// client gives a client for the control instance at an address.
+// client returns a client for the control instance at an address.
 func (c *Coordinator) client(ctx context.Context, address string) (pb.DRPCCoordinatorClient, error) {
 	conn, err := c.options.Dialer.Conn(ctx, address)
 	if err != nil {
@@ -127,12 +127,12 @@
 	return pb.NewDRPCCoordinatorClient(conn), nil
 }
 
-// leaderAddress is where the leader takes calls, empty when it is not known.
+// leaderAddress returns the leader's RPC address, or "" if no leader is known.
 func (c *Coordinator) leaderAddress() string {
 	return c.options.Group.Status().Leader.GetRpcAddress()
 }
 
-// pause waits for a moment, or until ctx ends.
+// pause waits for d; it returns ErrUnavailable if ctx ends first.
 func pause(ctx context.Context, d time.Duration) error {
 	if !sleep.For(ctx, d) {
 		return trace.Wrap(ErrUnavailable, "%v", ctx.Err())
--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -28,16 +28,16 @@
 	})
 }
 
-// The first configuration is acknowledged while one disk holds it, and is gone
-// with that disk. Nothing is taken before three disks vote.
-func TestNothingIsTakenByOneDisk(t *testing.T) {
+// Guards against a first configuration that is acknowledged while one disk holds it and
+// lost with that disk. Nothing is accepted before three disks vote.
+func TestSingleDiskAcceptsNoCommands(t *testing.T) {
 	runFleet(t, 3, func(t *testing.T, f *fleet) {
-		f.cut(true, f.instances[0])
+		f.setCut(true, f.instances[0])
 		time.Sleep(3 * time.Second)
 		assert.Assert(t, f.instances[0].node.Status().IsLeader)
-		assert.Assert(t, !closed(f.instances[0].Ready()), "it would be asked what it can't answer")
+		assert.Assert(t, !closed(f.instances[0].Ready()), "it would get requests that it can't answer")
 		assert.ErrorIs(t, f.put(f.instances[0], 1), ErrUnavailable)
-		f.cut(false, f.instances[0])
+		f.setCut(false, f.instances[0])
 		f.formed()
 		assert.NilError(t, f.put(f.instances[0], 1))
 		f.await(time.Second, "ready", func() bool { return closed(f.instances[0].Ready()) })
@@ -53,9 +53,9 @@
 	}
 }
 
-// The first seed comes back with an empty disk while the others are down. It
-// must not take the fleet for a new one: it would answer with no configuration,
-// where one was acknowledged.
+// The first seed restarts with an empty disk while the others are down. It must not form
+// a new group: it would answer that there is no configuration, although one was
+// acknowledged.
 func TestEmptyDiskFormsNoGroup(t *testing.T) {
 	runFleet(t, 3, func(t *testing.T, f *fleet) {
 		f.formed()
@@ -77,16 +77,16 @@
 	})
 }
 
-// An instance loses its disk right after it has acknowledged a configuration,
-// and its own seeds are down when it is back. The others find it by its old
-// address, and it votes again soon enough for the next disk to go.
+// An instance loses its disk right after it has acknowledged a configuration, and can't
+// reach its seeds after the restart. The others must find it at its old address, and it
+// must vote again in time for the next disk to be lost.
 func TestWipedInstanceIsFoundAndVotesAgain(t *testing.T) {
 	runFleet(t, 3, func(t *testing.T, f *fleet) {
 		f.formed()
 		wiped := f.instances[2]
 		assert.NilError(t, f.put(wiped, 3))
 		old := wiped.node.DiskID()
-		// Its own calls to join come to nothing.
+		// Its own Join calls get no answer.
 		f.net.OnRequest(wiped.address, "Join", func(string) { time.Sleep(time.Minute) })
 		f.restart(wiped, true)
 		took := f.await(8*time.Second, "a voter on the new disk", func() bool {
@@ -99,19 +99,18 @@
 		})
 		assert.Assert(t, took < 4*time.Second, "%v", took)
 		assert.Assert(t, wiped.node.DiskID() != old)
-		assert.Equal(t, wiped.voters(), 3, "the lost disk is out")
+		assert.Equal(t, wiped.voterCount(), 3, "the lost disk is removed")
 		f.net.OnRequest("", "", nil)
 		f.restart(f.instances[1], true)
-		f.await(8*time.Second, "a configuration taken again", func() bool { return f.put(f.instances[0], 4) == nil })
+		f.await(8*time.Second, "a configuration accepted again", func() bool { return f.put(f.instances[0], 4) == nil })
 		d, err := f.instances[0].ReadDocument(f.within(2 * time.Second))
 		assert.NilError(t, err)
 		assert.Equal(t, d.Version, int64(4))
 	})
 }
 
-// The core is replaced machine by machine: each one that goes is gone for good,
-// and an empty one comes at another address. Members that are gone must not
-// count for quorums for ever.
+// The control instances are replaced one by one: each is removed for good, and an empty
+// one starts at another address. The removed members must not count for quorums forever.
 func TestCoreIsReplacedMachineByMachine(t *testing.T) {
 	runFleet(t, 3, func(t *testing.T, f *fleet) {
 		f.formed()
@@ -125,7 +124,7 @@
 			live := f.instances[n+1:]
 			f.await(60*time.Second, "only live voters", func() bool {
 				for _, i := range live {
-					if i.voters() != len(live) || !i.isMember() {
+					if i.voterCount() != len(live) || !i.isMember() {
 						return false
 					}
 				}
@@ -136,31 +135,31 @@
 	})
 }
 
-// A member is away so long that it was removed, and comes back with its disk,
-// whose log still names it a member. It joins anew.
+// A member is down so long that it is removed, then restarts with its disk, whose log
+// still lists it as a member. It must join again.
 func TestRemovedMemberJoinsAgain(t *testing.T) {
 	runFleet(t, 5, func(t *testing.T, f *fleet) {
 		f.formed()
 		away := f.instances[4]
 		away.stop()
-		f.await(60*time.Second, "removed", func() bool { return f.instances[0].voters() == 4 })
+		f.await(60*time.Second, "removed", func() bool { return f.instances[0].voterCount() == 4 })
 		assert.NilError(t, f.put(f.instances[0], 1))
 		f.start(away)
 		took := f.await(15*time.Second, "a voter again", func() bool {
-			return f.instances[0].voters() == 5 && away.machine.Document().GetVersion() == 1
+			return f.instances[0].voterCount() == 5 && away.machine.Document().GetVersion() == 1
 		})
 		assert.Assert(t, took < 6*time.Second, "%v", took)
 	})
 }
 
-// An instance is cut off. It must not answer with an older configuration, nor
-// confirm that an endpoint leaves: the entries would never hear of it.
-func TestCutOffInstanceAnswersNothing(t *testing.T) {
+// An instance is cut off from the others. It must neither return an older configuration
+// nor confirm that an endpoint leaves: the entries would never learn of it.
+func TestPartitionedInstanceRefusesRequests(t *testing.T) {
 	runFleet(t, 3, func(t *testing.T, f *fleet) {
 		f.formed()
 		assert.NilError(t, f.put(f.instances[1], 1))
 		lost := f.leader(f.instances...)
-		f.cut(true, lost)
+		f.setCut(true, lost)
 		others := without(f.instances, lost)
 		took := f.await(5*time.Second, "a leader among the others", func() bool { return f.put(others[0], 2) == nil })
 		assert.Assert(t, took < 3*time.Second, "%v", took)
@@ -173,7 +172,7 @@
 		reply, err := lost.Follow(f.within(time.Second), &pb.FollowRequest{})
 		assert.NilError(t, err)
 		assert.Assert(t, !reply.Current)
-		f.cut(false, lost)
+		f.setCut(false, lost)
 		f.await(3*time.Second, "the newest configuration", func() bool {
 			d, err := lost.ReadDocument(f.within(time.Second))
 			return err == nil && d.Version >= 2
@@ -191,9 +190,9 @@
 	return rest
 }
 
-// Only changes of an endpoint go through the log; plain heartbeats keep it
-// alive, and it goes silent when they end, whichever member heard them and
-// whoever leads.
+// Only heartbeats that change an endpoint's record go through the log. Others keep the
+// endpoint alive, whichever member receives them and whoever leads, and its state becomes
+// SILENT when they stop.
 func TestHeartbeats(t *testing.T) {
 	runFleet(t, 3, func(t *testing.T, f *fleet) {
 		f.formed()
@@ -220,8 +219,8 @@
 	})
 }
 
-// Entries are listed while they ask for news, and leave the list at their own
-// word or within two seconds of their death; callers get those of their zone.
+// Entries are listed while they poll, and removed when they report that they stop or
+// within two seconds of their death. Callers get the entries of their zone.
 func TestAddresses(t *testing.T) {
 	runFleet(t, 3, func(t *testing.T, f *fleet) {
 		f.formed()
@@ -243,7 +242,7 @@
 		}
 		assert.DeepEqual(t, list("z"), []string{"a:1", "b:1"})
 		assert.Equal(t, list("y")[0], "c:1")
-		assert.Equal(t, len(list("y")), 2, "a caller needs somewhere to go when its zone's entry is down")
+		assert.Equal(t, len(list("y")), 2, "a caller needs a second entry when its zone's entry is down")
 		entries[0].Gone = true
 		ask(entries[0])
 		f.await(300*time.Millisecond, "left", func() bool { return list("z")[0] != "a:1" })
@@ -251,9 +250,9 @@
 	})
 }
 
-// Guards against shares of a common budget that add up to more than the whole: entries that
-// are killed together count for a window more, also after all members were started anew.
-func TestSendersCountForAWindowAfterTheyAreGone(t *testing.T) {
+// Guards against shares of a common budget that add up to more than the whole: entries
+// that are killed together count for one more window, even if all members restart.
+func TestGoneEntriesCountAsSendersForAWindow(t *testing.T) {
 	runFleet(t, 3, func(t *testing.T, f *fleet) {
 		f.formed()
 		senders := func(n int, id string) uint32 {
@@ -273,69 +272,69 @@
 		}
 		f.formed()
 		for began := time.Now(); time.Since(began) < senderKept-time.Second; time.Sleep(300 * time.Millisecond) {
-			if told := senders(1, "a"); told != 0 {
-				assert.Equal(t, told, uint32(3))
+			if count := senders(1, "a"); count != 0 {
+				assert.Equal(t, count, uint32(3))
 			}
 		}
 		f.await(senderKept, "forgotten", func() bool { return senders(1, "a") == 1 })
 	})
 }
 
-// recordedOrders notes who gives orders.
+// recordedOrders records the orders sent and when.
 type recordedOrders struct {
-	mu     sync.Mutex
-	given  []StageOrder
-	at     []time.Time
-	failed error
+	mu   sync.Mutex
+	sent []StageOrder
+	at   []time.Time
+	err  error
 }
 
 func (r *recordedOrders) Status(context.Context, *pb.EndpointRecord) (EndpointStatus, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return EndpointStatus{Stage: pb.Stage_STAGE_PREFILL, Accepted: int64(len(r.given))}, nil
+	return EndpointStatus{Stage: pb.Stage_STAGE_PREFILL, Accepted: int64(len(r.sent))}, nil
 }
 
 func (r *recordedOrders) ChangeStage(_ context.Context, _ *pb.EndpointRecord, o StageOrder) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.given = append(r.given, o)
+	r.sent = append(r.sent, o)
 	r.at = append(r.at, time.Now())
-	return r.failed
+	return r.err
 }
 
-// The leader that gives orders dies. Endpoints that don't check fencing tokens
-// would obey both in turn: the next one waits out the lease of the one before,
-// and its token is higher. The next one may be the same instance, back from its
-// restart: it remembers no order, so that it has to wait as well.
+// The leader that sends orders dies. Endpoints that don't check fencing tokens would
+// follow orders of both leaders in turn, so the next leader waits for the previous lease
+// to end, and its token is higher. The next leader may be the same instance after its
+// restart: it remembers no orders, so it has to wait as well.
 func TestOrdersComeFromOneHolder(t *testing.T) {
-	orders := &recordedOrders{failed: errors.New("no answer")}
+	orders := &recordedOrders{err: errors.New("no answer")}
 	runFleetWith(t, 3, orders, func(t *testing.T, f *fleet) {
 		f.formed()
-		giveOrders(f, func(first *instance) { f.restart(first, false) })
-		checkTurns(t, orders)
+		runWithOrders(f, func(first *instance) { f.restart(first, false) })
+		checkOrderTurns(t, orders)
 	})
 }
 
-// The leader that gives orders is cut off from the others, and goes on running.
-// Another instance takes over, and the one before gives no more orders.
-func TestOrdersOfALeaderThatIsCutOff(t *testing.T) {
-	orders := &recordedOrders{failed: errors.New("no answer")}
+// The leader that sends orders is cut off from the others and keeps running. Another
+// instance takes over, and the first sends no more orders.
+func TestPartitionedLeaderSendsNoOrders(t *testing.T) {
+	orders := &recordedOrders{err: errors.New("no answer")}
 	runFleetWith(t, 3, orders, func(t *testing.T, f *fleet) {
 		f.formed()
-		giveOrders(f, func(first *instance) { f.cut(true, first) })
-		checkTurns(t, orders)
+		runWithOrders(f, func(first *instance) { f.setCut(true, first) })
+		checkOrderTurns(t, orders)
 		holders := map[string]bool{}
-		for _, o := range orders.given {
+		for _, o := range orders.sent {
 			holders[o.Holder] = true
 		}
 		assert.Equal(t, len(holders), 2)
 	})
 }
 
-// giveOrders lets eight endpoints report for half a minute, too many of which
-// read prompts. After eight seconds, when the first orders were given, the
-// leader meets its fate.
-func giveOrders(f *fleet, fate func(leader *instance)) {
+// runWithOrders has eight endpoints report for half a minute, all as prefill servers, so
+// that some must change their stage. After eight seconds, when the first orders were
+// sent, it calls disrupt with the leader.
+func runWithOrders(f *fleet, disrupt func(leader *instance)) {
 	for n := range 60 {
 		for e := range 8 {
 			id := string(rune('a' + e))
@@ -347,22 +346,22 @@
 		}
 		time.Sleep(500 * time.Millisecond)
 		if n == 16 {
-			fate(f.leader(f.instances...))
+			disrupt(f.leader(f.instances...))
 		}
 	}
 }
 
-// checkTurns sees that orders came in two turns, with a rising token, and that
-// the lease passed between them.
-func checkTurns(t *testing.T, orders *recordedOrders) {
+// checkOrderTurns checks that orders came from two holders in turn, with a rising token,
+// and that the lease passed between them.
+func checkOrderTurns(t *testing.T, orders *recordedOrders) {
 	t.Helper()
 	orders.mu.Lock()
 	defer orders.mu.Unlock()
-	assert.Assert(t, len(orders.given) > 2)
-	assert.Equal(t, orders.given[0].Stage, pb.Stage_STAGE_DECODE)
+	assert.Assert(t, len(orders.sent) > 2)
+	assert.Equal(t, orders.sent[0].Stage, pb.Stage_STAGE_DECODE)
 	turns := 1
-	for n, o := range orders.given[1:] {
-		before := orders.given[n]
+	for n, o := range orders.sent[1:] {
+		before := orders.sent[n]
 		if o.Token == before.Token {
 			assert.Equal(t, o.Holder, before.Holder)
 			continue
@@ -374,12 +373,12 @@
 	assert.Equal(t, turns, 2)
 }
 
-// Thousands of endpoints start with the fleet and report before there is a
-// leader. Each must be turned away at once, so that the group can form, and be
-// taken in once it has.
-func TestHeartbeatsBeforeThereIsALeader(t *testing.T) {
+// Thousands of endpoints start with the fleet and report before there is a leader. Each
+// report must be refused at once, so that the group can form, and accepted once it has
+// formed.
+func TestHeartbeatsWithoutALeader(t *testing.T) {
 	runFleet(t, 3, func(t *testing.T, f *fleet) {
-		f.cut(true, f.instances[1])
+		f.setCut(true, f.instances[1])
 		report := func(n int) error {
 			r := &pb.EndpointRecord{Id: fmt.Sprint(n), Service: "s", Address: "a:1", State: pb.EndpointState_ENDPOINT_STATE_READY, Sequence: 1}
 			return f.instances[1].ReportEndpoint(f.within(time.Second), r)
@@ -389,7 +388,7 @@
 			assert.ErrorIs(t, report(n), ErrUnavailable)
 		}
 		assert.Assert(t, time.Since(began) < time.Second, "%v", time.Since(began))
-		f.cut(false, f.instances[1])
+		f.setCut(false, f.instances[1])
 		f.formed()
 		for n := range 1000 {
 			assert.NilError(t, report(n))
--- a/internal/coordinator/crashes_test.go
+++ b/internal/coordinator/crashes_test.go
@@ -9,9 +9,9 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// Guards against an entry that hears seconds later of a request that crashes endpoints: its
-// question lies at the member until there is other news.
-func TestFollowTellsOfCrashesAtOnce(t *testing.T) {
+// Guards against findings on crashing requests that reach an entry seconds late: its
+// Follow call must not wait for other changes first.
+func TestFollowReturnsCrashFindingsAtOnce(t *testing.T) {
 	runFleet(t, 1, func(t *testing.T, f *fleet) {
 		i := f.instances[0]
 		f.await(5*time.Second, "a leader", func() bool { return i.node.Status().IsLeader })
@@ -32,7 +32,7 @@
 		question.Crashes = reply.Crashes.Mark
 		reply, err = i.Follow(f.within(2*time.Second), question)
 		assert.NilError(t, err)
-		assert.Equal(t, len(reply.Crashes.Findings), 0, "it was read")
-		assert.Assert(t, time.Since(began) > time.Second, "what was read is no news")
+		assert.Equal(t, len(reply.Crashes.Findings), 0, "already read")
+		assert.Assert(t, time.Since(began) > time.Second, "findings already read must not end the wait")
 	})
 }
--- a/internal/coordinator/doc.go
+++ b/internal/coordinator/doc.go
@@ -1,9 +1,9 @@
-// Package coordinator runs a control instance of a fleet whose configuration
-// is one document: it forms the control group and joins it without an
-// operator's hand, takes documents and endpoints' heartbeats, and tells entries
-// what is in force. What must survive is in the replicated log (package
-// catalog); who was heard when is kept by the leader alone and rebuilt by the
-// next one.
+// Package coordinator runs a control instance of a fleet whose configuration is one
+// document. It forms the control group or joins it without an operator, accepts documents
+// and endpoint heartbeats, and serves entries the configuration and endpoints in force.
+// State that must survive is kept in the replicated log (package catalog). When each
+// endpoint and entry was last heard is kept by the leader in memory only and rebuilt by
+// the next leader.
 //
-// Locks: Coordinator.mu is a leaf; no call is made with it held.
+// Locks: Coordinator.mu is a leaf; no call is made while it is held.
 package coordinator
--- a/internal/coordinator/fleet_test.go
+++ b/internal/coordinator/fleet_test.go
@@ -18,16 +18,17 @@
 	"github.com/hyssopsail/hyssopsail/internal/testkit"
 )
 
-// fleet is control instances in one process, over the network in memory.
+// fleet is a group of control instances in one process, connected by an in-memory
+// network.
 type fleet struct {
 	t         *testing.T
 	net       *testkit.Network
 	instances []*instance
 	orders    Orders
-	tolerance int // of losses at once
+	tolerance int // number of instances that may be lost at once
 }
 
-// instance is one control instance with its disk.
+// instance is a control instance with its disk.
 type instance struct {
 	address   string
 	disk      *faultfs.FS
@@ -40,25 +41,25 @@
 	stop func()
 }
 
-// runFleet runs a test on n instances that all start for the first time.
+// runFleet runs a test with n instances that all start for the first time.
 func runFleet(t *testing.T, n int, test func(t *testing.T, f *fleet)) {
 	t.Helper()
 	runFleetWith(t, n, nil, test)
 }
 
-// runFleetWith is runFleet with a way to give orders.
+// runFleetWith is runFleet with an implementation of Orders.
 func runFleetWith(t *testing.T, n int, orders Orders, test func(t *testing.T, f *fleet)) {
 	t.Helper()
 	runFleetOf(t, n, fleet{orders: orders}, test)
 }
 
-// runFleetOf is runFleet with the orders and the tolerance of a fleet.
-func runFleetOf(t *testing.T, n int, like fleet, test func(t *testing.T, f *fleet)) {
+// runFleetOf is runFleet with the orders and tolerance of template.
+func runFleetOf(t *testing.T, n int, template fleet, test func(t *testing.T, f *fleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		f := &fleet{t: t, net: &testkit.Network{}, orders: like.orders, tolerance: like.tolerance}
+		f := &fleet{t: t, net: &testkit.Network{}, orders: template.orders, tolerance: template.tolerance}
 		for i := range n {
-			f.instances = append(f.instances, &instance{address: fmt.Sprint("control", i), disk: faultfs.New(), bootstrap: true, seeds: firstSeeds})
+			f.instances = append(f.instances, &instance{address: fmt.Sprint("control", i), disk: faultfs.New(), bootstrap: true, seeds: initialSeeds})
 		}
 		for _, i := range f.instances {
 			f.start(i)
@@ -72,10 +73,10 @@
 	})
 }
 
-// firstSeeds are what all instances are told at the first start.
-var firstSeeds = []string{"control0", "control1", "control2"}
+// initialSeeds are the seeds of all instances at the first start.
+var initialSeeds = []string{"control0", "control1", "control2"}
 
-// senderKept is for how long the fleet's members count an entry that isn't heard.
+// senderKept is how long a gone entry counts among the senders.
 const senderKept = 6 * time.Second
 
 func (f *fleet) start(i *instance) {
@@ -111,8 +112,7 @@
 	}
 }
 
-// restart stops an instance and starts it again with its disk, or with an
-// empty one.
+// restart stops an instance and starts it again, with an empty disk if wiped.
 func (f *fleet) restart(i *instance, wiped bool) {
 	i.stop()
 	if wiped {
@@ -122,7 +122,7 @@
 	f.start(i)
 }
 
-// await polls until done tells so, for at most limit.
+// await polls until done returns true, for at most limit, and returns how long that took.
 func (f *fleet) await(limit time.Duration, what string, done func() bool) time.Duration {
 	f.t.Helper()
 	began := time.Now()
@@ -133,7 +133,7 @@
 	return time.Since(began)
 }
 
-// leader gives the instance that leads among those given.
+// leader returns the leader among the given instances, or nil.
 func (f *fleet) leader(among ...*instance) *instance {
 	for _, i := range among {
 		if i.node.Status().IsLeader {
@@ -145,9 +145,9 @@
 
 func (f *fleet) formed() {
 	f.t.Helper()
-	f.await(5*time.Second, "a group of all", func() bool {
+	f.await(5*time.Second, "all instances voting", func() bool {
 		for _, i := range f.instances {
-			if i.voters() != len(f.instances) {
+			if i.voterCount() != len(f.instances) {
 				return false
 			}
 		}
@@ -155,8 +155,9 @@
 	})
 }
 
-// cut separates one instance from the others, both ways.
-func (f *fleet) cut(cut bool, i *instance) {
+// setCut cuts the connections between one instance and the others in both directions, or
+// restores them.
+func (f *fleet) setCut(cut bool, i *instance) {
 	for _, other := range f.instances {
 		if other != i {
 			f.net.SetCut(cut, i.address, other.address)
@@ -171,10 +172,10 @@
 	return ctx
 }
 
-// put sends a document and gives the error.
+// put submits a document to an instance.
 func (f *fleet) put(i *instance, version int64) error {
 	return i.PutDocument(f.within(time.Second), version, []byte(fmt.Sprint("document ", version)))
 }
 
-// uptime begins with a test's own time.
+// uptime is a clock that follows the test's fake time.
 func uptime() time.Duration { return time.Duration(time.Now().UnixNano()) }
--- a/internal/coordinator/growth_test.go
+++ b/internal/coordinator/growth_test.go
@@ -15,21 +15,21 @@
 	"github.com/hyssopsail/hyssopsail/internal/routetable"
 )
 
-// entryRate is what a link of 10 Mbit/s carries, bytes a second.
-const entryRate = 1_250_000
+// entryLinkRate is the rate of a link of 10 Mbit/s in bytes per second.
+const entryLinkRate = 1_250_000
 
-// inForceWithin is how long a confirmed change may take to be in force at each
-// entry: 2 s where the bound is shortest.
+// inForceWithin is how long a confirmed change may take to be in force at each entry: the
+// shortest bound that a fleet states is 2 s.
 const inForceWithin = 2 * time.Second
 
-// An operator adds 1,400 routes, three times, each time with a small change
-// right behind; both are confirmed within 0.3 s. Entries behind links of 10 Mbit/s
-// served on by the configuration before: after the second growth for up to
-// 4 s, after the third for ever. Each of an entry's two open questions was
-// answered with the whole document, and given up after 0.9 s whatever had come:
-// "Turns to another control instance. took_ms=901 received_bytes=491520", of
-// 543,208 bytes. What had come was thrown away and asked for again elsewhere.
-func TestConfigurationThatGrowsIsInForceInTime(t *testing.T) {
+// Guards against large changes that never arrive. An operator adds 1,400 routes, three
+// times, each time followed by a small change; both are confirmed within 0.3 s. Entries
+// behind links of 10 Mbit/s kept the previous configuration, for up to 4 s after the
+// second growth and for ever after the third. Each of an entry's two open polls was
+// answered with the whole document and given up after 0.9 s regardless of progress:
+// "Turns to another control instance. took_ms=901 received_bytes=491520", of 543,208
+// bytes. The received bytes were discarded and requested again from another member.
+func TestGrownConfigurationIsInForceInTime(t *testing.T) {
 	runFleet(t, 3, func(t *testing.T, f *fleet) {
 		f.formed()
 		entry := f.startEntry("entry")
@@ -45,27 +45,27 @@
 	})
 }
 
-// The configuration has grown, and then all machines lose power. The members are
-// back within a second, but no entry got a picture again: its first question is
-// given up after 0.2 s, in which a link of 10 Mbit/s carries 250,000 bytes, while
-// two answers of 276,646 bytes were on their way.
-func TestEntryStartsWithAConfigurationThatHasGrown(t *testing.T) {
+// Guards against entries that can't start after a power loss of all machines because the
+// configuration has grown. The members were back within a second, but no entry got a view
+// again: its first poll was given up after 0.2 s, in which a link of 10 Mbit/s carries
+// 250,000 bytes, while two replies of 276,646 bytes were in transit.
+func TestEntryStartsWithAGrownConfiguration(t *testing.T) {
 	runFleet(t, 3, func(t *testing.T, f *fleet) {
 		f.formed()
 		assert.NilError(t, f.putRoutes(f.instances[0], 1, 1400))
 		entry := f.startEntry("entry")
-		f.await(inForceWithin, "a first picture", entry.serves(1, 1400))
+		f.await(inForceWithin, "a first view", entry.serves(1, 1400))
 	})
 }
 
-// entry is a follower behind a link of its own.
+// entry is a follower behind its own link.
 type entry struct{ *follower.Follower }
 
-// startEntry starts an entry that works until the test ends.
+// startEntry starts an entry that runs until the test ends.
 func (f *fleet) startEntry(address string) entry {
-	f.net.SetRate(address, entryRate)
+	f.net.SetRate(address, entryLinkRate)
 	e := entry{follower.New(follower.Options{
-		Dialer: f.net.Dialer(address), Seeds: firstSeeds, Decode: decodeRoutes, Uptime: uptime,
+		Dialer: f.net.Dialer(address), Seeds: initialSeeds, Decode: decodeRoutes, Uptime: uptime,
 		Self: func() *pb.EntryRecord { return &pb.EntryRecord{Id: address, Name: address} },
 	})}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -78,7 +78,8 @@
 	return e
 }
 
-// serves tells whether a version is in force with its last route.
+// serves returns a function that reports whether a version is in force with its last
+// route.
 func (e entry) serves(version int64, routes int) func() bool {
 	return func() bool {
 		view := e.View()
@@ -89,13 +90,13 @@
 	}
 }
 
-// putRoutes sends a configuration with a number of routes.
+// putRoutes submits a configuration with a number of routes.
 func (f *fleet) putRoutes(i *instance, version int64, routes int) error {
 	return i.PutDocument(f.within(2*time.Second), version, documentOf(version, routes))
 }
 
-// documentOf writes a configuration of about 195 bytes a route. Equal routes of
-// two versions are equal to the byte.
+// documentOf returns a configuration with about 195 bytes per route. A route has the same
+// bytes in all versions.
 func documentOf(version int64, routes int) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, `{"version":%d,"routes":[`, version)
@@ -107,12 +108,12 @@
 	return b.Bytes()
 }
 
-// routePath gives the prefix of the n-th route, alike for equal n.
+// routePath returns the prefix of the n-th route; it depends on n only.
 func routePath(n int) string {
 	return fmt.Sprintf("/%08x/", rand.New(rand.NewPCG(uint64(n), 0)).Uint32())
 }
 
-// decodeRoutes reads what documentOf wrote.
+// decodeRoutes decodes a document written by documentOf.
 func decodeRoutes(source []byte, _ *routetable.Document) (*routetable.Document, error) {
 	d := &routetable.Document{}
 	if _, err := fmt.Sscanf(string(source[:40]), `{"version":%d,`, &d.Version); err != nil {
--- a/internal/coordinator/incarnation_test.go
+++ b/internal/coordinator/incarnation_test.go
@@ -17,9 +17,9 @@
 	}
 }
 
-// An endpoint starts again under its ID while the leader changes. Heartbeats
-// of before that are still under way must neither bring its old address back
-// nor keep it alive once the new one has died.
+// An endpoint restarts under its ID while the leader changes. Delayed heartbeats of the
+// previous incarnation must neither restore its old address nor keep the endpoint alive
+// once the new incarnation has died.
 func TestOldHeartbeatsDontKeepANewIncarnationAlive(t *testing.T) {
 	runFleet(t, 3, func(t *testing.T, f *fleet) {
 		f.formed()
@@ -29,8 +29,8 @@
 		}
 		assert.NilError(t, report(0, endpointRecord(100, 40, "a:1")))
 		f.restart(f.leader(f.instances...), false)
-		f.await(4*time.Second, "the new start", func() bool { return report(1, endpointRecord(200, 1, "b:1")) == nil })
-		f.await(time.Second, "the new start everywhere", func() bool { return known().GetBorn() == 200 })
+		f.await(4*time.Second, "the new incarnation", func() bool { return report(1, endpointRecord(200, 1, "b:1")) == nil })
+		f.await(time.Second, "the new incarnation everywhere", func() bool { return known().GetBorn() == 200 })
 		assert.ErrorIs(t, report(0, endpointRecord(200, 2, "c:1")), ErrContradiction)
 		seq := uint64(41)
 		f.await(10*time.Second, "silent", func() bool {
@@ -42,9 +42,9 @@
 	})
 }
 
-// restartedOrders answers as an endpoint that has started again.
+// restartedOrders answers for an endpoint that has restarted.
 type restartedOrders struct {
-	asked, given atomic.Int32
+	asked, sent atomic.Int32
 }
 
 func (o *restartedOrders) Status(context.Context, *pb.EndpointRecord) (EndpointStatus, error) {
@@ -53,13 +53,13 @@
 }
 
 func (o *restartedOrders) ChangeStage(context.Context, *pb.EndpointRecord, StageOrder) error {
-	o.given.Add(1)
+	o.sent.Add(1)
 	return nil
 }
 
-// An endpoint starts again under its ID, at its old stage and with no order
-// accepted, before its first heartbeat is taken in. An order that was meant for
-// the one before must not reach it: it may serve another purpose now.
+// An endpoint restarts under its ID, at its old stage and without accepted orders, before
+// its first heartbeat is processed. An order meant for the previous incarnation must not
+// reach the new one, which may serve another purpose.
 func TestOrdersAreForOneIncarnation(t *testing.T) {
 	orders := &restartedOrders{}
 	runFleetWith(t, 3, orders, func(t *testing.T, f *fleet) {
@@ -75,6 +75,6 @@
 			time.Sleep(500 * time.Millisecond)
 		}
 		assert.Assert(t, orders.asked.Load() > 0)
-		assert.Equal(t, orders.given.Load(), int32(0))
+		assert.Equal(t, orders.sent.Load(), int32(0))
 	})
 }
--- a/internal/coordinator/lost.go
+++ b/internal/coordinator/lost.go
@@ -8,35 +8,36 @@
 	"github.com/hyssopsail/hyssopsail/internal/replica"
 )
 
-// removeLost removes a voter that has been silent for long, one at a time. An
-// instance that was replaced by another one would else count for quorums for
-// ever, and after some replacements the loss of one more would stop the group.
-// One that is only away joins anew when it is back.
-func (c *Coordinator) removeLost() {
-	heard, silent := c.hearVoters()
-	after := lostMember
-	if endangered(heard, len(silent), c.options.Tolerance) {
-		after = lostSuccessor
+// removeLostVoter removes a voter that has not been heard for long, one at a time. A
+// replaced instance would otherwise count for quorums forever, and after some
+// replacements the loss of one more instance would stop the group. A voter that was only
+// away joins again when it is back.
+func (c *Coordinator) removeLostVoter() {
+	heard, silent := c.partitionVoters()
+	after := voterRemovalDelay
+	if quorumAtRisk(heard, len(silent), c.options.Tolerance) {
+		after = urgentRemovalDelay
 	}
-	lost := c.silentLongerThan(silent, after)
-	if lost == nil || heard < c.options.firstVoters() || !c.beginReport(lost.DiskId) {
+	lost := c.firstSilentFor(silent, after)
+	if lost == nil || heard < c.options.requiredVoters() || !c.beginTask(lost.DiskId) {
 		return
 	}
 	go func() {
-		defer c.endReport(lost.DiskId)
+		defer c.endTask(lost.DiskId)
 		ctx, cancel := context.WithTimeout(context.Background(), joinTimeout)
 		defer cancel()
 		_, err := c.options.Group.ProposeMember(ctx, true, lost)
-		c.options.Part.Warn("Member removed.", "instance", lost.InstanceId, "disk", lost.DiskId, "heard", heard, "err", err)
+		c.options.Part.Warn("Removing a silent voter finished.", "instance", lost.InstanceId, "disk", lost.DiskId, "heard", heard, "err", err)
 	}()
 }
 
-// hearVoters counts the voters that are heard, this one too, and gives the rest.
-func (c *Coordinator) hearVoters() (heard int, silent []replica.MemberProgress) {
+// partitionVoters counts the voters that are heard, including this one, and returns the
+// silent ones.
+func (c *Coordinator) partitionVoters() (heard int, silent []replica.MemberProgress) {
 	for _, m := range c.options.Group.Status().Members {
 		switch {
 		case m.Member.Learner:
-		case c.hears(m):
+		case c.isHeard(m):
 			heard++
 		default:
 			silent = append(silent, m)
@@ -45,40 +46,41 @@
 	return heard, silent
 }
 
-// hears tells whether a member answered lately; this one always does.
-func (c *Coordinator) hears(m replica.MemberProgress) bool {
-	return m.Member.DiskId == c.options.Self.DiskId || m.LastContactMs >= 0 && m.LastContactMs < silentMember.Milliseconds()
+// isHeard reports whether a member answered within memberTimeout; this member always
+// counts as heard.
+func (c *Coordinator) isHeard(m replica.MemberProgress) bool {
+	return m.Member.DiskId == c.options.Self.DiskId || m.LastContactMs >= 0 && m.LastContactMs < memberTimeout.Milliseconds()
 }
 
-// silentLongerThan gives the first of the silent voters that has been so for
-// longer than after, nil when there is none.
-func (c *Coordinator) silentLongerThan(silent []replica.MemberProgress, after time.Duration) *pb.Member {
+// firstSilentFor returns the first of the silent voters that has been silent for longer
+// than after, or nil.
+func (c *Coordinator) firstSilentFor(silent []replica.MemberProgress, after time.Duration) *pb.Member {
 	for _, m := range silent {
-		if m.LastContactMs > after.Milliseconds() || m.LastContactMs < 0 && c.ledFor(after) {
+		if m.LastContactMs > after.Milliseconds() || m.LastContactMs < 0 && c.leadingLongerThan(after) {
 			return m.Member
 		}
 	}
 	return nil
 }
 
-// endangered tells whether silent voters should be removed soon: with them, the
-// losses that the fleet must bear would stop the group, and without them they
-// would not.
+// quorumAtRisk reports whether silent voters should be removed early: if they stay,
+// losing tolerance more instances would stop the group; without them it would not.
 //
-// Failure guarded: two instances are replaced within seconds, then two disks of
-// six are lost. The two that are gone still counted, four of eight were no
-// majority, and no change was taken any more, while entries served by whatever
-// configuration a member had on its disk. The guard holds because those that
-// are heard are then a majority after the losses. It leaves a group alone whose
-// rest would bear fewer losses than it must: a change that few disks hold could
-// be lost with them. A single silent voter is left too: it is mostly back soon,
-// and each removal and return is a change of the membership.
-func endangered(heard, silent, tolerance int) bool {
+// This guards against two instances being replaced within seconds, and two disks of six
+// being lost after that. The replaced instances still counted, so the four remaining of
+// eight were no majority: no change was accepted any more, and entries served the
+// configuration that a member had on its disk. After an early removal the instances that
+// are heard still have a majority after the losses.
+//
+// A group whose remaining voters could not bear that many losses is left alone: a change
+// that few disks hold could be lost with them. So is a single silent voter: it is usually
+// back soon, and each removal and return changes the membership.
+func quorumAtRisk(heard, silent, tolerance int) bool {
 	majority := (heard+silent)/2 + 1
-	return silent >= fewestReplaced && heard-tolerance < majority && heard-tolerance > heard/2
+	return silent >= minSilentVotersAtRisk && heard-tolerance < majority && heard-tolerance > heard/2
 }
 
-func (c *Coordinator) ledFor(d time.Duration) bool {
+func (c *Coordinator) leadingLongerThan(d time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return !c.leadingSince.IsZero() && time.Since(c.leadingSince) > d
--- a/internal/coordinator/membership.go
+++ b/internal/coordinator/membership.go
@@ -10,29 +10,29 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// fleetName names the group that is formed without an operator's hand.
-const fleetName = "fleet"
+// groupName is the name of the group that is formed without an operator.
+const groupName = "fleet"
 
-// keepMembership makes this disk a member: it forms the group, or asks to join
-// it, until the membership shows it. A member that has not heard of a leader
-// for long asks too: it may have been removed while it was away, which its own
-// log doesn't show.
+// keepMembership makes this disk a member: it forms the group, or requests to join it,
+// until the membership contains the disk. A member that has had no leader for rejoinDelay
+// requests to join too: it may have been removed while it was away, which its own log
+// doesn't show.
 func (c *Coordinator) keepMembership(ctx context.Context) {
 	status := c.options.Group.Status()
-	if c.isMember() && !c.outOfTouch(time.Now()) {
+	if c.isMember() && !c.lacksLeader(time.Now()) {
 		return
 	}
-	if !status.Initialised && c.forms() {
-		c.form()
+	if !status.Initialised && c.shouldFormGroup() {
+		c.formGroup()
 		return
 	}
-	c.askToJoin(ctx)
+	c.requestJoin(ctx)
 }
 
-func (c *Coordinator) outOfTouch(now time.Time) bool {
+func (c *Coordinator) lacksLeader(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return now.Sub(c.currentUntil) > outOfTouch && now.Sub(c.started) > outOfTouch
+	return now.Sub(c.contactUntil) > rejoinDelay && now.Sub(c.started) > rejoinDelay
 }
 
 func (c *Coordinator) isMember() bool {
@@ -44,30 +44,30 @@
 	return false
 }
 
-// forms tells whether this instance forms the group: the first of the seeds by
-// order does, and only at the fleet's first start. An empty disk alone never
-// does: it may be a lost disk's successor, and a second group would forget all
-// that the first has acknowledged.
-func (c *Coordinator) forms() bool {
+// shouldFormGroup reports whether this instance forms the group: the first seed in sort
+// order does, and only at the fleet's first start. An empty disk alone is no reason: it
+// may replace a lost disk, and a second group would lack everything that the first has
+// acknowledged.
+func (c *Coordinator) shouldFormGroup() bool {
 	return c.options.Bootstrap && len(c.options.Seeds) > 0 && slices.Min(c.options.Seeds) == c.options.Self.RpcAddress
 }
 
-func (c *Coordinator) form() {
-	err := c.options.Group.Init(fleetName, []*pb.Member{c.options.Self})
+func (c *Coordinator) formGroup() {
+	err := c.options.Group.Init(groupName, []*pb.Member{c.options.Self})
 	if err != nil {
-		c.options.Part.Warn("Group was not formed.", "err", err)
+		c.options.Part.Warn("Forming the control group failed.", "err", err)
 		return
 	}
-	c.options.Part.Info("Formed the group.", "disk", c.options.Self.DiskId)
+	c.options.Part.Info("Formed the control group.", "disk", c.options.Self.DiskId)
 }
 
-// askToJoin asks the known instances in turn to add this disk.
-func (c *Coordinator) askToJoin(ctx context.Context) {
+// requestJoin asks the known instances in turn to add this disk.
+func (c *Coordinator) requestJoin(ctx context.Context) {
 	for _, address := range c.knownAddresses() {
 		if address == c.options.Self.RpcAddress {
 			continue
 		}
-		if c.joinAt(ctx, address) {
+		if c.requestJoinAt(ctx, address) {
 			return
 		}
 	}
@@ -83,54 +83,55 @@
 	return list
 }
 
-func (c *Coordinator) joinAt(ctx context.Context, address string) bool {
+func (c *Coordinator) requestJoinAt(ctx context.Context, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	client, err := c.client(ctx, address)
 	if err == nil {
 		_, err = client.Join(ctx, &pb.JoinRequest{Member: c.options.Self})
 	}
-	c.options.Part.Debug("Asked to join.", "address", address, "err", err)
+	c.options.Part.Debug("Requested to join the control group.", "address", address, "err", err)
 	return err == nil
 }
 
-// Join implements pb.DRPCCoordinatorServer. It returns when the leader has
-// begun to add the member, not when that is done.
+// Join implements pb.DRPCCoordinatorServer. It returns when the leader has begun to add
+// the member, before the change is committed.
 func (c *Coordinator) Join(ctx context.Context, request *pb.JoinRequest) (*pb.JoinReply, error) {
 	if c.options.Group.Status().IsLeader {
 		c.addMember(request.Member)
 		return &pb.JoinReply{}, nil
 	}
-	client, err := c.leader(ctx)
+	client, err := c.leaderClient(ctx)
 	if err != nil {
 		return nil, err
 	}
 	return client.Join(ctx, request)
 }
 
-// addMember proposes a member in the background, one at a time for each disk.
+// addMember proposes a member in the background, with one proposal at a time for each
+// disk.
 func (c *Coordinator) addMember(m *pb.Member) {
-	if m.GetDiskId() == "" || c.hasMember(m) || !c.beginReport(m.DiskId) {
+	if m.GetDiskId() == "" || c.hasMember(m) || !c.beginTask(m.DiskId) {
 		return
 	}
 	go func() {
-		defer c.endReport(m.DiskId)
+		defer c.endTask(m.DiskId)
 		ctx, cancel := context.WithTimeout(context.Background(), joinTimeout)
 		defer cancel()
 		err := c.proposeJoin(ctx, m)
-		c.options.Part.Info("Member joins.", "instance", m.InstanceId, "disk", m.DiskId, "address", m.RpcAddress, "err", err)
+		c.options.Part.Info("Adding a member finished.", "instance", m.InstanceId, "disk", m.DiskId, "address", m.RpcAddress, "err", err)
 	}()
 }
 
-// proposeJoin waits for its turn: the group changes by one member at a time, and
-// at the first start all join at once.
+// proposeJoin retries while another membership change is under way: the group changes by
+// one member at a time, and all members join at once at the first start.
 func (c *Coordinator) proposeJoin(ctx context.Context, m *pb.Member) error {
 	for {
 		_, err := c.options.Group.ProposeMember(ctx, false, m)
 		if !trace.IsCompareFailed(err) {
 			return err
 		}
-		if err := pause(ctx, retryPause); err != nil {
+		if err := pause(ctx, retryDelay); err != nil {
 			return err
 		}
 	}
@@ -145,46 +146,47 @@
 	return false
 }
 
-// beginReport tells whether no work for id is under way, and notes that it is.
-func (c *Coordinator) beginReport(id string) bool {
+// beginTask marks a background task for id as running. It returns false if one is running
+// already.
+func (c *Coordinator) beginTask(id string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.reporting[id] {
+	if c.inProgress[id] {
 		return false
 	}
-	c.reporting[id] = true
+	c.inProgress[id] = true
 	return true
 }
 
-func (c *Coordinator) endReport(id string) {
+func (c *Coordinator) endTask(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.reporting, id)
+	delete(c.inProgress, id)
 }
 
-// findReplacedDisks asks at the addresses of members that are not heard who is
-// there. An instance that has lost its disk may not reach its own seeds, while
-// the group still knows its address; without the question it would stay out,
-// and the loss of one disk more would stop the group.
+// findReplacedDisks asks the instances at the addresses of silent members for their disk
+// IDs. An instance that lost its disk may not reach its own seeds, while the group still
+// knows its address; without this check it would stay out, and the loss of one more disk
+// would stop the group.
 func (c *Coordinator) findReplacedDisks(ctx context.Context) {
 	for _, m := range c.options.Group.Status().Members {
-		if !c.hears(m) && c.beginReport(m.Member.RpcAddress) {
+		if !c.isHeard(m) && c.beginTask(m.Member.RpcAddress) {
 			go c.identify(ctx, m.Member)
 		}
 	}
 }
 
 func (c *Coordinator) identify(ctx context.Context, m *pb.Member) {
-	defer c.endReport(m.RpcAddress)
+	defer c.endTask(m.RpcAddress)
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	client, err := c.client(ctx, m.RpcAddress)
 	if err != nil {
-		return // the instance is down or cut off: it is asked again
+		return // the instance is down or cut off; the next run asks again
 	}
 	reply, err := client.Identify(ctx, &pb.IdentifyRequest{})
 	if err != nil || reply.Member.GetDiskId() == m.DiskId {
-		return // as above, or it is there with the disk it had
+		return // as above, or the instance has the same disk as before
 	}
 	c.addMember(reply.Member)
 }
--- a/internal/coordinator/metrics.go
+++ b/internal/coordinator/metrics.go
@@ -5,7 +5,7 @@
 	"github.com/prometheus/client_golang/prometheus/promauto"
 )
 
-// metrics are the coordinator's own; label values come from fixed sets.
+// metrics are the coordinator's metrics; label values come from fixed sets.
 type metrics struct {
 	heartbeats *prometheus.CounterVec
 	documents  *prometheus.CounterVec
@@ -49,7 +49,7 @@
 	}
 }
 
-// resultOf names how a call was answered.
+// resultOf returns the value of the label "result" for a call.
 func resultOf(err error) string {
 	if err != nil {
 		return "failed"
--- a/internal/coordinator/models.go
+++ b/internal/coordinator/models.go
@@ -7,7 +7,7 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// modelEndpoints are the model endpoints that take work, by service, as of one
+// modelEndpoints caches the model endpoints that accept requests, by service, as of one
 // revision. Its lock is a leaf.
 type modelEndpoints struct {
 	mu       sync.Mutex
@@ -15,22 +15,22 @@
 	services map[string][]allocation.Endpoint
 }
 
-// ModelEndpoints lists the model endpoints of a service that take work.
+// ModelEndpoints returns the model endpoints of a service that accept requests.
 func (c *Coordinator) ModelEndpoints(service string) []allocation.Endpoint {
 	revision, _ := c.options.Machine.Revision()
 	c.models.mu.Lock()
 	defer c.models.mu.Unlock()
 	if c.models.services == nil || c.models.revision != revision {
 		c.models.revision = revision
-		c.models.services = c.listModels()
+		c.models.services = c.groupByService()
 	}
 	return c.models.services[service]
 }
 
-// HasEntry tells whether an incarnation of an entry is known.
+// HasEntry reports whether an incarnation of an entry is known.
 func (c *Coordinator) HasEntry(id string) bool { return c.options.Machine.Entry(id) != nil }
 
-func (c *Coordinator) listModels() map[string][]allocation.Endpoint {
+func (c *Coordinator) groupByService() map[string][]allocation.Endpoint {
 	endpoints, _ := c.options.Machine.Records()
 	list := map[string][]allocation.Endpoint{}
 	for _, e := range endpoints {
--- a/internal/coordinator/options.go
+++ b/internal/coordinator/options.go
@@ -13,92 +13,97 @@
 	"github.com/hyssopsail/hyssopsail/internal/rpc"
 )
 
-// The intervals of a Coordinator.
+// Intervals and timeouts of a Coordinator.
 const (
-	// seenInterval is the pause between two reports of a member to the leader.
-	// A member is current for currentFor after an answer, so that entries turn
-	// away from a member that was cut off well within 2 s.
-	seenInterval = 300 * time.Millisecond
-	currentFor   = 900 * time.Millisecond
-	// leaderLook is the pause between two looks for a new leader.
-	leaderLook = 25 * time.Millisecond
-	// leaderInterval is the pause between two looks of the leader for members
-	// with a new disk and for records without heartbeats.
-	leaderInterval = 400 * time.Millisecond
-	// silentMember is how long a member may be unheard before the leader asks
-	// at its address who is there: twenty heartbeats of the group.
-	silentMember = 2 * time.Second
-	// lostMember is how long a voter may be unheard before it is removed: longer
-	// than restarts, cuts and power losses that pass. outOfTouch is how long a
-	// member goes without a leader before it asks whether it still is one.
-	lostMember = 20 * time.Second
-	outOfTouch = 3 * time.Second
-	// lostSuccessor is lostMember where a silent voter endangers the group. What
-	// is only restarted is back within a second or two, and the users' fleets
-	// give a successor four to six seconds until the one before stops counting.
-	lostSuccessor = 3 * time.Second
-	// joinInterval is the pause between two tries to join or to form the group.
+	// seenReportInterval is the interval at which a member reports to the leader whom it
+	// has heard. The leader's answer makes the member current for contactValidity, so
+	// that entries leave a member that was cut off well within 2 s.
+	seenReportInterval = 300 * time.Millisecond
+	contactValidity    = 900 * time.Millisecond
+	// leaderPollInterval is how often a member checks whether there is another leader.
+	leaderPollInterval = 25 * time.Millisecond
+	// leaderRunInterval is how often the leader looks for members with a new disk and for
+	// records without heartbeats.
+	leaderRunInterval = 400 * time.Millisecond
+	// memberTimeout is how long a member may be unheard before the leader asks at its
+	// address which disk is there: twenty heartbeats of the group.
+	memberTimeout = 2 * time.Second
+	// voterRemovalDelay is how long a voter may be unheard before it is removed: longer
+	// than restarts, network cuts and power losses that pass. rejoinDelay is how long a
+	// member goes without a leader before it requests to join, as it may have been
+	// removed.
+	voterRemovalDelay = 20 * time.Second
+	rejoinDelay       = 3 * time.Second
+	// urgentRemovalDelay replaces voterRemovalDelay while silent voters put the quorum at
+	// risk. An instance that only restarts is back within a second or two, and fleets
+	// give a replacement four to six seconds until its predecessor must stop counting.
+	urgentRemovalDelay = 3 * time.Second
+	// joinInterval is the interval between attempts to form or join the group.
 	joinInterval = 250 * time.Millisecond
-	// callTimeout bounds one call to another control instance. A live peer
-	// answers within milliseconds; one that does not is passed over.
+	// callTimeout bounds one call to another control instance. A live peer answers within
+	// milliseconds; one that does not is skipped.
 	callTimeout = 400 * time.Millisecond
-	// joinTimeout bounds a join, which ends once the whole log was taken over.
+	// joinTimeout bounds a join, which ends once the new member has received the whole
+	// log.
 	joinTimeout = 3 * time.Second
-	// entrySilence is how long an entry may be unheard; it asks for news at
-	// least each half second.
-	entrySilence = 1500 * time.Millisecond
-	// retryPause is the wait for a leader between two tries of a command.
-	retryPause = 40 * time.Millisecond
+	// entryTimeout is how long an entry may be unheard; it polls at least every half
+	// second.
+	entryTimeout = 1500 * time.Millisecond
+	// retryDelay is the delay between attempts to commit a command or read an index while
+	// there is no leader.
+	retryDelay = 40 * time.Millisecond
 )
 
-// fewestReplaced is how many silent voters endanger a group at least.
-const fewestReplaced = 2
+// minSilentVotersAtRisk is the minimum number of silent voters that put a quorum at risk.
+const minSilentVotersAtRisk = 2
 
-// refusalLines bounds the log lines on refused heartbeats in a second, after a
-// first refusalBurst: enough to name each sender of a few, and small beside the
-// lines of a change of hundreds of endpoints.
+// refusalLogsPerSecond bounds the log lines about refused heartbeats, after an initial
+// refusalLogBurst. That suffices to name each of a few faulty senders, and is few beside
+// the lines that a change of hundreds of endpoints writes.
 const (
-	refusalLines = 1
-	refusalBurst = 20
+	refusalLogsPerSecond = 1
+	refusalLogBurst      = 20
 )
 
-// mostFirstVoters bounds how many voters must hold a command before the first
-// one is accepted: a group of fewer disks would lose it with one of them.
-const mostFirstVoters = 3
+// maxRequiredVoters bounds how many voters a group needs before it accepts commands: a
+// group of fewer disks could lose a command with one of them.
+const maxRequiredVoters = 3
 
-// Options tell a Coordinator who it is and what it works with.
+// Options configure a Coordinator.
 type Options struct {
 	Group   *replica.Node
 	Machine *catalog.Machine
 	Dialer  rpc.Dialer
 	Part    logging.Part
 	Metrics prometheus.Registerer // nil for none
-	Self    *pb.Member            // instance, disk and rpc address of this process
-	// Seeds are the rpc addresses of control instances known at the start.
+	Self    *pb.Member            // instance ID, disk ID and RPC address of this process
+	// Seeds are the RPC addresses of the control instances known at the start.
 	Seeds []string
-	// Bootstrap allows the first of the seeds to form a new group on its empty
-	// disk. It is true only when the whole fleet starts for the first time.
+	// Bootstrap allows the first seed to form a new group on an empty disk. It is true
+	// only when the whole fleet starts for the first time.
 	Bootstrap bool
-	// Tolerance is how many instances may be lost at the same time, disks too.
+	// Tolerance is how many instances, including their disks, may be lost at the same
+	// time.
 	Tolerance int
-	// EndpointSilence is how long an endpoint may be unheard before it counts
-	// as silent; three heartbeats and some slack.
+	// EndpointSilence is how long an endpoint may be unheard before its state becomes
+	// SILENT; three heartbeats and some slack.
 	EndpointSilence time.Duration
-	// SenderKept is how long an entry that isn't heard any more counts among those that
-	// share common budgets: their longest window.
+	// SenderKept is how long an entry that is no longer heard still counts among those
+	// that share common budgets: the longest window of a budget.
 	SenderKept time.Duration
-	// Uptime is the clock by which entries are told how old this member's knowledge
-	// is; it goes on while the machine is suspended.
+	// Uptime is the clock for the age of this member's view as reported to entries. It
+	// must go on while the machine is suspended.
 	Uptime func() time.Duration
-	// Crashes is what this member knows of requests that crash endpoints; nil: nothing.
+	// Crashes holds this member's findings on requests that crash endpoints; nil if there
+	// are none.
 	Crashes *crashboard.Board
-	// Orders gives orders to model endpoints; nil: none are given.
+	// Orders sends orders to model endpoints; if nil, none are sent.
 	Orders Orders
-	// OrderLease is for how long nobody else may give orders after one holder.
+	// OrderLease is how long nobody else may send orders after one holder.
 	OrderLease time.Duration
 }
 
-// firstVoters is how many voters the group needs before it takes a command.
-func (o Options) firstVoters() int {
-	return max(1, min(mostFirstVoters, len(o.Seeds)))
+// requiredVoters returns how many voters the group needs before it accepts commands.
+func (o Options) requiredVoters() int {
+	return max(1, min(maxRequiredVoters, len(o.Seeds)))
 }
--- a/internal/coordinator/replaced_test.go
+++ b/internal/coordinator/replaced_test.go
@@ -10,11 +10,11 @@
 	"github.com/hyssopsail/hyssopsail/internal/storage/faultfs"
 )
 
-// Entries handle requests by an old configuration, and no change is taken any
-// more. Two of six instances were replaced by others within some seconds; then
-// all lose power, and two more come back with empty disks, which is what the
-// fleet bears. The two that are gone for good still count as voters, so that the
-// four disks that are left are no majority of eight.
+// Guards against a group that can't reach a quorum after replacements. Two of six
+// instances are replaced within seconds; then all lose power, and two more come back with
+// empty disks, which is the loss that the fleet must bear. The two replaced instances
+// still counted as voters, so that the four remaining disks were no majority of eight: no
+// change was accepted, and entries served an old configuration.
 func TestReplacedInstancesDontStopTheGroup(t *testing.T) {
 	runFleetOf(t, 6, fleet{tolerance: 2}, func(t *testing.T, f *fleet) {
 		f.formed()
@@ -24,12 +24,12 @@
 			fresh := &instance{address: fmt.Sprint("fresh", n), disk: faultfs.New(), seeds: []string{"control2", "control3", "control4"}}
 			f.instances = append(f.instances, fresh)
 			f.start(fresh)
-			f.await(5*time.Second, "the successor a member", fresh.isMember)
+			f.await(5*time.Second, "the replacement a member", fresh.isMember)
 		}
-		// Each successor has had the time after which it counts.
+		// Each replacement has had the time after which its predecessor no longer counts.
 		time.Sleep(6 * time.Second)
 		live := f.instances[2:]
-		f.await(2*time.Second, "a change taken", func() bool { return f.put(live[2], 7) == nil })
+		f.await(2*time.Second, "a change accepted", func() bool { return f.put(live[2], 7) == nil })
 		for _, i := range live {
 			i.stop()
 		}
@@ -40,11 +40,11 @@
 			i.bootstrap = false
 			f.start(i)
 		}
-		f.await(15*time.Second, "a change taken after the fault", func() bool { return f.put(live[2], 8) == nil })
+		f.await(15*time.Second, "a change accepted after the fault", func() bool { return f.put(live[2], 8) == nil })
 	})
 }
 
-func TestEndangered(t *testing.T) {
+func TestQuorumAtRisk(t *testing.T) {
 	for _, test := range []struct {
 		name                     string
 		heard, silent, tolerance int
@@ -61,6 +61,6 @@
 		{"one of six down", 5, 1, 2, false},
 		{"three replaced, of five", 5, 3, 1, true},
 	} {
-		assert.Equal(t, endangered(test.heard, test.silent, test.tolerance), test.want, test.name)
+		assert.Equal(t, quorumAtRisk(test.heard, test.silent, test.tolerance), test.want, test.name)
 	}
 }
--- a/internal/coordinator/reports.go
+++ b/internal/coordinator/reports.go
@@ -13,62 +13,61 @@
 )
 
 const (
-	// reportPace is the least time between two commands of reports from one
-	// member. A report that comes alone goes at once; one that follows waits this
-	// long at most, a twentieth of what its sender waits for the answer.
-	reportPace = 50 * time.Millisecond
-	// mostReports bounds the reports that wait at a member: some 150 KB in one
-	// command. A member of nine gets 17 in a pace when 3,000 endpoints start within
-	// a second; the rest is for a leader that is late.
-	mostReports = 1024
+	// reportInterval is the minimum time between two commands with reports of one member.
+	// A single report is committed at once; one that follows waits this long at most, a
+	// twentieth of how long its sender waits for the answer.
+	reportInterval = 50 * time.Millisecond
+	// maxWaitingReports bounds the reports that wait at a member: some 150 KB in one
+	// command. A member of nine gets 17 per interval when 3,000 endpoints start within a
+	// second; the remainder allows for a slow leader.
+	maxWaitingReports = 1024
 )
 
-// reports gathers what endpoints and entries report to one member, and commits
-// it in one command at a time.
+// reportQueue collects the reports of endpoints and entries at one member and commits
+// them in batches, one command at a time.
 //
-// Failure guarded: thousands of endpoints start with the fleet. With a command
-// each, every member has each of them proposed, replicated, applied and told to
-// the entries by itself; answers come later than their senders wait, who then
-// report anew elsewhere over new connections, and the fleet does not get out of
-// it. With one command for all that has come meanwhile, a member's work is
-// bounded by the pace, whatever is offered: the later an answer, the more share
-// its command.
+// This guards against the load when thousands of endpoints start with the fleet. With one
+// command each, every member has to propose, replicate, apply and pass on each of them;
+// answers come later than the senders wait, who then report again to other members over
+// new connections, and the fleet does not recover. With one command for all reports that
+// arrived meanwhile, a member's work is bounded by the interval: the slower the answers,
+// the more reports share a command.
 //
-// reports.mu is a leaf.
-type reports struct {
+// reportQueue.mu is a leaf.
+type reportQueue struct {
 	commit func(ctx context.Context, command *pb.CatalogCommand) error
-	woken  chan struct{} // holds one when a batch waits
+	wake   chan struct{} // has one element when a batch waits
 
-	mu      sync.Mutex // guards waiting
-	waiting *reportBatch
+	mu    sync.Mutex // guards batch
+	batch *reportBatch
 }
 
-// reportBatch is what goes with one command.
+// reportBatch is the content of one command.
 type reportBatch struct {
 	reports *pb.Reports
 	done    chan struct{}
-	err     error // how the command ended; read after done is closed
+	err     error // result of the command; read after done is closed
 }
 
-func newReports(commit func(ctx context.Context, command *pb.CatalogCommand) error) *reports {
-	return &reports{commit: commit, woken: make(chan struct{}, 1)}
+func newReportQueue(commit func(ctx context.Context, command *pb.CatalogCommand) error) *reportQueue {
+	return &reportQueue{commit: commit, wake: make(chan struct{}, 1)}
 }
 
-// endpoint commits a heartbeat that changes its endpoint's record.
-func (r *reports) endpoint(ctx context.Context, e *pb.EndpointRecord) error {
-	return r.add(ctx, &pb.Reports{Endpoints: []*pb.EndpointRecord{e}})
+// submitEndpoint commits a heartbeat that changes its endpoint's record.
+func (r *reportQueue) submitEndpoint(ctx context.Context, e *pb.EndpointRecord) error {
+	return r.submit(ctx, &pb.Reports{Endpoints: []*pb.EndpointRecord{e}})
 }
 
-// entry commits what an entry says of itself.
-func (r *reports) entry(ctx context.Context, e *pb.EntryRecord) error {
-	return r.add(ctx, &pb.Reports{Entries: []*pb.EntryRecord{e}})
+// submitEntry commits an entry's report about itself.
+func (r *reportQueue) submitEntry(ctx context.Context, e *pb.EntryRecord) error {
+	return r.submit(ctx, &pb.Reports{Entries: []*pb.EntryRecord{e}})
 }
 
-// add has reports go with the next command, and waits for it.
-func (r *reports) add(ctx context.Context, reports *pb.Reports) error {
-	batch := r.join(reports)
+// submit adds reports to the waiting batch and waits until it is committed.
+func (r *reportQueue) submit(ctx context.Context, reports *pb.Reports) error {
+	batch := r.enqueue(reports)
 	if batch == nil {
-		return trace.Wrap(ErrUnavailable, "%d reports wait", mostReports)
+		return trace.Wrap(ErrUnavailable, "%d reports wait", maxWaitingReports)
 	}
 	select {
 	case <-batch.done:
@@ -78,43 +77,43 @@
 	}
 }
 
-// join adds to the batch that waits; nil when it is full.
-func (r *reports) join(reports *pb.Reports) *reportBatch {
+// enqueue adds reports to the waiting batch and returns it, or nil if it is full.
+func (r *reportQueue) enqueue(reports *pb.Reports) *reportBatch {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.waiting == nil {
-		r.waiting = &reportBatch{reports: &pb.Reports{}, done: make(chan struct{})}
+	if r.batch == nil {
+		r.batch = &reportBatch{reports: &pb.Reports{}, done: make(chan struct{})}
 	}
-	batch := r.waiting
-	if len(batch.reports.Endpoints)+len(batch.reports.Entries) >= mostReports {
+	batch := r.batch
+	if len(batch.reports.Endpoints)+len(batch.reports.Entries) >= maxWaitingReports {
 		return nil
 	}
 	batch.reports.Endpoints = append(batch.reports.Endpoints, reports.Endpoints...)
 	batch.reports.Entries = append(batch.reports.Entries, reports.Entries...)
 	select {
-	case r.woken <- struct{}{}:
+	case r.wake <- struct{}{}:
 	default:
 	}
 	return batch
 }
 
-// run commits what waits until ctx ends.
-func (r *reports) run(ctx context.Context) error {
+// run commits waiting batches until ctx ends.
+func (r *reportQueue) run(ctx context.Context) error {
 	for {
 		select {
-		case <-r.woken:
+		case <-r.wake:
 		case <-ctx.Done():
 			return nil
 		}
 		began := time.Now()
-		if batch := r.take(); batch != nil {
-			r.send(ctx, batch)
+		if batch := r.takeBatch(); batch != nil {
+			r.commitBatch(ctx, batch)
 		}
-		sleep.For(ctx, reportPace-time.Since(began))
+		sleep.For(ctx, reportInterval-time.Since(began))
 	}
 }
 
-func (r *reports) send(ctx context.Context, batch *reportBatch) {
+func (r *reportQueue) commitBatch(ctx context.Context, batch *reportBatch) {
 	command := &pb.CatalogCommand{Kind: &pb.CatalogCommand_Reports{Reports: batch.reports}}
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout(proto.Size(command)))
 	defer cancel()
@@ -122,11 +121,11 @@
 	close(batch.done)
 }
 
-// take gives the batch that waits, nil for none.
-func (r *reports) take() *reportBatch {
+// takeBatch removes and returns the waiting batch, or nil if there is none.
+func (r *reportQueue) takeBatch() *reportBatch {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	batch := r.waiting
-	r.waiting = nil
+	batch := r.batch
+	r.batch = nil
 	return batch
 }
--- a/internal/coordinator/seen.go
+++ b/internal/coordinator/seen.go
@@ -13,38 +13,39 @@
 	"github.com/hyssopsail/hyssopsail/internal/sleep"
 )
 
-func (c *Coordinator) noteHeard(endpoint string) {
+func (c *Coordinator) recordEndpointHeard(endpoint string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.heardHere[endpoint] = true
+	c.endpointsHeard[endpoint] = true
 }
 
-func (c *Coordinator) noteEntry(entry string) {
+func (c *Coordinator) recordEntryHeard(entry string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.entriesHere[entry] = true
+	c.entriesHeard[entry] = true
 }
 
-// reportRegularly reports until ctx ends, and at once when there is another leader.
+// runSeenReports reports to the leader every seenReportInterval until ctx ends, and at
+// once when there is a new leader.
 //
-// Failure guarded: all instances were killed, or the leader died. Entries accept keys
-// only by a member that is in touch, and each moment until its next report is one in
-// which they turn all callers away.
-func (c *Coordinator) reportRegularly(ctx context.Context) error {
+// The immediate report matters when all instances were killed or the leader died: entries
+// accept keys only from a member in contact with the leader, and reject all callers until
+// its next report.
+func (c *Coordinator) runSeenReports(ctx context.Context) error {
 	for {
 		leader := c.leaderAddress()
 		c.reportSeen(ctx)
-		if !c.awaitReport(ctx, leader) {
+		if !c.awaitNextReport(ctx, leader) {
 			return nil
 		}
 	}
 }
 
-// awaitReport returns when the next report is due: after seenInterval, or once the
-// leader is another one than before. It is false when ctx ended first.
-func (c *Coordinator) awaitReport(ctx context.Context, before string) bool {
-	for began := time.Now(); time.Since(began) < seenInterval; {
-		if !sleep.For(ctx, leaderLook) {
+// awaitNextReport returns when the next report is due: after seenReportInterval, or once
+// the leader is not the one at address before. It returns false if ctx ends first.
+func (c *Coordinator) awaitNextReport(ctx context.Context, before string) bool {
+	for began := time.Now(); time.Since(began) < seenReportInterval; {
+		if !sleep.For(ctx, leaderPollInterval) {
 			return false
 		}
 		if leader := c.leaderAddress(); leader != "" && leader != before {
@@ -54,10 +55,11 @@
 	return true
 }
 
-// reportSeen tells the leader who was heard here. Its answer shows that this
-// member is in touch; without one, entries and endpoints soon turn elsewhere.
+// reportSeen reports to the leader which endpoints and entries were heard here. The
+// leader's answer proves that this member is in contact; without it, entries and
+// endpoints soon turn to other members.
 func (c *Coordinator) reportSeen(ctx context.Context) {
-	request := c.takeSeen()
+	request := c.collectSeen()
 	sent, uptime := time.Now(), c.options.Uptime()
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -66,65 +68,65 @@
 		err = c.options.Machine.AwaitApplied(ctx, index)
 	}
 	if err != nil {
-		c.putBackSeen(request)
-		c.noteOutOfTouch(time.Now(), err)
+		c.restoreSeen(request)
+		c.recordLostContact(time.Now(), err)
 		return
 	}
-	c.noteInTouch(sent, uptime)
+	c.recordContact(sent, uptime)
 }
 
-// noteInTouch takes in that the leader answered a report that was sent at a time, and
-// at an uptime of this machine: this member has applied what was committed by then.
-func (c *Coordinator) noteInTouch(sent time.Time, uptime time.Duration) {
+// recordContact records that the leader answered a report sent at the given time and
+// uptime of this machine: this member has applied what was committed by then.
+func (c *Coordinator) recordContact(sent time.Time, uptime time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.isReady && c.voters() >= c.options.firstVoters() {
+	if !c.isReady && c.voterCount() >= c.options.requiredVoters() {
 		c.isReady = true
 		close(c.ready)
 	}
-	if !c.inTouch {
-		c.options.Part.Info("In touch with the leader.", "leader", c.leaderAddress())
+	if !c.inContact {
+		c.options.Part.Info("Contact with the leader established.", "leader", c.leaderAddress())
 	}
-	if !time.Now().Before(c.currentUntil) {
-		close(c.touched)
-		c.touched = make(chan struct{})
+	if !time.Now().Before(c.contactUntil) {
+		close(c.contactRegained)
+		c.contactRegained = make(chan struct{})
 	}
-	c.inTouch = true
-	c.currentUntil = sent.Add(currentFor)
-	c.confirmedAt = uptime
+	c.inContact = true
+	c.contactUntil = sent.Add(contactValidity)
+	c.confirmedUptime = uptime
 }
 
-// noteOutOfTouch writes one line when this member stops being current.
-func (c *Coordinator) noteOutOfTouch(now time.Time, cause error) {
+// recordLostContact logs once when this member stops being current.
+func (c *Coordinator) recordLostContact(now time.Time, cause error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.inTouch || now.Before(c.currentUntil) {
+	if !c.inContact || now.Before(c.contactUntil) {
 		return
 	}
-	c.inTouch = false
-	c.options.Part.Warn("Out of touch with the leader.", "since", c.currentUntil.UTC().Format(time.RFC3339Nano), "err", cause)
+	c.inContact = false
+	c.options.Part.Warn("Contact with the leader lost.", "since", c.contactUntil.UTC().Format(time.RFC3339Nano), "err", cause)
 }
 
-func (c *Coordinator) takeSeen() *pb.SeenRequest {
+func (c *Coordinator) collectSeen() *pb.SeenRequest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	request := &pb.SeenRequest{
 		Member:    c.options.Self.DiskId,
-		Endpoints: slices.Collect(maps.Keys(c.heardHere)), Entries: slices.Collect(maps.Keys(c.entriesHere)),
+		Endpoints: slices.Collect(maps.Keys(c.endpointsHeard)), Entries: slices.Collect(maps.Keys(c.entriesHeard)),
 	}
-	clear(c.heardHere)
-	clear(c.entriesHere)
+	clear(c.endpointsHeard)
+	clear(c.entriesHeard)
 	return request
 }
 
-func (c *Coordinator) putBackSeen(request *pb.SeenRequest) {
+func (c *Coordinator) restoreSeen(request *pb.SeenRequest) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, id := range request.Endpoints {
-		c.heardHere[id] = true
+		c.endpointsHeard[id] = true
 	}
 	for _, id := range request.Entries {
-		c.entriesHere[id] = true
+		c.entriesHeard[id] = true
 	}
 }
 
@@ -133,7 +135,7 @@
 		reply, err := c.Seen(ctx, request)
 		return reply.GetIndex(), err
 	}
-	client, err := c.leader(ctx)
+	client, err := c.leaderClient(ctx)
 	if err != nil {
 		return 0, err
 	}
@@ -143,7 +145,7 @@
 
 // Seen implements pb.DRPCCoordinatorServer.
 func (c *Coordinator) Seen(ctx context.Context, request *pb.SeenRequest) (*pb.SeenReply, error) {
-	index, err := c.readIndexHere(ctx)
+	index, err := c.readIndexAsLeader(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -151,17 +153,18 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, id := range request.Endpoints {
-		c.heard[id] = now
+		c.lastHeard[id] = now
 	}
 	for _, id := range request.Entries {
-		c.heard[id] = now
+		c.lastHeard[id] = now
 	}
 	return &pb.SeenReply{Index: index}, nil
 }
 
-// lead does what the leader alone does: it looks for members whose disk was
-// replaced, and for records whose heartbeats have stopped.
-func (c *Coordinator) lead(ctx context.Context) {
+// runLeaderTasks does nothing unless this member leads. It looks for members whose disk
+// was replaced, for lost voters and for records whose heartbeats have stopped, and
+// changes stages.
+func (c *Coordinator) runLeaderTasks(ctx context.Context) {
 	if !c.options.Group.Status().IsLeader {
 		c.mu.Lock()
 		c.leadingSince = time.Time{}
@@ -169,33 +172,34 @@
 		return
 	}
 	c.findReplacedDisks(ctx)
-	c.removeLost()
-	if expired := c.overdue(time.Now()); expired != nil {
+	c.removeLostVoter()
+	if expired := c.findExpired(time.Now()); expired != nil {
 		c.expire(ctx, expired)
 	}
 	c.stages.step(ctx)
 }
 
-// overdue lists the records whose heartbeats have stopped. A leader that has
-// just begun, or did not run for a while, has heard nobody: everyone gets the
-// whole time anew, since silencing all endpoints at once would refuse all work.
-func (c *Coordinator) overdue(now time.Time) *pb.Expire {
+// findExpired returns the records whose heartbeats have stopped, or nil if there are
+// none. A leader that has just begun to lead, or was suspended, has no times; every record
+// then gets its full timeout again, since silencing all endpoints at once would reject
+// all requests.
+func (c *Coordinator) findExpired(now time.Time) *pb.Expire {
 	endpoints, entries := c.options.Machine.Records()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.leadingSince.IsZero() || now.Sub(c.lastLook) > 2*leaderInterval+callTimeout {
+	if c.leadingSince.IsZero() || now.Sub(c.lastLeaderRun) > 2*leaderRunInterval+callTimeout {
 		c.leadingSince = now
-		clear(c.heard)
+		clear(c.lastHeard)
 	}
-	c.lastLook = now
+	c.lastLeaderRun = now
 	expired := &pb.Expire{}
 	for _, e := range endpoints {
-		if catalog.Live(e) && c.silentFor(e.Id, now) > c.options.EndpointSilence {
+		if catalog.Live(e) && c.silenceOf(e.Id, now) > c.options.EndpointSilence {
 			expired.Endpoints = append(expired.Endpoints, &pb.Expected{Id: e.Id, Revision: e.Revision})
 		}
 	}
 	for _, e := range entries {
-		if c.silentFor(e.Id, now) > c.entryLimit(e) {
+		if c.silenceOf(e.Id, now) > c.entryTimeoutFor(e) {
 			expired.Entries = append(expired.Entries, &pb.Expected{Id: e.Id, Revision: e.Revision})
 		}
 	}
@@ -205,21 +209,21 @@
 	return expired
 }
 
-// entryLimit is how long an entry may be unheard until it counts as gone, and then until
-// it is forgotten.
-func (c *Coordinator) entryLimit(e *pb.EntryRecord) time.Duration {
+// entryTimeoutFor returns how long an entry may be unheard until it counts as gone or, if
+// it is gone already, until its record is deleted.
+func (c *Coordinator) entryTimeoutFor(e *pb.EntryRecord) time.Duration {
 	if e.Gone {
-		return max(entrySilence, c.options.SenderKept)
+		return max(entryTimeout, c.options.SenderKept)
 	}
-	return entrySilence
+	return entryTimeout
 }
 
-// silentFor is called with c.mu held. A record that was never heard counts
-// from its first look.
-func (c *Coordinator) silentFor(id string, now time.Time) time.Duration {
-	last, ok := c.heard[id]
+// silenceOf returns how long a record has been unheard. A record that was never heard
+// counts from the first call. It is called with c.mu held.
+func (c *Coordinator) silenceOf(id string, now time.Time) time.Duration {
+	last, ok := c.lastHeard[id]
 	if !ok {
-		c.heard[id] = now
+		c.lastHeard[id] = now
 		return 0
 	}
 	return now.Sub(last)
@@ -235,6 +239,6 @@
 		c.options.Part.Warn("Endpoint is silent.", "endpoint", e.Id, "revision", e.Revision, "err", trace.Unwrap(err))
 	}
 	for _, e := range expired.Entries {
-		c.options.Part.Warn("Entry is silent.", "entry", e.Id, "revision", e.Revision, "err", trace.Unwrap(err))
+		c.options.Part.Warn("Entry timed out.", "entry", e.Id, "revision", e.Revision, "err", trace.Unwrap(err))
 	}
 }
--- a/internal/coordinator/serve.go
+++ b/internal/coordinator/serve.go
@@ -12,7 +12,7 @@
 var _ pb.DRPCCoordinatorServer = (*Coordinator)(nil)
 var _ pb.DRPCConsensusServer = (*Coordinator)(nil)
 
-// maxFollowWait bounds how long a Follow without news is held.
+// maxFollowWait bounds how long a Follow call waits for changes.
 const maxFollowWait = time.Second
 
 // Step implements pb.DRPCConsensusServer.
@@ -25,7 +25,7 @@
 
 // Propose implements pb.DRPCCoordinatorServer.
 func (c *Coordinator) Propose(ctx context.Context, request *pb.ProposeRequest) (*pb.ProposeReply, error) {
-	index, err := c.proposeHere(ctx, request.Command)
+	index, err := c.proposeAsLeader(ctx, request.Command)
 	if err != nil {
 		return nil, err
 	}
@@ -34,33 +34,33 @@
 
 // ReadIndex implements pb.DRPCCoordinatorServer.
 func (c *Coordinator) ReadIndex(ctx context.Context, _ *pb.ReadIndexRequest) (*pb.ReadIndexReply, error) {
-	index, err := c.readIndexHere(ctx)
+	index, err := c.readIndexAsLeader(ctx)
 	if err != nil {
 		return nil, err
 	}
 	return &pb.ReadIndexReply{Index: index}, nil
 }
 
-// Follow implements pb.DRPCCoordinatorServer: it answers when there is news, when this
-// member comes into touch, or at the end of the wait.
+// Follow implements pb.DRPCCoordinatorServer. It answers when there are changes, when
+// this member regains contact with the leader, or at the end of the requested wait.
 func (c *Coordinator) Follow(ctx context.Context, request *pb.FollowRequest) (*pb.FollowReply, error) {
 	if request.Self.GetId() != "" {
-		c.takeEntry(request.Self)
-		c.versions.heard(request.Self.Id, request.InForce, c.options.Machine.InForce().Version(), time.Now())
+		c.recordEntry(request.Self)
+		c.versions.record(request.Self.Id, request.InForce, c.options.Machine.InForce().Version(), time.Now())
 	}
 	timer := time.NewTimer(min(time.Duration(request.WaitMs)*time.Millisecond, maxFollowWait))
 	defer timer.Stop()
-	touched := c.awaitTouch(time.Now())
+	contact := c.contactSignal(time.Now())
 	for {
 		revision, changed := c.options.Machine.Revision()
-		news, crashes := c.crashNews(request)
-		if revision > request.Revision || len(news.GetFindings()) > 0 {
+		changes, moreCrashes := c.crashChanges(request)
+		if revision > request.Revision || len(changes.GetFindings()) > 0 {
 			return c.followReply(request), nil
 		}
 		select {
 		case <-changed:
-		case <-crashes:
-		case <-touched:
+		case <-moreCrashes:
+		case <-contact:
 			return c.followReply(request), nil
 		case <-timer.C:
 			return c.followReply(request), nil
@@ -70,19 +70,20 @@
 	}
 }
 
-// awaitTouch gives a channel that is closed when this member comes into touch; nil while
-// it is in touch. Entries that ask one that is not wait for nothing but that.
-func (c *Coordinator) awaitTouch(now time.Time) <-chan struct{} {
+// contactSignal returns a channel that is closed when this member regains contact with
+// the leader, or nil while it is in contact. Entries that poll a member without contact
+// wait for nothing else.
+func (c *Coordinator) contactSignal(now time.Time) <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if now.Before(c.currentUntil) {
+	if now.Before(c.contactUntil) {
 		return nil
 	}
-	return c.touched
+	return c.contactRegained
 }
 
 func (c *Coordinator) followReply(request *pb.FollowRequest) *pb.FollowReply {
-	confirmedAt := c.lastConfirmed()
+	confirmedAt := c.confirmedUntil()
 	delta := c.options.Machine.Since(request.DocumentVersion, request.Revision)
 	reply := &pb.FollowReply{
 		Current:   c.current(time.Now()) && delta.Revision >= request.Revision,
@@ -99,32 +100,33 @@
 		reply.AgeUs = uint64((c.options.Uptime() - confirmedAt).Microseconds()) + 1
 	}
 	reply.Members = c.Members()
-	reply.Crashes, _ = c.crashNews(request)
+	reply.Crashes, _ = c.crashChanges(request)
 	return reply
 }
 
-// crashNews gives what the entry that asks has not read yet of requests that crash
-// endpoints, and a channel that is closed when there is more.
-func (c *Coordinator) crashNews(request *pb.FollowRequest) (*pb.CrashNews, <-chan struct{}) {
+// crashChanges returns the findings on requests that crash endpoints that the polling
+// entry has not read yet, and a channel that is closed when there are more.
+func (c *Coordinator) crashChanges(request *pb.FollowRequest) (*pb.CrashNews, <-chan struct{}) {
 	if c.options.Crashes == nil {
 		return nil, nil
 	}
 	return c.options.Crashes.News(request.Crashes)
 }
 
-// lastConfirmed is until when this member knows all documents that were confirmed, by
-// Options.Uptime; 0 before the leader's first word.
-func (c *Coordinator) lastConfirmed() time.Duration {
+// confirmedUntil returns the time, by Options.Uptime, until which this member knows all
+// confirmed documents; 0 before the leader's first reply.
+func (c *Coordinator) confirmedUntil() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.confirmedAt
+	return c.confirmedUptime
 }
 
-// Keepers tells how many control instances share teams' quotas, 0 while that isn't
-// known.
+// Keepers returns how many control instances share the teams' quotas, or 0 while that is
+// unknown.
 func (c *Coordinator) Keepers() int { return len(c.options.Group.Status().Members) }
 
-// Members lists the addresses of the control instances, none while they aren't known.
+// Members returns the RPC addresses of the control instances, none while they are
+// unknown.
 func (c *Coordinator) Members() []string {
 	var list []string
 	for _, m := range c.options.Group.Status().Members {
@@ -146,20 +148,20 @@
 	return &pb.BlocksReply{Packed: c.options.Machine.Blocks(sums)}, nil
 }
 
-// takeEntry notes that an entry was heard, and commits what is new about it
-// in the background: the entry's own question need not wait for it. Before this
-// member is in touch with a group that takes commands, nothing can be committed,
-// and hundreds of entries ask again and again.
-func (c *Coordinator) takeEntry(r *pb.EntryRecord) {
-	c.noteEntry(r.Id)
-	if !c.current(time.Now()) || !catalog.EntryChanges(c.options.Machine.Entry(r.Id), r) || !c.beginReport(r.Id) {
+// recordEntry records that an entry was heard and commits changes of its record in the
+// background, so that its poll doesn't wait for them. Without contact to the leader
+// nothing is proposed: it could not be committed, and hundreds of entries poll again and
+// again.
+func (c *Coordinator) recordEntry(r *pb.EntryRecord) {
+	c.recordEntryHeard(r.Id)
+	if !c.current(time.Now()) || !catalog.EntryChanges(c.options.Machine.Entry(r.Id), r) || !c.beginTask(r.Id) {
 		return
 	}
 	go func() {
-		defer c.endReport(r.Id)
+		defer c.endTask(r.Id)
 		ctx, cancel := context.WithTimeout(context.Background(), 2*callTimeout)
 		defer cancel()
-		err := c.reports.entry(ctx, r)
+		err := c.reports.submitEntry(ctx, r)
 		c.options.Part.Info("Entry reported.", "entry", r.Id, "name", r.Name, "ready", r.Ready, "gone", r.Gone, "err", err)
 	}()
 }
--- a/internal/coordinator/stages.go
+++ b/internal/coordinator/stages.go
@@ -10,71 +10,70 @@
 	"github.com/hyssopsail/hyssopsail/internal/staging"
 )
 
-// EndpointStatus is what an endpoint says of its orders.
+// EndpointStatus is an endpoint's own report on its orders.
 type EndpointStatus struct {
 	Stage    pb.Stage
-	Busy     bool   // an order is under way
+	Busy     bool   // an order is being carried out
 	Accepted int64  // orders accepted in this incarnation
-	Born     uint64 // start of this incarnation, Unix ms; 0 where it doesn't say
+	Born     uint64 // start of this incarnation, Unix ms; 0 if not reported
 }
 
 // StageOrder asks an endpoint to change its stage.
 type StageOrder struct {
 	Stage    pb.Stage
-	Holder   string // instance that gives the order
+	Holder   string // instance that sends the order
 	Token    uint64 // fencing token: rises with each holder
-	Accepted int64  // that the endpoint must have accepted before
+	Accepted int64  // number of orders that the endpoint must have accepted before
 }
 
-// Orders gives orders to endpoints.
+// Orders sends orders to endpoints.
 type Orders interface {
 	Status(ctx context.Context, e *pb.EndpointRecord) (EndpointStatus, error)
 	ChangeStage(ctx context.Context, e *pb.EndpointRecord, o StageOrder) error
 }
 
-// The times of orders.
+// Delays and timeouts of orders.
 const (
-	// settleTime passes between the log's word that an endpoint is to change
-	// and the order, so that entries send it nothing any more.
-	settleTime = 500 * time.Millisecond
-	// orderPause is the wait between two tries of an order.
-	orderPause = 1500 * time.Millisecond
-	// assignFor bounds a change; an endpoint that has not shown its new stage
-	// by then goes back to work as it is.
-	assignFor = 40 * time.Second
-	// leaseMargin is added to the lease of a holder of orders: its last order
-	// may be on its way when the lease ends.
+	// settleDelay is the time between the commit of an assignment and the order, so that
+	// all entries have stopped sending to the endpoint.
+	settleDelay = 500 * time.Millisecond
+	// orderRetryDelay is the delay between attempts to send an order.
+	orderRetryDelay = 1500 * time.Millisecond
+	// assignmentTimeout bounds a change; an endpoint that has not reported its new stage
+	// by then returns to service with its old one.
+	assignmentTimeout = 40 * time.Second
+	// leaseMargin is added to the lease of an order holder: its last order may still be
+	// in transit when the lease ends.
 	leaseMargin = 700 * time.Millisecond
 )
 
-// stages changes the stages of model endpoints. Only the leader acts, with its
-// term as fencing token, and only once a lease has passed since it began to
-// lead: endpoints that don't check tokens would else get orders of two holders
-// in turn.
-type stages struct {
+// stageManager changes the stages of model endpoints. Only the leader acts, with its term
+// as fencing token, and only once a lease has passed since its term began: endpoints that
+// don't check tokens would otherwise follow orders of two holders in turn.
+type stageManager struct {
 	coordinator *Coordinator
 	planners    map[string]*staging.Planner // by service
-	began       map[string]time.Time        // when a change was first seen, by endpoint
-	tried       map[string]time.Time        // when an order was last tried
+	assignedAt  map[string]time.Time        // when an assignment was first seen, by endpoint
+	lastAttempt map[string]time.Time        // when an order was last attempted, by endpoint
 	term        uint64
 	termSince   time.Time
 }
 
-func newStages(c *Coordinator) *stages {
-	s := &stages{coordinator: c}
+func newStageManager(c *Coordinator) *stageManager {
+	s := &stageManager{coordinator: c}
 	s.reset(0, time.Time{})
 	return s
 }
 
-func (s *stages) reset(term uint64, now time.Time) {
+func (s *stageManager) reset(term uint64, now time.Time) {
 	s.term, s.termSince = term, now
 	s.planners = map[string]*staging.Planner{}
-	s.began = map[string]time.Time{}
-	s.tried = map[string]time.Time{}
+	s.assignedAt = map[string]time.Time{}
+	s.lastAttempt = map[string]time.Time{}
 }
 
-// step is called by the leader at each look.
-func (s *stages) step(ctx context.Context) {
+// step plans and sends orders; the leader calls it at each run of runLeaderTasks.
+func (s *stageManager) step(ctx context.Context) {
 	now := time.Now()
 	status := s.coordinator.options.Group.Status()
 	if status.Term != s.term {
@@ -83,13 +82,13 @@
 	if s.coordinator.options.Orders == nil || now.Sub(s.termSince) < s.coordinator.options.OrderLease+leaseMargin {
 		return
 	}
-	for service, records := range s.services() {
+	for service, records := range s.readyByService() {
 		s.plan(ctx, now, service, records)
-		s.carryOut(ctx, now, records)
+		s.sendOrders(ctx, now, records)
 	}
 }
 
-func (s *stages) services() map[string][]*pb.EndpointRecord {
+func (s *stageManager) readyByService() map[string][]*pb.EndpointRecord {
 	endpoints, _ := s.coordinator.options.Machine.Records()
 	list := map[string][]*pb.EndpointRecord{}
 	for _, e := range endpoints {
@@ -100,7 +99,7 @@
 	return list
 }
 
-func (s *stages) plan(ctx context.Context, now time.Time, service string, records []*pb.EndpointRecord) {
+func (s *stageManager) plan(ctx context.Context, now time.Time, service string, records []*pb.EndpointRecord) {
 	planner := s.planners[service]
 	if planner == nil {
 		planner = &staging.Planner{}
@@ -117,9 +116,9 @@
 	}
 }
 
-// assign has all entries know that an endpoint is to change; an unspecified
-// stage puts it back to work.
-func (s *stages) assign(ctx context.Context, id string, stage pb.Stage) {
+// assign commits that an endpoint is to change its stage, so that all entries stop using
+// it; the unspecified stage returns it to service.
+func (s *stageManager) assign(ctx context.Context, id string, stage pb.Stage) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	assign := &pb.AssignStage{Id: id, Stage: stage}
@@ -127,32 +126,33 @@
 	s.coordinator.options.Part.Info("Stage assigned.", "endpoint", id, "stage", stage, "term", s.term, "err", err)
 }
 
-// carryOut gives the orders for the endpoints that are to change.
-func (s *stages) carryOut(ctx context.Context, now time.Time, records []*pb.EndpointRecord) {
+// sendOrders sends the orders that are due to the endpoints with an assignment, and
+// cancels assignments that have timed out.
+func (s *stageManager) sendOrders(ctx context.Context, now time.Time, records []*pb.EndpointRecord) {
 	for _, e := range records {
 		if e.Assigned == pb.Stage_STAGE_UNSPECIFIED {
-			delete(s.began, e.Id)
+			delete(s.assignedAt, e.Id)
 			continue
 		}
-		if s.began[e.Id].IsZero() {
-			s.began[e.Id] = now
+		if s.assignedAt[e.Id].IsZero() {
+			s.assignedAt[e.Id] = now
 		}
 		switch {
-		case now.Sub(s.began[e.Id]) > assignFor:
+		case now.Sub(s.assignedAt[e.Id]) > assignmentTimeout:
 			s.assign(ctx, e.Id, pb.Stage_STAGE_UNSPECIFIED)
-		case now.Sub(s.began[e.Id]) < settleTime || now.Sub(s.tried[e.Id]) < orderPause:
+		case now.Sub(s.assignedAt[e.Id]) < settleDelay || now.Sub(s.lastAttempt[e.Id]) < orderRetryDelay:
 		default:
-			s.tried[e.Id] = now
-			if err := s.order(ctx, e); err != nil {
-				s.coordinator.options.Part.Info("Order was not given.", "endpoint", e.Id, "stage", e.Assigned, "err", err)
+			s.lastAttempt[e.Id] = now
+			if err := s.sendOrder(ctx, e); err != nil {
+				s.coordinator.options.Part.Info("Sending a stage order failed.", "endpoint", e.Id, "stage", e.Assigned, "err", err)
 			}
 		}
 	}
 }
 
-// order asks the endpoint how it stands, and gives the order if it is still
-// due. The lease is looked at last: a leader that was frozen must not send.
-func (s *stages) order(ctx context.Context, e *pb.EndpointRecord) error {
+// sendOrder asks the endpoint for its status and sends the order if it is still needed.
+// The term is checked last: a leader that was suspended must not send.
+func (s *stageManager) sendOrder(ctx context.Context, e *pb.EndpointRecord) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	status, err := s.coordinator.options.Orders.Status(ctx, e)
@@ -160,10 +160,10 @@
 		return err
 	}
 	if e.Born != 0 && status.Born != e.Born {
-		return nil // another incarnation, whose heartbeat is on its way
+		return nil // another incarnation, whose heartbeat has not arrived yet
 	}
 	if status.Busy || status.Stage == e.Assigned {
-		return nil // its heartbeat will say so
+		return nil // its next heartbeat reports it
 	}
 	if err := s.coordinator.options.Group.ReadBarrier(ctx); err != nil {
 		return err
@@ -174,7 +174,7 @@
 	order := StageOrder{Stage: e.Assigned, Holder: s.coordinator.options.Self.InstanceId, Token: s.term, Accepted: status.Accepted}
 	err = s.coordinator.options.Orders.ChangeStage(ctx, e, order)
 	s.coordinator.metrics.orders.WithLabelValues(resultOf(err)).Inc()
-	s.coordinator.options.Part.Info("Order was given.", "endpoint", e.Id, "stage", e.Assigned, "token", s.term,
+	s.coordinator.options.Part.Info("Stage order sent.", "endpoint", e.Id, "stage", e.Assigned, "token", s.term,
 		"accepted_before", status.Accepted, "err", err)
 	return nil
 }
--- a/internal/coordinator/timeout.go
+++ b/internal/coordinator/timeout.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// slowestTransfer is the least rate, bytes a second, at which a command
-// travels between control instances that are not at fault.
-const slowestTransfer = 2 << 20
+// minTransferRate is the minimum rate, in bytes per second, at which a command travels
+// between healthy control instances.
+const minTransferRate = 2 << 20
 
-// proposeTimeout bounds one try to commit a command of size bytes.
+// proposeTimeout returns the timeout of one attempt to commit a command of size bytes.
 func proposeTimeout(size int) time.Duration {
-	return 2*callTimeout + time.Duration(size)*time.Second/slowestTransfer
+	return 2*callTimeout + time.Duration(size)*time.Second/minTransferRate
 }
