--- a/internal/blocks/assembly.go
+++ b/internal/blocks/assembly.go
@@ -10,46 +10,46 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// Assembly is a document that is being put together.
+// Assembly is a document that is being put together from its blocks.
 type Assembly struct {
-	outline *pb.Outline
-	wanted  map[Sum]bool   // names of the document
-	blocks  map[Sum][]byte // those that are here
-	packed  map[Sum][]byte // the same compressed, where they came so
-	// unpacker is nil until a block comes.
-	unpacker *zstd.Decoder
+	outline    *pb.Outline
+	required   map[Sum]bool   // blocks of the document
+	blocks     map[Sum][]byte // available blocks
+	compressed map[Sum][]byte // compressed form of available blocks, where known
+	// decoder is nil until the first block is added.
+	decoder *zstd.Decoder
 }
 
-// Assemble begins a document with what is already here: the blocks of another
-// version and of an assembly that was left off; both may be nil.
-func Assemble(outline *pb.Outline, base *Document, before *Assembly) (*Assembly, error) {
-	if err := check(outline); err != nil {
+// NewAssembly starts an assembly with the blocks of another version and of an interrupted
+// assembly; both may be nil.
+func NewAssembly(outline *pb.Outline, base *Document, previous *Assembly) (*Assembly, error) {
+	if err := checkOutline(outline); err != nil {
 		return nil, err
 	}
 	a := &Assembly{
-		outline: outline, wanted: make(map[Sum]bool, len(outline.Blocks)),
-		blocks: make(map[Sum][]byte, len(outline.Blocks)), packed: map[Sum][]byte{},
+		outline: outline, required: make(map[Sum]bool, len(outline.Blocks)),
+		blocks: make(map[Sum][]byte, len(outline.Blocks)), compressed: map[Sum][]byte{},
 	}
 	for _, name := range outline.Blocks {
 		sum := Sum(name)
-		a.wanted[sum] = true
-		if block := before.block(sum); block != nil {
-			a.keep(sum, block, before.packed[sum])
+		a.required[sum] = true
+		if block := previous.block(sum); block != nil {
+			a.store(sum, block, previous.compressed[sum])
 		} else if block := base.block(sum); block != nil {
-			a.keep(sum, block, base.packedBefore(sum))
+			a.store(sum, block, base.cachedCompressed(sum))
 		}
 	}
 	return a, nil
 }
 
-func (a *Assembly) keep(sum Sum, block, packed []byte) {
+func (a *Assembly) store(sum Sum, block, compressed []byte) {
 	a.blocks[sum] = block
-	if packed != nil {
-		a.packed[sum] = packed
+	if compressed != nil {
+		a.compressed[sum] = compressed
 	}
 }
 
-// Outline gives the outline of the document.
+// Outline returns the outline of the document.
 func (a *Assembly) Outline() *pb.Outline { return a.outline }
 
 func (a *Assembly) block(sum Sum) []byte {
@@ -59,17 +59,17 @@
 	return a.blocks[sum]
 }
 
-// Missing gives the first most names of blocks that are not here and not passed
-// over, in the document's order.
-func (a *Assembly) Missing(most int, passOver map[Sum]bool) []Sum {
+// Missing returns up to limit blocks that are neither available nor in skip, in the
+// document's order.
+func (a *Assembly) Missing(limit int, skip map[Sum]bool) []Sum {
 	var list []Sum
 	seen := map[Sum]bool{}
 	for _, name := range a.outline.Blocks {
 		sum := Sum(name)
-		if len(list) >= most {
+		if len(list) >= limit {
 			break
 		}
-		if a.blocks[sum] == nil && !passOver[sum] && !seen[sum] {
+		if a.blocks[sum] == nil && !skip[sum] && !seen[sum] {
 			list = append(list, sum)
 			seen[sum] = true
 		}
@@ -77,30 +77,30 @@
 	return list
 }
 
-// Add takes in a compressed block, whose name its content gives. One that is not
-// wanted, as it was asked for an earlier version, is left.
-func (a *Assembly) Add(packed []byte) error {
-	if a.unpacker == nil {
-		a.unpacker = newUnpacker()
+// Add adds a compressed block, identified by its content. A block that is not part of the
+// document, as it was requested for an earlier version, is ignored.
+func (a *Assembly) Add(compressed []byte) error {
+	if a.decoder == nil {
+		a.decoder = newDecoder()
 	}
-	block, err := a.unpacker.DecodeAll(packed, nil)
+	block, err := a.decoder.DecodeAll(compressed, nil)
 	if err != nil {
 		return trace.Wrap(err)
 	}
 	sum := sumOf(block)
-	if a.wanted[sum] {
-		a.keep(sum, block, packed)
+	if a.required[sum] {
+		a.store(sum, block, compressed)
 	}
 	return nil
 }
 
-// Whole tells whether all blocks are here.
-func (a *Assembly) Whole() bool { return len(a.blocks) == len(a.wanted) }
+// Complete reports whether all blocks are available.
+func (a *Assembly) Complete() bool { return len(a.blocks) == len(a.required) }
 
-// Document gives the document once it is whole.
+// Document returns the document; it fails while blocks are missing.
 func (a *Assembly) Document() (*Document, error) {
-	if !a.Whole() {
-		return nil, trace.NotFound("version %d lacks %d of %d blocks", a.outline.Version, len(a.wanted)-len(a.blocks), len(a.wanted))
+	if !a.Complete() {
+		return nil, trace.NotFound("version %d lacks %d of %d blocks", a.outline.Version, len(a.required)-len(a.blocks), len(a.required))
 	}
 	source := make([]byte, 0, Size(a.outline))
 	for i, name := range a.outline.Blocks {
@@ -114,6 +114,6 @@
 		return nil, trace.BadParameter("version %d is not what was confirmed: its digest differs", a.outline.Version)
 	}
 	document := newDocument(a.outline, source)
-	document.packed = a.packed
+	document.compressed = a.compressed
 	return document, nil
 }
--- a/internal/blocks/blocks_test.go
+++ b/internal/blocks/blocks_test.go
@@ -11,7 +11,7 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// text gives n lines of some 200 bytes, alike for equal numbers.
+// text returns a line of some 200 bytes for each number; equal numbers give equal lines.
 func text(lines ...int) []byte {
 	var b bytes.Buffer
 	for _, n := range lines {
@@ -21,7 +21,7 @@
 	return b.Bytes()
 }
 
-// upTo gives the numbers below n.
+// upTo returns the numbers below n.
 func upTo(n int) []int {
 	list := make([]int, n)
 	for i := range list {
@@ -30,29 +30,29 @@
 	return list
 }
 
-// bring takes over a document as a process does that holds base, and tells how
-// many bytes it cost.
-func bring(t *testing.T, from, base *Document) (*Document, int) {
+// transfer copies a document to a process that has base, and returns the copy and how
+// many bytes were sent.
+func transfer(t *testing.T, from, base *Document) (*Document, int) {
 	t.Helper()
-	assembly, err := Assemble(from.Outline(), base, nil)
+	assembly, err := NewAssembly(from.Outline(), base, nil)
 	assert.NilError(t, err)
-	cost := 0
+	size := 0
 	for _, sum := range assembly.Missing(1<<20, nil) {
-		packed := from.Packed(sum)
-		cost += len(packed)
-		err := assembly.Add(packed)
+		compressed := from.Compressed(sum)
+		size += len(compressed)
+		err := assembly.Add(compressed)
 		assert.NilError(t, err)
 	}
 	document, err := assembly.Document()
 	assert.NilError(t, err)
 	assert.Assert(t, bytes.Equal(document.Source(), from.Source()))
-	return document, cost
+	return document, size
 }
 
-// What a change costs follows what it changes, not the size of the document.
-func TestAChangeCostsWhatItChanges(t *testing.T) {
+// The size of a transfer depends on the size of the change, not of the document.
+func TestTransferSizeFollowsTheChange(t *testing.T) {
 	before := Split(1, text(upTo(5000)...))
-	held, whole := bring(t, before, nil)
+	base, total := transfer(t, before, nil)
 	for name, lines := range map[string][]int{
 		"one line more":       upTo(5001),
 		"one line in between": append(append(upTo(2000), 77777), upTo(5000)[2000:]...),
@@ -60,69 +60,69 @@
 		"nothing":             upTo(5000),
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, cost := bring(t, Split(2, text(lines...)), held)
-			assert.Assert(t, cost*20 < whole, "%d of %d bytes", cost, whole)
+			_, cost := transfer(t, Split(2, text(lines...)), base)
+			assert.Assert(t, cost*20 < total, "%d of %d bytes", cost, total)
 		})
 	}
 }
 
 func TestDocumentsOfAllSizes(t *testing.T) {
 	for _, n := range []int{0, 1, 3, 100, 3000} {
-		bring(t, Split(int64(n)+1, text(upTo(n)...)), nil)
+		transfer(t, Split(int64(n)+1, text(upTo(n)...)), nil)
 	}
-	bring(t, Split(1, bytes.Repeat([]byte("the same block again and again "), 20000)), nil)
+	transfer(t, Split(1, bytes.Repeat([]byte("the same block again and again "), 20000)), nil)
 }
 
-// A transfer that was broken off goes on with what has come, also towards a
-// version that has overtaken it.
-func TestAnAssemblyGoesOnWhereAnotherWasLeft(t *testing.T) {
+// An interrupted transfer resumes with the blocks received so far, even for a newer
+// version.
+func TestAssemblyResumes(t *testing.T) {
 	first := Split(1, text(upTo(3000)...))
-	left, err := Assemble(first.Outline(), nil, nil)
+	interrupted, err := NewAssembly(first.Outline(), nil, nil)
 	assert.NilError(t, err)
-	half := left.Missing(len(first.Outline().Blocks)/2, nil)
+	half := interrupted.Missing(len(first.Outline().Blocks)/2, nil)
 	for _, sum := range half {
-		err := left.Add(first.Packed(sum))
+		err := interrupted.Add(first.Compressed(sum))
 		assert.NilError(t, err)
 	}
 	second := Split(2, text(upTo(3010)...))
-	goesOn, err := Assemble(second.Outline(), nil, left)
+	resumed, err := NewAssembly(second.Outline(), nil, interrupted)
 	assert.NilError(t, err)
-	missing := len(goesOn.Missing(1<<20, nil))
+	missing := len(resumed.Missing(1<<20, nil))
 	assert.Assert(t, missing <= len(second.Outline().Blocks)-len(half), "%d", missing)
-	for _, sum := range goesOn.Missing(1<<20, nil) {
-		err := goesOn.Add(second.Packed(sum))
+	for _, sum := range resumed.Missing(1<<20, nil) {
+		err := resumed.Add(second.Compressed(sum))
 		assert.NilError(t, err)
 	}
-	document, err := goesOn.Document()
+	document, err := resumed.Document()
 	assert.NilError(t, err)
 	assert.Assert(t, bytes.Equal(document.Source(), second.Source()))
 }
 
-func TestMissingPassesOverWhatIsOnItsWay(t *testing.T) {
+func TestMissingSkipsRequestedBlocks(t *testing.T) {
 	d := Split(1, text(upTo(1000)...))
-	a, err := Assemble(d.Outline(), nil, nil)
+	a, err := NewAssembly(d.Outline(), nil, nil)
 	assert.NilError(t, err)
 	first := a.Missing(3, nil)
 	assert.Equal(t, len(first), 3)
-	asked := map[Sum]bool{}
+	requested := map[Sum]bool{}
 	for _, sum := range first {
-		asked[sum] = true
+		requested[sum] = true
 	}
-	for _, sum := range a.Missing(1<<20, asked) {
-		assert.Assert(t, !asked[sum])
+	for _, sum := range a.Missing(1<<20, requested) {
+		assert.Assert(t, !requested[sum])
 	}
 }
 
-// Bytes that are no block, blocks that nobody asked for and outlines that are not
-// whole put nothing into a document.
-func TestWhatIsNotTheDocumentIsNotTakenIn(t *testing.T) {
+// Invalid bytes, blocks that were not requested and malformed outlines add nothing to a
+// document.
+func TestInvalidBlocksAndOutlinesAreRejected(t *testing.T) {
 	d := Split(1, text(upTo(1000)...))
-	a, err := Assemble(d.Outline(), nil, nil)
+	a, err := NewAssembly(d.Outline(), nil, nil)
 	assert.NilError(t, err)
 	err = a.Add([]byte("no block"))
 	assert.Assert(t, err != nil)
 	other := Split(1, text(5000, 5001))
-	err = a.Add(other.Packed(Sum(other.Outline().Blocks[0])))
+	err = a.Add(other.Compressed(Sum(other.Outline().Blocks[0])))
 	assert.NilError(t, err)
 	assert.Equal(t, len(a.Missing(1<<20, nil)), len(d.Outline().Blocks))
 	_, err = a.Document()
@@ -135,17 +135,17 @@
 		"huge block":   {Version: 1, Digest: d.Outline().Digest, Blocks: d.Outline().Blocks[:1], Sizes: []uint32{1 << 31}},
 		"of no length": {Version: 1, Digest: d.Outline().Digest, Blocks: d.Outline().Blocks[:1], Sizes: []uint32{0}},
 	} {
-		_, err := Assemble(outline, nil, nil)
+		_, err := NewAssembly(outline, nil, nil)
 		assert.Assert(t, err != nil, name)
 	}
 }
 
-// The blocks are right and their order is not: the digest of the whole tells.
-func TestWrongOrderIsFound(t *testing.T) {
+// The blocks are right but in the wrong order, which the digest of the document detects.
+func TestWrongBlockOrderIsDetected(t *testing.T) {
 	d := Split(1, text(upTo(1000)...))
 	o := d.Outline()
 	wrong := &pb.Outline{Version: 1, Digest: o.Digest, Blocks: [][]byte{o.Blocks[1], o.Blocks[0]}, Sizes: []uint32{o.Sizes[1], o.Sizes[0]}}
-	a, err := Assemble(wrong, d, nil)
+	a, err := NewAssembly(wrong, d, nil)
 	assert.NilError(t, err)
 	_, err = a.Document()
 	assert.ErrorContains(t, err, "digest differs")
@@ -153,22 +153,22 @@
 
 func TestRestore(t *testing.T) {
 	d := Split(4, text(upTo(1000)...))
-	again, err := Restore(d.Outline(), d.Source())
+	restored, err := Restore(d.Outline(), d.Source())
 	assert.NilError(t, err)
-	assert.Equal(t, again.Version(), int64(4))
-	assert.Equal(t, len(again.Lacking(d)), 0)
+	assert.Equal(t, restored.Version(), int64(4))
+	assert.Equal(t, len(restored.MissingFrom(d)), 0)
 	_, err = Restore(d.Outline(), d.Source()[1:])
 	assert.Assert(t, err != nil)
 }
 
 func FuzzAdd(f *testing.F) {
 	d := Split(1, text(upTo(100)...))
-	f.Add(d.Packed(Sum(d.Outline().Blocks[0])))
+	f.Add(d.Compressed(Sum(d.Outline().Blocks[0])))
 	f.Add([]byte{0x28, 0xb5, 0x2f, 0xfd})
-	f.Fuzz(func(t *testing.T, packed []byte) {
-		a, err := Assemble(d.Outline(), nil, nil)
+	f.Fuzz(func(t *testing.T, compressed []byte) {
+		a, err := NewAssembly(d.Outline(), nil, nil)
 		assert.NilError(t, err)
-		if err := a.Add(packed); err != nil {
+		if err := a.Add(compressed); err != nil {
 			return
 		}
 		if document, err := a.Document(); err == nil {
--- a/internal/blocks/doc.go
+++ b/internal/blocks/doc.go
@@ -1,8 +1,8 @@
-// Package blocks splits a document at points that its content chooses, and puts
-// one together again from blocks that may come from several places. Two versions
-// share all blocks in which they are equal, so that a change costs about what it
-// changes, and a transfer that was broken off goes on where it ended.
+// Package blocks splits a document into content-defined blocks, and assembles documents
+// from blocks that may come from several sources. Two versions share the blocks in which
+// they are equal, so that the size of a transfer depends on the change, and an
+// interrupted transfer resumes where it ended.
 //
-// A Document is immutable and safe for concurrent use; an Assembly belongs to one
+// A Document is immutable and safe for concurrent use; an Assembly must be used by one
 // goroutine at a time.
 package blocks
--- a/internal/blocks/document.go
+++ b/internal/blocks/document.go
@@ -10,21 +10,21 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// Document is a whole document with its outline.
+// Document is a complete document with its outline.
 type Document struct {
 	outline *pb.Outline
 	source  []byte
-	blocks  map[Sum][]byte // parts of source
+	blocks  map[Sum][]byte // subslices of source
 
-	mu     sync.Mutex    // guards the fields below; a leaf
-	packer *zstd.Encoder // nil until a block is compressed
-	packed map[Sum][]byte
+	mu         sync.Mutex    // guards the fields below; a leaf lock
+	encoder    *zstd.Encoder // nil until a block is compressed
+	compressed map[Sum][]byte
 }
 
 func newDocument(outline *pb.Outline, source []byte) *Document {
 	d := &Document{
 		outline: outline, source: source,
-		blocks: make(map[Sum][]byte, len(outline.Blocks)), packed: map[Sum][]byte{},
+		blocks: make(map[Sum][]byte, len(outline.Blocks)), compressed: map[Sum][]byte{},
 	}
 	rest := source
 	for i, sum := range outline.Blocks {
@@ -34,9 +34,9 @@
 	return d
 }
 
-// Restore gives a document that was stored with its outline.
+// Restore returns a document that was stored with its outline.
 func Restore(outline *pb.Outline, source []byte) (*Document, error) {
-	if err := check(outline); err != nil {
+	if err := checkOutline(outline); err != nil {
 		return nil, err
 	}
 	if size := Size(outline); size != uint64(len(source)) {
@@ -45,8 +45,8 @@
 	return newDocument(outline, source), nil
 }
 
-// check tells whether an outline can be of a document.
-func check(outline *pb.Outline) error {
+// checkOutline returns an error if an outline is not well-formed.
+func checkOutline(outline *pb.Outline) error {
 	if len(outline.GetBlocks()) != len(outline.GetSizes()) || len(outline.GetDigest()) != sha256.Size {
 		return trace.BadParameter("the outline of version %d is not whole", outline.GetVersion())
 	}
@@ -54,14 +54,14 @@
 		if _, err := ParseSum(sum); err != nil {
 			return err
 		}
-		if outline.Sizes[i] == 0 || outline.Sizes[i] > mostBlock {
+		if outline.Sizes[i] == 0 || outline.Sizes[i] > maxBlockSize {
 			return trace.BadParameter("block %d of version %d has %d bytes", i, outline.Version, outline.Sizes[i])
 		}
 	}
 	return nil
 }
 
-// Size gives the length of an outline's document, bytes.
+// Size returns the length of an outline's document in bytes.
 func Size(outline *pb.Outline) uint64 {
 	size := uint64(0)
 	for _, s := range outline.GetSizes() {
@@ -70,7 +70,7 @@
 	return size
 }
 
-// Version is the document's version, 0 for none; d may be nil.
+// Version returns the document's version, or 0 if d is nil.
 func (d *Document) Version() int64 {
 	if d == nil {
 		return 0
@@ -78,14 +78,13 @@
 	return d.outline.Version
 }
 
-// Outline gives what to tell others of the document.
+// Outline returns the outline: the document's version, digest and blocks.
 func (d *Document) Outline() *pb.Outline { return d.outline }
 
-// Source gives the document to the byte; nobody may change it.
+// Source returns the document's bytes, which must not be changed.
 func (d *Document) Source() []byte { return d.source }
 
-// block gives a block, nil when the document, which may be nil, has none of this
-// name.
+// block returns a block, or nil if d is nil or doesn't contain it.
 func (d *Document) block(sum Sum) []byte {
 	if d == nil {
 		return nil
@@ -93,37 +92,37 @@
 	return d.blocks[sum]
 }
 
-// Packed gives a block for the wire, nil when the document, which may be nil, has
-// none of this name. It is compressed once, however many ask.
-func (d *Document) Packed(sum Sum) []byte {
+// Compressed returns the compressed form of a block, or nil if d is nil or doesn't
+// contain the block. Each block is compressed at most once.
+func (d *Document) Compressed(sum Sum) []byte {
 	block := d.block(sum)
 	if block == nil {
 		return nil
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.packed[sum] == nil {
-		if d.packer == nil {
-			d.packer = newPacker()
+	if d.compressed[sum] == nil {
+		if d.encoder == nil {
+			d.encoder = newEncoder()
 		}
-		d.packed[sum] = d.packer.EncodeAll(block, nil)
+		d.compressed[sum] = d.encoder.EncodeAll(block, nil)
 	}
-	return d.packed[sum]
+	return d.compressed[sum]
 }
 
-// packedBefore gives a block for the wire where it was compressed already.
-func (d *Document) packedBefore(sum Sum) []byte {
+// cachedCompressed returns the compressed form of a block if it is known already, or nil.
+func (d *Document) cachedCompressed(sum Sum) []byte {
 	if d == nil {
 		return nil
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.packed[sum]
+	return d.compressed[sum]
 }
 
-// Lacking gives the blocks of d that base, which may be nil, doesn't have, each
+// MissingFrom returns the blocks of d that base, which may be nil, doesn't contain, each
 // once.
-func (d *Document) Lacking(base *Document) []Sum {
+func (d *Document) MissingFrom(base *Document) []Sum {
 	var list []Sum
 	seen := map[Sum]bool{}
 	for _, name := range d.outline.Blocks {
--- a/internal/catalog/addresses.go
+++ b/internal/catalog/addresses.go
@@ -6,14 +6,14 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// addressIndex names the records of each address. It holds no more than the
-// records tell, so that members that took a snapshot agree with those that
-// applied every command. Without it each registration would look through all
-// records, and a fleet that starts registers thousands at once.
+// addressIndex maps each address to the IDs of its records. It is derived from the
+// records alone, so that members restored from a snapshot agree with those that applied
+// every command. Without it each registration would scan all records, and a starting
+// fleet registers thousands of endpoints at once.
 type addressIndex map[string][]string // IDs by address
 
-// move takes in that a record replaces another one of its ID, which may be nil.
-func (a addressIndex) move(before, r *pb.EndpointRecord) {
+// update indexes a record that replaces before, which has the same ID and may be nil.
+func (a addressIndex) update(before, r *pb.EndpointRecord) {
 	if before != nil && before.Address == r.Address {
 		return
 	}
@@ -33,7 +33,7 @@
 	a[r.Address] = rest
 }
 
-// sorted gives the IDs at an address, in an order that all members share.
+// sorted returns the IDs at an address in the same order at all members.
 func (a addressIndex) sorted(address string) []string {
 	ids := slices.Clone(a[address])
 	slices.Sort(ids)
@@ -43,7 +43,7 @@
 func indexAddresses(records map[string]*pb.EndpointRecord) addressIndex {
 	a := addressIndex{}
 	for _, r := range records {
-		a.move(nil, r)
+		a.update(nil, r)
 	}
 	return a
 }
--- a/internal/catalog/doc.go
+++ b/internal/catalog/doc.go
@@ -1,9 +1,9 @@
-// Package catalog is the replicated state of a fleet that takes its
-// configuration as whole documents: the newest document, the endpoints that
-// have reported, and the entries that take callers. It is a pure state
-// machine: no I/O, no clock; equal commands give equal states everywhere.
+// Package catalog is the replicated state of a fleet whose configuration is one document:
+// the newest document, the endpoints that have reported, and the entries that accept
+// callers. It is a pure state machine without I/O or clock: equal commands give equal
+// states on all members.
 //
-// The revision is the log index of the newest change. A reader that holds a
-// revision asks for what changed after it; records that are gone stay as
-// tombstones, so that a late heartbeat can't bring an incarnation back.
+// The revision is the log index of the newest change. A reader that has a revision asks
+// for the changes after it. Records of endpoints that are gone stay as tombstones, so
+// that a late heartbeat can't restore an incarnation.
 package catalog
--- a/internal/catalog/document.go
+++ b/internal/catalog/document.go
@@ -7,27 +7,28 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// putBlocks takes a higher version. The same or a lower one changes nothing: it
-// is a repeat, or was overtaken. Nor does one that lacks blocks, since another
-// document came into force after the command had been made: whoever proposed it
-// sees that its version is not reached, and makes the command anew.
+// putBlocks applies a document with a higher version and reports whether it did. The same
+// or a lower version changes nothing: it is a repeat, or a newer one was committed first.
+// Nor does a command that lacks blocks because another document came into force after it
+// was built: the proposer sees that its version was not reached and builds the command
+// again.
 //
-// All members hold the same document with the same cuts, snapshots included, so
-// that a command is taken by all of them or by none.
+// All members have the same document with the same block boundaries, including members
+// restored from snapshots, so that all of them or none apply a command.
 func (m *Machine) putBlocks(c *pb.PutBlocks) bool {
 	if c.GetOutline().GetVersion() <= m.document.Version() {
 		return false
 	}
-	document, err := putTogether(c, m.document)
+	document, err := assembleDocument(c, m.document)
 	if err != nil {
 		return false
 	}
-	m.document, m.replaced = document, m.document
+	m.document, m.previous = document, m.document
 	return true
 }
 
-func putTogether(c *pb.PutBlocks, base *blocks.Document) (*blocks.Document, error) {
-	assembly, err := blocks.Assemble(c.Outline, base, nil)
+func assembleDocument(c *pb.PutBlocks, base *blocks.Document) (*blocks.Document, error) {
+	assembly, err := blocks.NewAssembly(c.Outline, base, nil)
 	if err != nil {
 		return nil, err
 	}
@@ -39,23 +40,23 @@
 	return assembly.Document()
 }
 
-// putDocument is putBlocks for the whole documents in earlier builds' logs.
+// putDocument is putBlocks for whole documents, which the logs of earlier builds contain.
 func (m *Machine) putDocument(d *pb.ConfigDocument) bool {
 	if d.Version <= m.document.Version() {
 		return false
 	}
-	m.document, m.replaced = blocks.Split(d.Version, d.Source), m.document
+	m.document, m.previous = blocks.Split(d.Version, d.Source), m.document
 	return true
 }
 
-// PutBlocks makes the command that puts a document into force where base, which
-// may be nil, is in force. A document that is not newer needs no blocks: the
-// command then tells by its commit that the newer one is confirmed.
-func PutBlocks(document, base *blocks.Document) *pb.CatalogCommand {
+// PutBlocksCommand returns the command that puts a document into force while base, which
+// may be nil, is in force. A document that is not newer needs no blocks: committing the
+// command then only confirms that a newer one is in force.
+func PutBlocksCommand(document, base *blocks.Document) *pb.CatalogCommand {
 	command := &pb.PutBlocks{Outline: document.Outline()}
 	if document.Version() > base.Version() {
-		for _, sum := range document.Lacking(base) {
-			command.Packed = append(command.Packed, document.Packed(sum))
+		for _, sum := range document.MissingFrom(base) {
+			command.Packed = append(command.Packed, document.Compressed(sum))
 		}
 	} else {
 		command.Outline = &pb.Outline{Version: document.Version()}
@@ -63,16 +64,16 @@
 	return &pb.CatalogCommand{Kind: &pb.CatalogCommand_PutBlocks{PutBlocks: command}}
 }
 
-// InForce gives the newest document with its blocks, nil before the first.
-func (m *Machine) InForce() *blocks.Document {
+// CurrentDocument returns the newest document with its blocks, or nil before the first.
+func (m *Machine) CurrentDocument() *blocks.Document {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.document
 }
 
-// Document gives the newest document as it was sent, nil before the first.
+// Document returns the newest document as it was submitted, or nil before the first.
 func (m *Machine) Document() *pb.ConfigDocument {
-	d := m.InForce()
+	d := m.CurrentDocument()
 	if d == nil {
 		return nil
 	}
@@ -83,25 +84,25 @@
 	return &pb.ConfigDocument{Version: d.Version(), Source: d.Source()}
 }
 
-// mostPart bounds the compressed blocks of one answer, bytes: 50 ms on a link of
-// 10 Mbit/s. A transfer that is broken off loses less than this.
-const mostPart = 64 << 10
+// maxBlocksReplySize bounds the compressed blocks of one reply, in bytes: 50 ms on a link
+// of 10 Mbit/s. An interrupted transfer loses less than this.
+const maxBlocksReplySize = 64 << 10
 
-// Blocks gives those of the blocks asked for that the newest document or the one
-// before has, as many as fit into one answer, and one at least.
+// Blocks returns the requested blocks that the newest or the previous document contains,
+// compressed: as many as fit into one reply, and at least one.
 func (m *Machine) Blocks(sums []blocks.Sum) [][]byte {
 	m.mu.Lock()
-	document, replaced := m.document, m.replaced
+	document, previous := m.document, m.previous
 	m.mu.Unlock()
 	var list [][]byte
 	size := 0
 	for _, sum := range sums {
-		packed := document.Packed(sum)
+		packed := document.Compressed(sum)
 		if packed == nil {
-			packed = replaced.Packed(sum)
+			packed = previous.Compressed(sum)
 		}
 		size += len(packed)
-		if size > mostPart && len(list) > 0 {
+		if size > maxBlocksReplySize && len(list) > 0 {
 			break
 		}
 		if packed != nil {
@@ -111,7 +112,7 @@
 	return list
 }
 
-// restoreDocument gives the document of a snapshot, nil when it has none.
+// restoreDocument returns the document of a snapshot, or nil if it has none.
 func restoreDocument(s *pb.CatalogSnapshot) (*blocks.Document, error) {
 	switch {
 	case s.Document == nil:
--- a/internal/catalog/endpoints.go
+++ b/internal/catalog/endpoints.go
@@ -6,21 +6,22 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// reportEndpoint takes in a heartbeat that changes an endpoint's record.
+// reportEndpoint applies a heartbeat that changes an endpoint's record and reports
+// whether it did.
 func (m *Machine) reportEndpoint(index uint64, r *pb.EndpointRecord) bool {
 	known := m.endpoints[r.Id]
 	switch {
-	case !Changes(known, r):
+	case !EndpointChanges(known, r):
 		return false
 	case known == nil && len(m.endpoints) >= MaxRecords:
 		return false
-	case leftUnheard(known):
+	case retiredBeforeFirstHeartbeat(known):
 		m.put(index, tombstone(r, r.Born, known.Registered))
 		return true
 	case known == nil || r.Born > known.Born:
-		// A new incarnation holds nothing of before: no stage is assigned to it.
+		// A new incarnation starts without an assigned stage.
 		r.Registered = index
-		m.silenceAt(index, r)
+		m.silenceOthersAt(index, r)
 	default:
 		r.Registered = known.Registered
 		if known.Assigned != r.Stage {
@@ -31,15 +32,16 @@
 	return true
 }
 
-// silenceAt silences the endpoints that had the address of one that registers.
+// silenceOthersAt sets the other endpoints at the address of a registering endpoint to
+// SILENT.
 //
-// Failure guarded: an endpoint crashes and another one starts at its address.
-// The record of the first stayed in use until its heartbeats had been missed, for
-// some four seconds: requests went to it and were turned away, and the planner of
-// stages counted one endpoint too many and took a good one out of work for ten
-// seconds. What is silenced by mistake, as by a heartbeat that was delayed until
-// its sender had died, is back with its own next heartbeat.
-func (m *Machine) silenceAt(index uint64, r *pb.EndpointRecord) {
+// This guards against an endpoint that crashes and is replaced by another one at its
+// address. The first record stayed in use until its heartbeats were missed, for some four
+// seconds: requests went to it and were rejected, and the stage planner counted one
+// endpoint too many and took a healthy one out of service for ten seconds. An endpoint
+// silenced by mistake, for example by a heartbeat delayed until its sender had died,
+// returns with its own next heartbeat.
+func (m *Machine) silenceOthersAt(index uint64, r *pb.EndpointRecord) {
 	for _, id := range m.addresses.sorted(r.Address) {
 		other := m.endpoints[id]
 		if id == r.Id || !Live(other) {
@@ -52,14 +54,15 @@
 	}
 }
 
-// leftUnheard tells whether a record stands for an endpoint that left before
-// any heartbeat of it was taken in, so that its start isn't known. The first
-// heartbeat that comes then was on its way when it left; it tells the start.
-func leftUnheard(known *pb.EndpointRecord) bool {
+// retiredBeforeFirstHeartbeat reports whether a record is the tombstone of an endpoint
+// that retired before any of its heartbeats was applied, so that its start time is
+// unknown. The first heartbeat after that was in transit at the time; it provides the
+// start time.
+func retiredBeforeFirstHeartbeat(known *pb.EndpointRecord) bool {
 	return known != nil && known.State == pb.EndpointState_ENDPOINT_STATE_GONE && known.Born == 0 && known.Service == ""
 }
 
-// tombstone stands for an incarnation of r's endpoint that is gone.
+// tombstone returns the record of a gone incarnation of r's endpoint.
 func tombstone(r *pb.EndpointRecord, born, registered uint64) *pb.EndpointRecord {
 	return &pb.EndpointRecord{
 		Id: r.Id, Service: r.Service, Address: r.Address, Born: born, Registered: registered,
@@ -67,7 +70,8 @@
 	}
 }
 
-// assignStage takes an endpoint out of work for a change of its stage.
+// assignStage takes an endpoint out of service for a change of its stage, or returns it
+// to service, and reports whether anything changed.
 func (m *Machine) assignStage(index uint64, a *pb.AssignStage) bool {
 	known := m.endpoints[a.Id]
 	if !Live(known) || known.Assigned == a.Stage || known.Stage == a.Stage && known.Assigned == pb.Stage_STAGE_UNSPECIFIED {
@@ -85,20 +89,20 @@
 // put stores a changed record.
 func (m *Machine) put(index uint64, r *pb.EndpointRecord) {
 	r.Revision = index
-	m.addresses.move(m.endpoints[r.Id], r)
+	m.addresses.update(m.endpoints[r.Id], r)
 	m.endpoints[r.Id] = r
 	m.changes.add(index, r.Id, m.endpoints)
 }
 
-// Changes tells whether heartbeat r changes what is known of its endpoint.
+// EndpointChanges reports whether heartbeat r changes the known record of its endpoint.
 //
-// Incarnations of one ID are ordered by their start, heartbeats of one
-// incarnation by their sequence number. Failure guarded: a heartbeat is
-// delayed until its sender has said that it leaves, or has started anew under
-// its ID. Taken in, it would bring back what is gone, and requests would go
-// there. An older start or a lower number is dropped, and an incarnation that
-// is gone stays so, while a newer start replaces whatever was known.
-func Changes(known, r *pb.EndpointRecord) bool {
+// Incarnations of one ID are ordered by start time, heartbeats of one incarnation by
+// sequence number. This guards against a heartbeat that is delayed until its sender has
+// announced that it leaves, or has restarted under its ID: applied, it would restore the
+// old record, and requests would go there. So an older start time or a lower sequence
+// number is dropped, a gone incarnation stays gone, and a newer start time replaces any
+// record.
+func EndpointChanges(known, r *pb.EndpointRecord) bool {
 	switch {
 	case known == nil:
 		return true
@@ -107,17 +111,18 @@
 	case known.State == pb.EndpointState_ENDPOINT_STATE_GONE || r.Sequence <= known.Sequence:
 		return false
 	}
-	return !alike(known, r) && !Contradicts(known, r)
+	return !sameReport(known, r) && !Conflicts(known, r)
 }
 
-// Contradicts tells whether heartbeat r can't be of the incarnation that is
-// known, though it bears its ID and start: a process keeps its service, address
-// and zone, and remains a model endpoint or a plain one.
+// Conflicts reports whether heartbeat r can't be from the known live incarnation although
+// it has its ID and start time: a process keeps its service, address and zone, and stays
+// a model endpoint or a plain one.
 //
-// Failure guarded: something else reports under the ID of a live endpoint.
-// Taken in, it would take the endpoint's work away or send it astray. Once the
-// incarnation is silent, there is no good record left to keep.
-func Contradicts(known, r *pb.EndpointRecord) bool {
+// This guards against another process that reports under the ID of a live endpoint:
+// applied, its heartbeat would take the endpoint out of service or misdirect its
+// requests. A silent incarnation has no valid record to protect, so nothing conflicts
+// with it.
+func Conflicts(known, r *pb.EndpointRecord) bool {
 	if !Live(known) || known.Born != r.Born {
 		return false
 	}
@@ -126,8 +131,9 @@
 		plain != (r.Stage == pb.Stage_STAGE_UNSPECIFIED)
 }
 
-// alike compares what a heartbeat says, not when it was said.
-func alike(a, b *pb.EndpointRecord) bool {
+// sameReport compares the contents of two heartbeats, without sequence number and start
+// time.
+func sameReport(a, b *pb.EndpointRecord) bool {
 	if a.Service != b.Service || a.Address != b.Address || a.Zone != b.Zone || a.Software != b.Software ||
 		a.Slots != b.Slots || a.State != b.State || a.Stage != b.Stage || len(a.Models) != len(b.Models) {
 		return false
@@ -140,18 +146,18 @@
 	return true
 }
 
-// retireEndpoint ends an incarnation: the one that is known, or the one that
-// the command names. One that was never heard of gets a tombstone too: its first
-// heartbeat may still be on its way.
+// retireEndpoint ends the known incarnation or the one that the command names, and
+// reports whether anything changed. An endpoint without a record gets a tombstone too:
+// its first heartbeat may still be in transit.
 func (m *Machine) retireEndpoint(index uint64, r *pb.RetireEndpoint) bool {
 	known := m.endpoints[r.GetId()]
 	if known == nil {
 		known = &pb.EndpointRecord{Id: r.GetId(), Registered: index}
 	}
 	named := r.GetBorn() != 0
-	isGone := known.State == pb.EndpointState_ENDPOINT_STATE_GONE
-	if named && r.Born < known.Born || isGone && r.GetBorn() <= known.Born {
-		return false // an earlier incarnation, or one that is gone already
+	alreadyGone := known.State == pb.EndpointState_ENDPOINT_STATE_GONE
+	if named && r.Born < known.Born || alreadyGone && r.GetBorn() <= known.Born {
+		return false // an earlier incarnation, or one already gone
 	}
 	m.put(index, tombstone(known, max(known.Born, r.GetBorn()), known.Registered))
 	m.dropOldTombstones()
@@ -170,14 +176,15 @@
 			oldest = e
 		}
 	}
-	if tombstones > keptTombstones {
+	if tombstones > maxTombstones {
 		m.addresses.remove(oldest)
 		delete(m.endpoints, oldest.Id)
 	}
 }
 
-// expire silences what missed its heartbeats, unless it has changed since it
-// was judged: the judgement may come late from a leader that was frozen.
+// expire applies the leader's list of records without heartbeats and reports whether
+// anything changed. A record that has changed since the leader looked is skipped: the
+// command of a suspended leader may come late.
 func (m *Machine) expire(index uint64, e *pb.Expire) bool {
 	changed := false
 	for _, expected := range e.Endpoints {
@@ -196,7 +203,7 @@
 	return changed
 }
 
-// Live tells whether an endpoint's incarnation should go on reporting.
+// Live reports whether an endpoint's incarnation is expected to send heartbeats.
 func Live(e *pb.EndpointRecord) bool {
 	return e.GetState() == pb.EndpointState_ENDPOINT_STATE_READY || e.GetState() == pb.EndpointState_ENDPOINT_STATE_DRAINING
 }
--- a/internal/catalog/entries.go
+++ b/internal/catalog/entries.go
@@ -6,20 +6,21 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// reportEntry takes in what an entry says of itself. An older incarnation of
-// the same instance goes: an instance runs one at a time. What is gone stays until it is
-// forgotten, since endpoints may have seen its requests a moment ago.
+// reportEntry applies an entry's report about itself and reports whether anything
+// changed. Older incarnations of the same instance are marked as gone, as an instance
+// runs one at a time. Gone entries stay until they expire, since endpoints may have
+// received their requests a moment ago.
 func (m *Machine) reportEntry(index uint64, r *pb.EntryRecord) bool {
 	if !EntryChanges(m.entries[r.Id], r) {
 		return false
 	}
 	for id, e := range m.entries {
 		if e.Name == r.Name && id != r.Id {
-			m.dropEntry(index, e)
+			m.markEntryGone(index, e)
 		}
 	}
 	if r.Gone {
-		m.dropEntry(index, m.entries[r.Id])
+		m.markEntryGone(index, m.entries[r.Id])
 		return true
 	}
 	if len(m.entries) >= MaxRecords {
@@ -30,8 +31,8 @@
 	return true
 }
 
-// dropEntry notes that an entry takes no callers any more.
-func (m *Machine) dropEntry(index uint64, e *pb.EntryRecord) {
+// markEntryGone records that an entry accepts no more callers.
+func (m *Machine) markEntryGone(index uint64, e *pb.EntryRecord) {
 	if e.Gone {
 		return
 	}
@@ -40,8 +41,8 @@
 	m.entries[gone.Id] = gone
 }
 
-// expireEntry takes an entry that missed its heartbeats for gone, and forgets one that is
-// gone already. It tells whether anything changed.
+// expireEntry marks an entry that missed its heartbeats as gone, or deletes one that is
+// gone already. It reports whether anything changed.
 func (m *Machine) expireEntry(index uint64, expected *pb.Expected) bool {
 	known := m.entries[expected.Id]
 	if known == nil || known.Revision != expected.Revision {
@@ -51,11 +52,11 @@
 		delete(m.entries, known.Id)
 		return true
 	}
-	m.dropEntry(index, known)
+	m.markEntryGone(index, known)
 	return true
 }
 
-// EntryChanges tells whether report r changes what is known of its entry.
+// EntryChanges reports whether report r changes the known record of its entry.
 func EntryChanges(known, r *pb.EntryRecord) bool {
 	if r.Gone {
 		return known != nil && !known.Gone
--- a/internal/catalog/incarnation_test.go
+++ b/internal/catalog/incarnation_test.go
@@ -12,7 +12,7 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// heartbeat is one of endpoint e.
+// heartbeat returns a heartbeat of endpoint e.
 func heartbeat(born, seq uint64, state pb.EndpointState, change ...func(*pb.EndpointRecord)) *pb.EndpointRecord {
 	r := &pb.EndpointRecord{
 		Id: "e", Service: "s", Address: "10.0.0.1:80", Zone: "z", Slots: 6, State: state,
@@ -24,7 +24,7 @@
 	return r
 }
 
-func (l *log) take(r *pb.EndpointRecord) {
+func (l *log) applyHeartbeat(r *pb.EndpointRecord) {
 	l.t.Helper()
 	l.apply(&pb.CatalogCommand{Kind: &pb.CatalogCommand_ReportEndpoint{ReportEndpoint: proto.Clone(r).(*pb.EndpointRecord)}})
 }
@@ -34,8 +34,9 @@
 	l.apply(&pb.CatalogCommand{Kind: &pb.CatalogCommand_RetireEndpoint{RetireEndpoint: &pb.RetireEndpoint{Id: "e", Born: born}}})
 }
 
-// again puts the state through a snapshot, as a member with an empty disk gets it.
-func (l *log) again() {
+// restoreFromSnapshot replaces the machine by one restored from its snapshot, as a member
+// with an empty disk gets it.
+func (l *log) restoreFromSnapshot() {
 	l.t.Helper()
 	data, err := l.machine.Snapshot()
 	assert.NilError(l.t, err)
@@ -43,78 +44,78 @@
 	assert.NilError(l.t, l.machine.Restore(l.index, data))
 }
 
-// A caller's requests fail although the endpoint is back: it crashed or left,
-// and started again under its ID, where its counts start anew. By sequence
-// numbers alone its heartbeats look old, and a tombstone would bar it for good.
-func TestEndpointStartsAgainUnderItsID(t *testing.T) {
+// Guards against an endpoint that restarts after a crash or leave and gets no requests.
+// It restarts under its ID with new sequence numbers; by those alone its heartbeats look
+// old, and a tombstone would exclude it permanently.
+func TestEndpointRestartsUnderItsID(t *testing.T) {
 	for name, before := range map[string]func(l *log){
 		"crashed":         func(*log) {},
-		"draining":        func(l *log) { l.take(heartbeat(100, 41, draining)) },
+		"draining":        func(l *log) { l.applyHeartbeat(heartbeat(100, 41, draining)) },
 		"left":            func(l *log) { l.retireBorn(0) },
-		"left, told so":   func(l *log) { l.retireBorn(100) },
+		"left, named":     func(l *log) { l.retireBorn(100) },
 		"silent":          func(l *log) { l.expire("e", l.machine.Endpoint("e").Revision) },
 		"under an order":  func(l *log) { l.assign("e", pb.Stage_STAGE_PREFILL) },
-		"left, snapshot":  func(l *log) { l.retireBorn(0); l.again() },
-		"order, snapshot": func(l *log) { l.assign("e", pb.Stage_STAGE_PREFILL); l.again() },
+		"left, snapshot":  func(l *log) { l.retireBorn(0); l.restoreFromSnapshot() },
+		"order, snapshot": func(l *log) { l.assign("e", pb.Stage_STAGE_PREFILL); l.restoreFromSnapshot() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := newLog(t)
-			l.take(heartbeat(100, 40, ready))
+			l.applyHeartbeat(heartbeat(100, 40, ready))
 			before(l)
 			elsewhere := func(r *pb.EndpointRecord) { r.Address, r.Service, r.Zone = "10.0.0.2:80", "other", "y" }
-			l.take(heartbeat(200, 1, ready, elsewhere))
+			l.applyHeartbeat(heartbeat(200, 1, ready, elsewhere))
 			got := l.machine.Endpoint("e")
 			assert.Equal(t, got.State, ready)
 			assert.Equal(t, got.Born, uint64(200))
 			assert.Equal(t, got.Address, "10.0.0.2:80")
 			assert.Equal(t, got.Registered, l.index)
-			assert.Equal(t, got.Assigned, pb.Stage_STAGE_UNSPECIFIED, "it knows of no order")
-			l.take(heartbeat(200, 2, draining, elsewhere))
-			assert.Equal(t, l.machine.Endpoint("e").State, draining, "its own counts hold")
+			assert.Equal(t, got.Assigned, pb.Stage_STAGE_UNSPECIFIED, "the new incarnation has no order")
+			l.applyHeartbeat(heartbeat(200, 2, draining, elsewhere))
+			assert.Equal(t, l.machine.Endpoint("e").State, draining, "ordered by its own sequence numbers")
 		})
 	}
 }
 
-// Requests go to an endpoint that is leaving, or to an address that it had
-// before. What an earlier incarnation said was held up on the way, and arrives
-// after the new one has started.
-func TestWhatAnEarlierIncarnationSaidIsDropped(t *testing.T) {
+// Guards against requests to an endpoint that is leaving or to its previous address:
+// delayed reports of an earlier incarnation arrive after the new one has started.
+func TestLateReportsOfEarlierIncarnationsAreDropped(t *testing.T) {
 	l := newLog(t)
-	l.take(heartbeat(100, 40, ready))
-	l.take(heartbeat(200, 3, draining))
+	l.applyHeartbeat(heartbeat(100, 40, ready))
+	l.applyHeartbeat(heartbeat(200, 3, draining))
 	held := proto.Clone(l.machine.Endpoint("e"))
 	for _, late := range []*pb.EndpointRecord{
 		heartbeat(100, 41, ready), heartbeat(100, 90, draining), heartbeat(0, 90, ready), heartbeat(200, 2, ready), heartbeat(199, 1, ready),
 	} {
-		l.take(late)
+		l.applyHeartbeat(late)
 		assert.Assert(t, proto.Equal(l.machine.Endpoint("e"), held), "%v", late)
 	}
 	l.retireBorn(100)
-	assert.Assert(t, proto.Equal(l.machine.Endpoint("e"), held), "the leave of the one before")
+	assert.Assert(t, proto.Equal(l.machine.Endpoint("e"), held), "the previous incarnation leaves")
 	l.retireBorn(200)
 	assert.Equal(t, l.machine.Endpoint("e").State, gone)
 	for _, late := range []*pb.EndpointRecord{heartbeat(200, 9, ready), heartbeat(100, 99, ready), heartbeat(0, 99, ready)} {
-		l.take(late)
+		l.applyHeartbeat(late)
 		assert.Equal(t, l.machine.Endpoint("e").State, gone)
 	}
 }
 
-// An endpoint leaves before any heartbeat of it was taken in; then one of them
-// arrives. It must not come back by it, but may by a start after that.
-func TestEndpointLeavesUnheard(t *testing.T) {
+// An endpoint leaves before any of its heartbeats was applied; then one of them arrives.
+// It must not restore the endpoint; a later start may.
+func TestEndpointRetiresBeforeItsFirstHeartbeat(t *testing.T) {
 	l := newLog(t)
 	l.retireBorn(0)
-	l.take(heartbeat(100, 7, ready))
+	l.applyHeartbeat(heartbeat(100, 7, ready))
 	assert.Equal(t, l.machine.Endpoint("e").State, gone)
-	l.take(heartbeat(100, 8, ready))
+	l.applyHeartbeat(heartbeat(100, 8, ready))
 	assert.Equal(t, l.machine.Endpoint("e").State, gone)
-	l.take(heartbeat(200, 1, ready))
+	l.applyHeartbeat(heartbeat(200, 1, ready))
 	assert.Equal(t, l.machine.Endpoint("e").State, ready)
 }
 
-// A good endpoint loses its work, or requests go astray: something else reports
-// under its ID and start. A process keeps its service, address and zone. Once
-// it is silent there is no good record to keep.
+// Guards against a healthy endpoint taken out of service, or requests sent elsewhere,
+// because another process reports under its ID and start time. A process keeps its
+// service, address and zone. Once the endpoint is silent, there is no valid record to
+// protect.
 func TestContradictionsAreDropped(t *testing.T) {
 	for name, change := range map[string]func(*pb.EndpointRecord){
 		"service": func(r *pb.EndpointRecord) { r.Service = "other" },
@@ -124,50 +125,51 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := newLog(t)
-			l.take(heartbeat(100, 1, ready))
+			l.applyHeartbeat(heartbeat(100, 1, ready))
 			held := proto.Clone(l.machine.Endpoint("e")).(*pb.EndpointRecord)
-			odd := heartbeat(100, 2, ready, change)
-			assert.Assert(t, Contradicts(held, odd))
-			l.take(odd)
+			conflicting := heartbeat(100, 2, ready, change)
+			assert.Assert(t, Conflicts(held, conflicting))
+			l.applyHeartbeat(conflicting)
 			assert.Assert(t, proto.Equal(l.machine.Endpoint("e"), held))
 			l.expire("e", held.Revision)
-			l.take(heartbeat(100, 3, ready, change))
+			l.applyHeartbeat(heartbeat(100, 3, ready, change))
 			assert.Equal(t, l.machine.Endpoint("e").State, ready)
 		})
 	}
 	l := newLog(t)
-	l.take(heartbeat(100, 1, ready))
+	l.applyHeartbeat(heartbeat(100, 1, ready))
 	turned := heartbeat(100, 2, ready, func(r *pb.EndpointRecord) { r.Stage = pb.Stage_STAGE_PREFILL })
-	assert.Assert(t, !Contradicts(l.machine.Endpoint("e"), turned), "an order changes its stage")
+	assert.Assert(t, !Conflicts(l.machine.Endpoint("e"), turned), "a stage order changes the stage")
 }
 
-// Requests are turned away by an endpoint that is full of life: it crashed, and
-// another one started at its address, under another ID. The record of the first
-// must not stay in use until its heartbeats have been missed.
-func TestAnotherEndpointAtTheAddress(t *testing.T) {
+// Guards against requests that are rejected by a healthy endpoint: another one crashed at
+// that address, and its record must not stay in use until its heartbeats have been
+// missed.
+func TestNewEndpointAtAnAddressInUse(t *testing.T) {
 	l := newLog(t)
 	named := func(id, address string) func(*pb.EndpointRecord) {
 		return func(r *pb.EndpointRecord) { r.Id, r.Address = id, address }
 	}
-	l.take(heartbeat(0, 40, ready))
+	l.applyHeartbeat(heartbeat(0, 40, ready))
 	l.assign("e", pb.Stage_STAGE_PREFILL)
-	l.take(heartbeat(0, 3, ready, named("other", "10.0.0.7:80")))
+	l.applyHeartbeat(heartbeat(0, 3, ready, named("other", "10.0.0.7:80")))
 	held := l.index
-	l.take(heartbeat(0, 1, ready, named("new", "10.0.0.1:80")))
+	l.applyHeartbeat(heartbeat(0, 1, ready, named("new", "10.0.0.1:80")))
 	assert.Equal(t, l.machine.Endpoint("e").State, silent)
 	assert.Equal(t, l.machine.Endpoint("e").Assigned, pb.Stage_STAGE_UNSPECIFIED)
 	assert.Equal(t, l.machine.Endpoint("other").State, ready)
-	assert.Equal(t, len(l.machine.Since(0, held).Endpoints), 2, "readers hear of both")
-	// A heartbeat of the first that was delayed brings it back as any silent one;
-	// one that was never heard of and comes late doesn't keep the new one out.
-	l.take(heartbeat(0, 1, ready, named("late", "10.0.0.1:80")))
+	assert.Equal(t, len(l.machine.Since(0, held).Endpoints), 2, "readers get both changes")
+	// A delayed heartbeat of the crashed endpoint restores it as it would any silent one;
+	// a late first heartbeat of another endpoint silences the new one only until its next
+	// heartbeat.
+	l.applyHeartbeat(heartbeat(0, 1, ready, named("late", "10.0.0.1:80")))
 	assert.Equal(t, l.machine.Endpoint("new").State, silent)
-	l.take(heartbeat(0, 2, ready, named("new", "10.0.0.1:80")))
+	l.applyHeartbeat(heartbeat(0, 2, ready, named("new", "10.0.0.1:80")))
 	assert.Equal(t, l.machine.Endpoint("new").State, ready)
 }
 
-// The index of addresses agrees with a scan of all records, over random
-// commands, and is the same after a snapshot.
+// The address index agrees with a scan of all records after random commands, and after a
+// snapshot.
 func TestAddressIndexAgreesWithAScan(t *testing.T) {
 	l := newLog(t)
 	random := rand.New(rand.NewPCG(4, 2))
@@ -176,7 +178,7 @@
 		if random.IntN(4) == 0 {
 			l.apply(&pb.CatalogCommand{Kind: &pb.CatalogCommand_RetireEndpoint{RetireEndpoint: &pb.RetireEndpoint{Id: fmt.Sprint(random.IntN(60))}}})
 		} else {
-			l.take(heartbeat(uint64(n), uint64(n), ready, func(r *pb.EndpointRecord) { r.Id, r.Address = id, fmt.Sprint(random.IntN(12)) }))
+			l.applyHeartbeat(heartbeat(uint64(n), uint64(n), ready, func(r *pb.EndpointRecord) { r.Id, r.Address = id, fmt.Sprint(random.IntN(12)) }))
 		}
 	}
 	want := map[string][]string{}
@@ -193,12 +195,12 @@
 		}
 	}
 	check()
-	l.again()
+	l.restoreFromSnapshot()
 	check()
 }
 
-// BenchmarkRegister is the first heartbeat of an endpoint beside 12,000 others,
-// one of which may have its address.
+// BenchmarkRegister measures the first heartbeat of an endpoint beside 12,000 others, one
+// of which may have its address.
 func BenchmarkRegister(b *testing.B) {
 	m := NewMachine()
 	report := func(n int) {
--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -10,20 +10,20 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// MaxRecords bounds the records of each kind, tombstones included. The oldest
-// tombstones yield first; live records are never dropped.
+// MaxRecords bounds the records of each kind, including tombstones. The oldest tombstones
+// are dropped first; live records are never dropped.
 const MaxRecords = 65536
 
-// keptTombstones is how many incarnations that are gone stay known. A late
-// heartbeat is at most seconds old; this many departures take hours.
-const keptTombstones = 4096
+// maxTombstones is how many tombstones are kept. A late heartbeat is at most seconds old;
+// this many endpoints take hours to leave.
+const maxTombstones = 4096
 
-// Machine applies the commands of the log. It implements
-// replica.StateMachine; readers on other goroutines get immutable values.
+// Machine applies the commands of the log. It implements replica.StateMachine. Its
+// readers may run concurrently and get immutable values.
 type Machine struct {
-	mu        sync.Mutex // guards all below; nothing else is locked inside
+	mu        sync.Mutex // guards all fields below; a leaf
 	document  *blocks.Document
-	replaced  *blocks.Document // the one before document, for those who still take it in
+	previous  *blocks.Document // the one before document, for entries still downloading it
 	endpoints map[string]*pb.EndpointRecord
 	entries   map[string]*pb.EntryRecord
 	addresses addressIndex // of endpoints
@@ -34,7 +34,7 @@
 	advanced  chan struct{} // closed and replaced at each applied command
 }
 
-// NewMachine makes the empty state.
+// NewMachine returns an empty state.
 func NewMachine() *Machine {
 	return &Machine{
 		endpoints: map[string]*pb.EndpointRecord{},
@@ -45,14 +45,14 @@
 	}
 }
 
-// Apply implements replica.StateMachine. A command that can't be decoded
-// changes nothing, on every member alike.
+// Apply implements replica.StateMachine. A command that can't be decoded changes nothing,
+// on all members alike.
 func (m *Machine) Apply(index uint64, command []byte) []byte {
 	decoded := &pb.CatalogCommand{}
 	err := proto.Unmarshal(command, decoded)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if err == nil && m.run(index, decoded) {
+	if err == nil && m.execute(index, decoded) {
 		m.revision = index
 		close(m.changed)
 		m.changed = make(chan struct{})
@@ -63,8 +63,8 @@
 	return nil
 }
 
-// run tells whether the command changed anything.
-func (m *Machine) run(index uint64, c *pb.CatalogCommand) bool {
+// execute applies a command and reports whether it changed anything.
+func (m *Machine) execute(index uint64, c *pb.CatalogCommand) bool {
 	switch kind := c.Kind.(type) {
 	case *pb.CatalogCommand_PutDocument:
 		return m.putDocument(kind.PutDocument)
@@ -79,15 +79,15 @@
 	case *pb.CatalogCommand_AssignStage:
 		return m.assignStage(index, kind.AssignStage)
 	case *pb.CatalogCommand_Reports:
-		return m.takeReports(index, kind.Reports)
+		return m.applyReports(index, kind.Reports)
 	case *pb.CatalogCommand_Expire:
 		return m.expire(index, kind.Expire)
 	}
 	return false
 }
 
-// takeReports takes in reports as if each had come by itself.
-func (m *Machine) takeReports(index uint64, reports *pb.Reports) bool {
+// applyReports applies each report as if it had been committed by itself.
+func (m *Machine) applyReports(index uint64, reports *pb.Reports) bool {
 	changed := false
 	for _, r := range reports.GetEndpoints() {
 		changed = m.reportEndpoint(index, r) || changed
@@ -128,7 +128,7 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.document, m.replaced = document, nil
+	m.document, m.previous = document, nil
 	m.endpoints = make(map[string]*pb.EndpointRecord, len(s.Endpoints))
 	for _, e := range s.Endpoints {
 		m.endpoints[e.Id] = e
--- a/internal/catalog/machine_test.go
+++ b/internal/catalog/machine_test.go
@@ -18,7 +18,7 @@
 	gone     = pb.EndpointState_ENDPOINT_STATE_GONE
 )
 
-// log applies commands at rising indexes.
+// log applies commands at increasing indexes.
 type log struct {
 	t       *testing.T
 	machine *Machine
@@ -63,9 +63,10 @@
 	l.apply(&pb.CatalogCommand{Kind: &pb.CatalogCommand_AssignStage{AssignStage: &pb.AssignStage{Id: id, Stage: stage}}})
 }
 
-// An endpoint says that it leaves and still gets work: a heartbeat of before,
-// held up on the way, comes after its word, and the list takes it for new.
-func TestLateHeartbeatBringsNobodyBack(t *testing.T) {
+// Guards against requests to an endpoint that has announced that it leaves: an earlier
+// heartbeat, delayed in transit, arrives after the announcement and must not be taken for
+// a newer one.
+func TestLateHeartbeatRestoresNothing(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		steps func(l *log)
@@ -87,18 +88,18 @@
 	}
 }
 
-// A leader is frozen after it judged an endpoint silent, wakes, and its word
-// comes into the log after the endpoint was heard again at another leader.
-func TestLateJudgementIsDropped(t *testing.T) {
+// A leader is suspended after it found an endpoint silent, and its command is committed
+// after another leader has heard the endpoint again.
+func TestLateExpireCommandIsDropped(t *testing.T) {
 	l := newLog(t)
 	l.report("a", 1, ready)
-	judged := l.machine.Endpoint("a").Revision
+	expected := l.machine.Endpoint("a").Revision
 	l.report("a", 2, draining)
-	l.expire("a", judged)
+	l.expire("a", expected)
 	assert.Equal(t, l.machine.Endpoint("a").State, draining)
 }
 
-func TestHighestVersionIsHeld(t *testing.T) {
+func TestHighestVersionIsKept(t *testing.T) {
 	l := newLog(t)
 	l.put(5, "five")
 	revision, _ := l.machine.Revision()
@@ -111,8 +112,8 @@
 	assert.Equal(t, l.machine.Document().Version, int64(9))
 }
 
-// An endpoint is taken out of work to change its stage; it comes back when a
-// heartbeat shows the new stage, not at one that was sent before.
+// An endpoint is taken out of service to change its stage. It returns when a heartbeat
+// shows the new stage, not at one sent before the change.
 func TestAssignedStage(t *testing.T) {
 	l := newLog(t)
 	report := func(seq uint64, stage pb.Stage, slots uint32) {
@@ -140,15 +141,15 @@
 	report(&pb.EntryRecord{Id: "2", Name: "m", Address: "b"})
 	assert.Equal(t, len(l.machine.ReadyEntries()), 1)
 	report(&pb.EntryRecord{Id: "3", Name: "n", Address: "a", Ready: true})
-	assert.Assert(t, l.machine.Entry("1").Gone, "the incarnation before goes")
+	assert.Assert(t, l.machine.Entry("1").Gone, "the previous incarnation is gone")
 	assert.Equal(t, l.machine.ReadyEntries()[0].Id, "3")
 	report(&pb.EntryRecord{Id: "3", Name: "n", Address: "a", Gone: true})
 	assert.Equal(t, len(l.machine.ReadyEntries()), 0)
 }
 
 // Guards against shares of a common budget that add up to more than the whole: entries
-// that were replaced, have stopped or were not heard count until they are forgotten.
-func TestEntriesThatAreGoneStillCount(t *testing.T) {
+// that were replaced, stopped or timed out count until they expire.
+func TestGoneEntriesCountAsSenders(t *testing.T) {
 	l := newLog(t)
 	report := func(e *pb.EntryRecord) {
 		l.apply(&pb.CatalogCommand{Kind: &pb.CatalogCommand_ReportEntry{ReportEntry: e}})
@@ -166,16 +167,16 @@
 	assert.Equal(t, len(l.machine.ReadyEntries()), 0)
 	assert.Equal(t, l.machine.Senders(), 4)
 	report(&pb.EntryRecord{Id: "3", Name: "silent", Ready: true})
-	assert.Equal(t, l.machine.ReadyEntries()[0].Id, "3", "it is heard again")
+	assert.Equal(t, l.machine.ReadyEntries()[0].Id, "3", "heard again")
 	expire("1")
 	expire("2")
 	assert.Equal(t, l.machine.Senders(), 2)
 	assert.Assert(t, l.machine.Entry("1") == nil)
 }
 
-// A member that was down takes over a snapshot, and a reader that held an
-// older revision gets from it what it lacks, tombstones included.
-func TestSnapshotHoldsAll(t *testing.T) {
+// A member that was down restores a snapshot, and a reader with an older revision gets
+// from it everything that it lacks, tombstones included.
+func TestSnapshotIsComplete(t *testing.T) {
 	l := newLog(t)
 	l.put(3, "three")
 	for n := range 20 {
@@ -197,7 +198,7 @@
 	assert.Equal(t, len(again), len(data))
 }
 
-// Garbage in the log changes nothing and stops nobody.
+// A command that can't be decoded changes nothing and doesn't stop the machine.
 func TestUndecodableCommand(t *testing.T) {
 	l := newLog(t)
 	l.put(1, "one")
@@ -209,16 +210,16 @@
 
 func TestTombstonesAreBounded(t *testing.T) {
 	l := newLog(t)
-	for n := range keptTombstones + 10 {
+	for n := range maxTombstones + 10 {
 		l.retire(fmt.Sprint(n))
 	}
 	endpoints, _ := l.machine.Records()
-	assert.Equal(t, len(endpoints), keptTombstones)
+	assert.Equal(t, len(endpoints), maxTombstones)
 	assert.Assert(t, l.machine.Endpoint("0") == nil)
 }
 
-// The list of changes answers as a scan of all records would, over random
-// commands and after a snapshot.
+// The list of changes gives the same result as a scan of all records, after random
+// commands.
 func TestSinceAgreesWithAScan(t *testing.T) {
 	l := newLog(t)
 	random := rand.New(rand.NewPCG(1, 2))
@@ -253,7 +254,7 @@
 		}
 		assert.DeepEqual(t, got, want)
 	}
-	assert.Assert(t, len(l.machine.changes.list) <= staleShare*len(l.machine.endpoints)+staleShare)
+	assert.Assert(t, len(l.machine.changes.changes) <= maxListRatio*len(l.machine.endpoints)+maxListRatio)
 }
 
 func BenchmarkSince(b *testing.B) {
@@ -269,11 +270,11 @@
 	}
 }
 
-// A reader that has nothing gets a large fleet in parts, and every record of a
+// A reader without any records gets a large fleet in several Deltas, and all records of a
 // command that changed many.
-func TestLargeFleetComesInParts(t *testing.T) {
+func TestLargeFleetIsSplitIntoDeltas(t *testing.T) {
 	l := newLog(t)
-	const endpoints = 3*mostDelta + 7
+	const endpoints = 3*maxDeltaRecords + 7
 	expire := &pb.Expire{}
 	for n := range endpoints {
 		l.report(fmt.Sprint(n), 1, ready)
--- a/internal/catalog/read.go
+++ b/internal/catalog/read.go
@@ -8,21 +8,21 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// Endpoint gives an endpoint's record, nil when it is not known.
+// Endpoint returns an endpoint's record, or nil if it is not known.
 func (m *Machine) Endpoint(id string) *pb.EndpointRecord {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.endpoints[id]
 }
 
-// Entry gives an entry's record, nil when it is not known.
+// Entry returns an entry's record, or nil if it is not known.
 func (m *Machine) Entry(id string) *pb.EntryRecord {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.entries[id]
 }
 
-// ReadyEntries lists the entries that take callers.
+// ReadyEntries returns the entries that accept callers.
 func (m *Machine) ReadyEntries() []*pb.EntryRecord {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -35,28 +35,28 @@
 	return list
 }
 
-// Senders counts the entries that may send to endpoints, or did so a moment ago: all
-// that are not forgotten, those among them that are gone or don't take callers yet.
+// Senders returns how many entries may send to endpoints, or did so a moment ago: all
+// with a record, including those that are gone or don't accept callers yet.
 func (m *Machine) Senders() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.entries)
 }
 
-// Delta is what changed after a revision.
+// Delta contains the changes after a revision.
 type Delta struct {
-	Outline   *pb.Outline // of the document; nil when not newer
+	Outline   *pb.Outline // of the document; nil if the reader has it
 	Revision  uint64
 	Endpoints []*pb.EndpointRecord
-	More      bool // further changes follow after Revision
+	More      bool // there are further changes after Revision
 }
 
-// mostDelta bounds the records of one Delta, some 80 KB: a reader that has
-// nothing yet gets a large fleet in parts, so that a slow member or link does
-// not make it begin again and again.
-const mostDelta = 512
+// maxDeltaRecords bounds the records of one Delta, some 80 KB: a reader without any
+// records gets a large fleet in several Deltas, so that a slow member or link does not
+// make it start over again and again.
+const maxDeltaRecords = 512
 
-// Since gives what a reader lacks that knows a document version and a revision.
+// Since returns what a reader lacks that has a document version and a revision.
 func (m *Machine) Since(version int64, revision uint64) Delta {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -64,14 +64,14 @@
 	if m.document.Version() > version {
 		d.Outline = m.document.Outline()
 	}
-	d.Endpoints, d.More = m.changes.since(revision, mostDelta, m.endpoints)
+	d.Endpoints, d.More = m.changes.since(revision, maxDeltaRecords, m.endpoints)
 	if d.More {
 		d.Revision = d.Endpoints[len(d.Endpoints)-1].Revision
 	}
 	return d
 }
 
-// Records lists all endpoints and entries.
+// Records returns the records of all endpoints and entries.
 func (m *Machine) Records() ([]*pb.EndpointRecord, []*pb.EntryRecord) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -86,15 +86,15 @@
 	return endpoints, entries
 }
 
-// Revision gives the newest revision, and a channel that is closed when it
-// changes.
+// Revision returns the newest revision, and a channel that is closed when it changes.
 func (m *Machine) Revision() (uint64, <-chan struct{}) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.revision, m.changed
 }
 
-// AwaitApplied returns once the command at index is applied here.
+// AwaitApplied returns once the command at index is applied here, or with an error when
+// ctx ends.
 func (m *Machine) AwaitApplied(ctx context.Context, index uint64) error {
 	for {
 		m.mu.Lock()
@@ -111,7 +111,7 @@
 	}
 }
 
-// Applied gives the index of the newest command applied here.
+// Applied returns the index of the newest command applied here.
 func (m *Machine) Applied() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/coordinator/commands.go
+++ b/internal/coordinator/commands.go
@@ -27,16 +27,16 @@
 // built again on the new base.
 func (c *Coordinator) putDocument(ctx context.Context, document *blocks.Document) error {
 	for {
-		base := c.options.Machine.InForce()
-		command := catalog.PutBlocks(document, base)
+		base := c.options.Machine.CurrentDocument()
+		command := catalog.PutBlocksCommand(document, base)
 		if err := c.commit(ctx, command); err != nil {
 			return err
 		}
-		if c.options.Machine.InForce().Version() >= document.Version() {
+		if c.options.Machine.CurrentDocument().Version() >= document.Version() {
 			return nil
 		}
 		c.options.Part.Info("Configuration is sent again, another one came before it.",
-			"version", document.Version(), "base", base.Version(), "in_force", c.options.Machine.InForce().Version())
+			"version", document.Version(), "base", base.Version(), "in_force", c.options.Machine.CurrentDocument().Version())
 	}
 }
 
@@ -65,10 +65,10 @@
 
 func (c *Coordinator) applyHeartbeat(ctx context.Context, r *pb.EndpointRecord) error {
 	known := c.options.Machine.Endpoint(r.Id)
-	if catalog.Contradicts(known, r) {
+	if catalog.Conflicts(known, r) {
 		return trace.Wrap(ErrContradiction, "endpoint %s of service %s at %s", r.Id, known.Service, known.Address)
 	}
-	if catalog.Changes(known, r) {
+	if catalog.EndpointChanges(known, r) {
 		if err := c.commitReport(ctx, r); err != nil {
 			return err
 		}
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -70,7 +70,7 @@
 
 // entriesBehind returns the number of entries behind, for the metrics.
 func (c *Coordinator) entriesBehind() float64 {
-	return float64(c.versions.behind(c.options.Machine.InForce().Version(), time.Now()))
+	return float64(c.versions.behind(c.options.Machine.CurrentDocument().Version(), time.Now()))
 }
 
 // Run runs the control instance until ctx ends.
--- a/internal/coordinator/serve.go
+++ b/internal/coordinator/serve.go
@@ -46,7 +46,7 @@
 func (c *Coordinator) Follow(ctx context.Context, request *pb.FollowRequest) (*pb.FollowReply, error) {
 	if request.Self.GetId() != "" {
 		c.recordEntry(request.Self)
-		c.versions.record(request.Self.Id, request.InForce, c.options.Machine.InForce().Version(), time.Now())
+		c.versions.record(request.Self.Id, request.InForce, c.options.Machine.CurrentDocument().Version(), time.Now())
 	}
 	timer := time.NewTimer(min(time.Duration(request.WaitMs)*time.Millisecond, maxFollowWait))
 	defer timer.Stop()
--- a/internal/follower/download.go
+++ b/internal/follower/download.go
@@ -32,7 +32,7 @@
 	if outline.GetVersion() <= d.known() {
 		return false, nil
 	}
-	assembly, err := blocks.Assemble(outline, d.document, d.assembly)
+	assembly, err := blocks.NewAssembly(outline, d.document, d.assembly)
 	if err != nil {
 		return false, err
 	}
@@ -75,7 +75,7 @@
 // finish gives the document on its way once it is whole, nil before. One that is
 // not what was confirmed is forgotten, so that it is told anew.
 func (d *download) finish() (*blocks.Document, error) {
-	if d.assembly == nil || !d.assembly.Whole() {
+	if d.assembly == nil || !d.assembly.Complete() {
 		return nil, nil
 	}
 	document, err := d.assembly.Document()
--- a/internal/follower/fetch.go
+++ b/internal/follower/fetch.go
@@ -91,7 +91,7 @@
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	return pb.NewDRPCCoordinatorClient(conn).Blocks(ctx, &pb.BlocksRequest{Blocks: blocks.Bytes(asked)})
+	return pb.NewDRPCCoordinatorClient(conn).Blocks(ctx, &pb.BlocksRequest{Blocks: blocks.EncodeSums(asked)})
 }
 
 // takeBlocks takes in an answer, and puts the document into force that it
