--- a/internal/coordinator/growth_test.go
+++ b/internal/coordinator/growth_test.go
@@ -26,9 +26,9 @@
 // times, each time followed by a small change; both are confirmed within 0.3 s. Entries
 // behind links of 10 Mbit/s kept the previous configuration, for up to 4 s after the
 // second growth and for ever after the third. Each of an entry's two open polls was
-// answered with the whole document and given up after 0.9 s regardless of progress:
-// "Turns to another control instance. took_ms=901 received_bytes=491520", of 543,208
-// bytes. The received bytes were discarded and requested again from another member.
+// answered with the whole document and given up after 0.9 s regardless of progress, when
+// 491,520 of 543,208 bytes had arrived. The received bytes were discarded and requested
+// again from another member.
 func TestGrownConfigurationIsInForceInTime(t *testing.T) {
 	runFleet(t, 3, func(t *testing.T, f *fleet) {
 		f.formed()
--- a/internal/coordinator/stages.go
+++ b/internal/coordinator/stages.go
@@ -151,7 +151,7 @@
 }
 
 // sendOrder asks the endpoint for its status and sends the order if it is still needed.
-// The term is checked last: a leader that was suspended must not send.
+// Leadership and term are checked last: a leader that was suspended must not send.
 func (s *stageManager) sendOrder(ctx context.Context, e *pb.EndpointRecord) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/internal/follower/confirmations.go
+++ b/internal/follower/confirmations.go
@@ -8,63 +8,65 @@
 	"github.com/hyssopsail/hyssopsail/internal/relay"
 )
 
-// word says that no version above one was confirmed at a moment.
-type word struct {
+// confirmation states that no version above version was confirmed at a time.
+type confirmation struct {
 	version int64
-	at      time.Duration // of Options.Uptime
+	at      time.Duration // by Options.Uptime
 }
 
-// confirmations are what members said of the newest version.
+// confirmations collects what members report about the newest version.
 type confirmations struct {
-	current *relay.Confirmation // of the version in force; nil before the first
-	version int64               // in force
-	later   []word              // on versions that are not in force yet, oldest first
+	current *relay.Confirmation // of the version in force; nil before the first version
+	version int64               // version in force
+	pending []confirmation      // of versions that are not in force yet, oldest first
 }
 
-// mostLater bounds the words kept on versions that are on their way.
-const mostLater = 64
+// maxPendingConfirmations bounds the confirmations kept of versions that are not in force
+// yet.
+const maxPendingConfirmations = 64
 
-// told takes in a word.
-func (c *confirmations) told(w word) {
+// record adds a confirmation.
+func (c *confirmations) record(conf confirmation) {
 	switch {
-	case c.current != nil && w.version <= c.version:
-		c.current.Raise(w.at)
-	case len(c.later) > 0 && c.later[len(c.later)-1].version == w.version:
-		last := &c.later[len(c.later)-1]
-		last.at = max(last.at, w.at)
-	case len(c.later) < mostLater:
-		c.later = append(c.later, w)
+	case c.current != nil && conf.version <= c.version:
+		c.current.Raise(conf.at)
+	case len(c.pending) > 0 && c.pending[len(c.pending)-1].version == conf.version:
+		last := &c.pending[len(c.pending)-1]
+		last.at = max(last.at, conf.at)
+	case len(c.pending) < maxPendingConfirmations:
+		c.pending = append(c.pending, conf)
 	}
 }
 
-// inForce turns to another version: whatever was said of the one before holds for it,
-// as it is newer, and what was said of itself.
-func (c *confirmations) inForce(version int64) {
-	before := c.current
+// switchTo starts the confirmations of a version that comes into force. They include those
+// of the previous version, which also hold for a newer one, and the pending ones up to its
+// own version.
+func (c *confirmations) switchTo(version int64) {
+	previous := c.current
 	c.current, c.version = &relay.Confirmation{}, version
-	if before != nil {
-		c.current.Raise(before.At())
+	if previous != nil {
+		c.current.Raise(previous.At())
 	}
-	for _, w := range c.later {
-		if w.version <= version {
-			c.current.Raise(w.at)
+	for _, conf := range c.pending {
+		if conf.version <= version {
+			c.current.Raise(conf.at)
 		}
 	}
-	c.later = slices.DeleteFunc(c.later, func(w word) bool { return w.version <= version })
+	c.pending = slices.DeleteFunc(c.pending, func(conf confirmation) bool { return conf.version <= version })
 }
 
-// confirm takes in what an answer says of the newest version. The member knew it at
-// some moment after the question was asked, and its knowledge was as old as it says:
-// counted from the question, nothing that held it up on its way makes it younger.
-func (f *Follower) confirm(asked time.Duration, request *pb.FollowRequest, reply *pb.FollowReply) {
+// recordConfirmation records what a reply says about the newest version. The member's
+// view had the reported age at some time after the request was sent; counting that age
+// from the request ensures that no delay on the way makes the view look younger.
+func (f *Follower) recordConfirmation(sentAt time.Duration, request *pb.FollowRequest, reply *pb.FollowReply) {
 	if reply.AgeUs == 0 {
-		return // the member has no word of a leader yet
+		return // the member has not had a leader's reply yet
 	}
-	w := word{version: request.DocumentVersion, at: asked - time.Duration(reply.AgeUs)*time.Microsecond}
+	conf := confirmation{version: request.DocumentVersion, at: sentAt - time.Duration(reply.AgeUs)*time.Microsecond}
 	if reply.Outline != nil {
-		w.version = reply.Outline.Version
+		conf.version = reply.Outline.Version
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.words.told(w)
+	f.confirmations.record(conf)
 }
--- a/internal/follower/download.go
+++ b/internal/follower/download.go
@@ -7,73 +7,74 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// download brings the newest configuration document here: it decides which blocks
-// to ask for next. Whatever has come is kept until no version wants it, so that a
-// transfer goes on where a broken connection left it, and a newer version
-// overtakes an older one on its way without losing what they share.
+// download fetches the newest configuration document: it decides which blocks to request
+// next. Received blocks are kept until no version needs them, so that a transfer resumes
+// after a broken connection, and a newer version replaces one still being fetched without
+// losing the blocks they share.
 type download struct {
-	document *blocks.Document // the newest that is whole; nil before the first
-	assembly *blocks.Assembly // the one on its way; nil when there is none
-	asked    map[blocks.Sum]bool
-	began    time.Time // when the version on its way was told
-	received int       // compressed bytes for it
+	document  *blocks.Document // the newest complete one; nil before the first
+	assembly  *blocks.Assembly // the one being fetched; nil if there is none
+	requested map[blocks.Sum]bool
+	startedAt time.Time // when the version being fetched was announced
+	received  int       // compressed bytes received for it
 }
 
-// known is the newest version that was told, whole or not.
-func (d *download) known() int64 {
+// latestKnown returns the newest version announced, complete or not.
+func (d *download) latestKnown() int64 {
 	if d.assembly != nil {
 		return d.assembly.Outline().Version
 	}
 	return d.document.Version()
 }
 
-// aim turns to a newer version; false when it is not newer.
-func (d *download) aim(outline *pb.Outline, now time.Time) (bool, error) {
-	if outline.GetVersion() <= d.known() {
+// setTarget starts fetching a newer version. It returns false if the version is not
+// newer.
+func (d *download) setTarget(outline *pb.Outline, now time.Time) (bool, error) {
+	if outline.GetVersion() <= d.latestKnown() {
 		return false, nil
 	}
 	assembly, err := blocks.NewAssembly(outline, d.document, d.assembly)
 	if err != nil {
 		return false, err
 	}
-	d.assembly, d.began, d.received = assembly, now, 0
+	d.assembly, d.startedAt, d.received = assembly, now, 0
 	return true, nil
 }
 
-// next gives blocks to ask one member for; none when all that are missing are on
-// their way.
-func (d *download) next() []blocks.Sum {
+// nextBlocks returns blocks to request from one member, none if all missing blocks have
+// been requested. It marks them as requested.
+func (d *download) nextBlocks() []blocks.Sum {
 	if d.assembly == nil {
 		return nil
 	}
-	list := d.assembly.Missing(mostAsked, d.asked)
+	list := d.assembly.Missing(maxBlocksPerRequest, d.requested)
 	for _, sum := range list {
-		d.asked[sum] = true
+		d.requested[sum] = true
 	}
 	return list
 }
 
-// take takes in the answer to blocks that next gave, and tells how many of them
-// came. The others may be asked for again.
-func (d *download) take(asked []blocks.Sum, packed [][]byte) (came int, err error) {
-	for _, sum := range asked {
-		delete(d.asked, sum)
+// addBlocks adds the reply to a request for blocks from nextBlocks, and returns how many
+// blocks it contained. The others may be requested again.
+func (d *download) addBlocks(requested []blocks.Sum, packed [][]byte) (added int, err error) {
+	for _, sum := range requested {
+		delete(d.requested, sum)
 	}
 	if d.assembly == nil {
-		return len(packed), nil // a version that was overtaken
+		return len(packed), nil // the version was replaced by a newer one
 	}
 	for _, p := range packed {
 		if err := d.assembly.Add(p); err != nil {
-			return came, err
+			return added, err
 		}
-		came++
+		added++
 		d.received += len(p)
 	}
-	return came, nil
+	return added, nil
 }
 
-// finish gives the document on its way once it is whole, nil before. One that is
-// not what was confirmed is forgotten, so that it is told anew.
+// finish returns the fetched document once it is complete, nil before. A document that
+// differs from the confirmed one is discarded, so that it is announced again.
 func (d *download) finish() (*blocks.Document, error) {
 	if d.assembly == nil || !d.assembly.Complete() {
 		return nil, nil
--- a/internal/follower/fetch.go
+++ b/internal/follower/fetch.go
@@ -11,101 +11,102 @@
 	"github.com/hyssopsail/hyssopsail/internal/sleep"
 )
 
-// fetch asks for blocks until ctx ends.
-func (f *Follower) fetch(ctx context.Context, way int) error {
+// runFetcher requests blocks until ctx ends.
+func (f *Follower) runFetcher(ctx context.Context, fetcher int) error {
 	failures := 0
-	pause := turnPause
+	delay := minRetryDelay
 	for ctx.Err() == nil {
-		asked, woken := f.nextBlocks()
-		if len(asked) == 0 {
-			awaitEither(ctx, woken)
+		requested, wake := f.nextBlocks()
+		if len(requested) == 0 {
+			awaitSignal(ctx, wake)
 			continue
 		}
-		if f.fetchFrom(ctx, f.source(way, failures), asked) {
-			failures, pause = 0, turnPause
+		if f.fetchFrom(ctx, f.pickSource(fetcher, failures), requested) {
+			failures, delay = 0, minRetryDelay
 			continue
 		}
 		failures++
-		sleep.For(ctx, pause)
-		pause = longer(pause)
+		sleep.For(ctx, delay)
+		delay = nextRetryDelay(delay)
 	}
 	return nil
 }
 
-func awaitEither(ctx context.Context, woken <-chan struct{}) {
+func awaitSignal(ctx context.Context, wake <-chan struct{}) {
 	select {
-	case <-woken:
+	case <-wake:
 	case <-ctx.Done():
 	}
 }
 
-// nextBlocks gives blocks to ask for, and a channel that is closed when there may
-// be others.
+// nextBlocks returns blocks to request, and a channel that is closed when there may be
+// others.
 func (f *Follower) nextBlocks() ([]blocks.Sum, <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.download.next(), f.woken
+	return f.download.nextBlocks(), f.wake
 }
 
-// wakeFetchers is called with f.mu held.
+// wakeFetchers notifies the fetchers that there may be blocks to request. It is called
+// with f.mu held.
 func (f *Follower) wakeFetchers() {
-	close(f.woken)
-	f.woken = make(chan struct{})
+	close(f.wake)
+	f.wake = make(chan struct{})
 }
 
-// source gives the member to ask for blocks after some failures in a row: first
-// those that told of the version, each way another one.
+// pickSource returns the member to request blocks from after a number of failures in a
+// row: first those that announced the version, a different one for each fetcher.
 //
-// Failure guarded: a member is asked that was cut off, or whose log is behind, and
-// the entry serves on by the version before until that member counts as silent.
-// Who has just told of a version is in touch and holds its blocks.
-func (f *Follower) source(way, failures int) string {
+// This guards against requests to a member that was cut off or whose log is behind: the
+// entry would keep the previous version until that member counts as silent. A member that
+// has just announced a version has contact with the leader and holds the blocks.
+func (f *Follower) pickSource(fetcher, failures int) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if failures < len(f.tellers) {
-		return f.tellers[(way+failures)%len(f.tellers)]
+	if failures < len(f.versionSources) {
+		return f.versionSources[(fetcher+failures)%len(f.versionSources)]
 	}
-	return f.members[f.turn.Add(1)%uint64(len(f.members))]
+	return f.members[f.nextMember.Add(1)%uint64(len(f.members))]
 }
 
-// fetchFrom asks a member for blocks, and tells whether any came.
-func (f *Follower) fetchFrom(ctx context.Context, member string, asked []blocks.Sum) bool {
-	watched, transfer := rpc.WithTransfer(ctx, blocksSilence)
-	reply, err := f.callBlocks(watched, member, asked)
-	err = transfer.End(watched, err)
-	came, bad := f.takeBlocks(asked, reply.GetPacked())
+// fetchFrom requests blocks from a member and reports whether any were received. It also
+// returns true when ctx has ended.
+func (f *Follower) fetchFrom(ctx context.Context, member string, requested []blocks.Sum) bool {
+	transferCtx, transfer := rpc.WithTransfer(ctx, blocksIdleTimeout)
+	reply, err := f.callBlocks(transferCtx, member, requested)
+	err = transfer.End(transferCtx, err)
+	added, addErr := f.addBlocks(requested, reply.GetPacked())
 	if err == nil {
-		err = bad
+		err = addErr
 	}
-	if came > 0 || ctx.Err() != nil {
+	if added > 0 || ctx.Err() != nil {
 		return true
 	}
-	f.metrics.givenUp.Add(float64(len(asked)))
-	f.options.Part.Info("Blocks didn't come.", "from", member, "blocks", len(asked),
+	f.metrics.failedBlocks.Add(float64(len(requested)))
+	f.options.Part.Info("Fetching blocks failed.", "from", member, "blocks", len(requested),
 		"took_ms", transfer.Took().Milliseconds(), "received_bytes", transfer.Received(), "err", err)
 	return false
 }
 
-func (f *Follower) callBlocks(ctx context.Context, member string, asked []blocks.Sum) (*pb.BlocksReply, error) {
+func (f *Follower) callBlocks(ctx context.Context, member string, requested []blocks.Sum) (*pb.BlocksReply, error) {
 	conn, err := f.options.Dialer.Conn(ctx, member)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	return pb.NewDRPCCoordinatorClient(conn).Blocks(ctx, &pb.BlocksRequest{Blocks: blocks.EncodeSums(asked)})
+	return pb.NewDRPCCoordinatorClient(conn).Blocks(ctx, &pb.BlocksRequest{Blocks: blocks.EncodeSums(requested)})
 }
 
-// takeBlocks takes in an answer, and puts the document into force that it
-// completes.
-func (f *Follower) takeBlocks(asked []blocks.Sum, packed [][]byte) (came int, err error) {
+// addBlocks adds a reply and, if that completes the document, puts it into force.
+func (f *Follower) addBlocks(requested []blocks.Sum, packed [][]byte) (added int, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	came, err = f.download.take(asked, packed)
+	added, err = f.download.addBlocks(requested, packed)
 	for _, p := range packed {
 		f.metrics.received.Add(float64(len(p)))
 	}
-	if came < len(asked) {
-		f.wakeFetchers() // the other way may ask for the rest
+	if added < len(requested) {
+		f.wakeFetchers() // the other fetcher may request the rest
 	}
 	f.finishDocument()
-	return came, err
+	return added, err
 }
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -18,174 +18,173 @@
 	"github.com/hyssopsail/hyssopsail/internal/sleep"
 )
 
-// errOutOfTouch: a member answered, and knows no leader.
-var errOutOfTouch = errors.New("the member is out of touch")
+// errNoLeader reports that a member answered but has no contact with a leader.
+var errNoLeader = errors.New("the member is out of touch")
 
-// Follower keeps the picture.
+// Follower keeps an entry's view of its fleet.
 type Follower struct {
-	options Options
-	metrics *metrics
-	view    atomic.Pointer[relay.View]
-	turn    atomic.Uint64
-	began   time.Time
-	// behind is when a version was told that is not in force yet, after began; 0
-	// when the newest is.
-	behind atomic.Int64
-
-	mu        sync.Mutex // guards the fields below
-	members   []string
-	download  download
-	tellers   []string             // members that told of the version on its way
-	decoded   *routetable.Document // in force, nil before the first
-	table     *routetable.Table    // of decoded
-	words     confirmations        // of table, and of those on their way
-	revision  uint64
-	endpoints map[string]*pb.EndpointRecord
-	asked     [ways]string    // member that each way asks
-	nudged    context.Context // ends when members are to be asked anew
-	nudge     context.CancelFunc
-	filling   filling
-	woken     chan struct{} // closed and replaced when there may be blocks to ask for
+	options    Options
+	metrics    *metrics
+	view       atomic.Pointer[relay.View]
+	nextMember atomic.Uint64
+	startedAt  time.Time
+	// outdatedSince is when a version was announced that is not in force yet, relative to
+	// startedAt; 0 if the newest is in force.
+	outdatedSince atomic.Int64
+
+	mu             sync.Mutex // guards the fields below
+	members        []string
+	download       download
+	versionSources []string             // members that announced the version being fetched
+	decoded        *routetable.Document // document in force; nil before the first
+	table          *routetable.Table    // compiled from decoded
+	confirmations  confirmations        // of table's version and of newer ones
+	revision       uint64
+	endpoints      map[string]*pb.EndpointRecord
+	polled         [pollers]string // member that each poller polls
+	refreshCtx     context.Context // canceled to start new polls at once
+	cancelRefresh  context.CancelFunc
+	fleetTransfer  fleetTransfer
+	wake           chan struct{} // closed and replaced when there may be blocks to request
 }
 
-// New makes a Follower; Run makes it work.
+// New creates a Follower; call Run to start it.
 func New(options Options) *Follower {
-	nudged, nudge := context.WithCancel(context.Background())
+	refreshCtx, cancelRefresh := context.WithCancel(context.Background())
 	return &Follower{
-		options: options, metrics: newMetrics(options.Metrics), began: time.Now(),
+		options: options, metrics: newMetrics(options.Metrics), startedAt: time.Now(),
 		members: options.Seeds, endpoints: map[string]*pb.EndpointRecord{},
-		download: download{asked: map[blocks.Sum]bool{}},
-		nudged:   nudged, nudge: nudge, filling: newFilling(), woken: make(chan struct{}),
+		download:   download{requested: map[blocks.Sum]bool{}},
+		refreshCtx: refreshCtx, cancelRefresh: cancelRefresh, fleetTransfer: newFleetTransfer(), wake: make(chan struct{}),
 	}
 }
 
-// View gives the newest picture; nil before the first.
+// View returns the newest view, or nil before the first.
 func (f *Follower) View() *relay.View { return f.view.Load() }
 
-// Behind tells for how long a newer configuration than that of View has been
-// known, 0 while there is none.
+// Behind returns how long a newer configuration than that of View has been known, or 0 if
+// there is none.
 func (f *Follower) Behind() time.Duration {
-	since := f.behind.Load()
+	since := f.outdatedSince.Load()
 	if since == 0 {
 		return 0
 	}
-	return max(0, time.Since(f.began)-time.Duration(since))
+	return max(0, time.Since(f.startedAt)-time.Duration(since))
 }
 
-// Members gives the addresses of the control instances that are known.
+// Members returns the RPC addresses of the known control instances.
 func (f *Follower) Members() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.members
 }
 
-// Run follows until ctx ends.
+// Run updates the view until ctx ends.
 func (f *Follower) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
-	for way := range ways {
-		group.Go(func() error { return f.follow(ctx, way) })
-		group.Go(func() error { return f.fetch(ctx, way) })
+	for poller := range pollers {
+		group.Go(func() error { return f.runPoller(ctx, poller) })
+		group.Go(func() error { return f.runFetcher(ctx, poller) })
 	}
 	return group.Wait()
 }
 
-// Nudge has the members asked anew at once, so that they learn what changed
-// about this entry.
+// Nudge polls the members again at once, which reports changes of this entry to them.
 func (f *Follower) Nudge() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.nudge()
-	f.nudged, f.nudge = context.WithCancel(context.Background())
+	f.cancelRefresh()
+	f.refreshCtx, f.cancelRefresh = context.WithCancel(context.Background())
 }
 
-func (f *Follower) follow(ctx context.Context, way int) error {
+func (f *Follower) runPoller(ctx context.Context, poller int) error {
 	member := ""
-	pause := turnPause
+	delay := minRetryDelay
 	for ctx.Err() == nil {
-		f.awaitFilling(ctx, way)
+		f.awaitFleetTransfer(ctx, poller)
 		if member == "" {
-			member = f.next(way)
+			member = f.pickMember(poller)
 		}
-		if err := f.ask(ctx, way, member); err != nil && ctx.Err() == nil {
+		if err := f.poll(ctx, poller, member); err != nil && ctx.Err() == nil {
 			member = ""
-			sleep.For(ctx, pause)
-			pause = longer(pause)
+			sleep.For(ctx, delay)
+			delay = nextRetryDelay(delay)
 			continue
 		}
-		pause = turnPause
+		delay = minRetryDelay
 	}
 	return nil
 }
 
-// longer gives the pause after one that was followed by another failure.
-func longer(pause time.Duration) time.Duration {
-	return min(time.Duration(turnGrowth*float64(pause)), longestTurn)
+// nextRetryDelay returns the delay after another failure.
+func nextRetryDelay(delay time.Duration) time.Duration {
+	return min(time.Duration(retryBackoffFactor*float64(delay)), maxRetryDelay)
 }
 
-// next gives a member that the other way doesn't ask, in turn.
-func (f *Follower) next(way int) string {
+// pickMember returns the next member in turn that the other poller doesn't use.
+func (f *Follower) pickMember(poller int) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for range f.members {
-		member := f.members[f.turn.Add(1)%uint64(len(f.members))]
-		if !f.askedByOther(way, member) || len(f.members) < ways {
-			f.asked[way] = member
+		member := f.members[f.nextMember.Add(1)%uint64(len(f.members))]
+		if !f.polledByOther(poller, member) || len(f.members) < pollers {
+			f.polled[poller] = member
 			return member
 		}
 	}
 	return f.members[0]
 }
 
-func (f *Follower) askedByOther(way int, member string) bool {
-	for other, asked := range f.asked {
-		if other != way && asked == member {
+func (f *Follower) polledByOther(poller int, member string) bool {
+	for other, polled := range f.polled {
+		if other != poller && polled == member {
 			return true
 		}
 	}
 	return false
 }
 
-// ask puts one question of a way to a member.
-func (f *Follower) ask(ctx context.Context, way int, member string) error {
-	request, nudged := f.request()
+// poll sends one Follow request to a member and applies the reply.
+func (f *Follower) poll(ctx context.Context, poller int, member string) error {
+	request, refreshCtx := f.newRequest()
 	if f.options.Crashes != nil {
 		request.Crashes = f.options.Crashes.Mark(member)
 	}
-	asked := f.options.Uptime()
-	silence := followSilence
+	sentAt := f.options.Uptime()
+	idleTimeout := followIdleTimeout
 	if request.Revision == 0 {
-		silence = firstSilence
+		idleTimeout = firstFollowIdleTimeout
 	}
-	asking, cancel := context.WithCancel(ctx)
+	pollCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer context.AfterFunc(nudged, cancel)()
-	watched, transfer := rpc.WithTransfer(asking, silence)
-	reply, err := f.call(watched, member, request)
-	if err = transfer.End(watched, err); err != nil {
-		f.endFilling(way)
-		if nudged.Err() != nil {
+	defer context.AfterFunc(refreshCtx, cancel)()
+	transferCtx, transfer := rpc.WithTransfer(pollCtx, idleTimeout)
+	reply, err := f.callFollow(transferCtx, member, request)
+	if err = transfer.End(transferCtx, err); err != nil {
+		f.endFleetTransfer(poller)
+		if refreshCtx.Err() != nil {
 			return nil
 		}
-		f.options.Part.Info("Turns to another control instance.", "from", member,
+		f.options.Part.Info("Poll failed; switching to another control instance.", "from", member,
 			"took_ms", transfer.Took().Milliseconds(), "received_bytes", transfer.Received(), "err", err)
 		return err
 	}
-	f.confirm(asked, request, reply)
+	f.recordConfirmation(sentAt, request, reply)
 	if f.options.Crashes != nil {
 		f.options.Crashes.Take(member, reply.Crashes)
 	}
-	if f.take(way, member, reply) && !reply.More {
-		sleep.For(ctx, min(time.Duration(reply.Entries)*newsPause, longestNewsPause))
+	if f.applyReply(poller, member, reply) && !reply.More {
+		sleep.For(ctx, min(time.Duration(reply.Entries)*pollDelayPerEntry, maxPollDelay))
 	}
 	if !reply.Current {
-		f.endFilling(way)
-		f.options.Part.Info("Turns to another control instance, this one is out of touch.", "from", member)
-		return errOutOfTouch
+		f.endFleetTransfer(poller)
+		f.options.Part.Info("Control instance has no leader; switching to another one.", "from", member)
+		return errNoLeader
 	}
 	return nil
 }
 
-func (f *Follower) call(ctx context.Context, member string, request *pb.FollowRequest) (*pb.FollowReply, error) {
+func (f *Follower) callFollow(ctx context.Context, member string, request *pb.FollowRequest) (*pb.FollowReply, error) {
 	conn, err := f.options.Dialer.Conn(ctx, member)
 	if err != nil {
 		return nil, trace.Wrap(err)
@@ -193,15 +192,15 @@
 	return pb.NewDRPCCoordinatorClient(conn).Follow(ctx, request)
 }
 
-func (f *Follower) request() (*pb.FollowRequest, context.Context) {
+func (f *Follower) newRequest() (*pb.FollowRequest, context.Context) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	wait := followWait
 	if f.revision == 0 {
-		wait = turnPause
+		wait = minRetryDelay
 	}
 	return &pb.FollowRequest{
-		DocumentVersion: f.download.known(), InForce: f.download.document.Version(), Revision: f.revision,
+		DocumentVersion: f.download.latestKnown(), InForce: f.download.document.Version(), Revision: f.revision,
 		Self: f.options.Self(), WaitMs: uint32(wait.Milliseconds()),
-	}, f.nudged
+	}, f.refreshCtx
 }
--- a/internal/follower/follower_test.go
+++ b/internal/follower/follower_test.go
@@ -22,22 +22,22 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// member answers Follow from a catalog of its own.
+// member serves Follow from its own catalog.
 type member struct {
 	pb.DRPCCoordinatorServer
 	machine *catalog.Machine
 
-	mu    sync.Mutex
-	out   bool // of touch
-	asked int
-	self  *pb.EntryRecord
+	mu       sync.Mutex
+	noLeader bool // it has no contact with a leader
+	polls    int
+	self     *pb.EntryRecord
 }
 
 func (m *member) Follow(ctx context.Context, r *pb.FollowRequest) (*pb.FollowReply, error) {
 	m.mu.Lock()
-	m.asked++
+	m.polls++
 	m.self = r.Self
-	out := m.out
+	noLeader := m.noLeader
 	m.mu.Unlock()
 	revision, changed := m.machine.Revision()
 	if revision <= r.Revision {
@@ -50,10 +50,10 @@
 	}
 	delta := m.machine.Since(r.DocumentVersion, r.Revision)
 	news := &pb.CrashNews{Mark: &pb.CrashMark{Epoch: r.Crashes.GetEpoch() + 1}}
-	return &pb.FollowReply{Crashes: news, Current: !out, Outline: delta.Outline, Revision: delta.Revision, Endpoints: delta.Endpoints, More: delta.More, Entries: 3, Senders: 4}, nil
+	return &pb.FollowReply{Crashes: news, Current: !noLeader, Outline: delta.Outline, Revision: delta.Revision, Endpoints: delta.Endpoints, More: delta.More, Entries: 3, Senders: 4}, nil
 }
 
-// Blocks answers from the catalog as well.
+// Blocks serves blocks from the catalog.
 func (m *member) Blocks(_ context.Context, r *pb.BlocksRequest) (*pb.BlocksReply, error) {
 	var sums []blocks.Sum
 	for _, name := range r.Blocks {
@@ -62,21 +62,21 @@
 	return &pb.BlocksReply{Packed: m.machine.Blocks(sums)}, nil
 }
 
-// questions counts what the members were asked.
-func (f *fleet) questions() int {
+// pollCount returns how many polls the members received.
+func (f *fleet) pollCount() int {
 	total := 0
 	for _, m := range f.members {
 		m.mu.Lock()
-		total += m.asked
+		total += m.polls
 		m.mu.Unlock()
 	}
 	return total
 }
 
-func (m *member) set(out bool) {
+func (m *member) setNoLeader(noLeader bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.out = out
+	m.noLeader = noLeader
 }
 
 // fleet is three members with equal logs and one follower.
@@ -87,13 +87,13 @@
 	index    uint64
 	follower *Follower
 	entries  atomic.Int64
-	crashes  *readCrashes
+	crashes  *crashMarks
 }
 
 func run(t *testing.T, test func(t *testing.T, f *fleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		f := &fleet{t: t, net: &testkit.Network{}, crashes: &readCrashes{marks: map[string]*pb.CrashMark{}}}
+		f := &fleet{t: t, net: &testkit.Network{}, crashes: &crashMarks{marks: map[string]*pb.CrashMark{}}}
 		var seeds []string
 		for n := range 3 {
 			m := &member{machine: catalog.NewMachine()}
@@ -117,10 +117,10 @@
 
 func address(n int) string { return fmt.Sprint("control", n) }
 
-// uptime begins with a test's own time.
+// uptime is a clock that follows the test's fake time.
 func uptime() time.Duration { return time.Duration(time.Now().UnixNano()) }
 
-// decode reads a document whose source is the name of its route.
+// decode decodes a document whose source is the name of its only route.
 func decode(source []byte, _ *routetable.Document) (*routetable.Document, error) {
 	if string(source) == "bad" {
 		return nil, errors.New("bad")
@@ -129,7 +129,7 @@
 	return &routetable.Document{Routes: []routetable.Route{route}}, nil
 }
 
-// commit applies a command at the members given, all if none.
+// commit applies a command at the given member, or at all if none is given.
 func (f *fleet) commit(c *pb.CatalogCommand, at ...int) {
 	data, err := proto.Marshal(c)
 	assert.NilError(f.t, err)
@@ -165,7 +165,7 @@
 	return 0
 }
 
-func TestChangesComeAtOnce(t *testing.T) {
+func TestChangesAreAppliedAtOnce(t *testing.T) {
 	run(t, func(t *testing.T, f *fleet) {
 		time.Sleep(time.Second)
 		f.commit(document(1, "one"))
@@ -180,8 +180,8 @@
 	})
 }
 
-// An endpoint whose stage is being changed gets no work.
-func TestAssignedEndpointIsOut(t *testing.T) {
+// An endpoint whose stage is being changed must not be used.
+func TestAssignedEndpointIsNotUsed(t *testing.T) {
 	run(t, func(t *testing.T, f *fleet) {
 		f.commit(endpoint("e", 1, pb.EndpointState_ENDPOINT_STATE_READY))
 		f.commit(&pb.CatalogCommand{Kind: &pb.CatalogCommand_AssignStage{AssignStage: &pb.AssignStage{Id: "e", Stage: pb.Stage_STAGE_PREFILL}}})
@@ -190,9 +190,9 @@
 	})
 }
 
-// The connection to one member goes silent, without a reset, just before a
-// change. The entry must not serve on by the old configuration for two seconds.
-func TestSilentConnectionHoldsUpNothing(t *testing.T) {
+// The connection to one member goes silent, without a reset, just before a change. The
+// entry must not keep the old configuration for two seconds.
+func TestSilentConnectionDelaysNoChange(t *testing.T) {
 	for cut := range 3 {
 		run(t, func(t *testing.T, f *fleet) {
 			time.Sleep(time.Second)
@@ -204,43 +204,42 @@
 	}
 }
 
-// The members that the entry asks are cut off from the third, which alone hears
-// of a change. They answer, but say that they are not in touch, and the entry
-// turns to the third.
-func TestMembersOutOfTouchAreLeft(t *testing.T) {
+// The two members that the entry polls are cut off from the third, which alone receives a
+// change. They reply that they have no leader, and the entry must turn to the third.
+func TestMembersWithoutLeaderAreSkipped(t *testing.T) {
 	run(t, func(t *testing.T, f *fleet) {
 		f.commit(document(1, "one"))
 		time.Sleep(time.Second)
-		third := f.unasked()
+		third := f.unpolled()
 		for n, m := range f.members {
-			m.set(n != third)
+			m.setNoLeader(n != third)
 		}
 		f.commit(document(2, "two"), third)
 		time.Sleep(1500 * time.Millisecond)
 		assert.Equal(t, f.inForce(), "two")
-		f.members[third].set(true)
+		f.members[third].setNoLeader(true)
 		time.Sleep(3 * time.Second)
-		assert.Equal(t, f.inForce(), "two", "members that are behind take nothing back")
-		assert.Assert(t, f.questions() < 400, "asked %d times in all", f.questions())
+		assert.Equal(t, f.inForce(), "two", "members that are behind must not undo changes")
+		assert.Assert(t, f.pollCount() < 400, "%d polls in total", f.pollCount())
 	})
 }
 
-// unasked is the member that the entry doesn't ask.
-func (f *fleet) unasked() int {
+// unpolled returns the member that the entry doesn't poll.
+func (f *fleet) unpolled() int {
 	f.follower.mu.Lock()
 	defer f.follower.mu.Unlock()
 	for n := range f.members {
-		if !slices.Contains(f.follower.asked[:], address(n)) {
+		if !slices.Contains(f.follower.polled[:], address(n)) {
 			return n
 		}
 	}
-	f.t.Fatal("all are asked")
+	f.t.Fatal("all members are polled")
 	return 0
 }
 
-// All machines lost power and come back one after the other. The entry must
-// not wait for a member that is still dark while another one is up.
-func TestFirstPictureComesFromWhoeverIsUp(t *testing.T) {
+// All machines lost power and come back one after the other. The entry must not wait for
+// a member that is still down while another one is up.
+func TestFirstViewComesFromAnyLiveMember(t *testing.T) {
 	run(t, func(t *testing.T, f *fleet) {
 		for n := range f.members {
 			f.net.SetCut(true, "entry", address(n))
@@ -253,36 +252,36 @@
 	})
 }
 
-// Hundreds of entries start with the fleet, and no member knows a leader for
-// seconds. They must not ask so often that none is ever elected.
-func TestEntriesAskLessOftenWhileNobodyIsInTouch(t *testing.T) {
+// Hundreds of entries start with the fleet, and no member has a leader for seconds. They
+// must not poll so often that no leader can be elected.
+func TestPollsBackOffWithoutALeader(t *testing.T) {
 	run(t, func(t *testing.T, f *fleet) {
 		for _, m := range f.members {
-			m.set(true)
+			m.setNoLeader(true)
 		}
 		time.Sleep(5 * time.Second)
-		before := f.questions()
+		before := f.pollCount()
 		time.Sleep(10 * time.Second)
-		assert.Assert(t, f.questions()-before < 60, "asked %d times in 10 s", f.questions()-before)
+		assert.Assert(t, f.pollCount()-before < 60, "%d polls in 10 s", f.pollCount()-before)
 	})
 }
 
-// Guards against too large a share of common budgets: a member out of touch, or one of a
-// group that has just formed, knows few of the entries.
-func TestNumberOfAMemberOutOfTouchIsNotTaken(t *testing.T) {
+// Guards against too large a share of common budgets: a member without a leader, or one
+// of a group that has just formed, knows only few of the entries.
+func TestSendersOfAMemberWithoutLeaderAreIgnored(t *testing.T) {
 	run(t, func(t *testing.T, f *fleet) {
 		for _, m := range f.members {
-			m.set(true)
+			m.setNoLeader(true)
 		}
-		time.Sleep(time.Second) // the first answers may have been given before
+		time.Sleep(time.Second) // the first replies may have been sent before
 		f.entries.Store(0)
 		time.Sleep(5 * time.Second)
 		assert.Equal(t, f.entries.Load(), int64(0))
 	})
 }
 
-// A document that passed the checks can't be read here: the one before stays
-// in force.
+// A document that passed the checks can't be decoded here; the previous one stays in
+// force.
 func TestUnreadableDocument(t *testing.T) {
 	run(t, func(t *testing.T, f *fleet) {
 		f.commit(document(1, "one"))
@@ -296,29 +295,29 @@
 	})
 }
 
-// An entry that stops has itself taken from the address lists at once, not at
-// its next question.
-func TestNudge(t *testing.T) {
+// An entry that stops must be removed from the address lists at once, not at its next
+// poll.
+func TestRefreshPollsAtOnce(t *testing.T) {
 	run(t, func(t *testing.T, f *fleet) {
 		f.commit(document(1, "one"))
 		time.Sleep(time.Second)
-		asked := f.questions()
+		before := f.pollCount()
 		f.follower.Nudge()
 		time.Sleep(time.Millisecond)
-		assert.Assert(t, f.questions() >= asked+2)
+		assert.Assert(t, f.pollCount() >= before+2)
 	})
 }
 
-// A newer configuration is told and its blocks don't come: whoever asks learns for
-// how long that has been so, until they come.
-func TestBehind(t *testing.T) {
+// A newer configuration is announced and its blocks don't arrive: Behind returns how long
+// that has lasted, until they arrive.
+func TestOutdatedDuration(t *testing.T) {
 	run(t, func(t *testing.T, f *fleet) {
 		f.commit(document(1, "one"))
 		time.Sleep(time.Second)
 		assert.Equal(t, f.follower.Behind(), time.Duration(0))
-		var free atomic.Bool
+		var blocksAllowed atomic.Bool
 		f.net.OnRequest("entry", "Blocks", func(string) {
-			if !free.Load() {
+			if !blocksAllowed.Load() {
 				time.Sleep(time.Hour)
 			}
 		})
@@ -328,18 +327,18 @@
 		time.Sleep(time.Second)
 		behind := f.follower.Behind()
 		assert.Assert(t, behind > 2900*time.Millisecond && behind <= 3*time.Second, "%v", behind)
-		free.Store(true)
+		blocksAllowed.Store(true)
 		time.Sleep(2 * time.Hour)
 		assert.Equal(t, f.inForce(), "three")
 		assert.Equal(t, f.follower.Behind(), time.Duration(0))
 	})
 }
 
-// A fleet of thousands of endpoints comes in parts over a narrow link. It comes
-// once: both ways would else bring the same parts, and the entry would serve
-// twice as late. A member that falls silent in the middle holds it up only until
-// the other way goes on where it left off.
-func TestALargeFleetComesOnce(t *testing.T) {
+// A fleet of thousands of endpoints is sent in parts over a slow link. It must be sent
+// once: if both pollers received the same parts, the entry would have its view twice as
+// late. A member that goes silent in the middle delays the transfer only until the other
+// poller resumes it.
+func TestLargeFleetIsTransferredOnce(t *testing.T) {
 	const endpoints = 4000
 	for _, cut := range []bool{false, true} {
 		run(t, func(t *testing.T, f *fleet) {
@@ -353,7 +352,7 @@
 			}
 			if cut {
 				time.Sleep(700 * time.Millisecond)
-				f.net.SetCut(true, f.filler(), "entry")
+				f.net.SetCut(true, f.transferSource(), "entry")
 			}
 			began := time.Now()
 			for f.endpoints() < endpoints && time.Since(began) < time.Minute {
@@ -365,9 +364,9 @@
 	}
 }
 
-// filler is the member that gives the fleet in parts now.
-func (f *fleet) filler() string {
+// transferSource returns the member that is sending the fleet in parts.
+func (f *fleet) transferSource() string {
 	f.follower.mu.Lock()
 	defer f.follower.mu.Unlock()
-	return f.follower.asked[f.follower.filling.way]
+	return f.follower.polled[f.follower.fleetTransfer.poller]
 }
--- a/internal/follower/metrics.go
+++ b/internal/follower/metrics.go
@@ -5,19 +5,19 @@
 	"github.com/prometheus/client_golang/prometheus/promauto"
 )
 
-// metrics are the follower's own.
+// metrics are the follower's metrics.
 type metrics struct {
-	known    prometheus.Gauge
-	inForce  prometheus.Gauge
-	document prometheus.Histogram
-	received prometheus.Counter
-	givenUp  prometheus.Counter
+	latestKnown  prometheus.Gauge
+	inForce      prometheus.Gauge
+	document     prometheus.Histogram
+	received     prometheus.Counter
+	failedBlocks prometheus.Counter
 }
 
 func newMetrics(to prometheus.Registerer) *metrics {
 	with := promauto.With(to)
 	return &metrics{
-		known: with.NewGauge(prometheus.GaugeOpts{
+		latestKnown: with.NewGauge(prometheus.GaugeOpts{
 			Name: "hyssopsail_follower_known_version",
 			Help: "Newest version of the configuration that a control instance has told.",
 		}),
@@ -34,7 +34,7 @@
 			Name: "hyssopsail_follower_block_bytes_total",
 			Help: "Bytes of compressed blocks of configurations that came.",
 		}),
-		givenUp: with.NewCounter(prometheus.CounterOpts{
+		failedBlocks: with.NewCounter(prometheus.CounterOpts{
 			Name: "hyssopsail_follower_given_up_blocks_total",
 			Help: "Blocks that were asked for and didn't come.",
 		}),
