--- a/internal/catalog/document.go
+++ b/internal/catalog/document.go
@@ -97,16 +97,16 @@
 	var list [][]byte
 	size := 0
 	for _, sum := range sums {
-		packed := document.Compressed(sum)
-		if packed == nil {
-			packed = previous.Compressed(sum)
+		compressed := document.Compressed(sum)
+		if compressed == nil {
+			compressed = previous.Compressed(sum)
 		}
-		size += len(packed)
+		size += len(compressed)
 		if size > maxBlocksReplySize && len(list) > 0 {
 			break
 		}
-		if packed != nil {
-			list = append(list, packed)
+		if compressed != nil {
+			list = append(list, compressed)
 		}
 	}
 	return list
--- a/internal/coordinator/commands.go
+++ b/internal/coordinator/commands.go
@@ -152,7 +152,7 @@
 			return wrapUnavailable(c.options.Machine.AwaitApplied(ctx, index))
 		}
 		c.options.Part.Debug("Command not committed; retrying.", "err", err)
-		if err := pause(ctx, retryDelay); err != nil {
+		if err := waitFor(ctx, retryDelay); err != nil {
 			return err
 		}
 	}
@@ -216,7 +216,7 @@
 		if err == nil {
 			return index, nil
 		}
-		if err := pause(ctx, retryDelay); err != nil {
+		if err := waitFor(ctx, retryDelay); err != nil {
 			return 0, err
 		}
 	}
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -133,7 +133,7 @@
 }
 
 // pause waits for d; it returns ErrUnavailable if ctx ends first.
-func pause(ctx context.Context, d time.Duration) error {
+func waitFor(ctx context.Context, d time.Duration) error {
 	if !sleep.For(ctx, d) {
 		return trace.Wrap(ErrUnavailable, "%v", ctx.Err())
 	}
--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -271,12 +271,12 @@
 			f.restart(i, false)
 		}
 		f.formed()
-		for began := time.Now(); time.Since(began) < senderKept-time.Second; time.Sleep(300 * time.Millisecond) {
+		for began := time.Now(); time.Since(began) < senderRetention-time.Second; time.Sleep(300 * time.Millisecond) {
 			if count := senders(1, "a"); count != 0 {
 				assert.Equal(t, count, uint32(3))
 			}
 		}
-		f.await(senderKept, "forgotten", func() bool { return senders(1, "a") == 1 })
+		f.await(senderRetention, "forgotten", func() bool { return senders(1, "a") == 1 })
 	})
 }
 
--- a/internal/coordinator/fleet_test.go
+++ b/internal/coordinator/fleet_test.go
@@ -77,7 +77,7 @@
 var initialSeeds = []string{"control0", "control1", "control2"}
 
 // senderKept is how long a gone entry counts among the senders.
-const senderKept = 6 * time.Second
+const senderRetention = 6 * time.Second
 
 func (f *fleet) start(i *instance) {
 	ctx, cancel := context.WithCancel(context.Background())
@@ -96,7 +96,7 @@
 		Group:   node, Machine: i.machine, Dialer: f.net.Dialer(i.address),
 		Self:  &pb.Member{InstanceId: i.address, DiskId: node.DiskID(), RpcAddress: i.address},
 		Seeds: i.seeds, Bootstrap: i.bootstrap, EndpointSilence: 4 * time.Second,
-		Orders: f.orders, OrderLease: 3 * time.Second, Tolerance: f.tolerance, SenderKept: senderKept,
+		Orders: f.orders, OrderLease: 3 * time.Second, Tolerance: f.tolerance, SenderKept: senderRetention,
 	})
 	f.net.Serve(i.address, i.Coordinator, pb.DRPCConsensusDescription{}, pb.DRPCCoordinatorDescription{})
 	ended := make(chan struct{}, 3)
--- a/internal/coordinator/growth_test.go
+++ b/internal/coordinator/growth_test.go
@@ -18,14 +18,14 @@
 // entryLinkRate is the rate of a link of 10 Mbit/s in bytes per second.
 const entryLinkRate = 1_250_000
 
-// inForceWithin is how long a confirmed change may take to be in force at each entry: the
-// shortest bound that a fleet states is 2 s.
+// inForceWithin is how long a confirmed change may take to be in force at each entry. 2 s
+// is the shortest bound of any fleet.
 const inForceWithin = 2 * time.Second
 
 // Guards against large changes that never arrive. An operator adds 1,400 routes, three
 // times, each time followed by a small change; both are confirmed within 0.3 s. Entries
 // behind links of 10 Mbit/s kept the previous configuration, for up to 4 s after the
-// second growth and for ever after the third. Each of an entry's two open polls was
+// second growth and forever after the third. Each of an entry's two open polls was
 // answered with the whole document and given up after 0.9 s regardless of progress, when
 // 491,520 of 543,208 bytes had arrived. The received bytes were discarded and requested
 // again from another member.
--- a/internal/coordinator/membership.go
+++ b/internal/coordinator/membership.go
@@ -131,7 +131,7 @@
 		if !trace.IsCompareFailed(err) {
 			return err
 		}
-		if err := pause(ctx, retryDelay); err != nil {
+		if err := waitFor(ctx, retryDelay); err != nil {
 			return err
 		}
 	}
