--- /dev/null
+++ b/internal/relay/allocate.go
@@ -0,0 +1,164 @@
+package relay
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"github.com/hyssopsail/hyssopsail/internal/allocation"
+	"github.com/hyssopsail/hyssopsail/internal/dispatch"
+)
+
+// Allocator assigns places for the whole fleet. An error means that no home could be
+// asked.
+type Allocator interface {
+	Allot(ctx context.Context, service string, ask allocation.Ask, wait time.Duration) (allocation.Place, error)
+	Settle(ctx context.Context, p allocation.Place, o allocation.Outcome) error
+	// Read reports that a prefill took a different time than was promised.
+	Read(ctx context.Context, p allocation.Place, o allocation.Outcome, reading, took time.Duration) error
+}
+
+// maxAllocationWait limits one request for a place; an exchange that waits longer asks
+// again. Only this limit reveals an unreachable home, which costs this much of a target.
+const maxAllocationWait = 100 * time.Millisecond
+
+// allocationRetryInterval is the pause before the home is asked again: an endpoint that
+// it named has refused, or its queue is full.
+const allocationRetryInterval = 5 * time.Millisecond
+
+// allocate asks the service's home for a place, and the endpoint that it names for
+// memory. asked is false when there is no home to ask.
+//
+// Load pattern: hundreds of entries share a hundred endpoints, so that each entry uses an
+// endpoint once in minutes, and a burst fills nearly all of them. Entries that ask
+// endpoints by themselves pick full ones, since they know nothing about them.
+func (ex *activeExchange) allocate(ctx context.Context, left time.Duration) (at *place, asked bool) {
+	options := ex.router.options
+	candidates := ex.router.candidates(ex.service, dispatch.StageDecode, ex.model(), ex.tried)
+	if options.Allotter == nil || !options.Policy.Has(dispatch.Allotment) || ex.exchange.Prompt == nil || ex.engine.HoldLife == 0 || len(candidates) == 0 {
+		return nil, false
+	}
+	assigned, err := options.Allotter.Allot(ctx, ex.service, ex.allocationRequest(), min(maxAllocationWait, max(left, 0)))
+	if err != nil {
+		ex.logDecision("No home could be asked for a place.", "err", err)
+		return nil, false
+	}
+	if assigned.Endpoint == "" {
+		ex.logDecision("No place came free.", "home", assigned.Home, "tokens", ex.memoryTokens(), "among", assigned.Room.Among, "most_free", assigned.Room.MostFree)
+		return nil, true
+	}
+	ex.logDecision("Allotted.", "home", assigned.Home, "endpoint", assigned.Endpoint, "reader", assigned.Reader, "backlog_ms", assigned.Backlog.Milliseconds())
+	return ex.reserveAllocated(ctx, assigned), true
+}
+
+// reserveAllocated reserves memory at the endpoint that the home has named.
+func (ex *activeExchange) reserveAllocated(ctx context.Context, assigned allocation.Place) *place {
+	e := ex.findEndpoint(dispatch.StageDecode, assigned.Endpoint)
+	if e == nil {
+		// It has just registered, and this entry doesn't know it yet. It is not faulty.
+		ex.unknownEndpoints = append(ex.unknownEndpoints, assigned.Endpoint)
+		ex.settleAllocation(assigned, allocation.OutcomeDone)
+		return nil
+	}
+	reservationID, err := ex.reserveMemory(ctx, e)
+	if err != nil {
+		ex.settleAllocation(assigned, reserveOutcome(ctx, err))
+		return nil
+	}
+	at := ex.keepIfPermitted(ctx, &place{endpoint: e, reservationID: reservationID, allocated: &assigned})
+	if at == nil {
+		ex.settleAllocation(assigned, allocation.OutcomeDone)
+	}
+	return at
+}
+
+func (ex *activeExchange) findEndpoint(stage dispatch.Stage, id string) *dispatch.Endpoint {
+	for _, e := range ex.router.candidates(ex.service, stage, ex.model(), nil) {
+		if e.ID == id {
+			return e
+		}
+	}
+	return nil
+}
+
+// allocationRequest describes what the exchange needs.
+func (ex *activeExchange) allocationRequest() allocation.Ask {
+	stats, tokens := ex.router.options.Book, ex.exchange.Prompt.Tokens
+	a := allocation.Ask{
+		Exchange: ex.exchange.ID, Model: ex.model(), Zone: stats.Zone(), Prompt: tokens, Output: ex.exchange.Prompt.ReservedOutput(),
+		Capacity: ex.engine.KVTokens, Length: ex.expectedAnswerTime(),
+	}
+	if !ex.skipsPrefill() {
+		a.Reading = stats.ReadingTime(ex.service, tokens, 0)
+		reading := dispatch.Reading{Gap: ex.route.EventGap, Policy: ex.router.options.Policy}
+		a.LongestBacklog, a.ReadsOwn = reading.Bounds(a.Reading)
+	}
+	a.Excluded = append(a.Excluded, ex.unknownEndpoints...)
+	for id := range ex.tried {
+		a.Excluded = append(a.Excluded, id.ID)
+	}
+	a.Excluded = append(a.Excluded, stats.PassedOver(time.Now(), ex.router.options.View().Endpoints[ex.service])...)
+	return a
+}
+
+// settleAllocation returns a place to its home in the background.
+func (ex *activeExchange) settleAllocation(p allocation.Place, o allocation.Outcome) {
+	ex.releaseAsync(func(ctx context.Context) {
+		if err := ex.router.options.Allotter.Settle(ctx, p, o); err != nil {
+			ex.router.options.Part.Debug("Could not return a place to its home.", "request", p.Exchange, "home", p.Home, "err", err)
+		}
+	})
+}
+
+// settleActiveAllocation returns the place in use if a home assigned it.
+func (ex *activeExchange) settleActiveAllocation(o dispatch.Outcome) {
+	if ex.allocated == nil {
+		return
+	}
+	assigned := *ex.allocated
+	ex.allocated = nil
+	ex.settleAllocation(assigned, allocationOutcome(o))
+}
+
+// prefillDelayTolerance is how much later than promised a prefill may end without a report
+// to the home: transfer and network take some milliseconds, and each report is an RPC.
+const prefillDelayTolerance = 60 * time.Millisecond
+
+// reportPrefillDelay reports a prefill endpoint that failed or was late to the home.
+func (ex *activeExchange) reportPrefillDelay(o dispatch.Outcome, readingTime, took time.Duration) {
+	if ex.allocated == nil || allocationOutcome(o) == allocation.OutcomeDone && took < ex.allocated.Backlog+readingTime+prefillDelayTolerance {
+		return
+	}
+	assigned := *ex.allocated
+	ex.releaseAsync(func(ctx context.Context) {
+		if err := ex.router.options.Allotter.Read(ctx, assigned, allocationOutcome(o), readingTime, took); err != nil {
+			ex.router.options.Part.Debug("Could not report a prefill delay.", "request", assigned.Exchange, "home", assigned.Home, "err", err)
+		}
+	})
+}
+
+// allocationOutcome maps the outcome of a call to what other entries need to know about
+// its endpoint. A lost answer says nothing about it: healthy endpoints lose some, and a
+// small fleet can't do without them.
+func allocationOutcome(o dispatch.Outcome) allocation.Outcome {
+	switch o {
+	case dispatch.OutcomeFull:
+		return allocation.OutcomeFull
+	case dispatch.OutcomeUnreachable, dispatch.OutcomeMisfit:
+		return allocation.OutcomeGone
+	}
+	return allocation.OutcomeDone
+}
+
+// reserveOutcome maps the reason why no memory was reserved.
+func reserveOutcome(ctx context.Context, err error) allocation.Outcome {
+	switch {
+	case errors.Is(err, ErrNoRoom):
+		return allocation.OutcomeFull
+	case ctx.Err() != nil:
+		return allocation.OutcomeDone
+	case errors.Is(err, errNoResponse):
+		return allocation.OutcomeGone
+	}
+	return allocationOutcome(sendOutcome(err))
+}
--- a/internal/relay/answer.go
+++ b/internal/relay/answer.go
@@ -9,64 +9,63 @@
 	"github.com/hyssopsail/hyssopsail/internal/dispatch"
 )
 
-// whole reads an answer to its end before a byte of it is passed on, so that
-// one that is cut off can be asked for elsewhere. A long one is passed on as
-// it comes.
-func (l *life) whole(reply *Reply) attempt {
-	body, err := io.ReadAll(io.LimitReader(reply.Body, wholeBody+1))
+// forwardWhole reads an answer to its end before it forwards any of it, so that one that
+// is cut off can be requested elsewhere. A long answer is forwarded as it arrives.
+func (ex *activeExchange) forwardWhole(reply *Reply) attemptResult {
+	body, err := io.ReadAll(io.LimitReader(reply.Body, maxBufferedBytes+1))
 	if err != nil {
-		return attempt{outcome: dispatch.OutcomeLost, reply: reply, err: err}
+		return attemptResult{outcome: dispatch.OutcomeLost, reply: reply, err: err}
 	}
-	if len(body) > wholeBody {
-		return l.long(reply, body)
+	if len(body) > maxBufferedBytes {
+		return ex.forwardLong(reply, body)
 	}
-	a := attempt{outcome: dispatch.OutcomeServed, reply: reply, body: body}
+	a := attemptResult{outcome: dispatch.OutcomeServed, reply: reply, body: body}
 	if reply.Status >= http.StatusInternalServerError {
 		a.outcome = dispatch.OutcomeFailed
 		return a
 	}
-	l.deliver(a)
+	ex.forwardBuffered(a)
 	return a
 }
 
-// deliver passes a whole answer on.
-func (l *life) deliver(a attempt) {
-	l.begin(a.reply, int64(len(a.body)))
+// forwardBuffered forwards an answer that was received whole.
+func (ex *activeExchange) forwardBuffered(a attemptResult) {
+	ex.forwardHead(a.reply, int64(len(a.body)))
 	if len(a.body) > 0 {
-		l.write(a.body)
+		ex.forwardPart(a.body)
 	}
 }
 
-// begin passes the head of an answer on.
-func (l *life) begin(reply *Reply, length int64) {
-	l.begun, l.progress.firstAt = true, time.Now()
-	l.caller.Begin(reply.Status, reply.Header, length)
+// forwardHead forwards the head of an answer.
+func (ex *activeExchange) forwardHead(reply *Reply, length int64) {
+	ex.headSent, ex.progress.firstAt = true, time.Now()
+	ex.caller.Begin(reply.Status, reply.Header, length)
 }
 
-// write passes a part on. A caller that can't be written to has left, which
-// its context tells too.
-func (l *life) write(p []byte) bool {
-	l.progress.wrote(time.Now())
-	return l.caller.Write(p) == nil
+// forwardPart forwards a part of the body and reports whether that succeeded. A failed
+// write means that the caller has left, which also ends the context of the exchange.
+func (ex *activeExchange) forwardPart(p []byte) bool {
+	ex.progress.recordWrite(time.Now())
+	return ex.caller.Write(p) == nil
 }
 
-// long passes on an answer that is too long to be held.
-func (l *life) long(reply *Reply, first []byte) attempt {
-	l.begin(reply, reply.Length)
+// forwardLong forwards an answer that is too long to be buffered.
+func (ex *activeExchange) forwardLong(reply *Reply, first []byte) attemptResult {
+	ex.forwardHead(reply, reply.Length)
 	buffer := first
 	for {
-		if !l.write(buffer) {
-			return attempt{outcome: dispatch.OutcomeGivenUp, reply: reply}
+		if !ex.forwardPart(buffer) {
+			return attemptResult{outcome: dispatch.OutcomeGivenUp, reply: reply}
 		}
-		part := make([]byte, copyBuffer)
+		part := make([]byte, readBufferBytes)
 		n, err := reply.Body.Read(part)
 		buffer = part[:n]
 		if errors.Is(err, io.EOF) {
-			l.write(buffer)
-			return attempt{outcome: dispatch.OutcomeServed, reply: reply}
+			ex.forwardPart(buffer)
+			return attemptResult{outcome: dispatch.OutcomeServed, reply: reply}
 		}
 		if err != nil {
-			return attempt{outcome: dispatch.OutcomeLost, reply: reply, err: err}
+			return attemptResult{outcome: dispatch.OutcomeLost, reply: reply, err: err}
 		}
 	}
 }
--- a/internal/relay/burst_test.go
+++ b/internal/relay/burst_test.go
@@ -22,27 +22,27 @@
 	"github.com/hyssopsail/hyssopsail/internal/staging"
 )
 
-// engines is a service of model endpoints in virtual time. Readers read one
-// prompt after the other; a generating endpoint has memory for some ten
-// requests, keeps what was set aside, and turns away what finds no room.
+// engines simulates a service of model endpoints in virtual time. Prefill endpoints read
+// one prompt after the other; a decode endpoint has memory for some ten requests, keeps
+// reservations, and rejects requests for which it has no memory.
 type engines struct {
-	mu     sync.Mutex
-	used   map[string]int       // tokens held or set aside, by endpoint
-	holds  map[string]heldRoom  // by name
-	free   map[string]time.Time // when a reader is done with what it has
-	named  int
-	noRoom int // questions for memory that were refused
-	wasted int // tokens that were read and not used
-	memory int // of each, tokens
+	mu           sync.Mutex
+	used         map[string]int            // tokens held or reserved, by endpoint
+	reservations map[string]reservedMemory // by ID
+	idleAt       map[string]time.Time      // when a prefill endpoint is done with its queue
+	lastID       int
+	noMemory     int // refused reservations
+	wasted       int // tokens that were read and not used
+	memory       int // of each endpoint, tokens
 }
 
-type heldRoom struct {
+type reservedMemory struct {
 	endpoint string
 	tokens   int
 	until    time.Time
 }
 
-// The figures of an engine, as the users' model servers have them.
+// Figures of an engine, as the users' model servers have them.
 const (
 	engineMemory   = 39_418
 	readPerSecond  = 33_333
@@ -52,31 +52,31 @@
 )
 
 func newEngines(memory int) *engines {
-	return &engines{memory: memory, used: map[string]int{}, holds: map[string]heldRoom{}, free: map[string]time.Time{}}
+	return &engines{memory: memory, used: map[string]int{}, reservations: map[string]reservedMemory{}, idleAt: map[string]time.Time{}}
 }
 
 func (e *engines) Reserve(_ context.Context, at *dispatch.Endpoint, tokens int, life time.Duration) (Reserved, error) {
 	time.Sleep(time.Millisecond)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.lapse()
+	e.expire()
 	if e.used[at.ID]+tokens > e.memory {
-		e.noRoom++
+		e.noMemory++
 		return Reserved{}, ErrNoRoom
 	}
-	e.named++
-	name := fmt.Sprint("hold", e.named)
+	e.lastID++
+	name := fmt.Sprint("hold", e.lastID)
 	e.used[at.ID] += tokens
-	e.holds[name] = heldRoom{endpoint: at.ID, tokens: tokens, until: time.Now().Add(life)}
+	e.reservations[name] = reservedMemory{endpoint: at.ID, tokens: tokens, until: time.Now().Add(life)}
 	return Reserved{Hold: name}, nil
 }
 
-// lapse frees what was set aside too long; e.mu is held.
-func (e *engines) lapse() {
-	for name, h := range e.holds {
+// expire frees reservations past their time; e.mu must be held.
+func (e *engines) expire() {
+	for name, h := range e.reservations {
 		if time.Now().After(h.until) {
 			e.used[h.endpoint] -= h.tokens
-			delete(e.holds, name)
+			delete(e.reservations, name)
 		}
 	}
 }
@@ -88,16 +88,16 @@
 	return e.generate(c)
 }
 
-// read waits for the prompts before it.
+// read waits for the prompts queued before it.
 func (e *engines) read(ctx context.Context, c *Call) (*Reply, error) {
 	took := time.Duration(float64(c.Exchange.Prompt.Tokens) / readPerSecond * float64(time.Second))
 	e.mu.Lock()
 	began := time.Now()
-	if e.free[c.Endpoint.ID].After(began) {
-		began = e.free[c.Endpoint.ID]
+	if e.idleAt[c.Endpoint.ID].After(began) {
+		began = e.idleAt[c.Endpoint.ID]
 	}
 	done := began.Add(took)
-	e.free[c.Endpoint.ID] = done
+	e.idleAt[c.Endpoint.ID] = done
 	e.mu.Unlock()
 	if !sleep.For(ctx, time.Until(done)) {
 		e.waste(c.Exchange.Prompt.Tokens)
@@ -116,11 +116,11 @@
 	p := c.Exchange.Prompt
 	tokens := p.Tokens + p.MaxOutput // here: what it really generates
 	e.mu.Lock()
-	e.lapse()
-	held, ok := e.holds[c.Hold]
+	e.expire()
+	held, ok := e.reservations[c.Hold]
 	if ok {
 		e.used[held.endpoint] -= held.tokens
-		delete(e.holds, c.Hold)
+		delete(e.reservations, c.Hold)
 		tokens = max(tokens, held.tokens)
 	}
 	full := e.used[c.Endpoint.ID]+tokens > e.memory && !ok
@@ -135,12 +135,12 @@
 		return notRun(), nil
 	}
 	reply := reply(http.StatusOK, io.EOF)
-	reply.Body = &generated{engines: e, endpoint: c.Endpoint.ID, tokens: tokens, left: p.MaxOutput / tokensPerEvent, reads: c.Source == nil, prompt: p.Tokens}
+	reply.Body = &generatedStream{engines: e, endpoint: c.Endpoint.ID, tokens: tokens, left: p.MaxOutput / tokensPerEvent, reads: c.Source == nil, prompt: p.Tokens}
 	return reply, nil
 }
 
-// generated is a stream as it is generated.
-type generated struct {
+// generatedStream is a stream that is generated over time.
+type generatedStream struct {
 	engines  *engines
 	endpoint string
 	tokens   int
@@ -151,7 +151,7 @@
 	once     sync.Once
 }
 
-func (g *generated) Read(p []byte) (int, error) {
+func (g *generatedStream) Read(p []byte) (int, error) {
 	if g.reads {
 		time.Sleep(time.Duration(float64(g.prompt) * ownReadSeconds * float64(time.Second)))
 		g.reads = false
@@ -164,7 +164,7 @@
 	return copy(p, event(fmt.Sprint(g.sent))), nil
 }
 
-func (g *generated) Close() {
+func (g *generatedStream) Close() {
 	g.once.Do(func() {
 		g.engines.mu.Lock()
 		defer g.engines.mu.Unlock()
@@ -180,9 +180,9 @@
 func (e *engines) DropHold(_ context.Context, _ *dispatch.Endpoint, hold string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if h, ok := e.holds[hold]; ok {
+	if h, ok := e.reservations[hold]; ok {
 		e.used[h.endpoint] -= h.tokens
-		delete(e.holds, hold)
+		delete(e.reservations, hold)
 	}
 }
 
@@ -190,35 +190,35 @@
 
 func (e *engines) HasOpen(*dispatch.Endpoint, time.Time) bool { return false }
 
-// timed notes when the first part came.
-type timed struct {
-	caller
+// timedCaller records when the first part arrived.
+type timedCaller struct {
+	fakeCaller
 	mu    sync.Mutex
 	first time.Time
 }
 
-func (c *timed) Write(p []byte) error {
+func (c *timedCaller) Write(p []byte) error {
 	c.mu.Lock()
 	if c.first.IsZero() {
 		c.first = time.Now()
 	}
 	c.mu.Unlock()
-	return c.caller.Write(p)
+	return c.fakeCaller.Write(p)
 }
 
-func (c *timed) firstAt() time.Time {
+func (c *timedCaller) firstAt() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.first
 }
 
-// burst is how a replayed load was served.
-type burst struct {
+// loadResult is how a load was served.
+type loadResult struct {
 	asked, inTarget, late, refused int
-	wasted, noRoom                 int
+	wasted, noMemory               int
 }
 
-// load is how many requests a second come at a time after the beginning.
+// load returns the requests per second at a time after the start.
 type load func(at time.Duration) float64
 
 // burstLoad is 13 requests a second for two seconds, 45 for four, and 13 again.
@@ -232,45 +232,45 @@
 // overload is two and a half times what the endpoints have memory for, all the time.
 func overload(time.Duration) float64 { return 60 }
 
-// replay sends a load to seven entries before readers and generating endpoints.
-func replay(t *testing.T, of load, readers, generating int, holds bool) burst {
+// replay sends a load to seven entries in front of prefill and decode endpoints.
+func replay(t *testing.T, perSecond load, prefill, decode int, reserves bool) loadResult {
 	t.Helper()
-	return replayAt(t, engineMemory, of, readers, generating, holds)
+	return replayAt(t, engineMemory, perSecond, prefill, decode, reserves)
 }
 
-// replayAt is replay with another memory of each endpoint, tokens, and without
-// some mechanisms.
-func replayAt(t *testing.T, memory int, of load, readers, generating int, holds bool, without ...dispatch.Mechanism) burst {
+// replayAt is replay with another memory of each endpoint, in tokens, and without some
+// mechanisms.
+func replayAt(t *testing.T, memory int, perSecond load, prefill, decode int, reserves bool, without ...dispatch.Mechanism) loadResult {
 	t.Helper()
 	policy, err := dispatch.Without(without...)
 	assert.NilError(t, err)
-	var result burst
+	var result loadResult
 	synctest.Test(t, func(t *testing.T) {
 		e := newEngines(memory)
-		result = play(t, of, newEntries(e, fleetShape{entries: 7, readers: readers, generating: generating, holds: holds}, policy, nil), e)
+		result = runLoad(t, perSecond, newEntries(e, fleetShape{entries: 7, prefill: prefill, decode: decode, reserves: reserves}, policy, nil), e)
 	})
 	return result
 }
 
-// fleetShape is how many there are of each.
+// fleetShape is the number of entries and endpoints.
 type fleetShape struct {
-	entries, readers, generating int
-	holds                        bool // endpoints set memory aside
+	entries, prefill, decode int
+	reserves                 bool // endpoints reserve memory
 }
 
-// newEntries makes entries before readers and generating endpoints. allotter gives
-// each its own; nil for none.
-func newEntries(e *engines, shape fleetShape, policy dispatch.Policy, allotter func(entry int) Allotter) []*Router {
+// newEntries returns entries in front of prefill and decode endpoints. allocator returns
+// that of an entry; nil for none.
+func newEntries(e *engines, shape fleetShape, policy dispatch.Policy, allocator func(entry int) Allocator) []*Router {
 	view := &View{Endpoints: map[string][]*dispatch.Endpoint{}}
-	for n := range shape.readers + shape.generating {
+	for n := range shape.prefill + shape.decode {
 		stage := dispatch.StageDecode
-		if n < shape.readers {
+		if n < shape.prefill {
 			stage = dispatch.StagePrefill
 		}
 		view.Endpoints["s"] = append(view.Endpoints["s"], &dispatch.Endpoint{ID: fmt.Sprint("e", n), Service: "s", Slots: 64, Stage: stage})
 	}
 	engine := &routetable.Engine{Slots: 64, KVTokens: e.memory}
-	if shape.holds {
+	if shape.reserves {
 		engine.HoldLife = 2 * time.Second
 	}
 	view.Table = routetable.Compile(&routetable.Document{
@@ -291,29 +291,29 @@
 			Budget: budget, Part: logging.Part{},
 			Random: func() float64 { mu.Lock(); defer mu.Unlock(); return random.Float64() },
 		}
-		if allotter != nil {
-			options.Allotter = allotter(n)
+		if allocator != nil {
+			options.Allotter = allocator(n)
 		}
 		entries = append(entries, New(options))
 	}
 	return entries
 }
 
-func play(t *testing.T, of load, entries []*Router, e *engines) burst {
+func runLoad(t *testing.T, perSecond load, entries []*Router, e *engines) loadResult {
 	var mu sync.Mutex
 	var all sync.WaitGroup
-	var b burst
+	var b loadResult
 	random := rand.New(rand.NewPCG(11, 13))
 	began := time.Now()
 	for time.Since(began) < 10*time.Second {
-		time.Sleep(time.Duration(random.ExpFloat64() / of(time.Since(began)) * float64(time.Second)))
+		time.Sleep(time.Duration(random.ExpFloat64() / perSecond(time.Since(began)) * float64(time.Second)))
 		entry := entries[random.IntN(len(entries))]
-		x := bursting(random, b.asked)
+		x := randomRequest(random, b.asked)
 		b.asked++
 		all.Go(func() {
 			// A caller leaves after four targets without a first part.
 			ctx, cancel := context.WithCancel(t.Context())
-			c := &timed{}
+			c := &timedCaller{}
 			timer := time.AfterFunc(3600*time.Millisecond, func() {
 				if c.firstAt().IsZero() {
 					cancel()
@@ -335,27 +335,26 @@
 		})
 	}
 	all.Wait()
-	b.wasted, b.noRoom = e.wasted, e.noRoom
+	b.wasted, b.noMemory = e.wasted, e.noMemory
 	return b
 }
 
-// bursting draws a request: 3,200 tokens in and 1,100 out in the mean, with an
+// randomRequest returns a request: 3,200 tokens in and 1,100 out in the mean, with an
 // estimate that is right in the median.
-func bursting(random *rand.Rand, n int) *Exchange {
+func randomRequest(random *rand.Rand, n int) *Exchange {
 	spread := func(mean, sigma, most float64) float64 {
 		return min(most, mean*math.Exp(sigma*random.NormFloat64()-sigma*sigma/2))
 	}
 	output := int(spread(1100, 0.7, 2700))
-	x := exchange()
+	x := newExchange()
 	x.ID, x.Path, x.Patience = fmt.Sprint("x", n), "/p", 14*time.Second
 	x.Prompt = &Prompt{Tokens: 200 + int(spread(3000, 0.5, 6600)), MaxOutput: output, LikelyOut: int(spread(float64(output), 0.5, 2700))}
 	return x
 }
 
-// Sorters photograph a whole truck of bales at once: for four seconds three times as
-// many notes are asked for as usual, more than the engines have memory for.
-// With memory set aside first, what can't be served is not read, and nearly
-// all of the rest is on time.
+// Load pattern: for four seconds there are three times as many requests as usual, more than
+// the engines have memory for. With memory reserved first, prompts of requests that can't
+// be served are not read, and nearly all other requests are on time.
 func TestBurstNeedsMoreMemoryThanThereIs(t *testing.T) {
 	with, without := replay(t, burstLoad, 3, 9, true), replay(t, burstLoad, 3, 9, false)
 	t.Logf("with memory set aside: %+v; without: %+v", with, without)
@@ -364,9 +363,9 @@
 	assert.Assert(t, with.inTarget*100 > 80*with.asked, "on time")
 }
 
-// Two of three readers are lost under the same burst. Prompts that would wait
-// for the last one are read where they run; waiting there would hold memory
-// that others need.
+// Two of three prefill endpoints are lost during the same burst. Prompts that would wait
+// for the last one are read by decode endpoints; waiting would hold memory that others
+// need.
 func TestBurstWithReadersLost(t *testing.T) {
 	got := replay(t, burstLoad, 1, 9, true)
 	t.Logf("%+v", got)
@@ -374,9 +373,9 @@
 	assert.Assert(t, got.wasted < 100_000, "tokens read for nothing")
 }
 
-// More is asked for than there is memory, without an end. Served in the order of
-// arrival, nearly every request would wait past its target and be late. Those
-// that can't make it are told so instead, and the rest is on time.
+// Load pattern: more memory is needed than there is, without an end. Served in the order of
+// arrival, nearly every request would wait past its target and be late. Requests that
+// can't be in time are refused instead, and the others are on time.
 func TestOverloadWithoutEnd(t *testing.T) {
 	got := replay(t, overload, 3, 9, true)
 	t.Logf("%+v", got)
@@ -384,9 +383,9 @@
 	assert.Assert(t, got.late*100 < 10*got.asked, "late ones took memory from others")
 }
 
-// A fleet of sixty endpoints is short of memory. A quarter of them as readers
-// leaves readers idle, and requests refused for want of the memory that these
-// would have; as many as the planner wants serve more in time.
+// A fleet of sixty endpoints is short of memory. With a quarter of them as prefill
+// endpoints, these are partly idle, and requests are refused for lack of the memory that
+// they would have as decode endpoints; as many as the planner wants serve more in time.
 func TestLargeFleetNeedsFewerReaders(t *testing.T) {
 	const endpoints, memory = 60, 25_257
 	short := func(time.Duration) float64 { return 90 }
--- a/internal/relay/confirmation.go
+++ b/internal/relay/confirmation.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Confirmation tells until when a configuration was the newest that operators had a
-// confirmation for, by the word of the control instances' leader.
+// Confirmation is the latest time at which a configuration was the newest one that
+// operators had a confirmation for, as reported by the control instances' leader.
 type Confirmation struct{ at atomic.Int64 }
 
-// At gives that moment, as the time since the machine was started.
+// At returns that time, counted from the start of the machine.
 func (c *Confirmation) At() time.Duration { return time.Duration(c.at.Load()) }
 
-// Raise notes a later moment; an earlier one changes nothing.
+// Raise moves the time forward; an earlier one changes nothing.
 func (c *Confirmation) Raise(at time.Duration) {
 	for {
 		known := c.at.Load()
--- /dev/null
+++ b/internal/relay/crashes.go
@@ -0,0 +1,86 @@
+package relay
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"strconv"
+	"syscall"
+	"time"
+
+	"github.com/hyssopsail/hyssopsail/internal/dispatch"
+	"github.com/hyssopsail/hyssopsail/internal/fleet"
+	"github.com/hyssopsail/hyssopsail/internal/suspect"
+)
+
+// crashHistory is what an exchange knows about whether its request crashes endpoints.
+type crashHistory struct {
+	fingerprint *fleet.Fingerprint // nil until it is needed
+	losses      int                // attempts and prefills whose connection broke
+	// quarantinedFor is how long the request is refused; 0 where it isn't.
+	quarantinedFor time.Duration
+}
+
+// isConnectionLoss reports whether a connection ended before its answer, as all connections
+// of an endpoint do when its process ends. An endpoint that is cut off or frozen keeps its
+// connections open.
+func isConnectionLoss(err error) bool {
+	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) ||
+		errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
+}
+
+// fingerprint identifies the request by its caller, target and body, so that it is
+// recognized when it is repeated, and by other entries.
+func (ex *activeExchange) fingerprint() fleet.Fingerprint {
+	if ex.crashes.fingerprint == nil {
+		x := ex.exchange
+		f := suspect.FingerprintOf(nil, string(x.Key), fmt.Sprintf("%q %q %q", x.Method, x.Host, x.Target), x.Body)
+		ex.crashes.fingerprint = &f
+	}
+	return *ex.crashes.fingerprint
+}
+
+// recordLoss records that an attempt got no complete answer; started reports whether some
+// of it was forwarded.
+func (ex *activeExchange) recordLoss(at *dispatch.Endpoint, sent time.Time, started bool, err error) {
+	if !isConnectionLoss(err) {
+		return
+	}
+	ex.crashes.losses++
+	loss := suspect.Loss{Fingerprint: ex.fingerprint(), Sent: sent, Ended: time.Now(), Exchange: ex.uniqueName(), Nth: ex.crashes.losses}
+	ex.router.metrics.lostAttempts.WithLabelValues(strconv.FormatBool(started)).Inc()
+	ex.router.options.Part.Info("Connection to an endpoint lost.", "request", ex.exchange.ID, "fingerprint", loss.Fingerprint,
+		"endpoint", at.ID, "born", at.Born, "service", ex.service, "sent_ms", time.Since(sent).Milliseconds(), "part", started, "err", err)
+	if started || !ex.tracksCrashes() {
+		return // a request that its endpoint had begun to answer did not crash it
+	}
+	ex.router.watchLoss(at, loss)
+}
+
+// uniqueName identifies the exchange in the whole fleet: callers may reuse an ID.
+func (ex *activeExchange) uniqueName() string {
+	return fmt.Sprintf("%s@%d", ex.exchange.ID, ex.exchange.Received.UnixNano())
+}
+
+// recordAnswered records that an endpoint has run the request and answered it.
+func (ex *activeExchange) recordAnswered() {
+	if ex.tracksCrashes() && ex.router.options.Crashes.Watches() {
+		ex.router.options.Crashes.Answered(ex.fingerprint())
+	}
+}
+
+func (ex *activeExchange) tracksCrashes() bool {
+	return ex.router.options.Crashes != nil && ex.router.options.Policy.Has(dispatch.Quarantine)
+}
+
+// isQuarantined reports whether the request is refused because it crashes endpoints.
+func (ex *activeExchange) isQuarantined() bool {
+	if !ex.tracksCrashes() || !ex.router.options.Crashes.Watches() {
+		return false
+	}
+	wait, refused := ex.router.options.Crashes.Refused(ex.fingerprint())
+	if refused {
+		ex.crashes.quarantinedFor = wait
+	}
+	return refused
+}
--- a/internal/relay/ending.go
+++ b/internal/relay/ending.go
@@ -9,84 +9,84 @@
 	"github.com/hyssopsail/hyssopsail/internal/dispatch"
 )
 
-// When a caller whose request did not run may come again, as parts of its
-// patience: it could not be served in time, and a burst lasts some seconds.
-// The spread keeps callers that were turned away together from returning
-// together. A caller without a known patience gets comeAgain.
+// RetryAfter of a request that did not run, as shares of the caller's Patience: the
+// request could not be served in time, and a burst lasts some seconds. The spread keeps
+// callers that were refused together from returning together. A caller whose Patience is
+// unknown gets defaultRetryAfter.
 const (
-	comeAgain       = 400 * time.Millisecond
-	comeAgainShare  = 0.18
-	comeAgainSpread = 0.15
+	defaultRetryAfter = 400 * time.Millisecond
+	retryAfterShare   = 0.18
+	retryAfterSpread  = 0.15
 )
 
-// retryAfter is drawn between the two; point is even in [0, 1).
+// retryAfter returns a time in that range; point is uniform in [0, 1).
 func retryAfter(patience time.Duration, point float64) time.Duration {
 	if patience <= 0 {
-		return comeAgain
+		return defaultRetryAfter
 	}
-	return time.Duration((comeAgainShare + comeAgainSpread*point) * float64(patience))
+	return time.Duration((retryAfterShare + retryAfterSpread*point) * float64(patience))
 }
 
-// giveUp makes the final answer of an exchange that no endpoint answered whole.
-// One that has begun is broken off at the caller too, never ended as if whole.
-func (l *life) giveUp(ctx context.Context, reason string) *Refusal {
-	if l.begun {
-		l.brokenOff(ctx, reason)
+// giveUp ends an exchange that no endpoint answered completely. It returns a refusal, or
+// aborts an answer that has begun, which must not end as if it were complete.
+func (ex *activeExchange) giveUp(ctx context.Context, reason string) *Refusal {
+	if ex.headSent {
+		ex.abort(ctx, reason)
 		return nil
 	}
-	if !l.ran {
-		after := max(retryAfter(l.x.Patience, l.router.options.Random()), l.blockedFor(), l.suspicion.quarantinedFor)
+	if !ex.mayHaveRun {
+		after := max(retryAfter(ex.exchange.Patience, ex.router.options.Random()), ex.blockedFor(), ex.crashes.quarantinedFor)
 		return &Refusal{Verdict: VerdictNotRun, Reason: reason, RetryAfter: after}
 	}
-	if errors.Is(context.Cause(ctx), errTimeUp) {
+	if errors.Is(context.Cause(ctx), errDeadline) {
 		return &Refusal{Verdict: VerdictTimeout, Reason: reason}
 	}
 	return &Refusal{Verdict: VerdictUnknown, Reason: reason}
 }
 
-// reasonOfEnd tells why an exchange's context ended.
-func reasonOfEnd(ctx context.Context) string {
-	if errors.Is(context.Cause(ctx), errTimeUp) {
+// endReason returns why an exchange's context ended.
+func endReason(ctx context.Context) string {
+	if errors.Is(context.Cause(ctx), errDeadline) {
 		return "the time is up"
 	}
 	return "the caller has left"
 }
 
-func (l *life) brokenOff(ctx context.Context, reason string) {
-	l.writeTrail()
-	l.router.options.Part.Info("Broken off.", "request", l.x.ID, "reason", reason, "after", l.lastID,
-		"route", l.route.Name, "version", l.version, "service", l.service, "endpoint", l.chosen,
-		"took_ms", l.since(time.Now()), "err", l.lastErr, "left_by", context.Cause(ctx))
-	l.aborted = true
-	l.caller.Abort()
+func (ex *activeExchange) abort(ctx context.Context, reason string) {
+	ex.writeDecisions()
+	ex.router.options.Part.Info("Broken off.", "request", ex.exchange.ID, "reason", reason, "after", ex.lastEventID,
+		"route", ex.route.Name, "version", ex.version, "service", ex.service, "endpoint", ex.lastEndpoint,
+		"took_ms", ex.msSinceArrival(time.Now()), "err", ex.lastErr, "left_by", context.Cause(ctx))
+	ex.aborted = true
+	ex.caller.Abort()
 }
 
-// report writes one line on an exchange that was not served whole.
-func (l *life) report(ctx context.Context, refusal *Refusal) {
+// logResult writes one line about the result of an exchange.
+func (ex *activeExchange) logResult(ctx context.Context, refusal *Refusal) {
 	if refusal == nil {
-		l.reportServed()
+		ex.logServed()
 		return
 	}
-	l.writeTrail()
-	l.router.options.Part.Info("Refused.", "request", l.x.ID, "verdict", refusal.Verdict, "reason", refusal.Reason,
-		"route", l.route.Name, "team", teamName(l.team), "version", l.version, "service", l.service, "endpoint", l.chosen, "sends", l.sends,
-		"runs", l.runs, "took_ms", l.since(time.Now()), "err", l.lastErr, "left_by", context.Cause(ctx))
+	ex.writeDecisions()
+	ex.router.options.Part.Info("Refused.", "request", ex.exchange.ID, "verdict", refusal.Verdict, "reason", refusal.Reason,
+		"route", ex.route.Name, "team", teamName(ex.team), "version", ex.version, "service", ex.service, "endpoint", ex.lastEndpoint, "sends", ex.attempts,
+		"runs", ex.runs, "took_ms", ex.msSinceArrival(time.Now()), "err", ex.lastErr, "left_by", context.Cause(ctx))
 }
 
-// rounded is a figure as precise as a reader needs it.
+// rounded rounds a number to two decimals for the log.
 func rounded(x float64) float64 { return math.Round(100*x) / 100 }
 
-func (l *life) reportServed() {
-	if l.lateAnswer() || l.last != dispatch.OutcomeServed || l.sends > 1 {
-		l.writeTrail()
+func (ex *activeExchange) logServed() {
+	if ex.isLate() || ex.lastOutcome != dispatch.OutcomeServed || ex.attempts > 1 {
+		ex.writeDecisions()
 	}
 	tokens, output := 0, 0
-	if p := l.x.Prompt; p != nil {
+	if p := ex.exchange.Prompt; p != nil {
 		tokens, output = p.Tokens, p.MaxOutput
 	}
-	l.router.options.Part.Info("Answered.", "request", l.x.ID, "route", l.route.Name, "team", teamName(l.team), "version", l.version,
-		"service", l.service, "endpoint", l.chosen, "outcome", l.last, "sends", l.sends, "runs", l.runs,
-		"prompt", tokens, "output", output, "prefill_ms", l.progress.prefillMs,
-		"sent_ms", l.since(l.progress.sentAt), "first_ms", l.since(l.progress.firstAt),
-		"took_ms", l.since(time.Now()), "writes", l.progress.writes, "pause_ms", l.progress.pause.Milliseconds(), "pause_at_ms", l.pauseStart(), "last_event", l.lastID)
+	ex.router.options.Part.Info("Answered.", "request", ex.exchange.ID, "route", ex.route.Name, "team", teamName(ex.team), "version", ex.version,
+		"service", ex.service, "endpoint", ex.lastEndpoint, "outcome", ex.lastOutcome, "sends", ex.attempts, "runs", ex.runs,
+		"prompt", tokens, "output", output, "prefill_ms", ex.progress.prefillMs,
+		"sent_ms", ex.msSinceArrival(ex.progress.sentAt), "first_ms", ex.msSinceArrival(ex.progress.firstAt),
+		"took_ms", ex.msSinceArrival(time.Now()), "writes", ex.progress.writes, "pause_ms", ex.progress.pause.Milliseconds(), "pause_at_ms", ex.pauseStartMs(), "last_event", ex.lastEventID)
 }
--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -5,37 +5,37 @@
 	"strconv"
 )
 
-// maxEvent bounds one event of a stream, bytes.
-const maxEvent = 256 << 10
+// maxEventBytes limits the size of one event of a stream.
+const maxEventBytes = 256 << 10
 
-// splitter cuts a stream of bytes into whole events. Bytes of an event whose
-// end has not come are held back: an endpoint may break off in the middle, and
-// another one that goes on would send that event whole.
-type splitter struct {
-	held []byte
+// eventSplitter splits a stream of bytes into complete events. It holds back an incomplete
+// event: the endpoint may fail in the middle of it, and another one that resumes the
+// stream would send that event completely.
+type eventSplitter struct {
+	buffered []byte
 }
 
-// add takes in bytes and gives those of whole events, and the ID of the last
-// of them that has one. The result is valid until the next call.
-func (s *splitter) add(p []byte) (whole []byte, lastID string) {
-	s.held = append(s.held, p...)
-	end := bytes.LastIndex(s.held, []byte("\n\n"))
+// add takes in bytes and returns those of complete events, and the ID of the last of them
+// that has one. The result is valid until the next call.
+func (s *eventSplitter) add(p []byte) (whole []byte, lastID string) {
+	s.buffered = append(s.buffered, p...)
+	end := bytes.LastIndex(s.buffered, []byte("\n\n"))
 	if end < 0 {
 		return nil, ""
 	}
-	whole = s.held[:end+2]
+	whole = s.buffered[:end+2]
 	return whole, lastEventID(whole)
 }
 
-// drop removes the events that add gave.
-func (s *splitter) drop(n int) {
-	s.held = append(s.held[:0], s.held[n:]...)
+// discard removes the n bytes of events that add returned.
+func (s *eventSplitter) discard(n int) {
+	s.buffered = append(s.buffered[:0], s.buffered[n:]...)
 }
 
-// rest tells whether a part of an event is held.
-func (s *splitter) rest() bool { return len(s.held) > 0 }
+// hasPartial reports whether part of an event is buffered.
+func (s *eventSplitter) hasPartial() bool { return len(s.buffered) > 0 }
 
-// lastEventID gives the ID of the last event that has one.
+// lastEventID returns the ID of the last event that has one; empty for none.
 func lastEventID(events []byte) string {
 	at := bytes.LastIndex(events, []byte("\nid:"))
 	switch {
@@ -50,7 +50,7 @@
 	return string(bytes.TrimSpace(line))
 }
 
-// firstEventID gives the ID of the first event that has one.
+// firstEventID returns the ID of the first event that has one; empty for none.
 func firstEventID(events []byte) string {
 	if !bytes.HasPrefix(events, []byte("id:")) {
 		at := bytes.Index(events, []byte("\nid:"))
@@ -63,9 +63,9 @@
 	return string(bytes.TrimSpace(line))
 }
 
-// follows tells whether a stream may go on with an event after the one with
-// ID last: its ID must be greater, or one of them has none.
-func follows(last, next string) bool {
+// mayFollow reports whether a stream may continue with event next after event last: its ID
+// must be greater, or one of them has none.
+func mayFollow(last, next string) bool {
 	if last == "" || next == "" {
 		return true
 	}
--- /dev/null
+++ b/internal/relay/exchange.go
@@ -0,0 +1,291 @@
+package relay
+
+import (
+	"context"
+	"errors"
+	"net/http"
+	"time"
+
+	"github.com/hyssopsail/hyssopsail/internal/allocation"
+	"github.com/hyssopsail/hyssopsail/internal/dispatch"
+	"github.com/hyssopsail/hyssopsail/internal/retrybudget"
+	"github.com/hyssopsail/hyssopsail/internal/routetable"
+)
+
+// activeExchange is the state of one exchange while it is being served.
+type activeExchange struct {
+	router   *Router
+	exchange *Exchange
+	caller   Caller
+	route    *routetable.Route
+	team     *routetable.Team // nil where callers need no key
+	version  int64            // of the configuration that has the route
+	service  string
+	engine   *routetable.Engine
+	deadline time.Time
+
+	tried            map[dispatch.Incarnation]bool // endpoints that an attempt was sent to
+	attempts         int                           // without prefills
+	runs             int                           // attempts that may have run
+	mayHaveRun       bool                          // at some endpoint
+	budgetAccount    *retrybudget.Account          // of arrivals at endpoints
+	unusedPrefill    *prefillResult                // nil for none
+	prefillAttempted bool                          // a second prefill would be an extra arrival
+	aborted          bool                          // the answer was broken off
+	headSent         bool                          // the caller got the head of the answer
+	lastEventID      string                        // of the last event forwarded
+	lastOutcome      dispatch.Outcome              // of the latest attempt, without prefills
+	// lastAttemptOutcome is the outcome of the latest attempt or prefill.
+	lastAttemptOutcome dispatch.Outcome
+	lastErr            error  // of the latest attempt
+	lastEndpoint       string // ID of the endpoint of the latest attempt
+
+	decisions decisionLog
+	crashes   crashHistory
+	progress  progress
+
+	allocated        *allocation.Place                  // in use, assigned by a home; nil for none
+	unknownEndpoints []string                           // named by a home and not known here
+	permits          map[dispatch.Incarnation]time.Time // not used yet, by when they were requested
+}
+
+// attemptResult is the result of one attempt.
+type attemptResult struct {
+	outcome dispatch.Outcome
+	reply   *Reply
+	body    []byte // of an answer that was received whole
+	err     error
+}
+
+func (ex *activeExchange) run(ctx context.Context) *Refusal {
+	ex.tried = map[dispatch.Incarnation]bool{}
+	ex.permits = map[dispatch.Incarnation]time.Time{}
+	defer ex.releaseUnusedPrefill()
+	defer ex.budgetAccount.Close()
+	for {
+		if ex.isQuarantined() {
+			return ex.giveUp(ctx, ex.unsentReason())
+		}
+		endpoint, call := ex.prepareAttempt(ctx)
+		if endpoint == nil {
+			return ex.giveUp(ctx, ex.unsentReason())
+		}
+		if ex.isQuarantined() {
+			ex.releasePlace(&place{endpoint: endpoint, reservationID: call.Hold})
+			return ex.giveUp(ctx, ex.unsentReason())
+		}
+		a := ex.sendAttempt(ctx, call)
+		if a.outcome == dispatch.OutcomeServed {
+			return nil
+		}
+		if ctx.Err() != nil {
+			return ex.giveUp(ctx, endReason(ctx))
+		}
+		state := ex.retryState(a)
+		switch NextAction(state) {
+		case ActionRetry:
+			ex.logDecision("Retrying.", "cause", a.outcome, "after", ex.lastEventID, "err", a.err, "budget_left", ex.budgetLeft())
+		case ActionForward:
+			if ex.headSent {
+				return ex.giveUp(ctx, state.reason())
+			}
+			ex.forwardBuffered(a)
+			return nil
+		case ActionGiveUp:
+			return ex.giveUp(ctx, state.reason())
+		}
+	}
+}
+
+// retryState describes the exchange after an attempt. Where a retry would be an extra
+// arrival, it reserves that in the retry budget.
+func (ex *activeExchange) retryState(a attemptResult) RetryState {
+	s := RetryState{
+		Repeatable: ex.route.Repeatable() && ex.canResume(), Outcome: a.outcome,
+		Runs: ex.runs, MaxRuns: max(1, ex.route.MaxAttempts), Attempts: ex.attempts,
+		TimeLeft: time.Until(ex.deadline), HasUntriedEndpoint: ex.hasUntriedEndpoint(), BudgetLeft: true,
+	}
+	if NextAction(s) == ActionRetry {
+		s.BudgetLeft = ex.reserveRetry()
+	}
+	return s
+}
+
+// canResume reports whether another endpoint could continue the answer: from its
+// beginning, or after an event that has an ID.
+func (ex *activeExchange) canResume() bool { return !ex.headSent || ex.lastEventID != "" }
+
+// memoryTokens returns how many tokens the exchange will likely hold at its end.
+func (ex *activeExchange) memoryTokens() int {
+	if ex.exchange.Prompt == nil {
+		return 0
+	}
+	return ex.exchange.Prompt.Tokens + ex.exchange.Prompt.ReservedOutput()
+}
+
+func (ex *activeExchange) hasUntriedEndpoint() bool {
+	return len(ex.router.candidates(ex.service, ex.stage(), ex.model(), ex.tried)) > 0
+}
+
+func (ex *activeExchange) stage() dispatch.Stage {
+	if ex.engine == nil {
+		return dispatch.StageNone
+	}
+	return dispatch.StageDecode
+}
+
+func (ex *activeExchange) model() string {
+	if ex.exchange.Prompt == nil {
+		return ""
+	}
+	return ex.exchange.Prompt.Model
+}
+
+// prepareAttempt chooses the endpoint of the next attempt; nil if there is none.
+func (ex *activeExchange) prepareAttempt(ctx context.Context) (*dispatch.Endpoint, *Call) {
+	if ex.engine != nil {
+		return ex.prepareModel(ctx)
+	}
+	return ex.preparePlain(ctx)
+}
+
+// preparePlain chooses an endpoint that may be sent the exchange.
+func (ex *activeExchange) preparePlain(ctx context.Context) (*dispatch.Endpoint, *Call) {
+	for ctx.Err() == nil {
+		choice, ok := ex.chooseEndpoint(dispatch.StageNone, ex.tried, dispatch.ByPlaces)
+		switch {
+		case ok && ex.acquirePermit(ctx, choice.Endpoint):
+			return choice.Endpoint, ex.newCall(choice.Endpoint)
+		case !ok && !ex.awaitUnblocked(ctx, dispatch.StageNone):
+			return nil, nil
+		}
+	}
+	return nil, nil
+}
+
+func (ex *activeExchange) chooseEndpoint(stage dispatch.Stage, tried map[dispatch.Incarnation]bool, fill dispatch.Measure) (dispatch.Choice, bool) {
+	candidates := ex.router.candidates(ex.service, stage, ex.model(), tried)
+	choice, ok := ex.router.options.Book.Choose(time.Now(), candidates, fill)
+	if ok {
+		ex.logDecision("Chosen.", "endpoint", choice.Endpoint.ID, "stage", stage, "among", choice.Among,
+			"cost", rounded(choice.Cost), "own", choice.Own, "others", rounded(choice.Others), "age_ms", choice.AgeMs)
+	}
+	return choice, ok
+}
+
+func (ex *activeExchange) newCall(e *dispatch.Endpoint) *Call {
+	return &Call{
+		Exchange: ex.exchange, Team: teamName(ex.team), Endpoint: e, TimeLeft: time.Until(ex.deadline) - networkMargin, Priority: noPriority,
+		Fresh: ex.attempts > 0, After: ex.lastEventID,
+	}
+}
+
+// sendAttempt makes one attempt and records its result. A stream is forwarded as it
+// arrives.
+func (ex *activeExchange) sendAttempt(ctx context.Context, c *Call) attemptResult {
+	stats := ex.router.options.Book
+	work := dispatch.Work{Memory: ex.memoryTokens()}
+	if c.Source == nil && ex.exchange.Prompt != nil {
+		work.Prompt = ex.exchange.Prompt.Tokens
+	}
+	stats.Begin(time.Now(), c.Endpoint, work)
+	ex.recordAttempt(c.Endpoint, ex.nextAttemptKind())
+	ex.tried[c.Endpoint.Incarnation()] = true
+	ex.attempts++
+	ex.lastEndpoint = c.Endpoint.ID
+	ex.progress.sentAt = time.Now()
+	writesBefore := ex.progress.writes
+	a := ex.roundTrip(ctx, c)
+	if ctx.Err() != nil && a.outcome != dispatch.OutcomeServed {
+		a.outcome = dispatch.OutcomeGivenUp
+	}
+	stats.End(time.Now(), c.Endpoint, work, a.outcome)
+	ex.router.metrics.attempts.WithLabelValues(a.outcome.String()).Inc()
+	ex.lastOutcome, ex.lastErr = a.outcome, a.err
+	ex.lastAttemptOutcome = a.outcome
+	switch a.outcome {
+	case dispatch.OutcomeLost:
+		ex.recordLoss(c.Endpoint, ex.progress.sentAt, ex.progress.writes > writesBefore, a.err)
+	case dispatch.OutcomeServed, dispatch.OutcomeFailed:
+		ex.recordAnswered()
+	}
+	if a.outcome == dispatch.OutcomeServed && c.After == "" {
+		stats.HaveAnswered(ex.service, ex.estimatedOutput(), time.Since(ex.progress.firstAt))
+	}
+	ex.settleUnusedPrefill(a.outcome)
+	ex.settleActiveAllocation(a.outcome)
+	return a
+}
+
+// settleUnusedPrefill ends the use of a prefill result after an attempt. An endpoint that
+// wasn't reached, or was another incarnation, has not used the result. Of others it isn't
+// known: freeing a result that is already gone has no effect.
+func (ex *activeExchange) settleUnusedPrefill(o dispatch.Outcome) {
+	switch o {
+	case dispatch.OutcomeServed:
+		ex.unusedPrefill = nil
+	case dispatch.OutcomeUnreachable, dispatch.OutcomeMisfit:
+	default:
+		ex.releaseUnusedPrefill()
+	}
+}
+
+func (ex *activeExchange) roundTrip(ctx context.Context, c *Call) attemptResult {
+	if limit := ex.attemptTimeout(); limit > 0 {
+		var cancel context.CancelFunc
+		ctx, cancel = context.WithTimeoutCause(ctx, limit, errNoResponse)
+		defer cancel()
+	}
+	reply, err := ex.router.options.Endpoints.Send(ctx, c)
+	if err != nil {
+		return ex.failedAttempt(c.Endpoint, err)
+	}
+	defer reply.Body.Close()
+	ex.countArrival(c.Endpoint)
+	ex.receiveSignals(c.Endpoint, ex.progress.sentAt, reply)
+	if reply.Load != nil {
+		ex.router.options.Book.Told(time.Now(), c.Endpoint, *reply.Load)
+	}
+	if reply.Misfit {
+		return attemptResult{outcome: dispatch.OutcomeMisfit, reply: reply}
+	}
+	if reply.NotRun {
+		ex.router.options.Book.Full(time.Now(), c.Endpoint)
+		return attemptResult{outcome: dispatch.OutcomeFull, reply: reply}
+	}
+	ex.mayHaveRun = true
+	ex.runs++
+	if ex.route.Kind == routetable.KindStream && reply.Status < http.StatusMultipleChoices {
+		return ex.forwardEvents(reply)
+	}
+	if ex.headSent {
+		return attemptResult{outcome: dispatch.OutcomeLost, reply: reply, err: errNotResumed}
+	}
+	return ex.forwardWhole(reply)
+}
+
+// attemptTimeoutFactor limits one attempt of an idempotent exchange, in multiples of its
+// target. Nothing else reveals an endpoint that stops answering on an open connection, and
+// the exchange would spend all its time there while others are free.
+const attemptTimeoutFactor = 2
+
+// attemptTimeout returns the time limit of the next attempt; 0 for none, where it is the
+// last one or the exchange may not run again.
+func (ex *activeExchange) attemptTimeout() time.Duration {
+	if ex.route.Kind != routetable.KindIdempotent || ex.runs+1 >= ex.route.MaxAttempts || !ex.hasUntriedEndpoint() {
+		return 0
+	}
+	return attemptTimeoutFactor * ex.route.Target
+}
+
+// failedAttempt classifies an attempt without an answer.
+func (ex *activeExchange) failedAttempt(at *dispatch.Endpoint, err error) attemptResult {
+	var failure *SendError
+	if errors.As(err, &failure) && !failure.Sent {
+		return attemptResult{outcome: dispatch.OutcomeUnreachable, err: err}
+	}
+	ex.countArrival(at)
+	ex.mayHaveRun = true
+	ex.runs++
+	return attemptResult{outcome: dispatch.OutcomeLost, err: err}
+}
--- a/internal/relay/explain_test.go
+++ b/internal/relay/explain_test.go
@@ -15,40 +15,40 @@
 	"github.com/hyssopsail/hyssopsail/internal/sleep"
 )
 
-// An on-call engineer has the ID of a failed request and the log. It must tell
-// what was decided, by which figures and how old, and what came of it.
+// An on-call engineer has the ID of a failed request and the log. It must show what was
+// decided, by which figures and how old they were, and what the result was.
 func TestLogExplainsAFailure(t *testing.T) {
 	for name, test := range map[string]struct {
-		world func() *world
+		world func() *fixture
 		want  []string
 	}{
 		"refused for want of memory": {
-			func() *world { return newWorld(stream).model() },
+			func() *fixture { return newFixture(stream).withModel() },
 			[]string{`"relay: No room."`, `"relay: Refused."`, "verdict=not-run", `reason="no endpoint can take it"`, "sends=0"},
 		},
 		"refused for want of a place, by the home": {
-			func() *world {
-				w := newWorld(stream).model()
+			func() *fixture {
+				w := newFixture(stream).withModel()
 				w.router.options.Allotter = fullHome{}
 				return w
 			},
 			[]string{`"relay: No place came free."`, "home=10.1.0.1:7000", "among=9", "most_free=5100", `"relay: Refused."`, "verdict=not-run", "sends=0"},
 		},
 		"lost after it was sent": {
-			func() *world { return newWorld(atMostOnce, fails(true)) },
+			func() *fixture { return newFixture(atMostOnce, fails(true)) },
 			[]string{`"relay: Chosen."`, "among=3", "age_ms=-1", `"relay: Refused."`, "verdict=unknown", "reason=lost", "runs=1", "err=cut"},
 		},
 		"broken off in the middle": {
-			func() *world {
-				return newWorld(stream, gives(func() *Reply { return reply(200, errCut, event("1")+event("2")) }))
+			func() *fixture {
+				return newFixture(stream, returns(func() *Reply { return reply(200, errCut, event("1")+event("2")) }))
 			},
 			[]string{`"relay: Chosen."`, `"relay: Broken off."`, "after=2", "reason=lost"},
 		},
 		"sent twice": {
-			func() *world {
-				return newWorld(idempotent, fails(true), gives(func() *Reply { return ok("good") }))
+			func() *fixture {
+				return newFixture(idempotent, fails(true), returns(func() *Reply { return ok("good") }))
 			},
-			[]string{`"relay: Sent again."`, "cause=lost", "budget_left=", `"relay: Answered."`, "sends=2"},
+			[]string{`"relay: Retrying."`, "cause=lost", "budget_left=", `"relay: Answered."`, "sends=2"},
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -58,11 +58,11 @@
 				assert.NilError(t, err)
 				w := test.world()
 				w.router.options.Part = logging.For(logger, "relay")
-				x := exchange()
+				x := newExchange()
 				if w.view.Table.Service("s").Engine != nil {
-					x = modelExchange()
+					x = newModelExchange()
 					for range 10000 {
-						w.endpoints.rooms = append(w.endpoints.rooms, ErrNoRoom)
+						w.endpoints.reserveErrors = append(w.endpoints.reserveErrors, ErrNoRoom)
 					}
 				}
 				w.serve(t, x)
@@ -82,13 +82,13 @@
 	var lines bytes.Buffer
 	logger, err := logging.New(&lines, logging.LevelInfo)
 	assert.NilError(t, err)
-	w := newWorld(idempotent, gives(func() *Reply { return ok("good") }))
+	w := newFixture(idempotent, returns(func() *Reply { return ok("good") }))
 	w.router.options.Part = logging.For(logger, "relay")
-	w.serve(t, exchange())
+	w.serve(t, newExchange())
 	assert.Equal(t, strings.Count(lines.String(), "\n"), 1)
 }
 
-// fullHome has no place for anybody.
+// fullHome has no place for any request.
 type fullHome struct{}
 
 func (fullHome) Allot(ctx context.Context, _ string, _ allocation.Ask, wait time.Duration) (allocation.Place, error) {
--- a/internal/relay/fakes_test.go
+++ b/internal/relay/fakes_test.go
@@ -19,13 +19,13 @@
 	"github.com/hyssopsail/hyssopsail/internal/suspect"
 )
 
-// errCut is how a fake's connection breaks.
+// errCut is how a fake connection breaks.
 var errCut = errors.New("cut")
 
-// body is an answer's body: parts, and how it ends.
+// body is an answer's body: its parts, and how it ends.
 type body struct {
 	parts  []string
-	end    error // io.EOF for whole
+	end    error // io.EOF for a complete one
 	closed *bool
 }
 
@@ -58,30 +58,30 @@
 	return r
 }
 
-// answer is what a fake does with one call.
+// answer is what a fake endpoint does with one call.
 type answer func(c *Call) (*Reply, error)
 
-func gives(r func() *Reply) answer { return func(*Call) (*Reply, error) { return r(), nil } }
+func returns(r func() *Reply) answer { return func(*Call) (*Reply, error) { return r(), nil } }
 
 func fails(sent bool) answer {
 	return func(*Call) (*Reply, error) { return nil, &SendError{Sent: sent, Cause: errCut} }
 }
 
-// fakes are endpoints that answer by a script, one answer a call.
-type fakes struct {
-	mu       sync.Mutex
-	answers  []answer
-	calls    []Call
-	rooms    []error // answers of Reserve; none left: room
-	words    Words   // of all answers of Reserve
-	reserved int
-	dropped  []string // endpoint and hold
-	released []string // endpoint and handle
-	slowFree time.Duration
-	open     bool // connections outlive a loss
+// fakeEndpoints answer by a script, one answer per call.
+type fakeEndpoints struct {
+	mu              sync.Mutex
+	answers         []answer
+	calls           []Call
+	reserveErrors   []error // answers of Reserve; nil and none left: success
+	signals         Words   // of all answers of Reserve
+	reserved        int
+	dropped         []string // endpoint and reservation
+	released        []string // endpoint and handle
+	releaseDelay    time.Duration
+	connectionsOpen bool // connections outlive a loss
 }
 
-func (f *fakes) Send(_ context.Context, c *Call) (*Reply, error) {
+func (f *fakeEndpoints) Send(_ context.Context, c *Call) (*Reply, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.calls = append(f.calls, *c)
@@ -93,86 +93,88 @@
 	return next(c)
 }
 
-func (f *fakes) Prefilled(r *Reply) (Prefilled, error) {
+func (f *fakeEndpoints) Prefilled(r *Reply) (Prefilled, error) {
 	_, err := io.ReadAll(r.Body)
 	return Prefilled{Handle: "handle"}, err
 }
 
-func (f *fakes) Reserve(context.Context, *dispatch.Endpoint, int, time.Duration) (Reserved, error) {
+func (f *fakeEndpoints) Reserve(context.Context, *dispatch.Endpoint, int, time.Duration) (Reserved, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if len(f.rooms) > 0 {
-		err := f.rooms[0]
-		f.rooms = f.rooms[1:]
+	if len(f.reserveErrors) > 0 {
+		err := f.reserveErrors[0]
+		f.reserveErrors = f.reserveErrors[1:]
 		if err != nil {
-			return Reserved{Words: f.words}, err
+			return Reserved{Words: f.signals}, err
 		}
 	}
 	f.reserved++
-	return Reserved{Hold: fmt.Sprint("hold", f.reserved), Words: f.words}, nil
+	return Reserved{Hold: fmt.Sprint("hold", f.reserved), Words: f.signals}, nil
 }
 
-func (f *fakes) DropHold(_ context.Context, e *dispatch.Endpoint, hold string) {
-	f.freed(&f.dropped, e.ID+" "+hold)
+func (f *fakeEndpoints) DropHold(_ context.Context, e *dispatch.Endpoint, hold string) {
+	f.recordRelease(&f.dropped, e.ID+" "+hold)
 }
 
-func (f *fakes) Release(_ context.Context, e *dispatch.Endpoint, handle string) {
-	f.freed(&f.released, e.ID+" "+handle)
+func (f *fakeEndpoints) Release(_ context.Context, e *dispatch.Endpoint, handle string) {
+	f.recordRelease(&f.released, e.ID+" "+handle)
 }
 
-func (f *fakes) HasOpen(*dispatch.Endpoint, time.Time) bool {
+func (f *fakeEndpoints) HasOpen(*dispatch.Endpoint, time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.open
+	return f.connectionsOpen
 }
 
-func (f *fakes) keepOpen(open bool) {
+func (f *fakeEndpoints) keepOpen(open bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.open = open
+	f.connectionsOpen = open
 }
 
-// findings are what one entry knows of requests that crash endpoints.
-type findings struct {
+// crashFindings are what one entry knows about requests that crash endpoints.
+type crashFindings struct {
 	mu     sync.Mutex
 	losses *suspect.Losses
 }
 
-func newFindings() *findings { return &findings{losses: suspect.NewLosses(suspect.DefaultLimits)} }
+func newCrashFindings() *crashFindings {
+	return &crashFindings{losses: suspect.NewLosses(suspect.DefaultLimits)}
+}
 
-func (f *findings) Watches() bool {
+func (f *crashFindings) Watches() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.losses.Len() > 0
 }
 
-func (f *findings) Refused(print fleet.Fingerprint) (time.Duration, bool) {
+func (f *crashFindings) Refused(print fleet.Fingerprint) (time.Duration, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return time.Hour, f.losses.Find(print).Quarantined(time.Now(), suspect.DefaultLimits)
 }
 
-func (f *findings) Lost(l suspect.Loss) {
+func (f *crashFindings) Lost(l suspect.Loss) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.losses.Lost(time.Now(), l)
 }
 
-func (f *findings) Answered(print fleet.Fingerprint) {
+func (f *crashFindings) Answered(print fleet.Fingerprint) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.losses.Answered(time.Now(), print)
 }
 
-func (f *fakes) freed(list *[]string, what string) {
-	time.Sleep(f.slowFree)
+func (f *fakeEndpoints) recordRelease(list *[]string, what string) {
+	time.Sleep(f.releaseDelay)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	*list = append(*list, what)
 }
 
-// caller takes an answer.
-type caller struct {
+// fakeCaller receives an answer.
+type fakeCaller struct {
 	status  int
 	text    strings.Builder
 	begun   int
@@ -180,9 +182,9 @@
 	leave   func() // called at each write
 }
 
-func (c *caller) Begin(status int, _ http.Header, _ int64) { c.begun++; c.status = status }
+func (c *fakeCaller) Begin(status int, _ http.Header, _ int64) { c.begun++; c.status = status }
 
-func (c *caller) Write(p []byte) error {
+func (c *fakeCaller) Write(p []byte) error {
 	c.text.Write(p)
 	if c.leave != nil {
 		c.leave()
@@ -190,19 +192,19 @@
 	return nil
 }
 
-func (c *caller) Abort() { c.aborted = true }
+func (c *fakeCaller) Abort() { c.aborted = true }
 
-// world is a router over fakes.
-type world struct {
-	endpoints *fakes
+// fixture is a router in front of fake endpoints.
+type fixture struct {
+	endpoints *fakeEndpoints
 	route     *routetable.Route
 	budget    *retrybudget.Budget
-	findings  *findings
+	crashes   *crashFindings
 	router    *Router
 	view      *View
 }
 
-func newWorld(kind routetable.Kind, answers ...answer) *world {
+func newFixture(kind routetable.Kind, answers ...answer) *fixture {
 	d := &routetable.Document{
 		Version: 1,
 		Routes: []routetable.Route{{
@@ -212,7 +214,7 @@
 		Services: []routetable.Service{{Name: "s"}},
 		Limits:   routetable.Limits{BodyBytes: 100},
 	}
-	w := &world{endpoints: &fakes{answers: answers}, route: &d.Routes[0], findings: newFindings()}
+	w := &fixture{endpoints: &fakeEndpoints{answers: answers}, route: &d.Routes[0], crashes: newCrashFindings()}
 	w.view = &View{Table: routetable.Compile(d), Endpoints: map[string][]*dispatch.Endpoint{}}
 	for n := range 3 {
 		w.view.Endpoints["s"] = append(w.view.Endpoints["s"], &dispatch.Endpoint{ID: fmt.Sprint("e", n), Service: "s", Slots: 4})
@@ -220,14 +222,14 @@
 	w.budget = retrybudget.New(time.Now().Add(-time.Minute), retrybudget.Limits{Ratio: 0.2, Slack: 10, Window: 10 * time.Second})
 	w.budget.Entries(time.Now(), 1)
 	w.router = New(Options{
-		View: func() *View { return w.view }, Endpoints: w.endpoints, Book: dispatch.NewBook("", 1, dispatch.Policy{}), Budget: w.budget, Crashes: w.findings,
+		View: func() *View { return w.view }, Endpoints: w.endpoints, Book: dispatch.NewBook("", 1, dispatch.Policy{}), Budget: w.budget, Crashes: w.crashes,
 		Part: logging.Part{}, Random: func() float64 { return 0.5 },
 	})
 	return w
 }
 
-// model makes the service one of model endpoints.
-func (w *world) model() *world {
+// withModel makes the service one of model endpoints.
+func (w *fixture) withModel() *fixture {
 	w.view.Table.Service("s").Engine = &routetable.Engine{KVTokens: 10000, HoldLife: 2 * time.Second}
 	for n, e := range w.view.Endpoints["s"] {
 		e.Stage = dispatch.StageDecode
@@ -238,18 +240,18 @@
 	return w
 }
 
-func exchange() *Exchange {
+func newExchange() *Exchange {
 	return &Exchange{ID: "x1", Method: http.MethodPost, Host: "h", Path: "/p/1", Target: "/p/1", Received: time.Now(), Patience: 5 * time.Second}
 }
 
-func modelExchange() *Exchange {
-	x := exchange()
+func newModelExchange() *Exchange {
+	x := newExchange()
 	x.Prompt = &Prompt{Tokens: 1000, MaxOutput: 200, LikelyOut: 100}
 	return x
 }
 
-func (w *world) serve(t *testing.T, x *Exchange) (*caller, *Refusal) {
+func (w *fixture) serve(t *testing.T, x *Exchange) (*fakeCaller, *Refusal) {
 	t.Helper()
-	c := &caller{}
+	c := &fakeCaller{}
 	return c, w.router.Serve(t.Context(), x, c)
 }
--- a/internal/relay/identity_test.go
+++ b/internal/relay/identity_test.go
@@ -16,8 +16,8 @@
 	"github.com/hyssopsail/hyssopsail/internal/routetable"
 )
 
-// withTeams has callers show keys: team "a" holds two of them, "b" one.
-func (w *world) withTeams() *world {
+// withTeams makes callers need keys: team "a" has two of them, "b" one.
+func (w *fixture) withTeams() *fixture {
 	first := 0
 	d := &routetable.Document{
 		Version: 3, Services: []routetable.Service{{Name: "s"}}, Limits: routetable.Limits{BodyBytes: 100},
@@ -33,17 +33,16 @@
 	return w
 }
 
-func shows(key string) *Exchange {
-	x := exchange()
+func exchangeWithKey(key string) *Exchange {
+	x := newExchange()
 	if key != "" {
 		x.Key = keyhash.Of(key)
 	}
 	return x
 }
 
-// A caller shows a key, another team's, an unknown one or none. Only a key that a team
-// holds runs, the endpoint is told whose it is, and a route that is open to all asks
-// for none.
+// A caller shows a key, another team's, an unknown one or none. Only a request with a
+// team's key runs, the endpoint is told the team, and an anonymous route needs no key.
 func TestKeyDecidesTheTeam(t *testing.T) {
 	for _, test := range []struct {
 		name, key, path string
@@ -62,9 +61,9 @@
 		{name: "open route with a key", key: "a1", path: "/open/1", served: true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			w := newWorld(idempotent, gives(func() *Reply { return ok("good") })).withTeams()
+			w := newFixture(idempotent, returns(func() *Reply { return ok("good") })).withTeams()
 			w.router.options.Behind = func() time.Duration { return test.behind }
-			x := shows(test.key)
+			x := exchangeWithKey(test.key)
 			if test.path != "" {
 				x.Path = test.path
 			}
@@ -80,13 +79,13 @@
 	}
 }
 
-// A model request of a team has its prompt read first, is sent again, and goes on
-// elsewhere: each call bears the team's name.
+// A team's model request has its prompt read first, is retried, and continues elsewhere:
+// each call has the team's name.
 func TestEachCallBearsTheTeam(t *testing.T) {
-	w := newWorld(stream, gives(func() *Reply { return ok("handle") }), gives(notRun),
-		gives(func() *Reply { return ok("handle") }), gives(func() *Reply { return ok(event("1")) })).model().withTeams()
+	w := newFixture(stream, returns(func() *Reply { return ok("handle") }), returns(notRun),
+		returns(func() *Reply { return ok("handle") }), returns(func() *Reply { return ok(event("1")) })).withModel().withTeams()
 	w.view.Table.Service("s").Engine = &routetable.Engine{KVTokens: 10000, HoldLife: 2 * time.Second}
-	x := modelExchange()
+	x := newModelExchange()
 	x.Key = keyhash.Of("b1")
 	_, refusal := w.serve(t, x)
 	assert.Assert(t, refusal == nil)
@@ -96,19 +95,19 @@
 	}
 }
 
-// A team's own rank goes before that of the route.
+// A team's own priority overrides that of the route.
 func TestTeamsPriority(t *testing.T) {
 	r := &routetable.Route{Priority: 3}
 	first := 0
-	assert.Equal(t, enginePriority(r, nil, 0), 3+freshRank)
-	assert.Equal(t, enginePriority(r, &routetable.Team{}, 0), 3+freshRank)
-	assert.Equal(t, enginePriority(r, &routetable.Team{Priority: &first}, 0), freshRank)
+	assert.Equal(t, enginePriority(r, nil, 0), 3+priorityOffset)
+	assert.Equal(t, enginePriority(r, &routetable.Team{}, 0), 3+priorityOffset)
+	assert.Equal(t, enginePriority(r, &routetable.Team{Priority: &first}, 0), priorityOffset)
 }
 
-// A key is taken away while an entry is cut off, stands still, or is suspended so that
-// its monotonic clock does. Its holder goes on sending there. The entry must refuse
-// before anyone can rely on the key being gone, must serve on until then, and again as
-// soon as it has a word; open routes don't depend on it.
+// A key is revoked while an entry is cut off, frozen, or suspended so that its monotonic
+// clock stops. Its holder keeps sending requests there. The entry must refuse them before
+// anyone can rely on the revocation, must serve them until then, and again as soon as it
+// has a confirmation; anonymous routes don't depend on it.
 func TestKeysOfAnEntryThatIsCutOff(t *testing.T) {
 	const within = 5 * time.Second
 	for _, test := range []struct {
@@ -126,12 +125,12 @@
 		{"no limit", 24 * time.Hour, 0, "/p/1", true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			w := newWorld(idempotent, gives(func() *Reply { return ok("good") }), gives(func() *Reply { return ok("good") })).withTeams()
+			w := newFixture(idempotent, returns(func() *Reply { return ok("good") }), returns(func() *Reply { return ok("good") })).withTeams()
 			w.view.Confirmed.Raise(time.Hour)
 			w.router.options.RevokeWithin = test.within
 			uptime := time.Hour + test.age
 			w.router.options.Uptime = func() time.Duration { return uptime }
-			x := shows("a1")
+			x := exchangeWithKey("a1")
 			x.Path = test.path
 			_, refusal := w.serve(t, x)
 			assert.Equal(t, refusal == nil, test.served)
@@ -146,21 +145,21 @@
 	}
 }
 
-// An unknown key, a spent quota and an outdated configuration are told in the log by
-// the request's ID, its team and route. A key is never in it, nor its hash.
+// The log explains an unknown key, a spent quota and an outdated configuration by the
+// request's ID, its team and route. It never contains a key, nor its hash.
 func TestRefusalsOfCallersAreExplained(t *testing.T) {
 	var lines bytes.Buffer
 	logger, err := logging.New(&lines, logging.LevelInfo)
 	assert.NilError(t, err)
-	w := newWorld(idempotent).withTeams()
+	w := newFixture(idempotent).withTeams()
 	w.router.options.Part = logging.For(logger, "relay")
-	w.serve(t, shows("unknown-key"))
-	w.router.options.Quotas = &quotas{take: func() error { return &quota.SpentError{Again: time.Second} }}
+	w.serve(t, exchangeWithKey("unknown-key"))
+	w.router.options.Quotas = &fakeQuotas{take: func() error { return &quota.SpentError{Again: time.Second} }}
 	w.view.Table.TeamOf(keyhash.Of("a1")).Quota = routetable.Quota{PerSecond: 1}
-	w.serve(t, shows("a1"))
+	w.serve(t, exchangeWithKey("a1"))
 	w.router.options.RevokeWithin = time.Second
 	w.router.options.Uptime = func() time.Duration { return time.Hour }
-	w.serve(t, shows("a1"))
+	w.serve(t, exchangeWithKey("a1"))
 	text := lines.String()
 	for _, want := range []string{
 		`"relay: No team has the key." request=x1 route=r shown=true`, `"relay: The quota is spent." request=x1 route=r team=a`,
@@ -173,36 +172,36 @@
 	}
 }
 
-// quotas are a team's quota by a script.
-type quotas struct {
+// fakeQuotas is a QuotaClient that answers by a script.
+type fakeQuotas struct {
 	take     func() error
 	costs    []float64
 	returned int
-	done     chan struct{} // told of each return
+	done     chan struct{} // receives a value at each return
 }
 
-func (q *quotas) Take(_ context.Context, team string, _ quota.Limit, cost float64) (quota.Grant, error) {
+func (q *fakeQuotas) Take(_ context.Context, team string, _ quota.Limit, cost float64) (quota.Grant, error) {
 	q.costs = append(q.costs, cost)
 	return quota.Grant{Team: team}, q.take()
 }
 
-func (q *quotas) Return(context.Context, quota.Grant) error {
+func (q *fakeQuotas) Return(context.Context, quota.Grant) error {
 	q.returned++
 	q.done <- struct{}{}
 	return nil
 }
 
-// All processes are killed and start again, and all callers come back before there is a
-// leader who can say which keys hold. A request must wait for that word as long as its
-// target allows, and must be judged by the configuration that is then in force. An entry
-// that was cut off later doesn't wait: others can serve its callers.
-func TestWaitForTheFirstWord(t *testing.T) {
+// All processes are killed and start again, and all callers return before there is a leader
+// that can say which keys are valid. A request must wait for that confirmation as long as
+// its target allows, and must be judged by the configuration that is then in force. An
+// entry that was cut off later doesn't wait: others can serve its callers.
+func TestWaitForFirstConfirmation(t *testing.T) {
 	for _, test := range []struct {
-		name   string
-		word   time.Duration // when it comes
-		cutOff bool
-		waited time.Duration
-		served bool
+		name      string
+		confirmed time.Duration // when it comes
+		cutOff    bool
+		waited    time.Duration
+		served    bool
 	}{
 		{"comes soon", 300 * time.Millisecond, false, 300 * time.Millisecond, true},
 		{"comes too late", time.Hour, false, 540 * time.Millisecond, false},
@@ -210,7 +209,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld(idempotent, gives(func() *Reply { return ok("good") })).withTeams()
+				w := newFixture(idempotent, returns(func() *Reply { return ok("good") })).withTeams()
 				w.router.options.RevokeWithin = 5 * time.Second
 				w.router.options.Uptime = func() time.Duration { return time.Hour }
 				if test.cutOff {
@@ -222,12 +221,12 @@
 				newer.Confirmed.Raise(time.Hour)
 				older := w.view
 				w.router.options.View = func() *View {
-					if time.Since(began) < test.word {
+					if time.Since(began) < test.confirmed {
 						return older
 					}
 					return &newer
 				}
-				_, refusal := w.serve(t, shows("a1"))
+				_, refusal := w.serve(t, exchangeWithKey("a1"))
 				assert.Equal(t, refusal == nil, test.served)
 				assert.Equal(t, time.Since(began), test.waited)
 			})
--- a/internal/relay/clauses_test.go
+++ b/internal/relay/invariants_test.go
@@ -15,8 +15,9 @@
 	"github.com/hyssopsail/hyssopsail/internal/routetable"
 )
 
-// mishap draws what becomes of a send, after a while, and tells whether it may have run.
-func mishap(random *rand.Rand) (a answer, ran bool) {
+// randomFailure returns an answer that fails after a while, and whether the request may
+// have run.
+func randomFailure(random *rand.Rand) (a answer, ran bool) {
 	wait := time.Duration(random.IntN(400)) * time.Millisecond
 	what := random.IntN(5)
 	return func(*Call) (*Reply, error) {
@@ -37,10 +38,10 @@
 	}, what > 2
 }
 
-// Guards against a request that runs on more endpoints than its route's attempts, and
-// against one that is handed on with time which its caller doesn't have, whatever comes of
-// each send.
-func TestAttemptsAndTimeAreKeptWhateverHappens(t *testing.T) {
+// Guards against a request that runs on more endpoints than its route's MaxAttempts, and
+// against one that is sent with more time than its caller has, whatever the outcome of
+// each attempt.
+func TestAttemptsAndDeadlineAreKept(t *testing.T) {
 	const seeds, patience, slack = 300, 1500 * time.Millisecond, time.Millisecond
 	for seed := range uint64(seeds) {
 		synctest.Test(t, func(t *testing.T) {
@@ -48,22 +49,22 @@
 			var answers []answer
 			var runs []bool
 			for range 12 {
-				a, ran := mishap(random)
+				a, ran := randomFailure(random)
 				answers, runs = append(answers, a), append(runs, ran)
 			}
 			kind := []routetable.Kind{routetable.KindIdempotent, routetable.KindStream, routetable.KindAtMostOnce}[random.IntN(3)]
-			w := newWorld(kind, answers...)
+			w := newFixture(kind, answers...)
 			if kind == routetable.KindStream {
-				w.model()
+				w.withModel()
 			}
 			w.route.MaxAttempts = 1 + random.IntN(3)
 			w.route.Resumable = random.IntN(2) == 0
-			x := exchange()
+			x := newExchange()
 			x.Patience = patience
 			if kind == routetable.KindStream {
-				x.Prompt = modelExchange().Prompt
+				x.Prompt = newModelExchange().Prompt
 			}
-			ends := timedEndpoints{fakes: w.endpoints}
+			ends := timedEndpoints{fakeEndpoints: w.endpoints}
 			w.router.options.Endpoints = &ends
 			_, _ = w.serve(t, x)
 			synctest.Wait()
@@ -80,13 +81,13 @@
 	}
 }
 
-// timedEndpoints notes by when each call has to end.
+// timedEndpoints records by when each call has to end.
 type timedEndpoints struct {
-	*fakes
+	*fakeEndpoints
 	ends []time.Time
 }
 
 func (e *timedEndpoints) Send(ctx context.Context, c *Call) (*Reply, error) {
 	e.ends = append(e.ends, time.Now().Add(c.TimeLeft))
-	return e.fakes.Send(ctx, c)
+	return e.fakeEndpoints.Send(ctx, c)
 }
--- a/internal/relay/limit_world_test.go
+++ b/internal/relay/limit_fixture_test.go
@@ -22,58 +22,60 @@
 
 // The bound on what an endpoint gets that names a limit.
 const (
-	limitWindow  = 4 * time.Second
-	limitFactor  = 1.5
-	limitSlack   = 5
-	limitBinds   = 3 * time.Second        // after it was first named
-	limitHeard   = 500 * time.Millisecond // after an entry was told
-	limitedWork  = 20 * time.Millisecond
-	limitedPlay  = 20 * time.Second
-	limitedBegin = 2 * time.Second
-	// limitedMembers is more than the keepers of one endpoint.
+	limitWindow       = 4 * time.Second
+	limitFactor       = 1.5
+	limitSlack        = 5
+	limitSettleTime   = 3 * time.Second        // after it was first named
+	limitReactionTime = 500 * time.Millisecond // after an entry was told
+	limitedWork       = 20 * time.Millisecond
+	limitedDuration   = 20 * time.Second
+	limitedBegin      = 2 * time.Second
+	// limitedMembers is more than the limit servers of one endpoint.
 	limitedMembers = 5
 )
 
-// limitedService is endpoints in virtual time that name limits, and what reaches them.
+// limitedService simulates endpoints that name limits, in virtual time, and records what
+// reaches them.
 type limitedService struct {
 	began time.Time
 
-	mu        sync.Mutex
-	endpoints map[string]*limitedEndpoint
-	reading   time.Duration // that a prompt takes which is read for others
+	mu          sync.Mutex
+	endpoints   map[string]*limitedEndpoint
+	prefillTime time.Duration // time to read a prompt at a prefill endpoint; 0 for the usual
 }
 
-// limitedEndpoint is one of them.
+// limitedEndpoint is one endpoint of a limitedService.
 type limitedEndpoint struct {
-	// limit tells which limit it names at a time; named is false for none.
+	// limit returns the limit that it names at a time; named is false for none.
 	limit   func(at time.Duration) (perSecond float64, named bool)
-	refuses bool // it turns away what comes while it names a limit
-	slots   int  // it turns away what comes while so much runs; 0 for no bound
+	refuses bool // it rejects requests while it names a limit
+	slots   int  // it rejects requests while this many are running; 0 for no bound
 	running int
 	first   time.Duration
-	told    map[int]time.Duration // when each entry was first told; empty while none is named
-	// rests tells which rest it asks for at a time, turning the request away; nil for none.
-	rests    func(at time.Duration) time.Duration
-	resting  []restPeriod
-	leaves   time.Duration         // from when on it says that it leaves; 0 for never
-	toldOf   map[int]time.Duration // when each entry was told so
-	late     int                   // arrivals from entries that had been told
-	arrivals []limitedArrival
+	toldAt  map[int]time.Duration // when each entry was first told; empty while none is named
+	// cooldown returns the cooldown that it asks for at a time, when it rejects the request;
+	// nil for none.
+	cooldown      func(at time.Duration) time.Duration
+	cooldowns     []cooldownPeriod
+	leavesAt      time.Duration         // when it begins to say that it leaves; 0 for never
+	toldLeavingAt map[int]time.Duration // when each entry was told so
+	afterLeaving  int                   // arrivals from entries that had been told
+	arrivals      []limitedArrival
 }
 
-// limitedArrival is one send that reached an endpoint.
+// limitedArrival is one attempt that reached an endpoint.
 type limitedArrival struct {
 	at       time.Duration
 	entry    int
-	heardFor time.Duration // that its entry had been told; 0 where it was not
+	knownFor time.Duration // how long its entry had been told; 0 where it was not
 }
 
-// steady names a limit from the beginning of the need on.
+// steady names a constant limit from limitedBegin on.
 func steady(perSecond float64) func(time.Duration) (float64, bool) {
 	return func(at time.Duration) (float64, bool) { return perSecond, at >= limitedBegin }
 }
 
-// arrive notes a send, and gives what its answer says. leave must follow.
+// arrive records an attempt, and returns what its answer says. depart must follow.
 func (s *limitedService) arrive(id string, entry int) (values []string, refuses bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -82,36 +84,36 @@
 	full := e.slots > 0 && e.running > e.slots
 	perSecond, named := e.limit(at)
 	a := limitedArrival{at: at, entry: entry}
-	if told, ok := e.told[entry]; ok {
-		a.heardFor = at - told
+	if told, ok := e.toldAt[entry]; ok {
+		a.knownFor = at - told
 	}
 	e.arrivals = append(e.arrivals, a)
-	e.countResting(at, entry)
-	e.countLeaving(at, entry)
+	e.countDuringCooldown(at, entry)
+	e.countAfterLeaving(at, entry)
 	if !named {
-		e.told, e.first = nil, 0
+		e.toldAt, e.first = nil, 0
 		return nil, full
 	}
-	if e.told == nil {
-		e.told, e.first = map[int]time.Duration{}, at
+	if e.toldAt == nil {
+		e.toldAt, e.first = map[int]time.Duration{}, at
 	}
-	if _, ok := e.told[entry]; !ok {
-		e.told[entry] = at
+	if _, ok := e.toldAt[entry]; !ok {
+		e.toldAt[entry] = at
 	}
 	return []string{strconv.FormatFloat(perSecond, 'f', -1, 64)}, e.refuses || full
 }
 
-func (s *limitedService) leave(id string) {
+func (s *limitedService) depart(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.endpoints[id].running--
 }
 
-// fullest gives the largest share of its bound that an endpoint got in any window, with
-// the number that arrived and the number allowed.
-func (e *limitedEndpoint) fullest() (share, got, allowed float64) {
+// fullestWindow returns the largest share of its bound that an endpoint got in any window,
+// with the number that arrived and the number allowed.
+func (e *limitedEndpoint) fullestWindow() (share, got, allowed float64) {
 	for n, a := range e.arrivals {
-		most, whole := e.mostNamed(a.at)
+		most, whole := e.maxLimit(a.at)
 		if !whole {
 			continue
 		}
@@ -120,7 +122,7 @@
 			if b.at > a.at+limitWindow {
 				break
 			}
-			if b.heardFor >= limitHeard {
+			if b.knownFor >= limitReactionTime {
 				count++
 			}
 		}
@@ -132,10 +134,10 @@
 	return share, got, allowed
 }
 
-// mostNamed gives the largest limit that was named in a window, and whether one bound all
-// the time from before it.
-func (e *limitedEndpoint) mostNamed(from time.Duration) (most float64, whole bool) {
-	for at := from - limitBinds; at <= from+limitWindow; at += 50 * time.Millisecond {
+// maxLimit returns the largest limit that was named in a window, and whether there was a
+// limit all the time from limitSettleTime before it.
+func (e *limitedEndpoint) maxLimit(from time.Duration) (most float64, whole bool) {
+	for at := from - limitSettleTime; at <= from+limitWindow; at += 50 * time.Millisecond {
 		perSecond, named := e.limit(at)
 		if !named {
 			return 0, false
@@ -145,7 +147,7 @@
 	return most, true
 }
 
-// limitedSender is how one entry reaches the service.
+// limitedSender is the Endpoints of one entry.
 type limitedSender struct {
 	service *limitedService
 	entry   int
@@ -153,10 +155,10 @@
 
 func (s limitedSender) Send(ctx context.Context, c *Call) (*Reply, error) {
 	values, refuses := s.service.arrive(c.Endpoint.ID, s.entry)
-	defer s.service.leave(c.Endpoint.ID)
+	defer s.service.depart(c.Endpoint.ID)
 	work := limitedWork
-	if c.Prefill && s.service.reading > 0 {
-		work = s.service.reading
+	if c.Prefill && s.service.prefillTime > 0 {
+		work = s.service.prefillTime
 	}
 	if !refuses && !sleep.For(ctx, work) {
 		return nil, &SendError{Sent: true, Cause: context.Cause(ctx)}
@@ -169,11 +171,11 @@
 		r = ok(event("1"))
 	}
 	r.Limit = endpointlimit.ParseWord(values)
-	if rest := s.service.askRest(c.Endpoint.ID, s.entry); rest > 0 {
+	if rest := s.service.requestCooldown(c.Endpoint.ID, s.entry); rest > 0 {
 		r = notRun()
 		r.Rest = rest
 	}
-	r.Leaving = s.service.sayLeaving(c.Endpoint.ID, s.entry)
+	r.Leaving = s.service.signalLeaving(c.Endpoint.ID, s.entry)
 	return r, nil
 }
 
@@ -190,7 +192,7 @@
 func (limitedSender) Release(context.Context, *dispatch.Endpoint, string)  {}
 func (limitedSender) HasOpen(*dispatch.Endpoint, time.Time) bool           { return false }
 
-// limitedFleet is entries before a limitedService.
+// limitedFleet is entries in front of a limitedService.
 type limitedFleet struct {
 	service *limitedService
 	entries []*Router
@@ -202,8 +204,8 @@
 	asked   int
 }
 
-// newLimitedFleet makes entries before endpoints e0, e1, ..., which name the limits given,
-// nil for none. Of a model service the first half reads prompts for the others.
+// newLimitedFleet returns entries in front of endpoints e0, e1, ..., which name the limits
+// given, nil for none. The first half of a model service are prefill endpoints.
 func newLimitedFleet(entries int, model bool, limits ...func(time.Duration) (float64, bool)) *limitedFleet {
 	f := &limitedFleet{net: &testkit.Network{}, model: model}
 	f.startMembers()
@@ -249,7 +251,7 @@
 	}
 }
 
-// startMember starts a control instance that remembers nothing.
+// startMember starts a control instance without any state.
 func (f *limitedFleet) startMember(address string) {
 	keeper := endpointlimit.NewServer(address, func() []string { return f.members }, nil)
 	f.net.Serve(address, keeper, pb.DRPCLimitKeeperDescription{})
@@ -269,22 +271,22 @@
 	})
 }
 
-// play has callers send so many requests a second to any entry.
-func (f *limitedFleet) play(t *testing.T, perSecond float64) {
+// runLoad has callers send perSecond requests a second to random entries.
+func (f *limitedFleet) runLoad(t *testing.T, perSecond float64) {
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	random := rand.New(rand.NewPCG(11, 13))
-	for time.Since(f.service.began) < limitedPlay {
+	for time.Since(f.service.began) < limitedDuration {
 		time.Sleep(time.Duration(random.ExpFloat64() / perSecond * float64(time.Second)))
 		entry := f.entries[random.IntN(len(f.entries))]
-		x := exchange()
+		x := newExchange()
 		x.ID = fmt.Sprint("x", f.asked)
 		if f.model {
 			x.Prompt = &Prompt{Tokens: 1000, MaxOutput: 200, LikelyOut: 100}
 		}
 		f.asked++
 		all.Go(func() {
-			refusal := entry.Serve(t.Context(), x, &caller{})
+			refusal := entry.Serve(t.Context(), x, &fakeCaller{})
 			mu.Lock()
 			defer mu.Unlock()
 			if refusal == nil {
@@ -297,7 +299,7 @@
 	all.Wait()
 }
 
-// removeMembers makes the control group dead.
+// removeMembers makes the whole control group unreachable.
 func (f *limitedFleet) removeMembers() {
 	for _, m := range f.members {
 		f.net.Remove(m)
--- a/internal/relay/limit_test.go
+++ b/internal/relay/limit_test.go
@@ -10,8 +10,8 @@
 	"github.com/hyssopsail/hyssopsail/internal/endpointlimit"
 )
 
-// Guards against a limit that each entry keeps for itself, or that some path goes round:
-// all entries together send an endpoint in need several times what it takes.
+// Guards against a limit that each entry enforces on its own, or that some path bypasses:
+// all entries together would send an overloaded endpoint several times what it accepts.
 func TestEndpointGetsNoMoreThanItsLimit(t *testing.T) {
 	none := func(time.Duration) (float64, bool) { return 0, false }
 	falling := func(at time.Duration) (float64, bool) { return max(0.5, 8-at.Seconds()/2), at >= limitedBegin }
@@ -47,9 +47,9 @@
 				for _, e := range f.service.endpoints {
 					e.refuses = test.refuses
 				}
-				f.play(t, test.load)
+				f.runLoad(t, test.load)
 				for id, e := range f.service.endpoints {
-					share, got, allowed := e.fullest()
+					share, got, allowed := e.fullestWindow()
 					t.Logf("%s: %d arrivals, %.2f of the bound in the fullest window", id, len(e.arrivals), share)
 					assert.Check(t, share <= 1, "%s got %.0f requests in %s, %.1f are allowed", id, got, limitWindow, allowed)
 				}
@@ -59,8 +59,8 @@
 	}
 }
 
-// Load pattern: an endpoint takes half of its work, and the others have no room for the
-// rest. What it takes is used; an entry that reaches no keeper leaves it out wholly.
+// Load pattern: an endpoint accepts half of its work, and the others have no capacity for
+// the rest. What it accepts is used; an entry that reaches no limit server doesn't use it.
 func TestLimitedEndpointServesWhatItTakes(t *testing.T) {
 	const load, slots = 130, 2 // of 20 ms each: 100 a second
 	share := func(kept bool) (served float64) {
@@ -72,7 +72,7 @@
 			if !kept {
 				f.removeMembers()
 			}
-			f.play(t, load)
+			f.runLoad(t, load)
 			served = float64(f.served) / float64(f.asked)
 		})
 		return served
@@ -82,16 +82,16 @@
 	assert.Assert(t, kept > left+0.1)
 }
 
-// Guards against callers that are held where no endpoint takes any more: they are told at
-// once when to come again.
+// Guards against callers that wait although no endpoint accepts requests: they are told at
+// once when to return.
 func TestRefusedAtOnceWhenAllEndpointsAreLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newLimitedFleet(1, false, steady(0), steady(0))
 		time.Sleep(limitedBegin)
 		var refusal *Refusal
 		for range 20 {
-			x := exchange()
-			if refusal = f.entries[0].Serve(t.Context(), x, &caller{}); refusal == nil {
+			x := newExchange()
+			if refusal = f.entries[0].Serve(t.Context(), x, &fakeCaller{}); refusal == nil {
 				continue
 			}
 			assert.Assert(t, time.Since(x.Received) < 150*time.Millisecond)
@@ -102,16 +102,16 @@
 	})
 }
 
-// Guards against capacity that is lost for good: the endpoint's need is over, and no entry
-// sends it anything by which it could hear so.
-func TestEndOfALimitIsHeard(t *testing.T) {
+// Guards against capacity that is lost for good: the endpoint's limit has ended, and no
+// entry sends it a request whose answer would say so.
+func TestEndOfLimitIsNoticed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ends := func(at time.Duration) (float64, bool) { return 0, at >= limitedBegin && at < 8*time.Second }
 		f := newLimitedFleet(7, false, ends, nil)
-		f.play(t, 33)
+		f.runLoad(t, 33)
 		last := 0
 		for _, a := range f.service.endpoints["e0"].arrivals {
-			if a.at > limitedPlay-2*time.Second {
+			if a.at > limitedDuration-2*time.Second {
 				last++
 			}
 		}
@@ -119,12 +119,12 @@
 	})
 }
 
-// Guards against a limit that is named to who asks for memory and not kept: the request
-// that follows needs leave.
-func TestLimitIsHeardWhenMemoryIsAskedFor(t *testing.T) {
-	w := newWorld(stream, gives(func() *Reply { return ok("{}") }), gives(func() *Reply { return ok(event("1")) })).model()
-	w.endpoints.words = Words{Limit: endpointlimit.Word{Kind: endpointlimit.KindNamed, PerSecond: 1}}
-	_, refusal := w.serve(t, modelExchange())
+// Guards against a limit that is received with the answer to a reservation and not kept:
+// the request that follows needs a permit.
+func TestLimitInReserveAnswer(t *testing.T) {
+	w := newFixture(stream, returns(func() *Reply { return ok("{}") }), returns(func() *Reply { return ok(event("1")) })).withModel()
+	w.endpoints.signals = Words{Limit: endpointlimit.Word{Kind: endpointlimit.KindNamed, PerSecond: 1}}
+	_, refusal := w.serve(t, newModelExchange())
 	assert.Assert(t, refusal != nil)
 	assert.Equal(t, len(w.endpoints.calls), 0)
 }
--- a/internal/relay/model.go
+++ b/internal/relay/model.go
@@ -12,84 +12,81 @@
 	"github.com/hyssopsail/hyssopsail/internal/sleep"
 )
 
-// The figures of model requests.
+// Constants of model requests.
 const (
-	// usualStart is what passes from a place to the first event: a prefill of
-	// 3,000 tokens takes 100 to 200 ms, its transfer a few.
-	usualStart = 250 * time.Millisecond
-	// usualLength is the time that most answers take, for one without an
-	// estimate.
-	usualLength = 4 * time.Second
-	// holdLife is how long memory is set aside: a prefill with others before
-	// it takes up to a second.
-	holdLife = 1800 * time.Millisecond
-	// reserveTimeout bounds a question for memory, which an endpoint answers at
-	// once; one that doesn't is frozen or cut off, and the request must not
-	// spend its wait on it.
+	// typicalStartTime is the usual time from a reservation to the first event: a prefill
+	// of 3,000 tokens takes 100 to 200 ms, its transfer a few.
+	typicalStartTime = 250 * time.Millisecond
+	// typicalAnswerTime is the time that most answers take, for those without an estimate.
+	typicalAnswerTime = 4 * time.Second
+	// reservationTTL is how long memory is reserved: a prefill that has to queue takes up
+	// to a second.
+	reservationTTL = 1800 * time.Millisecond
+	// reserveTimeout limits a request for memory, which an endpoint answers at once. One
+	// that doesn't is frozen or cut off, and the exchange must not spend its wait on it.
 	reserveTimeout = 200 * time.Millisecond
-	// mostAsked bounds the endpoints asked for memory in one go. The first one
-	// is that with the most room by what is known here; others' news is late.
-	mostAsked = 3
+	// maxReserveAttempts limits the endpoints asked for memory in one round. The first one
+	// has the most free memory in the local view; reports from other entries are late.
+	maxReserveAttempts = 3
 )
 
 // place is memory at an endpoint for one request.
 type place struct {
-	endpoint *dispatch.Endpoint
-	hold     string            // empty where endpoints don't set memory aside
-	allotted *allocation.Place // nil where no home gave it
+	endpoint      *dispatch.Endpoint
+	reservationID string            // empty where endpoints don't reserve memory
+	allocated     *allocation.Place // nil where no home assigned it
 }
 
-// prepareModel finds memory for the whole request where it will run, and only
-// then has the prompt read. A prompt that was read and finds no memory is work
-// for nothing, which takes prefill from others just when it is short.
-func (l *life) prepareModel(ctx context.Context) (*dispatch.Endpoint, *Call) {
-	at := l.awaitPlace(ctx)
+// prepareModel reserves memory for the whole request where it will run, and only then has
+// the prompt read. A prompt that is read and finds no memory wastes prefill capacity just
+// when it is short.
+func (ex *activeExchange) prepareModel(ctx context.Context) (*dispatch.Endpoint, *Call) {
+	at := ex.awaitPlace(ctx)
 	if at == nil {
 		return nil, nil
 	}
-	l.allotted = at.allotted
-	call := l.call(at.endpoint)
-	call.Hold = at.hold
-	call.Priority = l.rank()
-	if l.source == nil && !l.isQuarantined() {
-		l.source = l.prefill(ctx)
+	ex.allocated = at.allocated
+	call := ex.newCall(at.endpoint)
+	call.Hold = at.reservationID
+	call.Priority = ex.priority()
+	if ex.unusedPrefill == nil && !ex.isQuarantined() {
+		ex.unusedPrefill = ex.runPrefill(ctx)
 	}
-	if l.source != nil {
-		call.Source = &Source{Address: l.source.endpoint.Address, Handle: l.source.handle}
+	if ex.unusedPrefill != nil {
+		call.Source = &Source{Address: ex.unusedPrefill.endpoint.Address, Handle: ex.unusedPrefill.handle}
 	}
-	if ctx.Err() != nil || !l.maySend() {
-		l.dropPlace(at)
+	if ctx.Err() != nil || !ex.reserveRetry() {
+		ex.releasePlace(at)
 		return nil, nil
 	}
-	if !l.isPermitted(ctx, at.endpoint) {
-		l.dropPlace(at)
-		return l.prepareModel(ctx)
+	if !ex.acquirePermit(ctx, at.endpoint) {
+		ex.releasePlace(at)
+		return ex.prepareModel(ctx)
 	}
-	call.TimeLeft = time.Until(l.deadline) - wayMargin
+	call.TimeLeft = time.Until(ex.deadline) - networkMargin
 	return at.endpoint, call
 }
 
-// awaitPlace asks for memory until there is some, or the wait is in vain. Where a
-// home says that there is none, endpoints are not asked as well: who asks them
-// takes the room that comes free from those who wait for it in turn, and from
-// large requests most.
-func (l *life) awaitPlace(ctx context.Context) *place {
-	since, waiting := l.waiting()
-	defer l.router.metrics.waited(time.Now())
+// awaitPlace requests memory until it gets some or more waiting is futile. Where a home
+// says that there is no memory, endpoints are not asked as well: that would take freed
+// memory from requests that are queued at the home, and from large requests most.
+func (ex *activeExchange) awaitPlace(ctx context.Context) *place {
+	since, waiting := ex.waitState()
+	defer ex.router.metrics.observePlaceWait(time.Now())
 	for {
 		pause, giveUp := waiting.Pause(time.Since(since))
 		if giveUp {
-			l.log("Waits no longer.", "waited_ms", time.Since(since).Milliseconds(), "target_ms", waiting.Target.Milliseconds(),
+			ex.logDecision("Waits no longer.", "waited_ms", time.Since(since).Milliseconds(), "target_ms", waiting.Target.Milliseconds(),
 				"patience_ms", waiting.Patience.Milliseconds(), "answer_ms", waiting.Length.Milliseconds())
 			return nil
 		}
-		at, asked := l.allot(ctx, waiting.Left(time.Since(since)))
+		at, asked := ex.allocate(ctx, waiting.Left(time.Since(since)))
 		if asked {
-			pause = allotPause
-		} else if l.canBeRead() {
+			pause = allocationRetryInterval
+		} else if ex.canPrefillSoon() {
 			found := false
-			at, found = l.findPlace(ctx)
-			if !found && !l.awaitUnblocked(ctx, dispatch.StageDecode) {
+			at, found = ex.findPlace(ctx)
+			if !found && !ex.awaitUnblocked(ctx, dispatch.StageDecode) {
 				return nil
 			}
 		}
@@ -102,111 +99,111 @@
 	}
 }
 
-// waiting is how the exchange waits, and from when its wait counts.
+// waitState returns how the exchange waits, and from when its wait counts.
 //
-// Failure guarded: an endpoint dies under a stream, long after the target for
-// its first part. One that could go on elsewhere must not be given up for that
-// target; its caller now waits for the next part.
-func (l *life) waiting() (since time.Time, w dispatch.Waiting) {
-	since = l.x.Received
-	w = dispatch.Waiting{Target: l.route.Target, Silence: silence(l.route), Start: usualStart, Length: l.answerTime()}
-	if l.sends > 0 || !l.router.options.Policy.Has(dispatch.EndAtTarget) {
+// Guards against this failure: an endpoint fails in mid-stream, long after the target for
+// the first part. An exchange that could resume elsewhere must not be given up because of
+// that target; its caller now waits for the next part.
+func (ex *activeExchange) waitState() (since time.Time, w dispatch.Waiting) {
+	since = ex.exchange.Received
+	w = dispatch.Waiting{Target: ex.route.Target, Silence: maxEventWait(ex.route), Start: typicalStartTime, Length: ex.expectedAnswerTime()}
+	if ex.attempts > 0 || !ex.router.options.Policy.Has(dispatch.EndAtTarget) {
 		w.Target = 0
 	}
-	if l.begun {
-		since = l.progress.writtenAt
-		w.Length = max(0, w.Length-since.Sub(l.progress.firstAt))
+	if ex.headSent {
+		since = ex.progress.writtenAt
+		w.Length = max(0, w.Length-since.Sub(ex.progress.firstAt))
 	}
-	w.Patience = l.deadline.Sub(since)
+	w.Patience = ex.deadline.Sub(since)
 	return since, w
 }
 
-// answerTime is about how long the answer takes from its first part. A caller
-// that comes back late in its time with a long answer to wait for would be cut
-// off in the middle of it, and the memory that it held is lost to others.
-func (l *life) answerTime() time.Duration {
-	if l.estimate() <= 0 {
-		return usualLength
+// expectedAnswerTime returns the approximate time from the first part of the answer to its
+// end. A repeat with little time left and a long answer would be cut off in the middle,
+// and the memory that it held would be wasted.
+func (ex *activeExchange) expectedAnswerTime() time.Duration {
+	if ex.estimatedOutput() <= 0 {
+		return typicalAnswerTime
 	}
-	return l.router.options.Book.AnswerTime(l.service, l.estimate())
+	return ex.router.options.Book.AnswerTime(ex.service, ex.estimatedOutput())
 }
 
-// estimate is how many tokens the caller expects; 0 where it doesn't say. Some
-// expect more than they ask for at most.
-func (l *life) estimate() int {
-	if l.x.Prompt == nil {
+// estimatedOutput returns how many tokens the caller expects; 0 if it doesn't say. Some
+// callers expect more than the maximum that they ask for.
+func (ex *activeExchange) estimatedOutput() int {
+	if ex.exchange.Prompt == nil {
 		return 0
 	}
-	return min(l.x.Prompt.LikelyOut, l.x.Prompt.MaxOutput)
+	return min(ex.exchange.Prompt.LikelyOut, ex.exchange.Prompt.MaxOutput)
 }
 
-// silence is how long a caller waits for the next event of a stream, its first
-// one too, before it leaves: two seconds, four times the target or eight times
-// the longest pause, whichever is longest.
-func silence(r *routetable.Route) time.Duration {
+// maxEventWait returns how long a caller waits for the next event of a stream, including
+// the first, before it leaves: the longest of two seconds, four times the target and eight
+// times the route's EventGap.
+func maxEventWait(r *routetable.Route) time.Duration {
 	return max(2*time.Second, 4*r.Target, 8*r.EventGap)
 }
 
-// findPlace asks the endpoints with the most room by what is known here. found
-// is false when there are no endpoints to ask.
-func (l *life) findPlace(ctx context.Context) (at *place, found bool) {
-	full := map[dispatch.Incarnation]bool{}
-	for id := range l.tried {
-		full[id] = true
+// findPlace asks the endpoints with the most free memory in the local view. found is false
+// when there are no endpoints to ask.
+func (ex *activeExchange) findPlace(ctx context.Context) (at *place, found bool) {
+	excluded := map[dispatch.Incarnation]bool{}
+	for id := range ex.tried {
+		excluded[id] = true
 	}
-	for range mostAsked {
-		choice, ok := l.choose(dispatch.StageDecode, full, l.fill())
+	for range maxReserveAttempts {
+		choice, ok := ex.chooseEndpoint(dispatch.StageDecode, excluded, ex.memoryMeasure())
 		if !ok {
 			return nil, found
 		}
 		found = true
-		if l.engine.HoldLife == 0 || l.x.Prompt == nil || !l.router.options.Policy.Has(dispatch.MemoryFirst) {
+		if ex.engine.HoldLife == 0 || ex.exchange.Prompt == nil || !ex.router.options.Policy.Has(dispatch.MemoryFirst) {
 			at = &place{endpoint: choice.Endpoint}
-		} else if hold, err := l.reserve(ctx, choice.Endpoint); err == nil {
-			at = &place{endpoint: choice.Endpoint, hold: hold}
+		} else if reservationID, err := ex.reserveMemory(ctx, choice.Endpoint); err == nil {
+			at = &place{endpoint: choice.Endpoint, reservationID: reservationID}
 		}
-		if at = l.permittedPlace(ctx, at); at != nil {
+		if at = ex.keepIfPermitted(ctx, at); at != nil {
 			return at, true
 		}
 		if ctx.Err() != nil {
 			return nil, found
 		}
-		full[choice.Endpoint.Incarnation()] = true
+		excluded[choice.Endpoint.Incarnation()] = true
 	}
 	return nil, found
 }
 
-// reserve sets memory aside for the prompt and what will likely be generated.
-func (l *life) reserve(ctx context.Context, e *dispatch.Endpoint) (string, error) {
-	asking, cancel := context.WithTimeoutCause(ctx, reserveTimeout, errSilent)
+// reserveMemory reserves memory for the prompt and the likely output.
+func (ex *activeExchange) reserveMemory(ctx context.Context, e *dispatch.Endpoint) (string, error) {
+	reserveCtx, cancel := context.WithTimeoutCause(ctx, reserveTimeout, errNoResponse)
 	defer cancel()
-	reserved, err := l.router.options.Endpoints.Reserve(asking, e, l.memory(), min(holdLife, l.engine.HoldLife))
+	reserved, err := ex.router.options.Endpoints.Reserve(reserveCtx, e, ex.memoryTokens(), min(reservationTTL, ex.engine.HoldLife))
 	now := time.Now()
 	if reserved.Limit.Kind == endpointlimit.KindNamed {
-		l.hearLimit(e, now, reserved.Limit)
+		ex.receiveLimit(e, now, reserved.Limit)
 	}
-	l.hearUnwanted(e, reserved.Words)
+	ex.receiveUnwanted(e, reserved.Words)
 	switch {
 	case err == nil:
-	case errors.Is(err, errSilent):
-		l.router.options.Book.Note(now, e, dispatch.OutcomeUnreachable)
-		l.log("Silent when asked for memory.", "endpoint", e.ID)
+	case errors.Is(err, errNoResponse):
+		ex.router.options.Book.Note(now, e, dispatch.OutcomeUnreachable)
+		ex.logDecision("Endpoint did not answer a request for memory.", "endpoint", e.ID)
 	case errors.Is(err, ErrNoRoom):
-		l.router.options.Book.Full(now, e)
-		l.router.metrics.noRoom.Inc()
-		l.log("No room.", "endpoint", e.ID, "tokens", l.memory())
+		ex.router.options.Book.Full(now, e)
+		ex.router.metrics.noMemory.Inc()
+		ex.logDecision("No room.", "endpoint", e.ID, "tokens", ex.memoryTokens())
 	case ctx.Err() == nil:
-		l.router.options.Book.Note(now, e, outcomeOf(err))
-		l.log("No memory was set aside.", "endpoint", e.ID, "err", err)
+		ex.router.options.Book.Note(now, e, sendOutcome(err))
+		ex.logDecision("Could not reserve memory.", "endpoint", e.ID, "err", err)
 	}
 	return reserved.Hold, err
 }
 
-// fill measures a decode endpoint by its memory, which is what limits it: a
+// memoryMeasure measures a decode endpoint by its memory, which is what limits it: a
 // prompt of thousands of tokens fills a tenth of it.
-func (l *life) fill() dispatch.Measure {
-	memory := l.memory()
-	total := l.engine.KVTokens
+func (ex *activeExchange) memoryMeasure() dispatch.Measure {
+	memory := ex.memoryTokens()
+	total := ex.engine.KVTokens
 	return func(e *dispatch.Endpoint, own int, prompt, held int, others float64) float64 {
 		if total <= 0 {
 			return dispatch.ByPlaces(e, own, prompt, held, others)
--- a/internal/relay/model_test.go
+++ b/internal/relay/model_test.go
@@ -11,13 +11,13 @@
 	"github.com/hyssopsail/hyssopsail/internal/dispatch"
 )
 
-// A prompt is read elsewhere only once memory is set aside for the whole run,
-// and its result goes with the request.
+// A prompt is read by a prefill endpoint only once memory is reserved for the whole
+// request, and the result is sent with it.
 func TestMemoryBeforePrefill(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(stream, gives(func() *Reply { return ok("{}") }), gives(func() *Reply { return ok(event("1")) })).model()
-		w.endpoints.rooms = []error{ErrNoRoom, ErrNoRoom, ErrNoRoom, ErrNoRoom}
-		_, refusal := w.serve(t, modelExchange())
+		w := newFixture(stream, returns(func() *Reply { return ok("{}") }), returns(func() *Reply { return ok(event("1")) })).withModel()
+		w.endpoints.reserveErrors = []error{ErrNoRoom, ErrNoRoom, ErrNoRoom, ErrNoRoom}
+		_, refusal := w.serve(t, newModelExchange())
 		assert.Assert(t, refusal == nil)
 		assert.Equal(t, len(w.endpoints.calls), 2)
 		prefill, run := w.endpoints.calls[0], w.endpoints.calls[1]
@@ -27,16 +27,16 @@
 	})
 }
 
-// There is no memory for seconds: the request is refused before its caller
-// leaves, nothing was read for it, and it is told when to come again.
+// There is no memory for seconds: the request is refused before its caller leaves, its
+// prompt is not read, and the refusal says when to repeat it.
 func TestNoMemory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(stream).model()
+		w := newFixture(stream).withModel()
 		for range 10000 {
-			w.endpoints.rooms = append(w.endpoints.rooms, ErrNoRoom)
+			w.endpoints.reserveErrors = append(w.endpoints.reserveErrors, ErrNoRoom)
 		}
 		began := time.Now()
-		_, refusal := w.serve(t, modelExchange())
+		_, refusal := w.serve(t, newModelExchange())
 		assert.Equal(t, refusal.Verdict, VerdictNotRun)
 		assert.Assert(t, refusal.RetryAfter > 0)
 		assert.Equal(t, len(w.endpoints.calls), 0)
@@ -44,12 +44,12 @@
 	})
 }
 
-// The endpoint that should take a prefill's result can't be reached: the next
-// one gets it, and the prompt is not read again.
+// The endpoint that should use a prefill result can't be reached: the next one gets it, and
+// the prompt is not read again.
 func TestPrefillIsKeptForTheNextEndpoint(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(stream, gives(func() *Reply { return ok("{}") }), fails(false), gives(func() *Reply { return ok(event("1")) })).model()
-		_, refusal := w.serve(t, modelExchange())
+		w := newFixture(stream, returns(func() *Reply { return ok("{}") }), fails(false), returns(func() *Reply { return ok(event("1")) })).withModel()
+		_, refusal := w.serve(t, newModelExchange())
 		assert.Assert(t, refusal == nil)
 		assert.Equal(t, len(w.endpoints.calls), 3)
 		assert.Equal(t, w.endpoints.calls[2].Source.Handle, "handle")
@@ -57,56 +57,56 @@
 	})
 }
 
-// The prefill fails: the prompt is read where the answer is generated, since a
-// second prefill would be an extra arrival.
+// The prefill fails: the decode endpoint reads the prompt, since a second prefill would be
+// an extra arrival.
 func TestPrefillFails(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(stream, fails(true), gives(func() *Reply { return ok(event("1")) })).model()
-		_, refusal := w.serve(t, modelExchange())
+		w := newFixture(stream, fails(true), returns(func() *Reply { return ok(event("1")) })).withModel()
+		_, refusal := w.serve(t, newModelExchange())
 		assert.Assert(t, refusal == nil)
 		assert.Equal(t, len(w.endpoints.calls), 2)
 		assert.Assert(t, w.endpoints.calls[1].Source == nil)
 	})
 }
 
-// silentFirst endpoints don't answer the first call of a kind.
-type silentFirst struct {
-	*fakes
+// unresponsiveFirst endpoints don't answer the first call of a kind.
+type unresponsiveFirst struct {
+	*fakeEndpoints
 	reserve, prefill, run bool
 }
 
-func (s *silentFirst) Reserve(ctx context.Context, e *dispatch.Endpoint, tokens int, life time.Duration) (Reserved, error) {
+func (s *unresponsiveFirst) Reserve(ctx context.Context, e *dispatch.Endpoint, tokens int, life time.Duration) (Reserved, error) {
 	if s.reserve {
 		s.reserve = false
 		<-ctx.Done()
 		return Reserved{}, &SendError{Sent: true, Cause: context.Cause(ctx)}
 	}
-	return s.fakes.Reserve(ctx, e, tokens, life)
+	return s.fakeEndpoints.Reserve(ctx, e, tokens, life)
 }
 
-// An endpoint is frozen or cut off without a reset: it takes a call and says
-// nothing. The request must not wait there until its caller has left.
-func TestSilentEndpointIsLeft(t *testing.T) {
-	served := gives(func() *Reply { return ok(event("1")) })
+// An endpoint is frozen or cut off without a reset: it accepts a call and never answers.
+// The request must not wait there until its caller has left.
+func TestUnresponsiveEndpointIsLeft(t *testing.T) {
+	served := returns(func() *Reply { return ok(event("1")) })
 	for name, test := range map[string]struct {
-		silent silentFirst
+		silent unresponsiveFirst
 		within time.Duration
 	}{
-		"asked for memory": {silentFirst{reserve: true}, 250 * time.Millisecond},
-		"reads a prompt":   {silentFirst{prefill: true}, 1500 * time.Millisecond},
-		"idempotent call":  {silentFirst{run: true}, 2 * time.Second},
+		"asked for memory": {unresponsiveFirst{reserve: true}, 250 * time.Millisecond},
+		"reads a prompt":   {unresponsiveFirst{prefill: true}, 1500 * time.Millisecond},
+		"idempotent call":  {unresponsiveFirst{run: true}, 2 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld(idempotent, served)
-				x := exchange()
+				w := newFixture(idempotent, served)
+				x := newExchange()
 				if !test.silent.run {
-					w, x = newWorld(stream, served).model(), modelExchange()
+					w, x = newFixture(stream, served).withModel(), newModelExchange()
 				}
 				if test.silent.reserve {
-					w.endpoints.answers = []answer{gives(func() *Reply { return ok("{}") }), served}
+					w.endpoints.answers = []answer{returns(func() *Reply { return ok("{}") }), served}
 				}
-				test.silent.fakes = w.endpoints
+				test.silent.fakeEndpoints = w.endpoints
 				w.router.options.Endpoints = &test.silent
 				began := time.Now()
 				c, refusal := w.serve(t, x)
@@ -118,17 +118,17 @@
 	}
 }
 
-// A caller was turned away once and comes back with five seconds left. An answer
-// of nine seconds would be cut off in the middle of it: it is told so at once,
-// without a prompt read or room taken. One of two seconds is served.
+// A caller was refused once and returns with five seconds left. An answer of nine seconds
+// would be cut off in the middle: it is refused at once, without a prompt read or memory
+// reserved. One of two seconds is served.
 func TestAnswerThatCannotEndInTimeIsNotBegun(t *testing.T) {
 	for _, test := range []struct {
 		estimate int
 		served   bool
 	}{{3000, false}, {600, true}} {
 		synctest.Test(t, func(t *testing.T) {
-			w := newWorld(stream, gives(func() *Reply { return ok("{}") }), gives(func() *Reply { return ok(event("1")) })).model()
-			x := modelExchange()
+			w := newFixture(stream, returns(func() *Reply { return ok("{}") }), returns(func() *Reply { return ok(event("1")) })).withModel()
+			x := newModelExchange()
 			x.Patience = 5 * time.Second
 			x.Prompt.MaxOutput, x.Prompt.LikelyOut = 3000, test.estimate
 			began := time.Now()
--- a/internal/relay/outdated_test.go
+++ b/internal/relay/outdated_test.go
@@ -7,9 +7,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// An entry was told of a newer configuration and can't get it, as its link is
-// choked. It must not go on sending requests where the newer one may forbid it,
-// and a route that it doesn't know may be there: neither request is at fault.
+// An entry was told of a newer configuration and can't receive it over its overloaded link.
+// It must not keep sending requests where the newer one may forbid it, and the newer one
+// may have a route that it doesn't know: neither is the caller's mistake.
 func TestOutdatedConfiguration(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -27,10 +27,10 @@
 		{"no route, on its way", time.Millisecond, 2 * time.Second, "/q/1", false, VerdictNotRun},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			w := newWorld(idempotent, gives(func() *Reply { return ok("good") }))
+			w := newFixture(idempotent, returns(func() *Reply { return ok("good") }))
 			w.router.options.Behind = func() time.Duration { return test.behind }
 			w.router.options.ApplyWithin = test.within
-			x := exchange()
+			x := newExchange()
 			x.Path, x.Target = test.path, test.path
 			_, refusal := w.serve(t, x)
 			if test.served {
--- a/internal/relay/prefill.go
+++ b/internal/relay/prefill.go
@@ -10,75 +10,74 @@
 	"github.com/hyssopsail/hyssopsail/internal/retrybudget"
 )
 
-// The bounds of a prefill.
+// Limits of a prefill.
 const (
-	// leastPrefill and prefillFactor bound a prefill: at a reader that answers,
-	// it takes about what was estimated. The least is under holdLife, so that
-	// the endpoint that generates the answer can still read the prompt itself.
-	leastPrefill  = 1200 * time.Millisecond
-	prefillFactor = 4
+	// minPrefillTimeout and prefillTimeoutFactor limit a prefill, which takes about the
+	// estimated time at a working endpoint. The minimum is shorter than reservationTTL, so
+	// that the decode endpoint can still read the prompt itself.
+	minPrefillTimeout    = 1200 * time.Millisecond
+	prefillTimeoutFactor = 4
 )
 
-// prefilled is the result of a prefill that was not taken yet.
-type prefilled struct {
+// prefillResult is the result of a prefill that no endpoint has used yet.
+type prefillResult struct {
 	endpoint *dispatch.Endpoint
 	handle   string
 }
 
-// prefill reads the prompt at a prefill endpoint; nil where that failed, and
-// the decode endpoint reads it itself.
-func (l *life) prefill(ctx context.Context) *prefilled {
-	if l.readsOwn() {
+// runPrefill has the prompt read by a prefill endpoint. It returns nil where that failed,
+// and the decode endpoint reads the prompt itself.
+func (ex *activeExchange) runPrefill(ctx context.Context) *prefillResult {
+	if ex.skipsPrefill() {
 		return nil
 	}
-	choice, where, reservation := l.reservedReader(ctx)
-	l.router.metrics.readWhere.WithLabelValues(where.String()).Inc()
-	if where != dispatch.PlaceReader {
+	choice, promptPlace, reservation := ex.permittedPrefillEndpoint(ctx)
+	ex.router.metrics.promptPlaces.WithLabelValues(promptPlace.String()).Inc()
+	if promptPlace != dispatch.PlaceReader {
 		return nil
 	}
-	l.prefilled = true
-	work := dispatch.Work{Prompt: l.x.Prompt.Tokens, Memory: l.x.Prompt.Tokens}
-	book := l.router.options.Book
-	book.Begin(time.Now(), choice.Endpoint, work)
-	began := time.Now()
-	whole := book.ReadingTime(l.service, l.x.Prompt.Tokens, choice.Before)
-	reading, cancel := context.WithTimeoutCause(ctx, max(leastPrefill, prefillFactor*whole), errSilent)
+	ex.prefillAttempted = true
+	work := dispatch.Work{Prompt: ex.exchange.Prompt.Tokens, Memory: ex.exchange.Prompt.Tokens}
+	stats := ex.router.options.Book
+	stats.Begin(time.Now(), choice.Endpoint, work)
+	start := time.Now()
+	expected := stats.ReadingTime(ex.service, ex.exchange.Prompt.Tokens, choice.Before)
+	prefillCtx, cancel := context.WithTimeoutCause(ctx, max(minPrefillTimeout, prefillTimeoutFactor*expected), errNoResponse)
 	defer cancel()
-	result, outcome, arrived := l.readPrompt(reading, choice.Endpoint)
-	l.settlePrefill(reservation, choice.Endpoint, outcome, arrived)
-	l.progress.prefillMs = time.Since(began).Milliseconds()
-	l.tellRead(outcome, book.ReadingTime(l.service, l.x.Prompt.Tokens, 0), time.Since(began))
-	l.router.metrics.reading.Observe(time.Since(began).Seconds())
+	result, outcome, arrived := ex.sendPrefill(prefillCtx, choice.Endpoint)
+	ex.settlePrefillBudget(reservation, choice.Endpoint, outcome, arrived)
+	ex.progress.prefillMs = time.Since(start).Milliseconds()
+	ex.reportPrefillDelay(outcome, stats.ReadingTime(ex.service, ex.exchange.Prompt.Tokens, 0), time.Since(start))
+	ex.router.metrics.prefillTime.Observe(time.Since(start).Seconds())
 	if outcome == dispatch.OutcomeServed {
-		book.HaveRead(time.Now(), choice.Endpoint, l.x.Prompt.Tokens, time.Since(began))
+		stats.HaveRead(time.Now(), choice.Endpoint, ex.exchange.Prompt.Tokens, time.Since(start))
 	}
-	book.End(time.Now(), choice.Endpoint, work, outcome)
+	stats.End(time.Now(), choice.Endpoint, work, outcome)
 	return result
 }
 
-// readsOwn tells whether no reader is asked: there is no prompt, one was asked
-// already, or the caller comes back for the rest of a stream.
+// skipsPrefill reports whether no prefill endpoint is asked: there is no prompt, one was
+// asked already, or the caller resumes a stream.
 //
-// Load pattern: entries or endpoints die under load, and all callers whose
-// streams broke come back at once with prompts that must be read again. Their
-// answers are late in any case, while fresh requests that stand behind them at
-// the readers miss their targets.
-func (l *life) readsOwn() bool {
-	return l.x.Prompt == nil || l.prefilled || l.returned() && l.router.options.Policy.Has(dispatch.ReturnedReadOwn)
+// Load pattern: entries or endpoints fail under load, and all callers whose streams broke
+// return at once with prompts that must be read again. Their answers are late in any case,
+// while new requests that queue behind them at the prefill endpoints miss their targets.
+func (ex *activeExchange) skipsPrefill() bool {
+	return ex.exchange.Prompt == nil || ex.prefillAttempted || ex.isResumption() && ex.router.options.Policy.Has(dispatch.ReturnedReadOwn)
 }
 
-// returned tells whether the caller already holds a part of the answer.
-func (l *life) returned() bool { return l.x.After != "" }
+// isResumption reports whether the caller already has a part of the answer.
+func (ex *activeExchange) isResumption() bool { return ex.exchange.After != "" }
 
-// reservedReader is readerFor within the budget for retries and the reader's limit.
-// Without one of these the endpoint that generates the answer reads the prompt.
-func (l *life) reservedReader(ctx context.Context) (dispatch.Choice, dispatch.Place, *retrybudget.Reservation) {
-	choice, where := l.readerFor()
-	if where != dispatch.PlaceReader {
-		return choice, where, nil
-	}
-	reservation, may := l.reservePrefill(choice.Endpoint)
-	if may && l.isPermitted(ctx, choice.Endpoint) {
+// permittedPrefillEndpoint returns prefillEndpoint's choice, within the retry budget and
+// the endpoint's limit. Without one of these the decode endpoint reads the prompt.
+func (ex *activeExchange) permittedPrefillEndpoint(ctx context.Context) (dispatch.Choice, dispatch.Place, *retrybudget.Reservation) {
+	choice, place := ex.prefillEndpoint()
+	if place != dispatch.PlaceReader {
+		return choice, place, nil
+	}
+	reservation, allowed := ex.reservePrefillBudget(choice.Endpoint)
+	if allowed && ex.acquirePermit(ctx, choice.Endpoint) {
 		return choice, dispatch.PlaceReader, reservation
 	}
 	if reservation != nil {
@@ -87,60 +86,60 @@
 	return choice, dispatch.PlaceOwn, nil
 }
 
-// readerFor gives the reader that the home named, or the one chosen here.
-func (l *life) readerFor() (dispatch.Choice, dispatch.Place) {
-	if l.allotted == nil {
-		return l.chooseReader()
+// prefillEndpoint returns the prefill endpoint that the home named, or one chosen here.
+func (ex *activeExchange) prefillEndpoint() (dispatch.Choice, dispatch.Place) {
+	if ex.allocated == nil {
+		return ex.choosePrefillEndpoint()
 	}
-	e := l.endpoint(dispatch.StagePrefill, l.allotted.Reader)
+	e := ex.findEndpoint(dispatch.StagePrefill, ex.allocated.Reader)
 	if e == nil {
 		return dispatch.Choice{}, dispatch.PlaceOwn
 	}
-	alone := l.router.options.Book.ReadingTime(l.service, l.x.Prompt.Tokens, 0)
-	before := float64(l.allotted.Backlog) / float64(max(alone, time.Millisecond))
-	return dispatch.Choice{Endpoint: e, Before: before}, dispatch.PlaceReader
+	readingTime := ex.router.options.Book.ReadingTime(ex.service, ex.exchange.Prompt.Tokens, 0)
+	queued := float64(ex.allocated.Backlog) / float64(max(readingTime, time.Millisecond))
+	return dispatch.Choice{Endpoint: e, Before: queued}, dispatch.PlaceReader
 }
 
-// chooseReader picks the endpoint that reads prompts for others with the least
-// before it, and tells whether this one is read there.
-func (l *life) chooseReader() (dispatch.Choice, dispatch.Place) {
-	book, tokens := l.router.options.Book, l.x.Prompt.Tokens
-	choice, ok := l.choose(dispatch.StagePrefill, nil, byPrompt(tokens))
+// choosePrefillEndpoint chooses the prefill endpoint with the least work queued, and
+// returns where the prompt of this exchange is read.
+func (ex *activeExchange) choosePrefillEndpoint() (dispatch.Choice, dispatch.Place) {
+	stats, tokens := ex.router.options.Book, ex.exchange.Prompt.Tokens
+	choice, ok := ex.chooseEndpoint(dispatch.StagePrefill, nil, byPromptTokens(tokens))
 	if !ok {
 		return choice, dispatch.PlaceOwn
 	}
-	alone := book.ReadingTime(l.service, tokens, 0)
-	reading := dispatch.Reading{Gap: l.route.EventGap, Policy: l.router.options.Policy}
-	return choice, reading.Choose(alone, book.ReadingTime(l.service, tokens, choice.Before))
+	readingTime := stats.ReadingTime(ex.service, tokens, 0)
+	reading := dispatch.Reading{Gap: ex.route.EventGap, Policy: ex.router.options.Policy}
+	return choice, reading.Choose(readingTime, stats.ReadingTime(ex.service, tokens, choice.Before))
 }
 
-// readPrompt tells besides whether the call counts as an arrival: one that was accepted
-// is free, and of one without an answer that isn't known.
-func (l *life) readPrompt(ctx context.Context, e *dispatch.Endpoint) (result *prefilled, outcome dispatch.Outcome, arrived bool) {
-	call := l.call(e)
+// sendPrefill sends a prefill. arrived reports whether the call counts as an arrival: one
+// that was accepted doesn't; one without an answer may have arrived, and does.
+func (ex *activeExchange) sendPrefill(ctx context.Context, e *dispatch.Endpoint) (result *prefillResult, outcome dispatch.Outcome, arrived bool) {
+	call := ex.newCall(e)
 	call.Prefill = true
-	call.Priority = l.rank()
-	l.noteSend(e, sendPrefill)
+	call.Priority = ex.priority()
+	ex.recordAttempt(e, attemptPrefill)
 	sent := time.Now()
-	reply, err := l.router.options.Endpoints.Send(ctx, call)
+	reply, err := ex.router.options.Endpoints.Send(ctx, call)
 	if err != nil {
-		l.log("Prefill failed.", "endpoint", e.ID, "err", err)
-		arrived = outcomeOf(err) == dispatch.OutcomeLost
+		ex.logDecision("Prefill failed.", "endpoint", e.ID, "err", err)
+		arrived = sendOutcome(err) == dispatch.OutcomeLost
 		if arrived && ctx.Err() == nil {
-			l.noteLost(e, sent, false, err)
+			ex.recordLoss(e, sent, false, err)
 		}
 		switch {
-		case errors.Is(err, errSilent):
+		case errors.Is(err, errNoResponse):
 			return nil, dispatch.OutcomeUnreachable, arrived
 		case ctx.Err() != nil:
 			return nil, dispatch.OutcomeGivenUp, arrived
 		}
-		return nil, outcomeOf(err), arrived
+		return nil, sendOutcome(err), arrived
 	}
 	defer reply.Body.Close()
-	l.hear(e, sent, reply)
+	ex.receiveSignals(e, sent, reply)
 	if reply.Load != nil {
-		l.router.options.Book.Told(time.Now(), e, *reply.Load)
+		ex.router.options.Book.Told(time.Now(), e, *reply.Load)
 	}
 	switch {
 	case reply.Misfit:
@@ -150,15 +149,15 @@
 	case reply.Status != http.StatusOK:
 		return nil, dispatch.OutcomeFailed, true
 	}
-	accepted, err := l.router.options.Endpoints.Prefilled(reply)
+	accepted, err := ex.router.options.Endpoints.Prefilled(reply)
 	if err != nil {
-		l.log("Prefill's answer was cut off.", "endpoint", e.ID, "err", err)
+		ex.logDecision("Prefill's answer was cut off.", "endpoint", e.ID, "err", err)
 		return nil, dispatch.OutcomeLost, false
 	}
-	return &prefilled{endpoint: e, handle: accepted.Handle}, dispatch.OutcomeServed, false
+	return &prefillResult{endpoint: e, handle: accepted.Handle}, dispatch.OutcomeServed, false
 }
 
-func outcomeOf(err error) dispatch.Outcome {
+func sendOutcome(err error) dispatch.Outcome {
 	var failure *SendError
 	if errors.As(err, &failure) && !failure.Sent {
 		return dispatch.OutcomeUnreachable
@@ -166,18 +165,18 @@
 	return dispatch.OutcomeLost
 }
 
-// canBeRead tells whether the prompt would be read soon once it has a place.
-func (l *life) canBeRead() bool {
-	if l.readsOwn() {
+// canPrefillSoon reports whether the prompt would be read soon after memory is reserved.
+func (ex *activeExchange) canPrefillSoon() bool {
+	if ex.skipsPrefill() {
 		return true
 	}
-	_, where := l.chooseReader()
-	return where != dispatch.PlaceLater
+	_, place := ex.choosePrefillEndpoint()
+	return place != dispatch.PlaceLater
 }
 
-// byPrompt measures a prefill endpoint by the prompts before this one, in
-// units of this one: each delays it by its own reading.
-func byPrompt(tokens int) dispatch.Measure {
+// byPromptTokens measures a prefill endpoint by the prompts queued before this one, in
+// units of this one: each delays it by its own reading time.
+func byPromptTokens(tokens int) dispatch.Measure {
 	return func(_ *dispatch.Endpoint, _ int, prompt, _ int, others float64) float64 {
 		return float64(prompt)/float64(max(1, tokens)) + others
 	}
--- a/internal/relay/progress.go
+++ b/internal/relay/progress.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// progress is when the parts of one exchange's answer came.
+// progress records when the parts of one exchange's answer were forwarded.
 type progress struct {
-	sentAt    time.Time // of the newest send
-	firstAt   time.Time // when the first byte was passed on
-	prefillMs int64     // that a prefill took; 0 without one
-	writes    int
-	writtenAt time.Time     // of the newest part passed on
+	sentAt    time.Time     // of the latest attempt
+	firstAt   time.Time     // when the first byte was forwarded
+	prefillMs int64         // duration of the prefill; 0 without one
+	writes    int           // parts forwarded
+	writtenAt time.Time     // of the latest part forwarded
 	pause     time.Duration // longest one between two parts
 	pauseAt   time.Time     // when it began
 }
 
-// wrote takes in that a part was passed on.
-func (p *progress) wrote(now time.Time) {
+// recordWrite records that a part was forwarded.
+func (p *progress) recordWrite(now time.Time) {
 	if !p.writtenAt.IsZero() && now.Sub(p.writtenAt) > p.pause {
 		p.pause, p.pauseAt = now.Sub(p.writtenAt), p.writtenAt
 	}
@@ -22,20 +22,22 @@
 	p.writes++
 }
 
-// since gives a time of the exchange in ms after its arrival.
-func (l *life) since(at time.Time) int64 { return at.Sub(l.x.Received).Milliseconds() }
+// msSinceArrival returns the milliseconds from the arrival of the exchange to a time.
+func (ex *activeExchange) msSinceArrival(at time.Time) int64 {
+	return at.Sub(ex.exchange.Received).Milliseconds()
+}
 
-// pauseStart is when the longest pause began, ms after the arrival; 0 without one.
-func (l *life) pauseStart() int64 {
-	if l.progress.pauseAt.IsZero() {
+// pauseStartMs returns when the longest pause began, in ms after the arrival; 0 without one.
+func (ex *activeExchange) pauseStartMs() int64 {
+	if ex.progress.pauseAt.IsZero() {
 		return 0
 	}
-	return l.since(l.progress.pauseAt)
+	return ex.msSinceArrival(ex.progress.pauseAt)
 }
 
-// lateAnswer tells whether the first part was passed on after the target, or
-// another one after a longer pause than the route's.
-func (l *life) lateAnswer() bool {
-	lateFirst := l.route.Target > 0 && l.progress.firstAt.Sub(l.x.Received) > l.route.Target
-	return lateFirst || l.route.EventGap > 0 && l.progress.pause > l.route.EventGap
+// isLate reports whether the first part was forwarded after the target, or another one
+// after a longer pause than the route's EventGap.
+func (ex *activeExchange) isLate() bool {
+	lateFirst := ex.route.Target > 0 && ex.progress.firstAt.Sub(ex.exchange.Received) > ex.route.Target
+	return lateFirst || ex.route.EventGap > 0 && ex.progress.pause > ex.route.EventGap
 }
--- a/internal/relay/quota.go
+++ b/internal/relay/quota.go
@@ -11,36 +11,36 @@
 	"github.com/hyssopsail/hyssopsail/internal/sleep"
 )
 
-// Quotas keeps teams within their quotas over all entries.
-type Quotas interface {
+// QuotaClient enforces the teams' quotas across all entries.
+type QuotaClient interface {
 	// Take takes a request's cost from a team's quota. The error is a
 	// *quota.SpentError or quota.ErrNoKeeper.
 	Take(ctx context.Context, team string, limit quota.Limit, cost float64) (quota.Grant, error)
-	// Return gives back what a request took that did not run.
+	// Return returns the cost of a request that did not run.
 	Return(ctx context.Context, g quota.Grant) error
 }
 
-// The figures of quotas.
+// Constants of quotas.
 const (
-	// keeperSilence is how long the control instances may have been silent before a
-	// request no longer waits for them: this entry is cut off, and another one isn't.
-	keeperSilence = 1500 * time.Millisecond
-	// returnShare is the part of a target within which a caller is told to come again
+	// maxControlSilence is the time without contact to the control instances after which
+	// a request no longer waits for them: this entry is cut off, and another one isn't.
+	maxControlSilence = 1500 * time.Millisecond
+	// quotaRetryShare is the share of a target within which a caller is told to return
 	// whose team has spent its quota; the rest is for the start of the answer.
-	returnShare = 0.65
-	// elsewhere is when a caller may come again who can be served by other entries at
+	quotaRetryShare = 0.65
+	// otherEntryRetryAfter is the RetryAfter of a request that other entries can serve at
 	// once.
-	elsewhere = 50 * time.Millisecond
+	otherEntryRetryAfter = 50 * time.Millisecond
 )
 
-// takeQuota takes what the exchange costs from its team's quota; nil where there is no
+// takeQuota takes the cost of the exchange from its team's quota; nil where there is no
 // limit.
 //
-// Load pattern: one team sends many times its usual, over all entries, and fills the
-// endpoints' memory and the queues before the readers; every other team's requests
-// wait behind it and miss their targets. What is beyond the team's quota is told at
-// once to come again. Each request is asked for by itself: a model request is larger
-// than an entry's even part of a quota.
+// Load pattern: one team sends many times its usual load through all entries, and fills the
+// endpoints' memory and the prefill queues; the requests of every other team wait behind it
+// and miss their targets. Requests beyond the team's quota are refused at once, with the
+// time to return. Each request asks separately: a model request costs more than an entry's
+// even share of a quota.
 func (r *Router) takeQuota(ctx context.Context, x *Exchange, a admitted) (*quota.Grant, *Refusal) {
 	team, route := a.team, a.route
 	if team == nil || !team.Quota.Limited() || r.options.Quotas == nil {
@@ -56,45 +56,45 @@
 		if err == nil {
 			return &grant, nil
 		}
-		var spent *quota.SpentError
-		if errors.As(err, &spent) {
-			return nil, r.overQuota(x, route, team, cost, spent)
+		var spentErr *quota.SpentError
+		if errors.As(err, &spentErr) {
+			return nil, r.refuseOverQuota(x, route, team, cost, spentErr)
 		}
-		cutOff := r.confirmedFor(a.view) > keeperSilence
-		if cutOff || !mayWait(x, route) || !sleep.For(ctx, controlPause) {
+		cutOff := r.confirmationAge(a.view) > maxControlSilence
+		if cutOff || !mayWaitForControl(x, route) || !sleep.For(ctx, controlPollInterval) {
 			r.options.Part.Warn("No keeper of quotas was asked.", "request", x.ID, "route", route.Name, "team", team.Name,
 				"waited_ms", time.Since(x.Received).Milliseconds(), "cut_off", cutOff, "err", err)
-			return nil, &Refusal{Verdict: VerdictNotRun, Reason: "the team's quota can't be asked for here", RetryAfter: elsewhere}
+			return nil, &Refusal{Verdict: VerdictNotRun, Reason: "the team's quota can't be asked for here", RetryAfter: otherEntryRetryAfter}
 		}
 	}
 }
 
-func (r *Router) overQuota(x *Exchange, route *routetable.Route, team *routetable.Team, cost float64, spent *quota.SpentError) *Refusal {
+func (r *Router) refuseOverQuota(x *Exchange, route *routetable.Route, team *routetable.Team, cost float64, spent *quota.SpentError) *Refusal {
 	r.options.Part.Info("The quota is spent.", "request", x.ID, "route", route.Name, "team", team.Name,
 		"cost", rounded(cost), "per_second", rounded(team.Quota.PerSecond), "burst", rounded(team.Quota.Burst), "again_ms", spent.Again.Milliseconds())
-	return &Refusal{Verdict: VerdictOverQuota, Reason: "the team's quota is spent", RetryAfter: r.returnAfter(x, route, spent)}
+	return &Refusal{Verdict: VerdictOverQuota, Reason: "the team's quota is spent", RetryAfter: r.overQuotaRetryAfter(x, route, spent)}
 }
 
-func (r *Router) returnAfter(x *Exchange, route *routetable.Route, spent *quota.SpentError) time.Duration {
+func (r *Router) overQuotaRetryAfter(x *Exchange, route *routetable.Route, spent *quota.SpentError) time.Duration {
 	if r.options.Policy.Has(dispatch.QuotaReturn) {
-		return returnToQuota(spent.Again, route.Target, r.options.Random())
+		return quotaRetryAfter(spent.Again, route.Target, r.options.Random())
 	}
 	return max(spent.Again, retryAfter(x.Patience, r.options.Random()))
 }
 
-// returnToQuota is when a caller may come again whose team has spent its quota: when
-// something may be left, and early enough for an answer in its target. point is even in
-// [0, 1), so that callers don't come back together.
+// quotaRetryAfter returns when a caller whose team has spent its quota may return: when
+// some quota may be left, and early enough for an answer within its target. point is
+// uniform in [0, 1), so that callers don't return together.
 //
-// Load pattern: a team sends several times its quota for seconds. Who comes back after
-// its target takes a part of the quota for an answer that is late, from one that would
-// have been in time.
-func returnToQuota(again, target time.Duration, point float64) time.Duration {
-	inTime := time.Duration(returnShare * float64(target))
-	return again + time.Duration(point*float64(max(0, inTime-again)))
+// Load pattern: a team sends several times its quota for seconds. A caller that returns
+// after its target spends quota on a late answer, which another request could have used
+// for one in time.
+func quotaRetryAfter(again, target time.Duration, point float64) time.Duration {
+	latest := time.Duration(quotaRetryShare * float64(target))
+	return again + time.Duration(point*float64(max(0, latest-again)))
 }
 
-// cost is what the exchange counts in a quota.
+// cost returns what the exchange costs in units of the quota.
 func (x *Exchange) cost(q routetable.Quota) float64 {
 	if x.Prompt == nil {
 		return q.Cost(0, false)
@@ -102,15 +102,14 @@
 	return q.Cost(x.Prompt.Tokens+x.Prompt.MaxOutput, true)
 }
 
-// returnQuota gives back what an exchange took that did not run, without waiting for
-// it.
+// returnQuota returns the cost of an exchange that did not run, in the background.
 func (r *Router) returnQuota(x *Exchange, taken *quota.Grant) {
 	if taken == nil {
 		return
 	}
-	r.giveBack(func(ctx context.Context) {
+	r.releaseAsync(func(ctx context.Context) {
 		if err := r.options.Quotas.Return(ctx, *taken); err != nil {
-			r.options.Part.Debug("A quota was not given back.", "request", x.ID, "team", taken.Team, "err", err)
+			r.options.Part.Debug("Could not return quota.", "request", x.ID, "team", taken.Team, "err", err)
 		}
 	})
 }
--- a/internal/relay/quota_test.go
+++ b/internal/relay/quota_test.go
@@ -12,9 +12,9 @@
 	"github.com/hyssopsail/hyssopsail/internal/routetable"
 )
 
-// withQuota gives team "a" a quota of tokens, which answers by take.
-func (w *world) withQuota(take func() error) *quotas {
-	q := &quotas{take: take, done: make(chan struct{}, 10)}
+// withQuota gives team "a" a quota of tokens; take returns the result of each Take.
+func (w *fixture) withQuota(take func() error) *fakeQuotas {
+	q := &fakeQuotas{take: take, done: make(chan struct{}, 10)}
 	w.withTeams()
 	w.router.options.Quotas = q
 	w.view.Table.TeamOf(keyhash.Of("a1")).Quota = routetable.Quota{Unit: routetable.UnitToken, PerSecond: 100, Burst: 100, Unsized: 7}
@@ -23,29 +23,29 @@
 
 func granted() error { return nil }
 
-// What a request costs is known before it runs: the prompt and the most that may be
-// generated, or what a request counts that tells no size.
+// The cost of a request is known before it runs: the prompt and the maximum output, or the
+// cost of a request without a size.
 func TestCostOfARequest(t *testing.T) {
-	w := newWorld(idempotent, gives(func() *Reply { return ok("good") }), gives(func() *Reply { return ok("good") }))
+	w := newFixture(idempotent, returns(func() *Reply { return ok("good") }), returns(func() *Reply { return ok("good") }))
 	q := w.withQuota(granted)
-	plain, model := shows("a1"), modelExchange()
+	plain, model := exchangeWithKey("a1"), newModelExchange()
 	model.Key = plain.Key
 	w.serve(t, plain)
 	w.serve(t, model)
 	assert.DeepEqual(t, q.costs, []float64{7, 1200})
-	w.serve(t, shows("b1")) // has no limit
+	w.serve(t, exchangeWithKey("b1")) // has no limit
 	assert.Equal(t, len(q.costs), 2)
 	assert.Equal(t, routetable.Quota{}.Cost(1200, true), 1.0)
 }
 
-// A team sends beyond its quota. Each request is told at once that it has not run, and
-// when to come back: not before there is something left, and not all together.
-func TestSpentQuotaIsToldAtOnce(t *testing.T) {
+// A team sends beyond its quota. Each request is refused at once as not run, with the time
+// to return: not before some quota is left, and not all together.
+func TestSpentQuotaIsRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(idempotent)
+		w := newFixture(idempotent)
 		w.withQuota(func() error { return &quota.SpentError{Again: 3 * time.Second} })
 		began := time.Now()
-		_, refusal := w.serve(t, shows("a1"))
+		_, refusal := w.serve(t, exchangeWithKey("a1"))
 		assert.Equal(t, refusal.Verdict, VerdictOverQuota)
 		assert.Equal(t, refusal.RetryAfter, 3*time.Second)
 		assert.Equal(t, time.Since(began), time.Duration(0))
@@ -53,10 +53,10 @@
 	})
 }
 
-// A team's callers are turned away together. They must not come back together, not
-// before there is something left, and as long as that is in time, early enough for an
-// answer in their target.
-func TestReturnToQuota(t *testing.T) {
+// A team's callers are refused together. They must not return together, not before some
+// quota is left, and as long as that is in time, early enough for an answer within their
+// target.
+func TestQuotaRetryAfter(t *testing.T) {
 	const target = 900 * time.Millisecond
 	for _, test := range []struct {
 		again       time.Duration
@@ -68,37 +68,37 @@
 		{10 * time.Millisecond, 0.999, 500 * time.Millisecond, 650 * time.Millisecond},
 		{3 * time.Second, 0.999, 3 * time.Second, 3 * time.Second},
 	} {
-		got := returnToQuota(test.again, target, test.point)
+		got := quotaRetryAfter(test.again, target, test.point)
 		assert.Assert(t, got >= test.first && got <= test.last, "%v: %v", test, got)
 	}
 }
 
-// A request took its part of the quota and found no endpoint: it has not run, so its
-// team gets the part back. One that may have run costs what it costs.
-func TestQuotaOfWhatDidNotRunIsGivenBack(t *testing.T) {
+// A request took its cost from the quota and found no endpoint: it has not run, so that the
+// cost is returned. The cost of one that may have run is not.
+func TestQuotaIsReturnedIfNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(atMostOnce, gives(notRun), gives(notRun), gives(notRun))
+		w := newFixture(atMostOnce, returns(notRun), returns(notRun), returns(notRun))
 		q := w.withQuota(granted)
-		_, refusal := w.serve(t, shows("a1"))
+		_, refusal := w.serve(t, exchangeWithKey("a1"))
 		assert.Equal(t, refusal.Verdict, VerdictNotRun)
 		<-q.done
 		assert.Equal(t, q.returned, 1)
 
 		w.endpoints.answers = []answer{fails(true)}
-		_, refusal = w.serve(t, shows("a1"))
+		_, refusal = w.serve(t, exchangeWithKey("a1"))
 		assert.Equal(t, refusal.Verdict, VerdictUnknown)
 		synctest.Wait()
 		assert.Equal(t, q.returned, 1)
 	})
 }
 
-// All control instances are killed at once and are back within a second: a request
-// waits for them as long as its target allows. An entry that is cut off from them
-// doesn't wait, since its callers can be served by others at once.
-func TestWaitForAKeeper(t *testing.T) {
+// All control instances are killed at once and are back within a second: a request waits
+// for them as long as its target allows. An entry that is cut off from them doesn't wait,
+// since other entries can serve its callers at once.
+func TestWaitForQuotaServer(t *testing.T) {
 	for _, test := range []struct {
 		name   string
-		back   time.Duration // of the keepers
+		back   time.Duration // of the quota servers
 		cutOff bool
 		waited time.Duration
 		served bool
@@ -109,7 +109,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld(idempotent, gives(func() *Reply { return ok("good") }))
+				w := newFixture(idempotent, returns(func() *Reply { return ok("good") }))
 				began := time.Now()
 				w.withQuota(func() error {
 					if time.Since(began) < test.back {
@@ -122,7 +122,7 @@
 				if test.cutOff {
 					w.view.Confirmed = &Confirmation{}
 				}
-				_, refusal := w.serve(t, shows("a1"))
+				_, refusal := w.serve(t, exchangeWithKey("a1"))
 				assert.Equal(t, refusal == nil, test.served)
 				assert.Equal(t, time.Since(began), test.waited)
 				if refusal != nil {
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -30,10 +30,10 @@
 	return r
 }
 
-// What is sent again, by the route's kind: a slip that may have been booked is
-// never sent twice, and one that was not is not lost for a full server.
-func TestSentAgain(t *testing.T) {
-	served := gives(func() *Reply { return ok("good") })
+// Retries by the route's kind: a request that may run only once is never sent again after it
+// may have run, and one that has not run is not lost because one server was full.
+func TestRetries(t *testing.T) {
+	served := returns(func() *Reply { return ok("good") })
 	for _, test := range []struct {
 		name    string
 		kind    routetable.Kind
@@ -43,21 +43,21 @@
 		verdict Verdict
 	}{
 		{"served", atMostOnce, served, 1, 200, 0},
-		{"full, once", atMostOnce, gives(notRun), 2, 200, 0},
-		{"another incarnation, once", atMostOnce, gives(misfit), 2, 200, 0},
+		{"full, once", atMostOnce, returns(notRun), 2, 200, 0},
+		{"another incarnation, once", atMostOnce, returns(misfit), 2, 200, 0},
 		{"unreachable, once", atMostOnce, fails(false), 2, 200, 0},
 		{"lost, once", atMostOnce, fails(true), 1, 0, VerdictUnknown},
-		{"failed, once", atMostOnce, gives(failure), 1, 500, 0},
-		{"cut off, once", atMostOnce, gives(cutOff), 1, 0, VerdictUnknown},
+		{"failed, once", atMostOnce, returns(failure), 1, 500, 0},
+		{"cut off, once", atMostOnce, returns(cutOff), 1, 0, VerdictUnknown},
 		{"lost, idempotent", idempotent, fails(true), 2, 200, 0},
-		{"failed, idempotent", idempotent, gives(failure), 2, 200, 0},
-		{"cut off, idempotent", idempotent, gives(cutOff), 2, 200, 0},
-		{"full, stream", stream, gives(notRun), 2, 200, 0},
+		{"failed, idempotent", idempotent, returns(failure), 2, 200, 0},
+		{"cut off, idempotent", idempotent, returns(cutOff), 2, 200, 0},
+		{"full, stream", stream, returns(notRun), 2, 200, 0},
 		{"lost, stream", stream, fails(true), 1, 0, VerdictUnknown},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			w := newWorld(test.kind, test.first, served)
-			c, refusal := w.serve(t, exchange())
+			w := newFixture(test.kind, test.first, served)
+			c, refusal := w.serve(t, newExchange())
 			assert.Equal(t, len(w.endpoints.calls), test.sends)
 			assert.Equal(t, c.status, test.status)
 			assert.Equal(t, refusal != nil, test.status == 0)
@@ -71,83 +71,82 @@
 	}
 }
 
-// The last attempt's failure is the endpoint's own and passed on unchanged.
+// The last attempt's failure is the endpoint's own and is forwarded unchanged.
 func TestLastFailureIsPassedOn(t *testing.T) {
-	w := newWorld(idempotent, gives(failure), gives(failure), gives(func() *Reply { return ok() }))
-	c, refusal := w.serve(t, exchange())
+	w := newFixture(idempotent, returns(failure), returns(failure), returns(func() *Reply { return ok() }))
+	c, refusal := w.serve(t, newExchange())
 	assert.Assert(t, refusal == nil)
 	assert.Equal(t, c.status, 500)
 	assert.Equal(t, c.text.String(), "broken")
 	assert.Equal(t, len(w.endpoints.calls), 2)
 }
 
-// Every server is full: the caller is told that nothing ran and when to come
-// again, and the fleet's budget for second sends is kept.
-func TestRefusalSaysWhenToComeAgain(t *testing.T) {
-	w := newWorld(atMostOnce, gives(notRun), gives(notRun), gives(notRun), gives(notRun))
-	_, refusal := w.serve(t, exchange())
+// Every server is full: the caller is told that nothing ran and when to repeat the request,
+// and the fleet's retry budget is kept.
+func TestRefusalHasRetryAfter(t *testing.T) {
+	w := newFixture(atMostOnce, returns(notRun), returns(notRun), returns(notRun), returns(notRun))
+	_, refusal := w.serve(t, newExchange())
 	assert.Equal(t, refusal.Verdict, VerdictNotRun)
 	assert.Assert(t, refusal.RetryAfter > 0)
 	for w.budget.Reserve(time.Now(), "s") != nil {
 	}
-	w.endpoints.calls, w.endpoints.answers = nil, []answer{gives(notRun), gives(notRun)}
-	_, refusal = w.serve(t, exchange())
+	w.endpoints.calls, w.endpoints.answers = nil, []answer{returns(notRun), returns(notRun)}
+	_, refusal = w.serve(t, newExchange())
 	assert.Equal(t, refusal.Verdict, VerdictNotRun)
 	assert.Equal(t, len(w.endpoints.calls), 1)
 }
 
 func TestNotServed(t *testing.T) {
-	w := newWorld(idempotent)
-	elsewhere := exchange()
+	w := newFixture(idempotent)
+	elsewhere := newExchange()
 	elsewhere.Path = "/q/"
 	_, refusal := w.serve(t, elsewhere)
 	assert.Equal(t, refusal.Verdict, VerdictNoRoute)
-	large := exchange()
+	large := newExchange()
 	large.Body = make([]byte, 101)
 	_, refusal = w.serve(t, large)
 	assert.Equal(t, refusal.Verdict, VerdictTooLarge)
 	w.view.Endpoints = nil
-	_, refusal = w.serve(t, exchange())
+	_, refusal = w.serve(t, newExchange())
 	assert.Equal(t, refusal.Verdict, VerdictNotRun)
 	w.view = &View{}
-	_, refusal = w.serve(t, exchange())
+	_, refusal = w.serve(t, newExchange())
 	assert.Equal(t, refusal.Verdict, VerdictNotRun, "an entry that knows no configuration must not say that there is no route")
 }
 
 func event(id string) string { return "id: " + id + "\ndata: d" + id + "\n\n" }
 
-// The caller leaves: nothing is sent any more, and the endpoint is told.
+// The caller leaves: nothing more is sent, and the endpoint is told to stop.
 func TestCallerLeaves(t *testing.T) {
-	w := newWorld(stream, gives(func() *Reply { return reply(200, errCut, event("1"), event("2")) }))
+	w := newFixture(stream, returns(func() *Reply { return reply(200, errCut, event("1"), event("2")) }))
 	w.route.Resumable = true
 	ctx, cancel := context.WithCancel(t.Context())
-	c := &caller{leave: cancel}
-	w.router.Serve(ctx, exchange(), c)
+	c := &fakeCaller{leave: cancel}
+	w.router.Serve(ctx, newExchange(), c)
 	assert.Equal(t, len(w.endpoints.calls), 1)
 }
 
-// A long answer is passed on as it comes; one that is cut off then is broken
-// off, not ended.
+// A long answer is forwarded as it arrives; if it is cut off, it is aborted, not ended.
 func TestLongAnswer(t *testing.T) {
-	part := strings.Repeat("x", wholeBody)
+	part := strings.Repeat("x", maxBufferedBytes)
 	for _, end := range []error{io.EOF, errCut} {
-		w := newWorld(atMostOnce, gives(func() *Reply { return reply(200, end, part, part, "end") }))
-		c, refusal := w.serve(t, exchange())
+		w := newFixture(atMostOnce, returns(func() *Reply { return reply(200, end, part, part, "end") }))
+		c, refusal := w.serve(t, newExchange())
 		assert.Assert(t, refusal == nil)
 		assert.Equal(t, c.aborted, end == errCut)
-		assert.Assert(t, c.text.Len() > wholeBody)
-		assert.Assert(t, end != io.EOF || c.text.Len() == 2*wholeBody+len("end"))
+		assert.Assert(t, c.text.Len() > maxBufferedBytes)
+		assert.Assert(t, end != io.EOF || c.text.Len() == 2*maxBufferedBytes+len("end"))
 	}
 }
 
-func TestTimeLeftIsTold(t *testing.T) {
+func TestTimeLeftOfEachAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		slow := func(*Call) (*Reply, error) {
 			time.Sleep(2 * time.Second)
 			return nil, &SendError{Sent: true, Cause: errCut}
 		}
-		w := newWorld(idempotent, slow, gives(func() *Reply { return ok() }))
-		_, refusal := w.serve(t, exchange())
+		w := newFixture(idempotent, slow, returns(func() *Reply { return ok() }))
+		_, refusal := w.serve(t, newExchange())
 		assert.Assert(t, refusal == nil)
 		first, second := w.endpoints.calls[0].TimeLeft, w.endpoints.calls[1].TimeLeft
 		assert.Assert(t, first < 5*time.Second && first > 4900*time.Millisecond, "%v", first)
@@ -158,38 +157,38 @@
 // The final answer comes at the route's timeout, not when the endpoint ends.
 func TestFinalAnswerAtTheTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(idempotent)
+		w := newFixture(idempotent)
 		w.route.Timeout = time.Second
-		w.router.options.Endpoints = &hanging{fakes: w.endpoints}
+		w.router.options.Endpoints = &hanging{fakeEndpoints: w.endpoints}
 		began := time.Now()
-		_, refusal := w.serve(t, exchange())
+		_, refusal := w.serve(t, newExchange())
 		assert.Equal(t, refusal.Verdict, VerdictTimeout)
 		assert.Assert(t, time.Since(began) <= time.Second)
 	})
 }
 
-// hanging endpoints take a call and never answer.
-type hanging struct{ *fakes }
+// hanging endpoints accept a call and never answer.
+type hanging struct{ *fakeEndpoints }
 
 func (h *hanging) Send(ctx context.Context, c *Call) (*Reply, error) {
 	<-ctx.Done()
 	return nil, &SendError{Sent: true, Cause: context.Cause(ctx)}
 }
 
-// A caller that is turned away comes again when a burst is over, not at once,
-// and those turned away together don't come together.
+// A refused caller returns when a burst is over, not at once, and callers refused together
+// don't return together.
 func TestRetryAfter(t *testing.T) {
-	assert.Equal(t, retryAfter(0, 0.5), comeAgain)
+	assert.Equal(t, retryAfter(0, 0.5), defaultRetryAfter)
 	first, last := retryAfter(14*time.Second, 0), retryAfter(14*time.Second, 0.999)
 	assert.Equal(t, first, 2520*time.Millisecond)
-	assert.Assert(t, last > 4500*time.Millisecond && last < 14*time.Second/3, "callers heed a third of their patience")
+	assert.Assert(t, last > 4500*time.Millisecond && last < 14*time.Second/3, "callers follow a RetryAfter up to a third of their patience")
 }
 
-func (s *silentFirst) Send(ctx context.Context, c *Call) (*Reply, error) {
+func (s *unresponsiveFirst) Send(ctx context.Context, c *Call) (*Reply, error) {
 	if c.Prefill && s.prefill || !c.Prefill && s.run {
 		s.prefill, s.run = s.prefill && !c.Prefill, s.run && c.Prefill
 		<-ctx.Done()
 		return nil, &SendError{Sent: true, Cause: context.Cause(ctx)}
 	}
-	return s.fakes.Send(ctx, c)
+	return s.fakeEndpoints.Send(ctx, c)
 }
--- a/internal/relay/giveback_test.go
+++ b/internal/relay/release_test.go
@@ -10,12 +10,11 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestMemoryOfAnExchangeThatEndsUnservedIsFreed plays what leaves memory
-// behind at engines: a prompt has been read and room is set aside, and then
-// the caller leaves, or nobody takes the work. Both would stay until they
-// lapse, half a second and nearly two, and others would be refused meanwhile.
+// Guards against memory that stays in use at engines: a prompt has been read and memory is
+// reserved, and then the caller leaves, or no endpoint takes the request. Both would stay
+// until they expire, half a second and nearly two, and others would be refused meanwhile.
 func TestMemoryOfAnExchangeThatEndsUnservedIsFreed(t *testing.T) {
-	read := gives(func() *Reply { return ok("{}") })
+	read := returns(func() *Reply { return ok("{}") })
 	for name, test := range map[string]struct {
 		leaves  bool // the caller, while the prompt is read
 		decode  []answer
@@ -23,21 +22,21 @@
 	}{
 		"caller leaves":       {leaves: true, dropped: 1},
 		"nobody reachable":    {decode: []answer{fails(false), fails(false)}},
-		"full after all":      {decode: []answer{gives(notRun), gives(notRun)}},
+		"full after all":      {decode: []answer{returns(notRun), returns(notRun)}},
 		"run was lost":        {decode: []answer{fails(true)}},
-		"other incarnations":  {decode: []answer{gives(misfit), gives(misfit)}},
-		"failed by an engine": {decode: []answer{gives(failure)}},
+		"other incarnations":  {decode: []answer{returns(misfit), returns(misfit)}},
+		"failed by an engine": {decode: []answer{returns(failure)}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld(stream, append([]answer{read}, test.decode...)...).model()
+				w := newFixture(stream, append([]answer{read}, test.decode...)...).withModel()
 				ctx, leave := context.WithCancel(t.Context())
 				defer leave()
 				if test.leaves {
 					w.endpoints.answers[0] = func(*Call) (*Reply, error) { leave(); return ok("{}"), nil }
 				}
-				c := &caller{}
-				refusal := w.router.Serve(ctx, modelExchange(), c)
+				c := &fakeCaller{}
+				refusal := w.router.Serve(ctx, newModelExchange(), c)
 				assert.Equal(t, refusal == nil, name == "failed by an engine")
 				synctest.Wait()
 				assert.DeepEqual(t, w.endpoints.released, []string{"e0 handle"})
@@ -47,11 +46,11 @@
 	}
 }
 
-// What was taken by the endpoint that served is not freed again.
-func TestTakenMemoryIsLeftAlone(t *testing.T) {
+// A prefill result that was used by the endpoint that served is not released.
+func TestUsedPrefillIsNotReleased(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(stream, gives(func() *Reply { return ok("{}") }), gives(func() *Reply { return ok(event("1")) })).model()
-		c, refusal := w.serve(t, modelExchange())
+		w := newFixture(stream, returns(func() *Reply { return ok("{}") }), returns(func() *Reply { return ok(event("1")) })).withModel()
+		c, refusal := w.serve(t, newModelExchange())
 		assert.Assert(t, refusal == nil)
 		assert.Equal(t, c.status, http.StatusOK)
 		synctest.Wait()
@@ -59,16 +58,15 @@
 	})
 }
 
-// An endpoint is slow to free memory. The caller's final answer doesn't wait
-// for it.
+// An endpoint is slow to release memory. The caller's final answer doesn't wait for it.
 func TestFinalAnswerDoesNotWaitForMemoryToBeFreed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(stream, nil).model()
+		w := newFixture(stream, nil).withModel()
 		ctx, leave := context.WithCancel(t.Context())
 		w.endpoints.answers[0] = func(*Call) (*Reply, error) { leave(); return ok("{}"), nil }
-		w.endpoints.slowFree = time.Second
+		w.endpoints.releaseDelay = time.Second
 		began := time.Now()
-		refusal := w.router.Serve(ctx, modelExchange(), &caller{})
+		refusal := w.router.Serve(ctx, newModelExchange(), &fakeCaller{})
 		assert.Assert(t, refusal != nil)
 		assert.Equal(t, time.Since(began), time.Duration(0))
 		time.Sleep(2 * time.Second)
--- a/internal/relay/herd_test.go
+++ b/internal/relay/resumption_test.go
@@ -13,34 +13,33 @@
 	"github.com/hyssopsail/hyssopsail/internal/dispatch"
 )
 
-// The load of a herd: callers whose streams broke come back within an instant,
-// beside the usual load.
+// The load: callers whose streams broke return within an instant, beside the usual load.
 const (
-	herdSize   = 40
-	herdWithin = 100 * time.Millisecond
-	usualRate  = 13 // requests a second
-	usualCount = 60
+	resumptionCount  = 40
+	resumptionPeriod = 100 * time.Millisecond
+	usualRate        = 13 // requests a second
+	usualCount       = 60
 )
 
-// herd is how fresh requests fared beside it.
-type herd struct{ fresh, freshInTarget, returned, returnedServed int }
+// resumptionResult is how new and returning requests were served.
+type resumptionResult struct{ fresh, freshInTarget, returned, returnedServed int }
 
-func playHerd(t *testing.T, without ...dispatch.Mechanism) herd {
+func runResumptions(t *testing.T, without ...dispatch.Mechanism) resumptionResult {
 	t.Helper()
 	policy, err := dispatch.Without(without...)
 	assert.NilError(t, err)
-	var h herd
+	var h resumptionResult
 	synctest.Test(t, func(t *testing.T) {
-		entries := newEntries(newEngines(engineMemory), fleetShape{entries: 7, readers: 3, generating: 9, holds: true}, policy, nil)
+		entries := newEntries(newEngines(engineMemory), fleetShape{entries: 7, prefill: 3, decode: 9, reserves: true}, policy, nil)
 		random := rand.New(rand.NewPCG(3, 5))
 		var mu sync.Mutex
 		var all sync.WaitGroup
 		send := func(n int, after string) {
-			x := bursting(random, n)
+			x := randomRequest(random, n)
 			x.After = after
 			entry := entries[random.IntN(len(entries))]
 			all.Go(func() {
-				c := &timed{}
+				c := &timedCaller{}
 				refusal := entry.Serve(t.Context(), x, c)
 				mu.Lock()
 				defer mu.Unlock()
@@ -57,12 +56,12 @@
 				}
 			})
 		}
-		for n := range herdSize {
+		for n := range resumptionCount {
 			send(n, fmt.Sprint(1+random.IntN(40)))
-			time.Sleep(herdWithin / herdSize)
+			time.Sleep(resumptionPeriod / resumptionCount)
 		}
 		for n := range usualCount {
-			send(herdSize+n, "")
+			send(resumptionCount+n, "")
 			time.Sleep(time.Duration(random.ExpFloat64() / usualRate * float64(time.Second)))
 		}
 		all.Wait()
@@ -70,12 +69,12 @@
 	return h
 }
 
-// All entries lose power. A moment later callers whose streams broke come back
-// together, each with a prompt that has to be read again. Fresh requests that
-// stand behind them at the readers would miss their targets, and the herd's
-// answers are late in any case.
-func TestFreshRequestsBesideAHerd(t *testing.T) {
-	with, without := playHerd(t), playHerd(t, dispatch.ReturnedReadOwn)
+// Load pattern: all entries lose power. A moment later callers whose streams broke return
+// together, each with a prompt that has to be read again. New requests that queue behind
+// them at the prefill endpoints would miss their targets, and the resumed answers are late
+// in any case.
+func TestNewRequestsBesideResumptions(t *testing.T) {
+	with, without := runResumptions(t), runResumptions(t, dispatch.ReturnedReadOwn)
 	t.Logf("read where they go on: %+v; by readers: %+v", with, without)
 	assert.Assert(t, with.freshInTarget > without.freshInTarget)
 	assert.Assert(t, with.returnedServed >= without.returnedServed)
--- a/internal/relay/retry.go
+++ b/internal/relay/retry.go
@@ -6,71 +6,70 @@
 	"github.com/hyssopsail/hyssopsail/internal/dispatch"
 )
 
-// Standing is how an exchange stands after a send that gave no good answer.
-type Standing struct {
-	Repeatable  bool // it may run again
-	Outcome     dispatch.Outcome
-	Runs        int // sends that may have run
-	MaxRuns     int
-	Sends       int // all sends
-	TimeLeft    time.Duration
-	BudgetLeft  bool // one more arrival fits the fleet's budget
-	HaveAnother bool // there is an endpoint that was not tried
+// RetryState is the state of an exchange after an attempt without a good answer.
+type RetryState struct {
+	Repeatable         bool // it may run again
+	Outcome            dispatch.Outcome
+	Runs               int // attempts that may have run
+	MaxRuns            int
+	Attempts           int // all attempts
+	TimeLeft           time.Duration
+	BudgetLeft         bool // the retry budget allows one more arrival
+	HasUntriedEndpoint bool
 }
 
-// Step is what to do next.
-type Step int
+// Action is what to do next.
+type Action int
 
-// The steps.
+// Actions.
 const (
-	StepAgain   Step = iota // send to another endpoint
-	StepDeliver             // pass the endpoint's failure on
-	StepGiveUp              // give a final answer of our own
+	ActionRetry   Action = iota // send to another endpoint
+	ActionForward               // forward the endpoint's failure
+	ActionGiveUp                // answer with a refusal
 )
 
-// The bounds of sending again.
+// Limits of retries.
 const (
-	// mostSends bounds the sends of one exchange, whatever came of them:
-	// beyond it a service is out of order, and each send delays the refusal.
-	mostSends = 4
-	// leastTimeLeft is the least time in which another endpoint could still
-	// answer.
-	leastTimeLeft = 30 * time.Millisecond
+	// maxExchangeAttempts limits the attempts of one exchange, whatever their outcomes:
+	// beyond it a service is out of order, and each attempt delays the refusal.
+	maxExchangeAttempts = 4
+	// minTimeLeft is the minimum time in which another endpoint could still answer.
+	minTimeLeft = 30 * time.Millisecond
 )
 
-// Next decides after a send that gave no good answer.
+// NextAction decides what to do after an attempt without a good answer.
 //
-//   - A send that did not reach anybody costs nothing and may be repeated.
-//   - One that was turned away did not run: it may go elsewhere, within the
+//   - An attempt that reached no endpoint costs nothing and may be retried.
+//   - One that was rejected did not run: it may be retried elsewhere, within the
 //     budget, whatever the route's kind.
-//   - One that may have run goes on only where it may run twice, within the
-//     route's attempts and the budget.
-func Next(s Standing) Step {
-	fallback := StepGiveUp
+//   - One that may have run is retried only where a request may run twice, within
+//     the route's attempts and the budget.
+func NextAction(s RetryState) Action {
+	fallback := ActionGiveUp
 	if s.Outcome == dispatch.OutcomeFailed {
-		fallback = StepDeliver
+		fallback = ActionForward
 	}
-	if s.TimeLeft < leastTimeLeft || s.Sends >= mostSends {
+	if s.TimeLeft < minTimeLeft || s.Attempts >= maxExchangeAttempts {
 		return fallback
 	}
 	switch s.Outcome {
 	case dispatch.OutcomeUnreachable:
-		return StepAgain
+		return ActionRetry
 	case dispatch.OutcomeFull, dispatch.OutcomeMisfit:
-		if s.BudgetLeft && s.HaveAnother {
-			return StepAgain
+		if s.BudgetLeft && s.HasUntriedEndpoint {
+			return ActionRetry
 		}
-		return StepGiveUp
+		return ActionGiveUp
 	case dispatch.OutcomeFailed, dispatch.OutcomeLost:
-		if s.Repeatable && s.Runs < s.MaxRuns && s.BudgetLeft && s.HaveAnother {
-			return StepAgain
+		if s.Repeatable && s.Runs < s.MaxRuns && s.BudgetLeft && s.HasUntriedEndpoint {
+			return ActionRetry
 		}
 	}
 	return fallback
 }
 
-// reason tells why the exchange is not sent again.
-func (s Standing) reason() string {
+// reason returns why the exchange is not retried.
+func (s RetryState) reason() string {
 	if !s.BudgetLeft {
 		return s.Outcome.String() + ", and the fleet may not send it again"
 	}
--- a/internal/relay/router.go
+++ b/internal/relay/router.go
@@ -10,39 +10,38 @@
 	"github.com/hyssopsail/hyssopsail/internal/routetable"
 )
 
-// errSilent is why a call ends whose endpoint has not answered in its time.
-var errSilent = errors.New("the endpoint is silent")
+// errNoResponse is why a call ends whose endpoint has not answered in time.
+var errNoResponse = errors.New("the endpoint has not answered in time")
 
-// errTimeUp is why an exchange's context ends at its time limit.
-var errTimeUp = errors.New("the time for the answer is up")
+// errDeadline is why an exchange's context ends at its deadline.
+var errDeadline = errors.New("the deadline of the exchange has passed")
 
-// Router takes exchanges to their answers.
+// Router serves exchanges.
 type Router struct {
-	options   Options
-	metrics   *metrics
-	giveBacks giveBacks
-	followed  chan struct{} // holds one for each loss that is followed
+	options      Options
+	metrics      *metrics
+	releaser     releaser
+	lossWatchers chan struct{} // holds one element for each loss that is watched
 }
 
-// New makes a Router.
+// New returns a Router.
 func New(options Options) *Router {
 	if options.Limits == nil {
 		options.Limits = endpointlimit.Unkept()
 	}
-	return &Router{options: options, metrics: newMetrics(options.Metrics), giveBacks: newGiveBacks(), followed: make(chan struct{}, mostFollowed)}
+	return &Router{options: options, metrics: newMetrics(options.Metrics), releaser: newReleaser(), lossWatchers: make(chan struct{}, maxWatchedLosses)}
 }
 
-// Serve takes an exchange to its answer. It gives nil when the caller got one,
-// whole or broken off, and a refusal when nothing was passed on. ctx ends when
-// the caller leaves.
+// Serve serves an exchange. It returns nil when the caller got an answer, whole or broken
+// off, and a refusal when nothing was forwarded. ctx must end when the caller leaves.
 func (r *Router) Serve(ctx context.Context, x *Exchange, caller Caller) *Refusal {
 	a, refusal := r.admit(ctx, x)
 	if refusal != nil {
-		return r.metrics.refused(refusal)
+		return r.metrics.countRefused(refusal)
 	}
 	taken, refusal := r.takeQuota(ctx, x, a)
 	if refusal != nil {
-		return r.metrics.refused(refusal)
+		return r.metrics.countRefused(refusal)
 	}
 	refusal, ran := r.run(ctx, x, caller, a)
 	if !ran {
@@ -51,28 +50,28 @@
 	return refusal
 }
 
-// run tells besides whether the exchange may have run.
+// run serves an admitted exchange. ran reports whether it may have run.
 func (r *Router) run(ctx context.Context, x *Exchange, caller Caller, a admitted) (refusal *Refusal, ran bool) {
 	route := a.route
 	deadline := x.Received.Add(route.Timeout)
 	if x.Patience > 0 && x.Patience < route.Timeout {
 		deadline = x.Received.Add(x.Patience)
 	}
-	deadline = deadline.Add(-timeoutSlack)
-	ctx, cancel := context.WithDeadlineCause(ctx, deadline, errTimeUp)
+	deadline = deadline.Add(-timeoutMargin)
+	ctx, cancel := context.WithDeadlineCause(ctx, deadline, errDeadline)
 	defer cancel()
 	service := route.Choose(r.options.Random())
-	life := &life{
-		router: r, x: x, caller: caller, route: route, team: a.team, version: a.view.Table.Version,
+	active := &activeExchange{
+		router: r, exchange: x, caller: caller, route: route, team: a.team, version: a.view.Table.Version,
 		service: service, engine: engineOf(a.view.Table, service), deadline: deadline,
-		account: r.options.Budget.Open(time.Now(), service),
+		budgetAccount: r.options.Budget.Open(time.Now(), service),
 	}
 	r.metrics.running.Inc()
 	defer r.metrics.running.Dec()
-	refusal = life.run(ctx)
-	life.report(ctx, refusal)
-	r.metrics.end(life, refusal)
-	return refusal, life.ran
+	refusal = active.run(ctx)
+	active.logResult(ctx, refusal)
+	r.metrics.observeEnd(active, refusal)
+	return refusal, active.mayHaveRun
 }
 
 func engineOf(table *routetable.Table, service string) *routetable.Engine {
@@ -82,13 +81,13 @@
 	return nil
 }
 
-// candidates lists a service's endpoints of a stage that were not tried and may get
-// something now.
+// candidates returns a service's endpoints of a stage that were not tried and are not
+// blocked.
 func (r *Router) candidates(service string, stage dispatch.Stage, model string, tried map[dispatch.Incarnation]bool) []*dispatch.Endpoint {
 	return r.options.Book.Unblocked(time.Now(), r.untried(service, stage, model, tried))
 }
 
-// untried lists a service's endpoints of a stage that were not tried.
+// untried returns a service's endpoints of a stage that were not tried.
 func (r *Router) untried(service string, stage dispatch.Stage, model string, tried map[dispatch.Incarnation]bool) []*dispatch.Endpoint {
 	view := r.options.View()
 	all := view.Endpoints[service]
--- a/internal/relay/leaving_test.go
+++ b/internal/relay/shutdown_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestLeaving(t *testing.T) {
+func TestShutdownPlan(t *testing.T) {
 	for _, test := range []struct{ within, limit, linger time.Duration }{
 		{12 * time.Second, 11500 * time.Millisecond, 3 * time.Second},
 		{2500 * time.Millisecond, 2 * time.Second, 1500 * time.Millisecond},
--- /dev/null
+++ b/internal/relay/signals.go
@@ -0,0 +1,52 @@
+package relay
+
+import (
+	"time"
+
+	"github.com/hyssopsail/hyssopsail/internal/dispatch"
+	"github.com/hyssopsail/hyssopsail/internal/endpointlimit"
+)
+
+// Words are the signals of an answer about which requests its endpoint accepts.
+type Words struct {
+	Limit   endpointlimit.Word // how much it accepts from all entries
+	Rest    time.Duration      // cooldown in which it wants nothing from this entry; 0 for none
+	Leaving bool               // it accepts no new work
+}
+
+// receiveSignals processes the signals of an answer to a request that was sent at sent. If
+// another incarnation answered, they say nothing about the one that was meant.
+func (ex *activeExchange) receiveSignals(e *dispatch.Endpoint, sent time.Time, reply *Reply) {
+	if reply.Misfit {
+		return
+	}
+	ex.receiveLimit(e, sent, reply.Limit)
+	ex.receiveUnwanted(e, reply.Words)
+}
+
+// receiveUnwanted processes that an endpoint asks for a cooldown, or leaves.
+func (ex *activeExchange) receiveUnwanted(e *dispatch.Endpoint, w Words) {
+	now, stats := time.Now(), ex.router.options.Book
+	if w.Rest > 0 {
+		stats.Rest(now, e, w.Rest)
+		ex.router.metrics.unwantedSignals.WithLabelValues(dispatch.Resting.String()).Inc()
+		ex.router.options.Part.Info("Endpoint asked for a cooldown.", "endpoint", e.ID, "service", ex.service,
+			"rest_ms", w.Rest.Milliseconds(), "request", ex.exchange.ID)
+	}
+	if w.Leaving && stats.Leave(now, e) {
+		ex.router.metrics.unwantedSignals.WithLabelValues(dispatch.Leaving.String()).Inc()
+		ex.router.options.Part.Info("Endpoint is leaving.", "endpoint", e.ID, "service", ex.service, "request", ex.exchange.ID)
+	}
+}
+
+// recordAttempt records an attempt to an endpoint that has a limit, is in cooldown or leaving.
+func (ex *activeExchange) recordAttempt(e *dispatch.Endpoint, kind attemptKind) {
+	ex.consumePermit(e, kind)
+	unwanted := ex.router.options.Book.Unwanted(time.Now(), e)
+	if unwanted == dispatch.Wanted {
+		return
+	}
+	ex.router.metrics.unwantedAttempts.WithLabelValues(unwanted.String(), string(kind)).Inc()
+	ex.router.options.Part.Warn("Sent to an endpoint in cooldown or leaving.", "request", ex.exchange.ID, "endpoint", e.ID,
+		"why", unwanted, "kind", kind)
+}
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -7,60 +7,60 @@
 	"github.com/hyssopsail/hyssopsail/internal/dispatch"
 )
 
-// passEvents passes on the events of an answer as they come, whole events
-// only, until the stream ends.
-func (l *life) passEvents(reply *Reply) attempt {
-	events := splitter{}
-	buffer := make([]byte, copyBuffer)
+// forwardEvents forwards the events of an answer as they arrive, complete events only,
+// until the stream ends.
+func (ex *activeExchange) forwardEvents(reply *Reply) attemptResult {
+	events := eventSplitter{}
+	buffer := make([]byte, readBufferBytes)
 	for {
 		n, err := reply.Body.Read(buffer)
 		whole, lastID := events.add(buffer[:n])
 		if len(whole) > 0 {
-			if !follows(l.lastID, firstEventID(whole)) {
-				return attempt{outcome: dispatch.OutcomeLost, reply: reply, err: errOutOfOrder}
+			if !mayFollow(ex.lastEventID, firstEventID(whole)) {
+				return attemptResult{outcome: dispatch.OutcomeLost, reply: reply, err: errOutOfOrder}
 			}
-			if !l.passOn(reply, whole) {
-				return attempt{outcome: dispatch.OutcomeGivenUp, reply: reply}
+			if !ex.forwardChunk(reply, whole) {
+				return attemptResult{outcome: dispatch.OutcomeGivenUp, reply: reply}
 			}
-			events.drop(len(whole))
+			events.discard(len(whole))
 			if lastID != "" {
-				l.lastID = lastID
+				ex.lastEventID = lastID
 			}
 		}
 		if errors.Is(err, io.EOF) {
-			return l.endOfEvents(reply, &events)
+			return ex.finishEvents(reply, &events)
 		}
 		if err != nil {
-			return attempt{outcome: dispatch.OutcomeLost, reply: reply, err: err}
+			return attemptResult{outcome: dispatch.OutcomeLost, reply: reply, err: err}
 		}
-		if len(events.held) > maxEvent {
-			return attempt{outcome: dispatch.OutcomeLost, reply: reply, err: errEventTooLong}
+		if len(events.buffered) > maxEventBytes {
+			return attemptResult{outcome: dispatch.OutcomeLost, reply: reply, err: errEventTooLong}
 		}
 	}
 }
 
-// The ways in which a stream is not what it should be.
+// Errors of a stream that breaks the rules.
 var (
-	errOutOfOrder   = errors.New("an event comes again or out of order")
+	errOutOfOrder   = errors.New("an event is repeated or out of order")
 	errEventTooLong = errors.New("an event is too long")
-	errNotResumed   = errors.New("the endpoint did not go on with the stream")
+	errNotResumed   = errors.New("the endpoint did not resume the stream")
 )
 
-func (l *life) passOn(reply *Reply, events []byte) bool {
-	if !l.begun {
-		l.begin(reply, -1)
+func (ex *activeExchange) forwardChunk(reply *Reply, events []byte) bool {
+	if !ex.headSent {
+		ex.forwardHead(reply, -1)
 	}
-	return l.write(events)
+	return ex.forwardPart(events)
 }
 
-// endOfEvents ends a stream that its endpoint ended whole. Bytes without the
-// end of an event are the endpoint's last ones and are passed on.
-func (l *life) endOfEvents(reply *Reply, events *splitter) attempt {
-	if !l.begun {
-		l.begin(reply, -1)
+// finishEvents ends a stream that its endpoint ended properly. Bytes without the end of an
+// event are the endpoint's last ones and are forwarded.
+func (ex *activeExchange) finishEvents(reply *Reply, events *eventSplitter) attemptResult {
+	if !ex.headSent {
+		ex.forwardHead(reply, -1)
 	}
-	if events.rest() && !l.write(events.held) {
-		return attempt{outcome: dispatch.OutcomeGivenUp, reply: reply}
+	if events.hasPartial() && !ex.forwardPart(events.buffered) {
+		return attemptResult{outcome: dispatch.OutcomeGivenUp, reply: reply}
 	}
-	return attempt{outcome: dispatch.OutcomeServed, reply: reply}
+	return attemptResult{outcome: dispatch.OutcomeServed, reply: reply}
 }
