--- a/internal/relay/allocate_test.go
+++ b/internal/relay/allocate_test.go
@@ -91,7 +91,7 @@
 func TestHomePlacesBetterThanManyEntries(t *testing.T) {
 	alone, placed := replayLargeFleet(t, 0, nil), replayLargeFleet(t, 3, nil)
 	t.Logf("alone: %+v; with homes: %+v", alone, placed)
-	assert.Assert(t, placed.noMemory*2 < alone.noMemory, "endpoints that turned requests away")
+	assert.Assert(t, placed.noMemory*2 < alone.noMemory, "endpoints that rejected requests")
 	assert.Assert(t, placed.inTarget > alone.inTarget)
 	assert.Assert(t, placed.inTarget*100 > 93*placed.asked, "on time")
 }
@@ -140,10 +140,10 @@
 // unreachable, which would keep all others from it.
 func TestEndpointThatIsNotKnownHereYet(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newFixture(stream).withModel()
+		fx := newFixture(stream).withModel()
 		h := &homeWithUnknownEndpoint{}
-		w.router.options.Allotter = h
-		w.serve(t, newModelExchange())
+		fx.router.options.Allotter = h
+		fx.serve(t, newModelExchange())
 		synctest.Wait()
 		assert.Assert(t, len(h.asks) > 1)
 		assert.DeepEqual(t, h.asks[1].Excluded, []string{"new"})
--- a/internal/relay/budget_test.go
+++ b/internal/relay/budget_test.go
@@ -14,49 +14,49 @@
 // Guards against arrivals that no budget counts: a prefill endpoint rejects the prompt, and
 // the request then goes to another endpoint as if none had received it.
 func TestRejectedPrefillIsAnArrival(t *testing.T) {
-	w := newFixture(routetable.KindStream, returns(notRun), returns(func() *Reply { return ok("data: 1\n\n") })).withModel()
-	w.router.options.Budget = retrybudget.New(time.Now(), retrybudget.Limits{Window: 10 * time.Second})
-	_, _ = w.serve(t, newModelExchange())
-	assert.Assert(t, len(w.endpoints.calls) <= 1, "%d arrivals, and the budget allows none beyond the first", len(w.endpoints.calls))
+	fx := newFixture(routetable.KindStream, returns(notRun), returns(func() *Reply { return ok("data: 1\n\n") })).withModel()
+	fx.router.options.Budget = retrybudget.New(time.Now(), retrybudget.Limits{Window: 10 * time.Second})
+	_, _ = fx.serve(t, newModelExchange())
+	assert.Assert(t, len(fx.endpoints.calls) <= 1, "%d arrivals, and the budget allows none beyond the first", len(fx.endpoints.calls))
 }
 
 // Guards against reservations that are never returned: the budget would shrink with each
 // prompt that a prefill endpoint reads.
 func TestAcceptedPrefillIsFree(t *testing.T) {
-	w := newFixture(routetable.KindStream, returns(func() *Reply { return ok("{}") }), returns(func() *Reply { return ok("data: 1\n\n") })).withModel()
-	before := w.budget.Left(time.Now(), "s")
-	_, refusal := w.serve(t, newModelExchange())
+	fx := newFixture(routetable.KindStream, returns(func() *Reply { return ok("{}") }), returns(func() *Reply { return ok("data: 1\n\n") })).withModel()
+	before := fx.budget.Left(time.Now(), "s")
+	_, refusal := fx.serve(t, newModelExchange())
 	assert.Assert(t, refusal == nil)
-	assert.Equal(t, len(w.endpoints.calls), 2)
-	left := w.budget.Left(time.Now(), "s")
+	assert.Equal(t, len(fx.endpoints.calls), 2)
+	left := fx.budget.Left(time.Now(), "s")
 	assert.Assert(t, left >= before, "%v of %v is left", left, before)
 }
 
 // Guards against refusing a request for lack of budget after its prefill was rejected: the
 // attempt that follows is reserved before the prefill, or after it.
 func TestRejectedPrefillLeavesOneAttempt(t *testing.T) {
-	w := newFixture(routetable.KindStream, returns(notRun), returns(func() *Reply { return ok("data: 1\n\n") })).withModel()
-	w.leaveBudget(1)
-	_, refusal := w.serve(t, newModelExchange())
+	fx := newFixture(routetable.KindStream, returns(notRun), returns(func() *Reply { return ok("data: 1\n\n") })).withModel()
+	fx.leaveBudget(1)
+	_, refusal := fx.serve(t, newModelExchange())
 	assert.Assert(t, refusal == nil)
-	assert.Equal(t, len(w.endpoints.calls), 2)
-	assert.Assert(t, w.budget.Left(time.Now(), "s") < 1)
+	assert.Equal(t, len(fx.endpoints.calls), 2)
+	assert.Assert(t, fx.budget.Left(time.Now(), "s") < 1)
 }
 
 // Guards against attempts that reach no endpoint and still use up the budget.
 func TestUnreachedAttemptReturnsItsReservation(t *testing.T) {
-	w := newFixture(idempotent, fails(true), fails(false), returns(func() *Reply { return ok("whole") }))
-	w.leaveBudget(1)
-	c, refusal := w.serve(t, newExchange())
+	fx := newFixture(idempotent, fails(true), fails(false), returns(func() *Reply { return ok("whole") }))
+	fx.leaveBudget(1)
+	c, refusal := fx.serve(t, newExchange())
 	assert.Assert(t, refusal == nil)
 	assert.Equal(t, c.text.String(), "whole")
-	assert.Equal(t, len(w.endpoints.calls), 3)
+	assert.Equal(t, len(fx.endpoints.calls), 3)
 }
 
 // leaveBudget leaves n arrivals beyond the first in the budget.
-func (w *fixture) leaveBudget(n int) {
-	for w.budget.Left(time.Now(), "s") >= float64(n+1) {
-		w.budget.Reserve(time.Now(), "s")
+func (fx *fixture) leaveBudget(n int) {
+	for fx.budget.Left(time.Now(), "s") >= float64(n+1) {
+		fx.budget.Reserve(time.Now(), "s")
 	}
 }
 
@@ -64,15 +64,15 @@
 // lately isn't asked, and the decode endpoint reads the prompt; no request is refused
 // because of the prefill endpoint.
 func TestRejectingPrefillEndpointIsNotAskedWithoutBudget(t *testing.T) {
-	w := newFixture(routetable.KindStream, returns(func() *Reply { return ok("data: 1\n\n") })).withModel()
-	w.leaveBudget(0)
-	for _, e := range w.view.Endpoints["s"] {
+	fx := newFixture(routetable.KindStream, returns(func() *Reply { return ok("data: 1\n\n") })).withModel()
+	fx.leaveBudget(0)
+	for _, e := range fx.view.Endpoints["s"] {
 		if e.Stage == dispatch.StagePrefill {
-			w.router.options.Book.Note(time.Now(), e, dispatch.OutcomeFull)
+			fx.router.options.Book.Note(time.Now(), e, dispatch.OutcomeFull)
 		}
 	}
-	_, refusal := w.serve(t, newModelExchange())
+	_, refusal := fx.serve(t, newModelExchange())
 	assert.Assert(t, refusal == nil)
-	assert.Equal(t, len(w.endpoints.calls), 1)
-	assert.Assert(t, !w.endpoints.calls[0].Prefill)
+	assert.Equal(t, len(fx.endpoints.calls), 1)
+	assert.Assert(t, !fx.endpoints.calls[0].Prefill)
 }
--- a/internal/relay/burst_test.go
+++ b/internal/relay/burst_test.go
@@ -55,7 +55,7 @@
 	return &engines{memory: memory, used: map[string]int{}, reservations: map[string]reservedMemory{}, idleAt: map[string]time.Time{}}
 }
 
-func (e *engines) Reserve(_ context.Context, at *dispatch.Endpoint, tokens int, life time.Duration) (Reserved, error) {
+func (e *engines) Reserve(_ context.Context, at *dispatch.Endpoint, tokens int, ttl time.Duration) (Reserved, error) {
 	time.Sleep(time.Millisecond)
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -65,18 +65,18 @@
 		return Reserved{}, ErrNoRoom
 	}
 	e.lastID++
-	name := fmt.Sprint("hold", e.lastID)
+	id := fmt.Sprint("hold", e.lastID)
 	e.used[at.ID] += tokens
-	e.reservations[name] = reservedMemory{endpoint: at.ID, tokens: tokens, until: time.Now().Add(life)}
-	return Reserved{Hold: name}, nil
+	e.reservations[id] = reservedMemory{endpoint: at.ID, tokens: tokens, until: time.Now().Add(ttl)}
+	return Reserved{Hold: id}, nil
 }
 
 // expire frees reservations past their time; e.mu must be held.
 func (e *engines) expire() {
-	for name, h := range e.reservations {
-		if time.Now().After(h.until) {
-			e.used[h.endpoint] -= h.tokens
-			delete(e.reservations, name)
+	for id, reserved := range e.reservations {
+		if time.Now().After(reserved.until) {
+			e.used[reserved.endpoint] -= reserved.tokens
+			delete(e.reservations, id)
 		}
 	}
 }
@@ -135,7 +135,7 @@
 		return notRun(), nil
 	}
 	reply := reply(http.StatusOK, io.EOF)
-	reply.Body = &generatedStream{engines: e, endpoint: c.Endpoint.ID, tokens: tokens, left: p.MaxOutput / tokensPerEvent, reads: c.Source == nil, prompt: p.Tokens}
+	reply.Body = &generatedStream{engines: e, endpoint: c.Endpoint.ID, tokens: tokens, events: p.MaxOutput / tokensPerEvent, reads: c.Source == nil, prompt: p.Tokens}
 	return reply, nil
 }
 
@@ -147,7 +147,7 @@
 	prompt   int
 	reads    bool
 	sent     int
-	left     int
+	events   int
 	once     sync.Once
 }
 
@@ -156,7 +156,7 @@
 		time.Sleep(time.Duration(float64(g.prompt) * ownReadSeconds * float64(time.Second)))
 		g.reads = false
 	}
-	if g.sent >= g.left {
+	if g.sent >= g.events {
 		return 0, io.EOF
 	}
 	time.Sleep(eventPause)
@@ -177,12 +177,12 @@
 	return Prefilled{Handle: "h"}, err
 }
 
-func (e *engines) DropHold(_ context.Context, _ *dispatch.Endpoint, hold string) {
+func (e *engines) DropHold(_ context.Context, _ *dispatch.Endpoint, reservationID string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if h, ok := e.reservations[hold]; ok {
+	if h, ok := e.reservations[reservationID]; ok {
 		e.used[h.endpoint] -= h.tokens
-		delete(e.reservations, hold)
+		delete(e.reservations, reservationID)
 	}
 }
 
@@ -357,7 +357,7 @@
 // be served are not read, and nearly all other requests are on time.
 func TestBurstNeedsMoreMemoryThanThereIs(t *testing.T) {
 	with, without := replay(t, burstLoad, 3, 9, true), replay(t, burstLoad, 3, 9, false)
-	t.Logf("with memory set aside: %+v; without: %+v", with, without)
+	t.Logf("with memory reserved: %+v; without: %+v", with, without)
 	assert.Assert(t, with.wasted*5 < without.wasted, "tokens read for nothing")
 	assert.Assert(t, with.inTarget > without.inTarget)
 	assert.Assert(t, with.inTarget*100 > 80*with.asked, "on time")
@@ -366,7 +366,7 @@
 // Two of three prefill endpoints are lost during the same burst. Prompts that would wait
 // for the last one are read by decode endpoints; waiting would hold memory that others
 // need.
-func TestBurstWithReadersLost(t *testing.T) {
+func TestBurstWithPrefillEndpointsLost(t *testing.T) {
 	got := replay(t, burstLoad, 1, 9, true)
 	t.Logf("%+v", got)
 	assert.Assert(t, got.inTarget*100 > 60*got.asked, "on time")
@@ -386,12 +386,12 @@
 // A fleet of sixty endpoints is short of memory. With a quarter of them as prefill
 // endpoints, these are partly idle, and requests are refused for lack of the memory that
 // they would have as decode endpoints; as many as the planner wants serve more in time.
-func TestLargeFleetNeedsFewerReaders(t *testing.T) {
+func TestLargeFleetNeedsFewerPrefillEndpoints(t *testing.T) {
 	const endpoints, memory = 60, 25_257
 	short := func(time.Duration) float64 { return 90 }
 	due := staging.Due(endpoints)
 	quarter := replayAt(t, memory, short, endpoints/4, endpoints-endpoints/4, true)
 	got := replayAt(t, memory, short, due, endpoints-due, true)
-	t.Logf("%d readers: %+v; %d: %+v", endpoints/4, quarter, due, got)
+	t.Logf("%d prefill endpoints: %+v; %d: %+v", endpoints/4, quarter, due, got)
 	assert.Assert(t, got.inTarget > quarter.inTarget)
 }
--- a/internal/relay/contract.go
+++ b/internal/relay/contract.go
@@ -64,7 +64,7 @@
 	Prefill  bool          // only read the prompt
 	Source   *Source       // where its KV cache is; nil for none
 	Hold     string        // ID of the memory reserved for it; empty for none
-	After    string        // resume after this event; empty for the caller's own
+	After    string        // resume after this event; empty for that of the Exchange
 	Priority int           // 0 to 9, 0 is the most urgent; -1 to omit it
 	Fresh    bool          // over a new connection
 }
@@ -116,12 +116,12 @@
 	Send(ctx context.Context, c *Call) (*Reply, error)
 	// Prefilled reads the answer to a prefill.
 	Prefilled(r *Reply) (Prefilled, error)
-	// Reserve reserves a slot and memory at an endpoint for the time life. It returns
+	// Reserve reserves a slot and memory at an endpoint for the time ttl. It returns
 	// ErrNoRoom if the endpoint is full. The signals of the answer are returned with an
 	// error too.
-	Reserve(ctx context.Context, e *dispatch.Endpoint, tokens int, life time.Duration) (Reserved, error)
+	Reserve(ctx context.Context, e *dispatch.Endpoint, tokens int, ttl time.Duration) (Reserved, error)
 	// DropHold releases what Reserve has reserved.
-	DropHold(ctx context.Context, e *dispatch.Endpoint, hold string)
+	DropHold(ctx context.Context, e *dispatch.Endpoint, reservationID string)
 	// Release frees the result of a prefill that nobody will use.
 	Release(ctx context.Context, e *dispatch.Endpoint, handle string)
 	// HasOpen reports whether a connection to the endpoint that was opened before the given
--- a/internal/relay/cooldown_test.go
+++ b/internal/relay/cooldown_test.go
@@ -134,11 +134,11 @@
 // Guards against a cooldown that is lost because it came with the answer to a reservation
 // and not to a request.
 func TestCooldownInReserveAnswer(t *testing.T) {
-	w := newFixture(stream, returns(func() *Reply { return ok(event("1")) })).withModel()
-	w.endpoints.signals = Words{Rest: time.Minute}
-	w.endpoints.reserveErrors = []error{ErrNoRoom, ErrNoRoom}
-	_, refusal := w.serve(t, newModelExchange())
+	fx := newFixture(stream, returns(func() *Reply { return ok(event("1")) })).withModel()
+	fx.endpoints.signals = Words{Rest: time.Minute}
+	fx.endpoints.reserveErrors = []error{ErrNoRoom, ErrNoRoom}
+	_, refusal := fx.serve(t, newModelExchange())
 	assert.Assert(t, refusal != nil)
-	assert.Equal(t, len(w.endpoints.calls), 0)
+	assert.Equal(t, len(fx.endpoints.calls), 0)
 	assert.Assert(t, refusal.RetryAfter >= maxBlockedRetryAfter, "%s", refusal.RetryAfter)
 }
--- a/internal/relay/crashes_test.go
+++ b/internal/relay/crashes_test.go
@@ -24,11 +24,11 @@
 	for range 20 {
 		crashes = append(crashes, func(*Call) (*Reply, error) { return nil, &SendError{Sent: true, Cause: io.EOF} })
 	}
-	w := newFixture(idempotent, crashes...)
+	fx := newFixture(idempotent, crashes...)
 	for range 10 {
-		_, _ = w.serve(t, newExchange())
+		_, _ = fx.serve(t, newExchange())
 	}
-	assert.Assert(t, len(w.endpoints.calls) <= maxCrashes, "%d endpoints were crashed", len(w.endpoints.calls))
+	assert.Assert(t, len(fx.endpoints.calls) <= maxCrashes, "%d endpoints were crashed", len(fx.endpoints.calls))
 }
 
 // crash is how the connection breaks when a request crashes its endpoint.
@@ -37,24 +37,24 @@
 // Guards against a refusal which wrongly says that the request has not run: it was sent
 // before it was quarantined.
 func TestQuarantineAfterRunIsNotReportedAsNotRun(t *testing.T) {
-	w := newFixture(idempotent, crash, crash, crash, crash)
-	_, first := w.serve(t, newExchange())
+	fx := newFixture(idempotent, crash, crash, crash, crash)
+	_, first := fx.serve(t, newExchange())
 	assert.Equal(t, first.Verdict, VerdictUnknown)
-	_, second := w.serve(t, newExchange())
+	_, second := fx.serve(t, newExchange())
 	assert.Equal(t, second.Verdict, VerdictUnknown, "%s", second.Reason)
-	assert.Equal(t, len(w.endpoints.calls), 3)
-	_, third := w.serve(t, newExchange())
+	assert.Equal(t, len(fx.endpoints.calls), 3)
+	_, third := fx.serve(t, newExchange())
 	assert.Equal(t, third.Verdict, VerdictNotRun)
 	assert.Equal(t, third.RetryAfter, time.Hour)
-	assert.Equal(t, len(w.endpoints.calls), 3)
+	assert.Equal(t, len(fx.endpoints.calls), 3)
 }
 
 // Guards against quarantining other requests: those that ran beside the one that crashes
 // endpoints, those with another caller and those with another body.
 func TestOtherRequestsGoOn(t *testing.T) {
-	w := newFixture(idempotent, crash, crash, crash)
+	fx := newFixture(idempotent, crash, crash, crash)
 	for range 3 {
-		_, _ = w.serve(t, newExchange())
+		_, _ = fx.serve(t, newExchange())
 	}
 	others := map[string]func(x *Exchange){
 		"path": func(x *Exchange) { x.Target = "/p/2" },
@@ -62,10 +62,10 @@
 		"key":  func(x *Exchange) { x.Key = keyhash.Of("another") },
 	}
 	for name, change := range others {
-		w.endpoints.answers = []answer{returns(func() *Reply { return ok("whole") })}
+		fx.endpoints.answers = []answer{returns(func() *Reply { return ok("whole") })}
 		x := newExchange()
 		change(x)
-		_, refusal := w.serve(t, x)
+		_, refusal := fx.serve(t, x)
 		assert.Assert(t, refusal == nil, "%s", name)
 	}
 }
@@ -75,13 +75,13 @@
 // connections.
 func TestLostAnswersCountLessThanCrashes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newFixture(idempotent, slices.Repeat([]answer{crash}, 20)...)
-		w.endpoints.keepOpen(true)
+		fx := newFixture(idempotent, slices.Repeat([]answer{crash}, 20)...)
+		fx.endpoints.keepOpen(true)
 		for range 5 {
-			_, _ = w.serve(t, newExchange())
+			_, _ = fx.serve(t, newExchange())
 			time.Sleep(2 * time.Second)
 		}
-		assert.Equal(t, len(w.endpoints.calls), 6, "five losses in a row are tolerated")
+		assert.Equal(t, len(fx.endpoints.calls), 6, "five losses in a row are tolerated")
 	})
 }
 
@@ -89,15 +89,15 @@
 // it has closed the connection of the request.
 func TestCrashThatTakesAWhile(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newFixture(idempotent, slices.Repeat([]answer{crash}, 20)...)
+		fx := newFixture(idempotent, slices.Repeat([]answer{crash}, 20)...)
 		for range 5 {
-			w.endpoints.keepOpen(true)
-			_, _ = w.serve(t, newExchange())
+			fx.endpoints.keepOpen(true)
+			_, _ = fx.serve(t, newExchange())
 			time.Sleep(300 * time.Millisecond)
-			w.endpoints.keepOpen(false)
+			fx.endpoints.keepOpen(false)
 			time.Sleep(2 * time.Second)
 		}
-		assert.Equal(t, len(w.endpoints.calls), 4, "two attempts of two sends each")
+		assert.Equal(t, len(fx.endpoints.calls), 4, "two attempts of two sends each")
 	})
 }
 
@@ -105,9 +105,9 @@
 // have caused them.
 func TestAnsweredRequestIsNotRefused(t *testing.T) {
 	whole := returns(func() *Reply { return ok("whole") })
-	w := newFixture(idempotent, crash, whole, crash, whole, crash, whole, crash, whole)
+	fx := newFixture(idempotent, crash, whole, crash, whole, crash, whole, crash, whole)
 	for range 4 {
-		_, refusal := w.serve(t, newExchange())
+		_, refusal := fx.serve(t, newExchange())
 		assert.Assert(t, refusal == nil)
 	}
 }
@@ -116,39 +116,39 @@
 // long, and is there when they end for other reasons.
 func TestStreamThatHadBegunIsNoSuspect(t *testing.T) {
 	begun := func() *Reply { return reply(http.StatusOK, io.ErrUnexpectedEOF, "id: 1\ndata: 1\n\n") }
-	w := newFixture(routetable.KindStream, slices.Repeat([]answer{returns(begun)}, 10)...)
+	fx := newFixture(routetable.KindStream, slices.Repeat([]answer{returns(begun)}, 10)...)
 	for range 5 {
-		_, _ = w.serve(t, newExchange())
+		_, _ = fx.serve(t, newExchange())
 	}
-	assert.Equal(t, len(w.endpoints.calls), 5)
-	assert.Assert(t, !w.crashes.Watches())
+	assert.Equal(t, len(fx.endpoints.calls), 5)
+	assert.Assert(t, !fx.crashes.Watches())
 }
 
 // Guards against a prompt that crashes prefill endpoints.
 func TestPromptThatCrashesPrefillEndpointsIsQuarantined(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newFixture(routetable.KindStream, slices.Repeat([]answer{crash}, 20)...).withModel()
+		fx := newFixture(routetable.KindStream, slices.Repeat([]answer{crash}, 20)...).withModel()
 		for range 5 {
-			_, _ = w.serve(t, newModelExchange())
+			_, _ = fx.serve(t, newModelExchange())
 			time.Sleep(time.Second)
 		}
 		synctest.Wait()
-		assert.Equal(t, len(w.endpoints.calls), 3)
-		assert.Assert(t, w.endpoints.calls[2].Prefill, "the second exchange ends with its prefill")
-		assert.Equal(t, w.endpoints.reserved, 2)
-		assert.Equal(t, len(w.endpoints.dropped), 1, "memory is released where nothing was sent")
+		assert.Equal(t, len(fx.endpoints.calls), 3)
+		assert.Assert(t, fx.endpoints.calls[2].Prefill, "the second exchange ends with its prefill")
+		assert.Equal(t, fx.endpoints.reserved, 2)
+		assert.Equal(t, len(fx.endpoints.releasedReservations), 1, "memory is released where nothing was sent")
 	})
 }
 
 // With the mechanism switched off, nothing is refused or recorded.
 func TestWithoutQuarantine(t *testing.T) {
-	w := newFixture(idempotent, slices.Repeat([]answer{crash}, 20)...)
+	fx := newFixture(idempotent, slices.Repeat([]answer{crash}, 20)...)
 	policy, err := dispatch.Without(dispatch.Quarantine)
 	assert.NilError(t, err)
-	w.router.options.Policy = policy
+	fx.router.options.Policy = policy
 	for range 5 {
-		_, _ = w.serve(t, newExchange())
+		_, _ = fx.serve(t, newExchange())
 	}
-	assert.Equal(t, len(w.endpoints.calls), 10)
-	assert.Equal(t, w.crashes.losses.Len(), 0)
+	assert.Equal(t, len(fx.endpoints.calls), 10)
+	assert.Equal(t, fx.crashes.losses.Len(), 0)
 }
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -29,7 +29,7 @@
 	runs             int                           // attempts that may have run
 	mayHaveRun       bool                          // at some endpoint
 	budgetAccount    *retrybudget.Account          // of arrivals at endpoints
-	unusedPrefill    *prefillResult                // nil for none
+	unusedPrefill    *prefilledPrompt              // nil for none
 	prefillAttempted bool                          // a second prefill would be an extra arrival
 	aborted          bool                          // the answer was broken off
 	headSent         bool                          // the caller got the head of the answer
--- a/internal/relay/explain_test.go
+++ b/internal/relay/explain_test.go
@@ -19,8 +19,8 @@
 // decided, by which figures and how old they were, and what the result was.
 func TestLogExplainsAFailure(t *testing.T) {
 	for name, test := range map[string]struct {
-		world func() *fixture
-		want  []string
+		fixture func() *fixture
+		want    []string
 	}{
 		"refused for want of memory": {
 			func() *fixture { return newFixture(stream).withModel() },
@@ -28,9 +28,9 @@
 		},
 		"refused for want of a place, by the home": {
 			func() *fixture {
-				w := newFixture(stream).withModel()
-				w.router.options.Allotter = fullHome{}
-				return w
+				fx := newFixture(stream).withModel()
+				fx.router.options.Allotter = fullHome{}
+				return fx
 			},
 			[]string{`"relay: No place came free."`, "home=10.1.0.1:7000", "among=9", "most_free=5100", `"relay: Refused."`, "verdict=not-run", "sends=0"},
 		},
@@ -56,16 +56,16 @@
 				var lines bytes.Buffer
 				logger, err := logging.New(&lines, logging.LevelInfo)
 				assert.NilError(t, err)
-				w := test.world()
-				w.router.options.Part = logging.For(logger, "relay")
+				fx := test.fixture()
+				fx.router.options.Part = logging.For(logger, "relay")
 				x := newExchange()
-				if w.view.Table.Service("s").Engine != nil {
+				if fx.view.Table.Service("s").Engine != nil {
 					x = newModelExchange()
 					for range 10000 {
-						w.endpoints.reserveErrors = append(w.endpoints.reserveErrors, ErrNoRoom)
+						fx.endpoints.reserveErrors = append(fx.endpoints.reserveErrors, ErrNoRoom)
 					}
 				}
-				w.serve(t, x)
+				fx.serve(t, x)
 				for _, part := range test.want {
 					assert.Check(t, strings.Contains(lines.String(), part), "no %s in\n%s", part, lines.String())
 				}
@@ -82,9 +82,9 @@
 	var lines bytes.Buffer
 	logger, err := logging.New(&lines, logging.LevelInfo)
 	assert.NilError(t, err)
-	w := newFixture(idempotent, returns(func() *Reply { return ok("good") }))
-	w.router.options.Part = logging.For(logger, "relay")
-	w.serve(t, newExchange())
+	fx := newFixture(idempotent, returns(func() *Reply { return ok("good") }))
+	fx.router.options.Part = logging.For(logger, "relay")
+	fx.serve(t, newExchange())
 	assert.Equal(t, strings.Count(lines.String(), "\n"), 1)
 }
 
--- a/internal/relay/fakes_test.go
+++ b/internal/relay/fakes_test.go
@@ -69,16 +69,16 @@
 
 // fakeEndpoints answer by a script, one answer per call.
 type fakeEndpoints struct {
-	mu              sync.Mutex
-	answers         []answer
-	calls           []Call
-	reserveErrors   []error // answers of Reserve; nil and none left: success
-	signals         Words   // of all answers of Reserve
-	reserved        int
-	dropped         []string // endpoint and reservation
-	released        []string // endpoint and handle
-	releaseDelay    time.Duration
-	connectionsOpen bool // connections outlive a loss
+	mu                   sync.Mutex
+	answers              []answer
+	calls                []Call
+	reserveErrors        []error // answers of Reserve; nil and none left: success
+	signals              Words   // of all answers of Reserve
+	reserved             int
+	releasedReservations []string // endpoint and reservation
+	releasedPrefills     []string // endpoint and handle
+	releaseDelay         time.Duration
+	connectionsOpen      bool // connections outlive a loss
 }
 
 func (f *fakeEndpoints) Send(_ context.Context, c *Call) (*Reply, error) {
@@ -113,11 +113,11 @@
 }
 
 func (f *fakeEndpoints) DropHold(_ context.Context, e *dispatch.Endpoint, hold string) {
-	f.recordRelease(&f.dropped, e.ID+" "+hold)
+	f.recordRelease(&f.releasedReservations, e.ID+" "+hold)
 }
 
 func (f *fakeEndpoints) Release(_ context.Context, e *dispatch.Endpoint, handle string) {
-	f.recordRelease(&f.released, e.ID+" "+handle)
+	f.recordRelease(&f.releasedPrefills, e.ID+" "+handle)
 }
 
 func (f *fakeEndpoints) HasOpen(*dispatch.Endpoint, time.Time) bool {
@@ -214,30 +214,30 @@
 		Services: []routetable.Service{{Name: "s"}},
 		Limits:   routetable.Limits{BodyBytes: 100},
 	}
-	w := &fixture{endpoints: &fakeEndpoints{answers: answers}, route: &d.Routes[0], crashes: newCrashFindings()}
-	w.view = &View{Table: routetable.Compile(d), Endpoints: map[string][]*dispatch.Endpoint{}}
+	fx := &fixture{endpoints: &fakeEndpoints{answers: answers}, route: &d.Routes[0], crashes: newCrashFindings()}
+	fx.view = &View{Table: routetable.Compile(d), Endpoints: map[string][]*dispatch.Endpoint{}}
 	for n := range 3 {
-		w.view.Endpoints["s"] = append(w.view.Endpoints["s"], &dispatch.Endpoint{ID: fmt.Sprint("e", n), Service: "s", Slots: 4})
+		fx.view.Endpoints["s"] = append(fx.view.Endpoints["s"], &dispatch.Endpoint{ID: fmt.Sprint("e", n), Service: "s", Slots: 4})
 	}
-	w.budget = retrybudget.New(time.Now().Add(-time.Minute), retrybudget.Limits{Ratio: 0.2, Slack: 10, Window: 10 * time.Second})
-	w.budget.Entries(time.Now(), 1)
-	w.router = New(Options{
-		View: func() *View { return w.view }, Endpoints: w.endpoints, Book: dispatch.NewBook("", 1, dispatch.Policy{}), Budget: w.budget, Crashes: w.crashes,
+	fx.budget = retrybudget.New(time.Now().Add(-time.Minute), retrybudget.Limits{Ratio: 0.2, Slack: 10, Window: 10 * time.Second})
+	fx.budget.Entries(time.Now(), 1)
+	fx.router = New(Options{
+		View: func() *View { return fx.view }, Endpoints: fx.endpoints, Book: dispatch.NewBook("", 1, dispatch.Policy{}), Budget: fx.budget, Crashes: fx.crashes,
 		Part: logging.Part{}, Random: func() float64 { return 0.5 },
 	})
-	return w
+	return fx
 }
 
 // withModel makes the service one of model endpoints.
-func (w *fixture) withModel() *fixture {
-	w.view.Table.Service("s").Engine = &routetable.Engine{KVTokens: 10000, HoldLife: 2 * time.Second}
-	for n, e := range w.view.Endpoints["s"] {
+func (fx *fixture) withModel() *fixture {
+	fx.view.Table.Service("s").Engine = &routetable.Engine{KVTokens: 10000, HoldLife: 2 * time.Second}
+	for n, e := range fx.view.Endpoints["s"] {
 		e.Stage = dispatch.StageDecode
 		if n == 0 {
 			e.Stage = dispatch.StagePrefill
 		}
 	}
-	return w
+	return fx
 }
 
 func newExchange() *Exchange {
@@ -250,8 +250,8 @@
 	return x
 }
 
-func (w *fixture) serve(t *testing.T, x *Exchange) (*fakeCaller, *Refusal) {
+func (fx *fixture) serve(t *testing.T, x *Exchange) (*fakeCaller, *Refusal) {
 	t.Helper()
 	c := &fakeCaller{}
-	return c, w.router.Serve(t.Context(), x, c)
+	return c, fx.router.Serve(t.Context(), x, c)
 }
--- a/internal/relay/identity_test.go
+++ b/internal/relay/identity_test.go
@@ -17,7 +17,7 @@
 )
 
 // withTeams makes callers need keys: team "a" has two of them, "b" one.
-func (w *fixture) withTeams() *fixture {
+func (fx *fixture) withTeams() *fixture {
 	first := 0
 	d := &routetable.Document{
 		Version: 3, Services: []routetable.Service{{Name: "s"}}, Limits: routetable.Limits{BodyBytes: 100},
@@ -26,11 +26,11 @@
 			{Name: "b", Keys: []keyhash.Hash{keyhash.Of("b1")}},
 		},
 	}
-	d.Routes = []routetable.Route{*w.route, *w.route}
+	d.Routes = []routetable.Route{*fx.route, *fx.route}
 	d.Routes[1].Prefix, d.Routes[1].Anonymous = "/open/", true
-	w.route = &d.Routes[0]
-	w.view = &View{Table: routetable.Compile(d), Confirmed: &Confirmation{}, Endpoints: w.view.Endpoints}
-	return w
+	fx.route = &d.Routes[0]
+	fx.view = &View{Table: routetable.Compile(d), Confirmed: &Confirmation{}, Endpoints: fx.view.Endpoints}
+	return fx
 }
 
 func exchangeWithKey(key string) *Exchange {
@@ -61,20 +61,20 @@
 		{name: "open route with a key", key: "a1", path: "/open/1", served: true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			w := newFixture(idempotent, returns(func() *Reply { return ok("good") })).withTeams()
-			w.router.options.Behind = func() time.Duration { return test.behind }
+			fx := newFixture(idempotent, returns(func() *Reply { return ok("good") })).withTeams()
+			fx.router.options.Behind = func() time.Duration { return test.behind }
 			x := exchangeWithKey(test.key)
 			if test.path != "" {
 				x.Path = test.path
 			}
-			_, refusal := w.serve(t, x)
+			_, refusal := fx.serve(t, x)
 			if !test.served {
 				assert.Equal(t, refusal.Verdict, test.verdict)
-				assert.Equal(t, len(w.endpoints.calls), 0)
+				assert.Equal(t, len(fx.endpoints.calls), 0)
 				return
 			}
 			assert.Assert(t, refusal == nil)
-			assert.Equal(t, w.endpoints.calls[0].Team, test.team)
+			assert.Equal(t, fx.endpoints.calls[0].Team, test.team)
 		})
 	}
 }
@@ -82,15 +82,15 @@
 // A team's model request has its prompt read first, is retried, and continues elsewhere:
 // each call has the team's name.
 func TestEachCallBearsTheTeam(t *testing.T) {
-	w := newFixture(stream, returns(func() *Reply { return ok("handle") }), returns(notRun),
+	fx := newFixture(stream, returns(func() *Reply { return ok("handle") }), returns(notRun),
 		returns(func() *Reply { return ok("handle") }), returns(func() *Reply { return ok(event("1")) })).withModel().withTeams()
-	w.view.Table.Service("s").Engine = &routetable.Engine{KVTokens: 10000, HoldLife: 2 * time.Second}
+	fx.view.Table.Service("s").Engine = &routetable.Engine{KVTokens: 10000, HoldLife: 2 * time.Second}
 	x := newModelExchange()
 	x.Key = keyhash.Of("b1")
-	_, refusal := w.serve(t, x)
+	_, refusal := fx.serve(t, x)
 	assert.Assert(t, refusal == nil)
-	assert.Assert(t, len(w.endpoints.calls) >= 3)
-	for _, call := range w.endpoints.calls {
+	assert.Assert(t, len(fx.endpoints.calls) >= 3)
+	for _, call := range fx.endpoints.calls {
 		assert.Equal(t, call.Team, "b")
 	}
 }
@@ -125,20 +125,20 @@
 		{"no limit", 24 * time.Hour, 0, "/p/1", true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			w := newFixture(idempotent, returns(func() *Reply { return ok("good") }), returns(func() *Reply { return ok("good") })).withTeams()
-			w.view.Confirmed.Raise(time.Hour)
-			w.router.options.RevokeWithin = test.within
+			fx := newFixture(idempotent, returns(func() *Reply { return ok("good") }), returns(func() *Reply { return ok("good") })).withTeams()
+			fx.view.Confirmed.Raise(time.Hour)
+			fx.router.options.RevokeWithin = test.within
 			uptime := time.Hour + test.age
-			w.router.options.Uptime = func() time.Duration { return uptime }
+			fx.router.options.Uptime = func() time.Duration { return uptime }
 			x := exchangeWithKey("a1")
 			x.Path = test.path
-			_, refusal := w.serve(t, x)
+			_, refusal := fx.serve(t, x)
 			assert.Equal(t, refusal == nil, test.served)
 			if !test.served {
 				assert.Equal(t, refusal.Verdict, VerdictNotRun)
 				assert.Assert(t, refusal.RetryAfter > 0)
-				w.view.Confirmed.Raise(uptime)
-				_, refusal = w.serve(t, x)
+				fx.view.Confirmed.Raise(uptime)
+				_, refusal = fx.serve(t, x)
 				assert.Assert(t, refusal == nil)
 			}
 		})
@@ -151,15 +151,15 @@
 	var lines bytes.Buffer
 	logger, err := logging.New(&lines, logging.LevelInfo)
 	assert.NilError(t, err)
-	w := newFixture(idempotent).withTeams()
-	w.router.options.Part = logging.For(logger, "relay")
-	w.serve(t, exchangeWithKey("unknown-key"))
-	w.router.options.Quotas = &fakeQuotas{take: func() error { return &quota.SpentError{Again: time.Second} }}
-	w.view.Table.TeamOf(keyhash.Of("a1")).Quota = routetable.Quota{PerSecond: 1}
-	w.serve(t, exchangeWithKey("a1"))
-	w.router.options.RevokeWithin = time.Second
-	w.router.options.Uptime = func() time.Duration { return time.Hour }
-	w.serve(t, exchangeWithKey("a1"))
+	fx := newFixture(idempotent).withTeams()
+	fx.router.options.Part = logging.For(logger, "relay")
+	fx.serve(t, exchangeWithKey("unknown-key"))
+	fx.router.options.Quotas = &fakeQuotas{take: func() error { return &quota.SpentError{Again: time.Second} }}
+	fx.view.Table.TeamOf(keyhash.Of("a1")).Quota = routetable.Quota{PerSecond: 1}
+	fx.serve(t, exchangeWithKey("a1"))
+	fx.router.options.RevokeWithin = time.Second
+	fx.router.options.Uptime = func() time.Duration { return time.Hour }
+	fx.serve(t, exchangeWithKey("a1"))
 	text := lines.String()
 	for _, want := range []string{
 		`"relay: No team has the key." request=x1 route=r shown=true`, `"relay: The quota is spent." request=x1 route=r team=a`,
@@ -209,24 +209,24 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newFixture(idempotent, returns(func() *Reply { return ok("good") })).withTeams()
-				w.router.options.RevokeWithin = 5 * time.Second
-				w.router.options.Uptime = func() time.Duration { return time.Hour }
+				fx := newFixture(idempotent, returns(func() *Reply { return ok("good") })).withTeams()
+				fx.router.options.RevokeWithin = 5 * time.Second
+				fx.router.options.Uptime = func() time.Duration { return time.Hour }
 				if test.cutOff {
-					w.view.Confirmed.Raise(time.Minute)
+					fx.view.Confirmed.Raise(time.Minute)
 				}
 				began := time.Now()
-				newer := *w.view
+				newer := *fx.view
 				newer.Confirmed = &Confirmation{}
 				newer.Confirmed.Raise(time.Hour)
-				older := w.view
-				w.router.options.View = func() *View {
+				older := fx.view
+				fx.router.options.View = func() *View {
 					if time.Since(began) < test.confirmed {
 						return older
 					}
 					return &newer
 				}
-				_, refusal := w.serve(t, exchangeWithKey("a1"))
+				_, refusal := fx.serve(t, exchangeWithKey("a1"))
 				assert.Equal(t, refusal == nil, test.served)
 				assert.Equal(t, time.Since(began), test.waited)
 			})
--- a/internal/relay/invariants_test.go
+++ b/internal/relay/invariants_test.go
@@ -53,30 +53,30 @@
 				answers, runs = append(answers, a), append(runs, ran)
 			}
 			kind := []routetable.Kind{routetable.KindIdempotent, routetable.KindStream, routetable.KindAtMostOnce}[random.IntN(3)]
-			w := newFixture(kind, answers...)
+			fx := newFixture(kind, answers...)
 			if kind == routetable.KindStream {
-				w.withModel()
+				fx.withModel()
 			}
-			w.route.MaxAttempts = 1 + random.IntN(3)
-			w.route.Resumable = random.IntN(2) == 0
+			fx.route.MaxAttempts = 1 + random.IntN(3)
+			fx.route.Resumable = random.IntN(2) == 0
 			x := newExchange()
 			x.Patience = patience
 			if kind == routetable.KindStream {
 				x.Prompt = newModelExchange().Prompt
 			}
-			ends := timedEndpoints{fakeEndpoints: w.endpoints}
-			w.router.options.Endpoints = &ends
-			_, _ = w.serve(t, x)
+			ends := timedEndpoints{fakeEndpoints: fx.endpoints}
+			fx.router.options.Endpoints = &ends
+			_, _ = fx.serve(t, x)
 			synctest.Wait()
 			ran := 0
-			for n, c := range w.endpoints.calls {
+			for n, c := range fx.endpoints.calls {
 				if runs[n] && !c.Prefill {
 					ran++
 				}
 				assert.Assert(t, c.TimeLeft > 0 && !ends.ends[n].After(x.Received.Add(patience+slack)), "seed %d: send %d may go on for %s", seed, n, c.TimeLeft)
 			}
-			assert.Assert(t, ran <= w.route.MaxAttempts, "seed %d: %d runs, %d attempts", seed, ran, w.route.MaxAttempts)
-			assert.Assert(t, w.route.Repeatable() || ran <= 1, "seed %d: %d runs of what may run once", seed, ran)
+			assert.Assert(t, ran <= fx.route.MaxAttempts, "seed %d: %d runs, %d attempts", seed, ran, fx.route.MaxAttempts)
+			assert.Assert(t, fx.route.Repeatable() || ran <= 1, "seed %d: %d runs of what may run once", seed, ran)
 		})
 	}
 }
--- a/internal/relay/leave_test.go
+++ b/internal/relay/leave_test.go
@@ -48,18 +48,18 @@
 func TestLeavingAppliesToOneIncarnation(t *testing.T) {
 	leaving := func() *Reply { r := ok("good"); r.Leaving = true; return r }
 	another := func() *Reply { r := misfit(); r.Leaving, r.Rest = true, time.Minute; return r }
-	w := newFixture(atMostOnce, returns(leaving), returns(another), returns(func() *Reply { return ok("good") }))
-	w.view.Endpoints["s"] = w.view.Endpoints["s"][:2]
-	_, refusal := w.serve(t, newExchange())
+	fx := newFixture(atMostOnce, returns(leaving), returns(another), returns(func() *Reply { return ok("good") }))
+	fx.view.Endpoints["s"] = fx.view.Endpoints["s"][:2]
+	_, refusal := fx.serve(t, newExchange())
 	assert.Assert(t, refusal == nil)
-	left := w.endpoints.calls[0].Endpoint
+	left := fx.endpoints.calls[0].Endpoint
 	restarted := *left
 	restarted.Born = 7
-	stats := w.router.options.Book
+	stats := fx.router.options.Book
 	assert.Equal(t, stats.Unwanted(time.Now(), left), dispatch.Leaving)
 	assert.Equal(t, stats.Unwanted(time.Now(), &restarted), dispatch.Wanted)
-	_, _ = w.serve(t, newExchange())
-	other := w.endpoints.calls[1].Endpoint
+	_, _ = fx.serve(t, newExchange())
+	other := fx.endpoints.calls[1].Endpoint
 	assert.Assert(t, other != left)
 	assert.Equal(t, stats.Unwanted(time.Now(), other), dispatch.Wanted)
 }
--- a/internal/relay/limit_test.go
+++ b/internal/relay/limit_test.go
@@ -122,9 +122,9 @@
 // Guards against a limit that is received with the answer to a reservation and not kept:
 // the request that follows needs a permit.
 func TestLimitInReserveAnswer(t *testing.T) {
-	w := newFixture(stream, returns(func() *Reply { return ok("{}") }), returns(func() *Reply { return ok(event("1")) })).withModel()
-	w.endpoints.signals = Words{Limit: endpointlimit.Word{Kind: endpointlimit.KindNamed, PerSecond: 1}}
-	_, refusal := w.serve(t, newModelExchange())
+	fx := newFixture(stream, returns(func() *Reply { return ok("{}") }), returns(func() *Reply { return ok(event("1")) })).withModel()
+	fx.endpoints.signals = Words{Limit: endpointlimit.Word{Kind: endpointlimit.KindNamed, PerSecond: 1}}
+	_, refusal := fx.serve(t, newModelExchange())
 	assert.Assert(t, refusal != nil)
-	assert.Equal(t, len(w.endpoints.calls), 0)
+	assert.Equal(t, len(fx.endpoints.calls), 0)
 }
--- a/internal/relay/model_test.go
+++ b/internal/relay/model_test.go
@@ -15,12 +15,12 @@
 // request, and the result is sent with it.
 func TestMemoryBeforePrefill(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newFixture(stream, returns(func() *Reply { return ok("{}") }), returns(func() *Reply { return ok(event("1")) })).withModel()
-		w.endpoints.reserveErrors = []error{ErrNoRoom, ErrNoRoom, ErrNoRoom, ErrNoRoom}
-		_, refusal := w.serve(t, newModelExchange())
+		fx := newFixture(stream, returns(func() *Reply { return ok("{}") }), returns(func() *Reply { return ok(event("1")) })).withModel()
+		fx.endpoints.reserveErrors = []error{ErrNoRoom, ErrNoRoom, ErrNoRoom, ErrNoRoom}
+		_, refusal := fx.serve(t, newModelExchange())
 		assert.Assert(t, refusal == nil)
-		assert.Equal(t, len(w.endpoints.calls), 2)
-		prefill, run := w.endpoints.calls[0], w.endpoints.calls[1]
+		assert.Equal(t, len(fx.endpoints.calls), 2)
+		prefill, run := fx.endpoints.calls[0], fx.endpoints.calls[1]
 		assert.Assert(t, prefill.Prefill && prefill.Endpoint.Stage == dispatch.StagePrefill)
 		assert.Equal(t, run.Hold, "hold1")
 		assert.Equal(t, run.Source.Handle, "handle")
@@ -31,16 +31,16 @@
 // prompt is not read, and the refusal says when to repeat it.
 func TestNoMemory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newFixture(stream).withModel()
+		fx := newFixture(stream).withModel()
 		for range 10000 {
-			w.endpoints.reserveErrors = append(w.endpoints.reserveErrors, ErrNoRoom)
+			fx.endpoints.reserveErrors = append(fx.endpoints.reserveErrors, ErrNoRoom)
 		}
 		began := time.Now()
-		_, refusal := w.serve(t, newModelExchange())
+		_, refusal := fx.serve(t, newModelExchange())
 		assert.Equal(t, refusal.Verdict, VerdictNotRun)
 		assert.Assert(t, refusal.RetryAfter > 0)
-		assert.Equal(t, len(w.endpoints.calls), 0)
-		assert.Assert(t, time.Since(began) < 4*w.route.Target, "the caller has left by then")
+		assert.Equal(t, len(fx.endpoints.calls), 0)
+		assert.Assert(t, time.Since(began) < 4*fx.route.Target, "the caller has left by then")
 	})
 }
 
@@ -48,12 +48,12 @@
 // the prompt is not read again.
 func TestPrefillIsKeptForTheNextEndpoint(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newFixture(stream, returns(func() *Reply { return ok("{}") }), fails(false), returns(func() *Reply { return ok(event("1")) })).withModel()
-		_, refusal := w.serve(t, newModelExchange())
+		fx := newFixture(stream, returns(func() *Reply { return ok("{}") }), fails(false), returns(func() *Reply { return ok(event("1")) })).withModel()
+		_, refusal := fx.serve(t, newModelExchange())
 		assert.Assert(t, refusal == nil)
-		assert.Equal(t, len(w.endpoints.calls), 3)
-		assert.Equal(t, w.endpoints.calls[2].Source.Handle, "handle")
-		assert.Equal(t, w.endpoints.calls[2].Hold, "hold2")
+		assert.Equal(t, len(fx.endpoints.calls), 3)
+		assert.Equal(t, fx.endpoints.calls[2].Source.Handle, "handle")
+		assert.Equal(t, fx.endpoints.calls[2].Hold, "hold2")
 	})
 }
 
@@ -61,11 +61,11 @@
 // an extra arrival.
 func TestPrefillFails(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newFixture(stream, fails(true), returns(func() *Reply { return ok(event("1")) })).withModel()
-		_, refusal := w.serve(t, newModelExchange())
+		fx := newFixture(stream, fails(true), returns(func() *Reply { return ok(event("1")) })).withModel()
+		_, refusal := fx.serve(t, newModelExchange())
 		assert.Assert(t, refusal == nil)
-		assert.Equal(t, len(w.endpoints.calls), 2)
-		assert.Assert(t, w.endpoints.calls[1].Source == nil)
+		assert.Equal(t, len(fx.endpoints.calls), 2)
+		assert.Assert(t, fx.endpoints.calls[1].Source == nil)
 	})
 }
 
@@ -75,13 +75,13 @@
 	reserve, prefill, run bool
 }
 
-func (s *unresponsiveFirst) Reserve(ctx context.Context, e *dispatch.Endpoint, tokens int, life time.Duration) (Reserved, error) {
+func (s *unresponsiveFirst) Reserve(ctx context.Context, e *dispatch.Endpoint, tokens int, ttl time.Duration) (Reserved, error) {
 	if s.reserve {
 		s.reserve = false
 		<-ctx.Done()
 		return Reserved{}, &SendError{Sent: true, Cause: context.Cause(ctx)}
 	}
-	return s.fakeEndpoints.Reserve(ctx, e, tokens, life)
+	return s.fakeEndpoints.Reserve(ctx, e, tokens, ttl)
 }
 
 // An endpoint is frozen or cut off without a reset: it accepts a call and never answers.
@@ -98,18 +98,18 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newFixture(idempotent, served)
+				fx := newFixture(idempotent, served)
 				x := newExchange()
 				if !test.silent.run {
-					w, x = newFixture(stream, served).withModel(), newModelExchange()
+					fx, x = newFixture(stream, served).withModel(), newModelExchange()
 				}
 				if test.silent.reserve {
-					w.endpoints.answers = []answer{returns(func() *Reply { return ok("{}") }), served}
+					fx.endpoints.answers = []answer{returns(func() *Reply { return ok("{}") }), served}
 				}
-				test.silent.fakeEndpoints = w.endpoints
-				w.router.options.Endpoints = &test.silent
+				test.silent.fakeEndpoints = fx.endpoints
+				fx.router.options.Endpoints = &test.silent
 				began := time.Now()
-				c, refusal := w.serve(t, x)
+				c, refusal := fx.serve(t, x)
 				assert.Assert(t, refusal == nil)
 				assert.Equal(t, c.text.String(), event("1"))
 				assert.Assert(t, time.Since(began) < test.within, "%v", time.Since(began))
@@ -127,17 +127,17 @@
 		served   bool
 	}{{3000, false}, {600, true}} {
 		synctest.Test(t, func(t *testing.T) {
-			w := newFixture(stream, returns(func() *Reply { return ok("{}") }), returns(func() *Reply { return ok(event("1")) })).withModel()
+			fx := newFixture(stream, returns(func() *Reply { return ok("{}") }), returns(func() *Reply { return ok(event("1")) })).withModel()
 			x := newModelExchange()
 			x.Patience = 5 * time.Second
 			x.Prompt.MaxOutput, x.Prompt.LikelyOut = 3000, test.estimate
 			began := time.Now()
-			_, refusal := w.serve(t, x)
+			_, refusal := fx.serve(t, x)
 			assert.Equal(t, refusal == nil, test.served)
 			assert.Equal(t, time.Since(began), time.Duration(0))
 			if !test.served {
 				assert.Equal(t, refusal.Verdict, VerdictNotRun)
-				assert.Equal(t, len(w.endpoints.calls)+w.endpoints.reserved, 0)
+				assert.Equal(t, len(fx.endpoints.calls)+fx.endpoints.reserved, 0)
 			}
 		})
 	}
--- a/internal/relay/outdated_test.go
+++ b/internal/relay/outdated_test.go
@@ -27,12 +27,12 @@
 		{"no route, on its way", time.Millisecond, 2 * time.Second, "/q/1", false, VerdictNotRun},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			w := newFixture(idempotent, returns(func() *Reply { return ok("good") }))
-			w.router.options.Behind = func() time.Duration { return test.behind }
-			w.router.options.ApplyWithin = test.within
+			fx := newFixture(idempotent, returns(func() *Reply { return ok("good") }))
+			fx.router.options.Behind = func() time.Duration { return test.behind }
+			fx.router.options.ApplyWithin = test.within
 			x := newExchange()
 			x.Path, x.Target = test.path, test.path
-			_, refusal := w.serve(t, x)
+			_, refusal := fx.serve(t, x)
 			if test.served {
 				assert.Assert(t, refusal == nil)
 				return
--- a/internal/relay/prefill.go
+++ b/internal/relay/prefill.go
@@ -19,15 +19,15 @@
 	prefillTimeoutFactor = 4
 )
 
-// prefillResult is the result of a prefill that no endpoint has used yet.
-type prefillResult struct {
+// prefilledPrompt is the result of a prefill that no endpoint has used yet.
+type prefilledPrompt struct {
 	endpoint *dispatch.Endpoint
 	handle   string
 }
 
 // runPrefill has the prompt read by a prefill endpoint. It returns nil where that failed,
 // and the decode endpoint reads the prompt itself.
-func (ex *activeExchange) runPrefill(ctx context.Context) *prefillResult {
+func (ex *activeExchange) runPrefill(ctx context.Context) *prefilledPrompt {
 	if ex.skipsPrefill() {
 		return nil
 	}
@@ -115,7 +115,7 @@
 
 // sendPrefill sends a prefill. arrived reports whether the call counts as an arrival: one
 // that was accepted doesn't; one without an answer may have arrived, and does.
-func (ex *activeExchange) sendPrefill(ctx context.Context, e *dispatch.Endpoint) (result *prefillResult, outcome dispatch.Outcome, arrived bool) {
+func (ex *activeExchange) sendPrefill(ctx context.Context, e *dispatch.Endpoint) (result *prefilledPrompt, outcome dispatch.Outcome, arrived bool) {
 	call := ex.newCall(e)
 	call.Prefill = true
 	call.Priority = ex.priority()
@@ -154,7 +154,7 @@
 		ex.logDecision("Prefill's answer was cut off.", "endpoint", e.ID, "err", err)
 		return nil, dispatch.OutcomeLost, false
 	}
-	return &prefillResult{endpoint: e, handle: accepted.Handle}, dispatch.OutcomeServed, false
+	return &prefilledPrompt{endpoint: e, handle: accepted.Handle}, dispatch.OutcomeServed, false
 }
 
 func sendOutcome(err error) dispatch.Outcome {
--- a/internal/relay/priority.go
+++ b/internal/relay/priority.go
@@ -33,12 +33,12 @@
 }
 
 func enginePriority(r *routetable.Route, team *routetable.Team, waited time.Duration) int {
-	rank := r.Priority + priorityOffset
+	priority := r.Priority + priorityOffset
 	if team != nil && team.Priority != nil {
-		rank = *team.Priority + priorityOffset
+		priority = *team.Priority + priorityOffset
 	}
 	if r.Target > 0 && waited+typicalStartTime > r.Target {
-		rank += latePriorityOffset
+		priority += latePriorityOffset
 	}
-	return min(rank, lowestPriority)
+	return min(priority, lowestPriority)
 }
--- a/internal/relay/quota_test.go
+++ b/internal/relay/quota_test.go
@@ -13,11 +13,11 @@
 )
 
 // withQuota gives team "a" a quota of tokens; take returns the result of each Take.
-func (w *fixture) withQuota(take func() error) *fakeQuotas {
+func (fx *fixture) withQuota(take func() error) *fakeQuotas {
 	q := &fakeQuotas{take: take, done: make(chan struct{}, 10)}
-	w.withTeams()
-	w.router.options.Quotas = q
-	w.view.Table.TeamOf(keyhash.Of("a1")).Quota = routetable.Quota{Unit: routetable.UnitToken, PerSecond: 100, Burst: 100, Unsized: 7}
+	fx.withTeams()
+	fx.router.options.Quotas = q
+	fx.view.Table.TeamOf(keyhash.Of("a1")).Quota = routetable.Quota{Unit: routetable.UnitToken, PerSecond: 100, Burst: 100, Unsized: 7}
 	return q
 }
 
@@ -26,14 +26,14 @@
 // The cost of a request is known before it runs: the prompt and the maximum output, or the
 // cost of a request without a size.
 func TestCostOfARequest(t *testing.T) {
-	w := newFixture(idempotent, returns(func() *Reply { return ok("good") }), returns(func() *Reply { return ok("good") }))
-	q := w.withQuota(granted)
+	fx := newFixture(idempotent, returns(func() *Reply { return ok("good") }), returns(func() *Reply { return ok("good") }))
+	q := fx.withQuota(granted)
 	plain, model := exchangeWithKey("a1"), newModelExchange()
 	model.Key = plain.Key
-	w.serve(t, plain)
-	w.serve(t, model)
+	fx.serve(t, plain)
+	fx.serve(t, model)
 	assert.DeepEqual(t, q.costs, []float64{7, 1200})
-	w.serve(t, exchangeWithKey("b1")) // has no limit
+	fx.serve(t, exchangeWithKey("b1")) // has no limit
 	assert.Equal(t, len(q.costs), 2)
 	assert.Equal(t, routetable.Quota{}.Cost(1200, true), 1.0)
 }
@@ -42,14 +42,14 @@
 // to return: not before some quota is left, and not all together.
 func TestSpentQuotaIsRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newFixture(idempotent)
-		w.withQuota(func() error { return &quota.SpentError{Again: 3 * time.Second} })
+		fx := newFixture(idempotent)
+		fx.withQuota(func() error { return &quota.SpentError{Again: 3 * time.Second} })
 		began := time.Now()
-		_, refusal := w.serve(t, exchangeWithKey("a1"))
+		_, refusal := fx.serve(t, exchangeWithKey("a1"))
 		assert.Equal(t, refusal.Verdict, VerdictOverQuota)
 		assert.Equal(t, refusal.RetryAfter, 3*time.Second)
 		assert.Equal(t, time.Since(began), time.Duration(0))
-		assert.Equal(t, len(w.endpoints.calls), 0)
+		assert.Equal(t, len(fx.endpoints.calls), 0)
 	})
 }
 
@@ -77,15 +77,15 @@
 // cost is returned. The cost of one that may have run is not.
 func TestQuotaIsReturnedIfNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newFixture(atMostOnce, returns(notRun), returns(notRun), returns(notRun))
-		q := w.withQuota(granted)
-		_, refusal := w.serve(t, exchangeWithKey("a1"))
+		fx := newFixture(atMostOnce, returns(notRun), returns(notRun), returns(notRun))
+		q := fx.withQuota(granted)
+		_, refusal := fx.serve(t, exchangeWithKey("a1"))
 		assert.Equal(t, refusal.Verdict, VerdictNotRun)
 		<-q.done
 		assert.Equal(t, q.returned, 1)
 
-		w.endpoints.answers = []answer{fails(true)}
-		_, refusal = w.serve(t, exchangeWithKey("a1"))
+		fx.endpoints.answers = []answer{fails(true)}
+		_, refusal = fx.serve(t, exchangeWithKey("a1"))
 		assert.Equal(t, refusal.Verdict, VerdictUnknown)
 		synctest.Wait()
 		assert.Equal(t, q.returned, 1)
@@ -109,20 +109,20 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newFixture(idempotent, returns(func() *Reply { return ok("good") }))
+				fx := newFixture(idempotent, returns(func() *Reply { return ok("good") }))
 				began := time.Now()
-				w.withQuota(func() error {
+				fx.withQuota(func() error {
 					if time.Since(began) < test.back {
 						return quota.ErrNoKeeper
 					}
 					return nil
 				})
-				w.router.options.Uptime = func() time.Duration { return time.Hour }
-				w.view.Confirmed.Raise(time.Hour - time.Second)
+				fx.router.options.Uptime = func() time.Duration { return time.Hour }
+				fx.view.Confirmed.Raise(time.Hour - time.Second)
 				if test.cutOff {
-					w.view.Confirmed = &Confirmation{}
+					fx.view.Confirmed = &Confirmation{}
 				}
-				_, refusal := w.serve(t, exchangeWithKey("a1"))
+				_, refusal := fx.serve(t, exchangeWithKey("a1"))
 				assert.Equal(t, refusal == nil, test.served)
 				assert.Equal(t, time.Since(began), test.waited)
 				if refusal != nil {
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -56,16 +56,16 @@
 		{"lost, stream", stream, fails(true), 1, 0, VerdictUnknown},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			w := newFixture(test.kind, test.first, served)
-			c, refusal := w.serve(t, newExchange())
-			assert.Equal(t, len(w.endpoints.calls), test.sends)
+			fx := newFixture(test.kind, test.first, served)
+			c, refusal := fx.serve(t, newExchange())
+			assert.Equal(t, len(fx.endpoints.calls), test.sends)
 			assert.Equal(t, c.status, test.status)
 			assert.Equal(t, refusal != nil, test.status == 0)
 			if refusal != nil {
 				assert.Equal(t, refusal.Verdict, test.verdict)
 			}
 			if test.sends == 2 {
-				assert.Assert(t, w.endpoints.calls[0].Endpoint.ID != w.endpoints.calls[1].Endpoint.ID)
+				assert.Assert(t, fx.endpoints.calls[0].Endpoint.ID != fx.endpoints.calls[1].Endpoint.ID)
 			}
 		})
 	}
@@ -73,44 +73,44 @@
 
 // The last attempt's failure is the endpoint's own and is forwarded unchanged.
 func TestLastFailureIsPassedOn(t *testing.T) {
-	w := newFixture(idempotent, returns(failure), returns(failure), returns(func() *Reply { return ok() }))
-	c, refusal := w.serve(t, newExchange())
+	fx := newFixture(idempotent, returns(failure), returns(failure), returns(func() *Reply { return ok() }))
+	c, refusal := fx.serve(t, newExchange())
 	assert.Assert(t, refusal == nil)
 	assert.Equal(t, c.status, 500)
 	assert.Equal(t, c.text.String(), "broken")
-	assert.Equal(t, len(w.endpoints.calls), 2)
+	assert.Equal(t, len(fx.endpoints.calls), 2)
 }
 
 // Every server is full: the caller is told that nothing ran and when to repeat the request,
 // and the fleet's retry budget is kept.
 func TestRefusalHasRetryAfter(t *testing.T) {
-	w := newFixture(atMostOnce, returns(notRun), returns(notRun), returns(notRun), returns(notRun))
-	_, refusal := w.serve(t, newExchange())
+	fx := newFixture(atMostOnce, returns(notRun), returns(notRun), returns(notRun), returns(notRun))
+	_, refusal := fx.serve(t, newExchange())
 	assert.Equal(t, refusal.Verdict, VerdictNotRun)
 	assert.Assert(t, refusal.RetryAfter > 0)
-	for w.budget.Reserve(time.Now(), "s") != nil {
+	for fx.budget.Reserve(time.Now(), "s") != nil {
 	}
-	w.endpoints.calls, w.endpoints.answers = nil, []answer{returns(notRun), returns(notRun)}
-	_, refusal = w.serve(t, newExchange())
+	fx.endpoints.calls, fx.endpoints.answers = nil, []answer{returns(notRun), returns(notRun)}
+	_, refusal = fx.serve(t, newExchange())
 	assert.Equal(t, refusal.Verdict, VerdictNotRun)
-	assert.Equal(t, len(w.endpoints.calls), 1)
+	assert.Equal(t, len(fx.endpoints.calls), 1)
 }
 
 func TestNotServed(t *testing.T) {
-	w := newFixture(idempotent)
+	fx := newFixture(idempotent)
 	elsewhere := newExchange()
 	elsewhere.Path = "/q/"
-	_, refusal := w.serve(t, elsewhere)
+	_, refusal := fx.serve(t, elsewhere)
 	assert.Equal(t, refusal.Verdict, VerdictNoRoute)
 	large := newExchange()
 	large.Body = make([]byte, 101)
-	_, refusal = w.serve(t, large)
+	_, refusal = fx.serve(t, large)
 	assert.Equal(t, refusal.Verdict, VerdictTooLarge)
-	w.view.Endpoints = nil
-	_, refusal = w.serve(t, newExchange())
+	fx.view.Endpoints = nil
+	_, refusal = fx.serve(t, newExchange())
 	assert.Equal(t, refusal.Verdict, VerdictNotRun)
-	w.view = &View{}
-	_, refusal = w.serve(t, newExchange())
+	fx.view = &View{}
+	_, refusal = fx.serve(t, newExchange())
 	assert.Equal(t, refusal.Verdict, VerdictNotRun, "an entry that knows no configuration must not say that there is no route")
 }
 
@@ -118,20 +118,20 @@
 
 // The caller leaves: nothing more is sent, and the endpoint is told to stop.
 func TestCallerLeaves(t *testing.T) {
-	w := newFixture(stream, returns(func() *Reply { return reply(200, errCut, event("1"), event("2")) }))
-	w.route.Resumable = true
+	fx := newFixture(stream, returns(func() *Reply { return reply(200, errCut, event("1"), event("2")) }))
+	fx.route.Resumable = true
 	ctx, cancel := context.WithCancel(t.Context())
 	c := &fakeCaller{leave: cancel}
-	w.router.Serve(ctx, newExchange(), c)
-	assert.Equal(t, len(w.endpoints.calls), 1)
+	fx.router.Serve(ctx, newExchange(), c)
+	assert.Equal(t, len(fx.endpoints.calls), 1)
 }
 
 // A long answer is forwarded as it arrives; if it is cut off, it is aborted, not ended.
 func TestLongAnswer(t *testing.T) {
 	part := strings.Repeat("x", maxBufferedBytes)
 	for _, end := range []error{io.EOF, errCut} {
-		w := newFixture(atMostOnce, returns(func() *Reply { return reply(200, end, part, part, "end") }))
-		c, refusal := w.serve(t, newExchange())
+		fx := newFixture(atMostOnce, returns(func() *Reply { return reply(200, end, part, part, "end") }))
+		c, refusal := fx.serve(t, newExchange())
 		assert.Assert(t, refusal == nil)
 		assert.Equal(t, c.aborted, end == errCut)
 		assert.Assert(t, c.text.Len() > maxBufferedBytes)
@@ -145,10 +145,10 @@
 			time.Sleep(2 * time.Second)
 			return nil, &SendError{Sent: true, Cause: errCut}
 		}
-		w := newFixture(idempotent, slow, returns(func() *Reply { return ok() }))
-		_, refusal := w.serve(t, newExchange())
+		fx := newFixture(idempotent, slow, returns(func() *Reply { return ok() }))
+		_, refusal := fx.serve(t, newExchange())
 		assert.Assert(t, refusal == nil)
-		first, second := w.endpoints.calls[0].TimeLeft, w.endpoints.calls[1].TimeLeft
+		first, second := fx.endpoints.calls[0].TimeLeft, fx.endpoints.calls[1].TimeLeft
 		assert.Assert(t, first < 5*time.Second && first > 4900*time.Millisecond, "%v", first)
 		assert.Equal(t, first-second, 2*time.Second)
 	})
@@ -157,11 +157,11 @@
 // The final answer comes at the route's timeout, not when the endpoint ends.
 func TestFinalAnswerAtTheTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newFixture(idempotent)
-		w.route.Timeout = time.Second
-		w.router.options.Endpoints = &hanging{fakeEndpoints: w.endpoints}
+		fx := newFixture(idempotent)
+		fx.route.Timeout = time.Second
+		fx.router.options.Endpoints = &hanging{fakeEndpoints: fx.endpoints}
 		began := time.Now()
-		_, refusal := w.serve(t, newExchange())
+		_, refusal := fx.serve(t, newExchange())
 		assert.Equal(t, refusal.Verdict, VerdictTimeout)
 		assert.Assert(t, time.Since(began) <= time.Second)
 	})
--- a/internal/relay/release_test.go
+++ b/internal/relay/release_test.go
@@ -29,18 +29,18 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newFixture(stream, append([]answer{read}, test.decode...)...).withModel()
+				fx := newFixture(stream, append([]answer{read}, test.decode...)...).withModel()
 				ctx, leave := context.WithCancel(t.Context())
 				defer leave()
 				if test.leaves {
-					w.endpoints.answers[0] = func(*Call) (*Reply, error) { leave(); return ok("{}"), nil }
+					fx.endpoints.answers[0] = func(*Call) (*Reply, error) { leave(); return ok("{}"), nil }
 				}
 				c := &fakeCaller{}
-				refusal := w.router.Serve(ctx, newModelExchange(), c)
+				refusal := fx.router.Serve(ctx, newModelExchange(), c)
 				assert.Equal(t, refusal == nil, name == "failed by an engine")
 				synctest.Wait()
-				assert.DeepEqual(t, w.endpoints.released, []string{"e0 handle"})
-				assert.Equal(t, len(w.endpoints.dropped), test.dropped)
+				assert.DeepEqual(t, fx.endpoints.releasedPrefills, []string{"e0 handle"})
+				assert.Equal(t, len(fx.endpoints.releasedReservations), test.dropped)
 			})
 		})
 	}
@@ -49,28 +49,28 @@
 // A prefill result that was used by the endpoint that served is not released.
 func TestUsedPrefillIsNotReleased(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newFixture(stream, returns(func() *Reply { return ok("{}") }), returns(func() *Reply { return ok(event("1")) })).withModel()
-		c, refusal := w.serve(t, newModelExchange())
+		fx := newFixture(stream, returns(func() *Reply { return ok("{}") }), returns(func() *Reply { return ok(event("1")) })).withModel()
+		c, refusal := fx.serve(t, newModelExchange())
 		assert.Assert(t, refusal == nil)
 		assert.Equal(t, c.status, http.StatusOK)
 		synctest.Wait()
-		assert.Equal(t, len(w.endpoints.released)+len(w.endpoints.dropped), 0)
+		assert.Equal(t, len(fx.endpoints.releasedPrefills)+len(fx.endpoints.releasedReservations), 0)
 	})
 }
 
 // An endpoint is slow to release memory. The caller's final answer doesn't wait for it.
 func TestFinalAnswerDoesNotWaitForMemoryToBeFreed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newFixture(stream, nil).withModel()
+		fx := newFixture(stream, nil).withModel()
 		ctx, leave := context.WithCancel(t.Context())
-		w.endpoints.answers[0] = func(*Call) (*Reply, error) { leave(); return ok("{}"), nil }
-		w.endpoints.releaseDelay = time.Second
+		fx.endpoints.answers[0] = func(*Call) (*Reply, error) { leave(); return ok("{}"), nil }
+		fx.endpoints.releaseDelay = time.Second
 		began := time.Now()
-		refusal := w.router.Serve(ctx, newModelExchange(), &fakeCaller{})
+		refusal := fx.router.Serve(ctx, newModelExchange(), &fakeCaller{})
 		assert.Assert(t, refusal != nil)
 		assert.Equal(t, time.Since(began), time.Duration(0))
 		time.Sleep(2 * time.Second)
 		synctest.Wait()
-		assert.Equal(t, len(w.endpoints.released), 1)
+		assert.Equal(t, len(fx.endpoints.releasedPrefills), 1)
 	})
 }
--- a/internal/relay/resumption_test.go
+++ b/internal/relay/resumption_test.go
@@ -28,7 +28,7 @@
 	t.Helper()
 	policy, err := dispatch.Without(without...)
 	assert.NilError(t, err)
-	var h resumptionResult
+	var result resumptionResult
 	synctest.Test(t, func(t *testing.T) {
 		entries := newEntries(newEngines(engineMemory), fleetShape{entries: 7, prefill: 3, decode: 9, reserves: true}, policy, nil)
 		random := rand.New(rand.NewPCG(3, 5))
@@ -44,15 +44,15 @@
 				mu.Lock()
 				defer mu.Unlock()
 				if after != "" {
-					h.returned++
+					result.returned++
 					if refusal == nil {
-						h.returnedServed++
+						result.returnedServed++
 					}
 					return
 				}
-				h.fresh++
+				result.fresh++
 				if refusal == nil && c.firstAt().Sub(x.Received) <= 900*time.Millisecond {
-					h.freshInTarget++
+					result.freshInTarget++
 				}
 			})
 		}
@@ -66,7 +66,7 @@
 		}
 		all.Wait()
 	})
-	return h
+	return result
 }
 
 // Load pattern: all entries lose power. A moment later callers whose streams broke return
--- a/internal/relay/stream_test.go
+++ b/internal/relay/stream_test.go
@@ -12,14 +12,14 @@
 // A model server fails in the middle of an event. Another one continues the answer after
 // the last complete event: none is lost, duplicated or joined to another.
 func TestResumableStreamGoesOn(t *testing.T) {
-	w := newFixture(stream,
+	fx := newFixture(stream,
 		returns(func() *Reply { return reply(200, errCut, event("1")+event("2"), "id: 3\nda") }),
 		returns(func() *Reply { return ok(event("3"), event("4")) }))
-	w.route.Resumable = true
-	c, refusal := w.serve(t, newExchange())
+	fx.route.Resumable = true
+	c, refusal := fx.serve(t, newExchange())
 	assert.Assert(t, refusal == nil)
 	assert.Equal(t, c.text.String(), event("1")+event("2")+event("3")+event("4"))
-	assert.Equal(t, w.endpoints.calls[1].After, "2")
+	assert.Equal(t, fx.endpoints.calls[1].After, "2")
 	assert.Equal(t, c.begun, 1)
 	assert.Assert(t, !c.aborted)
 }
@@ -41,9 +41,9 @@
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newFixture(stream, test.answers...)
-			w.route.Resumable = test.resumable
-			c, refusal := w.serve(t, newExchange())
+			fx := newFixture(stream, test.answers...)
+			fx.route.Resumable = test.resumable
+			c, refusal := fx.serve(t, newExchange())
 			assert.Assert(t, refusal == nil)
 			assert.Assert(t, c.aborted)
 			assert.Assert(t, strings.HasPrefix(event("1")+event("2"), c.text.String()), c.text.String())
@@ -84,10 +84,10 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				slow := func(*Call) (*Reply, error) { time.Sleep(2 * time.Second); return first(), nil }
-				w := newFixture(stream, returns(func() *Reply { return ok("{}") }), slow,
+				fx := newFixture(stream, returns(func() *Reply { return ok("{}") }), slow,
 					returns(func() *Reply { return ok(event("2")) })).withModel()
-				w.route.Resumable = true
-				c, refusal := w.serve(t, newModelExchange())
+				fx.route.Resumable = true
+				c, refusal := fx.serve(t, newModelExchange())
 				assert.Assert(t, refusal == nil)
 				assert.Assert(t, !c.aborted)
 				assert.Assert(t, strings.HasSuffix(c.text.String(), event("2")))
