--- a/internal/route/abort.go
+++ b/internal/route/abort.go
@@ -7,22 +7,21 @@
 	"github.com/hyssopsail/hyssopsail/internal/callerapi"
 )
 
-var errAborted = errors.New("this entry has lost its place")
+var errAborted = errors.New("this entry has lost its place in the fleet")
 
-// Abort ends each request in flight, and each later one, with a clear last
-// answer: what was not sent is not run, the rest failed or unknown. It doesn't
-// wait.
+// Abort ends all requests in flight, and each later one, with a final answer:
+// "not run" if nothing was sent, otherwise "failed" or "unknown". It doesn't wait.
 //
-// Failure: a daemon loses its place in the fleet or a part of it fails. Its
-// server closes the connections; the caller of a stream sees it cut, and that
-// of a call that may not be repeated learns nothing. With the requests ended
-// first, their handlers write the last events before the server closes.
-func (r *Router) Abort() { r.abort(errAborted) }
-
-// abortable gives a context that also ends at Abort, and its end.
-func (r *Router) abortable(ctx context.Context) (context.Context, context.CancelFunc) {
+// It is called when the entry loses its place in the fleet or one of its parts
+// fails, before the server closes the connections. Otherwise callers would see
+// streams cut off, and callers of calls that must not be repeated would learn
+// nothing.
+func (r *Router) Abort() { r.cancelAll(errAborted) }
+
+// withAbort returns a context that also ends at Abort, and its cancel function.
+func (r *Router) withAbort(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	unfollow := context.AfterFunc(r.life, func() { cancel(errAborted) })
+	unfollow := context.AfterFunc(r.abortContext, func() { cancel(errAborted) })
 	return ctx, func() {
 		unfollow()
 		cancel(context.Canceled)
@@ -31,17 +30,18 @@
 
 func isAborted(ctx context.Context) bool { return errors.Is(context.Cause(ctx), errAborted) }
 
-func aborted() *Failure {
+func abortedFailure() *Failure {
 	return refused(callerapi.CodeNotCurrent, "this entry has lost its place in the fleet", 0)
 }
 
-// endOf is the answer of a caller that follows a run, once its own context has
-// ended. What becomes of the run isn't known here.
-func endOf(ctx context.Context) *Failure {
+// followerFailure returns the failure of a caller that follows a shared request,
+// after the caller's own context has ended. The outcome of the shared request isn't
+// known here.
+func followerFailure(ctx context.Context) *Failure {
 	if !isAborted(ctx) {
-		return callerGone()
+		return callerGoneFailure()
 	}
-	f := aborted()
+	f := abortedFailure()
 	f.Outcome = callerapi.OutcomeUnknown
 	return f
 }
--- a/internal/route/abort_test.go
+++ b/internal/route/abort_test.go
@@ -15,12 +15,12 @@
 	"github.com/hyssopsail/hyssopsail/internal/route"
 )
 
-// A daemon loses its place in the fleet while answers stream. Its connections
-// are about to be closed, which shows as an answer cut in the middle; the last
-// event says first that it failed, and by which code.
+// A daemon loses its place in the fleet while answers stream, and is about to close its
+// connections. Each stream must end with an event that states the failure and its code,
+// instead of being cut off.
 func TestAbortEndsStreamsClearly(t *testing.T) {
-	w := newWorld()
-	w.set("decode", "d1", 1, fault{stall: true, after: 2})
+	w := newFakeFleet()
+	w.setFault("decode", "d1", 1, fault{stall: true, after: 2})
 	r := w.router(route.Bounds{})
 	server := serveRouter(t, w, r)
 	response := post(t.Context(), t, server, "/v1/chat/completions", strings.NewReader(chatStream))
@@ -37,12 +37,12 @@
 	assert.Equal(t, failure.Code, callerapi.CodeNotCurrent)
 	assert.Equal(t, failure.Outcome, callerapi.OutcomeFailed)
 	assert.Equal(t, w.sent("decode "), 1)
-	w.assertFree(t)
+	w.assertNothingHeld(t)
 }
 
-// The same under a key: the run isn't bound to its caller, but ends too.
+// Abort must also end a keyed request, which isn't bound to its caller.
 func TestAbortEndsKeyedRuns(t *testing.T) {
-	inWorld(t, func(t *testing.T, w *world) {
+	withFakeFleet(t, func(t *testing.T, w *fakeFleet) {
 		r := w.router(route.Bounds{})
 		s := &sink{after: func(c engineapi.Chunk) {
 			if c.Offset == 1 {
@@ -57,16 +57,16 @@
 		assert.Assert(t, a.Failure.Outcome != callerapi.OutcomeNotRun)
 		assert.NilError(t, r.Drain(context.Background()))
 		assert.Equal(t, w.recorded(), pb.OutcomeKind_OUTCOME_KIND_FAILED)
-		w.assertFree(t)
+		w.assertNothingHeld(t)
 	})
 }
 
-// A slip has left for the bank when its daemon loses its place: whether a
-// truck was called isn't known, and the volunteer is told so at once.
+// A call that must not be repeated has been sent when its daemon loses its place in the
+// fleet. The caller must be told at once that the outcome is unknown.
 func TestAbortedCallIsUnknown(t *testing.T) {
-	inWorld(t, func(t *testing.T, w *world) {
+	withFakeFleet(t, func(t *testing.T, w *fakeFleet) {
 		r := w.router(route.Bounds{})
-		w.set("call", "s1", 1, fault{stall: true})
+		w.setFault("call", "s1", 1, fault{stall: true})
 		w.afterSend = func(string) { r.Abort() }
 		failure := callFailed(t, r, callRequest())
 		assert.Equal(t, failure.Outcome, callerapi.OutcomeUnknown)
--- a/internal/route/absence.go
+++ b/internal/route/absence.go
@@ -9,82 +9,81 @@
 	"github.com/hyssopsail/hyssopsail/internal/fleet"
 )
 
-// The bounds of a wait for endpoints whose home moves.
+// Limits of the wait for endpoints whose home is moving.
 const (
-	homeMove     = 2 * time.Second // longest time that a move keeps endpoints out of sight
-	absencePoll  = 20 * time.Millisecond
-	maxPlacesKey = 4096 // queries remembered
+	maxHomeMoveDuration = 2 * time.Second // after this time a move has made its endpoints visible again
+	absencePollInterval = 20 * time.Millisecond
+	maxQueryKeys        = 4096 // queries remembered
 )
 
-// place names what a query looks for.
-type place struct {
+// queryKey identifies a query for endpoints.
+type queryKey struct {
 	kind    fleet.EndpointRole
 	model   string
 	service string
 	zones   string
 }
 
-// seen remembers when endpoints for a place were last known.
+// lastSeenTimes records when each query last found endpoints.
 //
-// Failure: an instance joins, stops or dies and becomes or ceases to be the
-// home of some endpoints. Until the new home knows them, followers have no
-// candidate: it shows as a burst of refusals of requests that a second's wait
-// would have served. The guard holds because a place without any endpoint for
-// longer than a move takes is refused at once, as before.
-type seen struct {
+// When an instance joins, stops or dies, the home of some endpoints changes, and
+// followers have no candidates until the new home knows them. Without a short
+// wait such a change causes a burst of refusals. A query that has found nothing
+// for longer than a move takes is refused at once.
+type lastSeenTimes struct {
 	mu    sync.Mutex
-	times map[place]time.Time
+	times map[queryKey]time.Time
 }
 
-func newSeen() *seen { return &seen{times: make(map[place]time.Time)} }
+func newLastSeenTimes() *lastSeenTimes { return &lastSeenTimes{times: make(map[queryKey]time.Time)} }
 
-func (s *seen) note(p place, now time.Time) {
+func (s *lastSeenTimes) record(p queryKey, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, known := s.times[p]; !known && len(s.times) >= maxPlacesKey {
+	if _, known := s.times[p]; !known && len(s.times) >= maxQueryKeys {
 		return
 	}
 	s.times[p] = now
 }
 
-// last tells when endpoints for a place were last known.
-func (s *seen) last(p place) (time.Time, bool) {
+// last returns when the query last found endpoints.
+func (s *lastSeenTimes) last(p queryKey) (time.Time, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	at, known := s.times[p]
 	return at, known
 }
 
-// mayAppear tells whether endpoints for a place that has none may still come.
+// endpointsMayAppear reports whether a query that found no endpoints may still
+// find some soon.
 //
-// Failure: a daemon that has just joined is given to callers before its
-// follower has heard of any endpoint, or while its own joining moves their
-// homes; requests in its first second are refused although endpoints are idle.
-// The guard holds because a place that was never seen counts as last seen when
-// all homes had been asked.
-func (r *Router) mayAppear(p place, now time.Time) bool {
-	if last, known := r.seen.last(p); known {
-		return now.Before(last.Add(homeMove))
+// A newly joined entry is announced to callers before its follower has received
+// any endpoints, or while its own joining moves their homes. So that requests in
+// its first second aren't refused while endpoints are idle, a query without any
+// result so far counts as last seen at the time when all homes had been asked.
+func (r *Router) endpointsMayAppear(p queryKey, now time.Time) bool {
+	if last, known := r.lastSeen.last(p); known {
+		return now.Before(last.Add(maxHomeMoveDuration))
 	}
 	surveyed, done := r.opts.Follower.Surveyed()
-	return !done || now.Before(surveyed.Add(homeMove))
+	return !done || now.Before(surveyed.Add(maxHomeMoveDuration))
 }
 
-// candidates asks the follower, and waits while endpoints may still appear,
-// until deadline or ctx ends.
+// candidates returns the follower's candidates. While there are none but some may
+// still appear, it waits until deadline or the end of ctx.
 func (r *Router) candidates(ctx context.Context, q endpoint.Query, deadline time.Time) []endpoint.Candidate {
-	p := place{kind: q.Kind, model: q.Model.String(), service: q.Service, zones: q.Permitted.Class()}
+	p := queryKey{kind: q.Kind, model: q.Model.String(), service: q.Service, zones: q.Permitted.Class()}
 	for {
 		found := r.opts.Follower.Candidates(q)
 		now := time.Now()
 		if len(found) > 0 {
-			r.seen.note(p, now)
+			r.lastSeen.record(p, now)
 			return found
 		}
-		if !now.Before(deadline) || !r.mayAppear(p, now) {
+		if !now.Before(deadline) || !r.endpointsMayAppear(p, now) {
 			return nil
 		}
-		if pause(ctx, absencePoll) != nil {
+		if pause(ctx, absencePollInterval) != nil {
 			return nil
 		}
 	}
--- a/internal/route/arrival.go
+++ b/internal/route/arrival.go
@@ -7,14 +7,15 @@
 	"github.com/hyssopsail/hyssopsail/internal/retrybudget"
 )
 
-// The pools whose arrivals are bounded, each with its model's or service's name.
+// Prefixes of the names of the pools whose arrivals are bounded. The name of the
+// model or service follows.
 const (
 	prefillPool = "prefill/"
 	decodePool  = "decode/"
 	servicePool = "service/"
 )
 
-// arrivals are what the endpoints of one pool have seen of a request.
+// arrivals counts how often a request arrived at the endpoints of one pool.
 type arrivals struct {
 	router  *Router
 	request fleet.RequestID
@@ -26,28 +27,29 @@
 	return &arrivals{router: r, request: request, pool: pool, account: r.opts.Budget.Open(time.Now(), pool)}
 }
 
-// maySend tells whether the fleet's budget for retries allows the next send, and reserves
-// it.
-func (a *arrivals) maySend() bool {
+// reserveSend reports whether the fleet's retry budget allows the next send, and
+// reserves it.
+func (a *arrivals) reserveSend() bool {
 	if a.account.MaySend(time.Now()) {
 		return true
 	}
 	a.router.metrics.extraRefused.Inc()
-	a.router.opts.Part.Info("No budget to send again.", "request", a.request, "pool", a.pool, "budget_left", a.account.Left(time.Now()))
+	a.router.opts.Part.Info("Retry budget exhausted; not sending the request again.", "request", a.request, "pool", a.pool, "budget_left", a.account.Left(time.Now()))
 	return false
 }
 
-// sent takes in that a send has ended with err, nil for an answer. Only one of which no
-// byte left is none.
-func (a *arrivals) sent(at fleet.EndpointID, err error) {
-	a.router.hearRefusal(err)
-	if neverSent(err) || !a.account.Arrived(time.Now()) {
+// recordSend records the end of a send to the endpoint at; err is nil if it was
+// answered. A send counts as an arrival unless err proves that no byte was sent.
+func (a *arrivals) recordSend(at fleet.EndpointID, err error) {
+	a.router.recordCooldownFromError(err)
+	if provesNotSent(err) || !a.account.Arrived(time.Now()) {
 		return
 	}
 	a.router.metrics.extraArrivals.Inc()
-	a.router.opts.Part.Info("Extra arrival.", "request", a.request, "pool", a.pool, "endpoint", at,
+	a.router.opts.Part.Info("Extra arrival at an endpoint pool.", "request", a.request, "pool", a.pool, "endpoint", at,
 		"arrivals", a.account.Seen(), "budget_left", a.account.Left(time.Now()), "share", a.router.opts.Budget.Share(time.Now()))
 }
 
-// overBudget is how a send ends that the fleet may not make.
-func overBudget() *setback { return &setback{cause: causeOverBudget} }
+// overBudgetFailure returns the failure of an attempt that the fleet's retry
+// budget doesn't allow.
+func overBudgetFailure() *attemptFailure { return &attemptFailure{cause: causeOverBudget} }
--- a/internal/route/attempt.go
+++ b/internal/route/attempt.go
@@ -13,112 +13,113 @@
 	"github.com/hyssopsail/hyssopsail/internal/timeline"
 )
 
-// attempt is one try: its own ID, at most one hold at a prefill and one at a
-// decode engine.
+// attempt is one attempt at a model request. It has its own ID and holds at most
+// one grant of a prefill engine and one of a decode engine.
 type attempt struct {
-	run     *modelRun
-	id      fleet.AttemptID
-	alone   bool
-	prefill *hold
-	decode  *hold
-	early   *earlyTake // a decode grant asked for while prefill runs
-	kv      kvCache
-	plan    schedule.StartPlan
-	link    *linkUse          // booked for the KV transfer; nil: none
-	tokens  int               // output tokens of this attempt
-	checked *membership.State // under which the decode engine's zone was last looked at
+	request      *activeModelRequest
+	id           fleet.AttemptID
+	alone        bool
+	prefill      *heldGrant
+	decode       *heldGrant
+	earlyGrant   *earlyGrant // decode grant requested while prefill runs
+	kv           kvCache
+	plan         schedule.StartPlan
+	linkBooking  *linkBooking      // booking for the KV transfer; nil: none
+	tokens       int               // output tokens of this attempt
+	checkedState *membership.State // settings for which the decode engine's zone was last checked
 }
 
-// kvCache is a prefill's result and how long it lives.
+// kvCache is the result of a prefill and the time when it expires.
 type kvCache struct {
-	reply   engineapi.PrefillReply
-	expires time.Time
-	moved   bool
+	reply       engineapi.PrefillReply
+	expires     time.Time
+	transferred bool
 }
 
-// try makes one attempt and frees all that it held, however it ends.
-func (m *modelRun) try(ctx context.Context) (s *setback) {
-	a := &attempt{run: m, id: newAttemptID()}
-	if s = a.begin(ctx); s != nil {
-		return s
+// runAttempt makes one attempt and releases everything that it held.
+func (m *activeModelRequest) runAttempt(ctx context.Context) (failed *attemptFailure) {
+	a := &attempt{request: m, id: newAttemptID()}
+	if failed = a.awaitTurn(ctx); failed != nil {
+		return failed
 	}
-	// Should a stage panic, its holds are freed all the same.
-	s = &setback{cause: causeRefused}
-	defer func() { a.close(s) }()
-	s = a.stages(ctx)
-	return s
+	// The grants are released even if a stage panics; the attempt then counts as failed.
+	failed = &attemptFailure{cause: causeRefused}
+	defer func() { a.release(failed) }()
+	failed = a.runStages(ctx)
+	return failed
 }
 
-// stages runs the attempt from the choice of endpoints to the last token.
-func (a *attempt) stages(ctx context.Context) *setback {
-	for _, stage := range []func(context.Context) *setback{
-		a.chooseAndPlan,
-		a.takePrefill,
+// runStages runs the attempt from the choice of endpoints to the last token.
+func (a *attempt) runStages(ctx context.Context) *attemptFailure {
+	for _, stage := range []func(context.Context) *attemptFailure{
+		a.planStart,
+		a.acquirePrefillSlot,
 		a.runPrefill,
-		a.takeDecode,
-		a.moveKV,
+		a.acquireDecodeSlot,
+		a.transferKV,
 		a.runDecode,
 	} {
 		if ctx.Err() != nil {
-			return &setback{cause: fromContext(ctx)}
+			return &attemptFailure{cause: causeFromContext(ctx)}
 		}
-		if s := stage(ctx); s != nil {
-			return s
+		if failed := stage(ctx); failed != nil {
+			return failed
 		}
 	}
 	return nil
 }
 
-// close gives back each hold once and tells the fingerprint's guard how the
-// run ended.
-func (a *attempt) close(s *setback) {
-	r := a.run.router
-	a.early.abandon(r)
-	a.leaveLink(0)
-	a.run.noteLeftover(a.prefill)
-	a.run.noteLeftover(a.decode)
-	if s != nil && a.prefill != nil && a.prefill.touched && !a.kv.moved {
-		r.metrics.wasted.Add(float64(a.kv.reply.PromptTokens))
+// release releases each grant once and reports the end of the attempt to the
+// quarantine guard.
+func (a *attempt) release(failed *attemptFailure) {
+	r := a.request.router
+	a.earlyGrant.abandon(r)
+	a.releaseLink(0)
+	a.request.addPendingCancel(a.prefill)
+	a.request.addPendingCancel(a.decode)
+	if failed != nil && a.prefill != nil && a.prefill.maybeSent && !a.kv.transferred {
+		r.metrics.wastedPrefillTokens.Add(float64(a.kv.reply.PromptTokens))
 	}
-	r.free(a.prefill, s, 0)
-	r.free(a.decode, s, a.tokens)
-	r.opts.Guard.End(a.run.fingerprint, a.run.class.permitted, a.id, s == nil, s.crashed())
-	if s != nil && s.cause == causeCallerGone {
-		a.run.event(timeline.KindCancelled, a.id, "")
+	r.release(a.prefill, failed, 0)
+	r.release(a.decode, failed, a.tokens)
+	r.opts.Guard.End(a.request.fingerprint, a.request.params.permitted, a.id, failed == nil, failed.endpointMayHaveCrashed())
+	if failed != nil && failed.cause == causeCallerGone {
+		a.request.recordEvent(timeline.KindCancelled, a.id, "")
 	}
 }
 
-// work names the attempt to an engine.
-func (a *attempt) work(t engine.Target, patience time.Duration) engineapi.Work {
+// engineWork returns the description of the attempt that is sent to an engine.
+func (a *attempt) engineWork(t engine.Target, patience time.Duration) engineapi.Work {
 	return engineapi.Work{
 		Attempt:     a.id,
-		Owner:       a.run.router.owner(),
+		Owner:       a.request.router.owner(),
 		Endpoint:    t.ID,
 		Incarnation: t.Incarnation,
-		Model:       a.run.class.model,
-		Priority:    a.run.class.priority,
+		Model:       a.request.params.model,
+		Priority:    a.request.params.priority,
 		DeadlineMs:  max(patience.Milliseconds(), 1),
 	}
 }
 
-// touch notes that bytes may be at the hold's endpoint unless err proves that
-// none left.
-func (a *attempt) touch(h *hold, err error) {
-	if neverSent(err) {
+// markSent records that bytes may have reached the endpoint, unless err proves that
+// none was sent.
+func (a *attempt) markSent(h *heldGrant, err error) {
+	if provesNotSent(err) {
 		return
 	}
-	h.touched = true
-	a.run.touched = true
+	h.maybeSent = true
+	a.request.maybeSent = true
 }
 
 func (a *attempt) query(kind fleet.EndpointRole) endpoint.Query {
-	return endpoint.Query{Kind: kind, Model: a.run.class.model, Permitted: a.permitted()}
+	return endpoint.Query{Kind: kind, Model: a.request.params.model, Permitted: a.permitted()}
 }
 
-// permitted is read afresh for each choice, so that narrowed settings also
-// steer new choices and not only the last check.
+// permitted returns the team's permitted zones. It reads the current settings each
+// time, so that narrowed settings apply to new choices too and not only to the
+// check before a send.
 func (a *attempt) permitted() fleet.ZoneSet {
-	team, ok := a.run.router.opts.Source.State().Tree.Teams[a.run.req.Team]
+	team, ok := a.request.router.opts.Source.State().Tree.Teams[a.request.req.Team]
 	if !ok {
 		return fleet.ZoneSet{}
 	}
--- a/internal/route/begin.go
+++ b/internal/route/begin.go
@@ -11,11 +11,11 @@
 	"github.com/hyssopsail/hyssopsail/internal/sleep"
 )
 
-// leastWait keeps a guard that answers "wait" with no time from being asked
-// in a tight loop.
-const leastWait = 10 * time.Millisecond
+// minGuardWait is the minimum pause before the guard is asked again. It prevents a
+// tight loop when the guard answers "wait" without a time.
+const minGuardWait = 10 * time.Millisecond
 
-// guardInput names an attempt to the fingerprint's guard.
+// guardInput identifies an attempt to the quarantine guard.
 type guardInput struct {
 	fingerprint fleet.Fingerprint
 	permitted   fleet.ZoneSet
@@ -23,46 +23,47 @@
 	remaining   func() time.Duration // patience left
 }
 
-// guardTurn asks the fingerprint's guard, and waits while another run of the
-// same fingerprint is unproven, as long as patience allows.
-func guardTurn(ctx context.Context, g quarantine.Guard, in guardInput) (alone bool, s *setback) {
+// awaitGuard asks the quarantine guard whether the attempt may run. While the guard
+// answers "wait", because another run of the same fingerprint is unproven, it waits as
+// long as the remaining patience allows.
+func awaitGuard(ctx context.Context, g quarantine.Guard, in guardInput) (alone bool, failed *attemptFailure) {
 	for {
 		verdict, after := g.Begin(ctx, in.fingerprint, in.permitted, in.attempt)
 		switch verdict {
 		case pb.RunVerdict_RUN_VERDICT_QUARANTINED:
-			return false, final(notRun(callerapi.CodeQuarantined, "this request crashed each endpoint that ran it", 0))
+			return false, finalAttemptFailure(notRun(callerapi.CodeQuarantined, "this request crashed each endpoint that ran it", 0))
 		case pb.RunVerdict_RUN_VERDICT_ALONE:
 			return true, nil
 		case pb.RunVerdict_RUN_VERDICT_WAIT:
-			after = max(after, leastWait)
+			after = max(after, minGuardWait)
 		default:
 			return false, nil
 		}
 		if after >= in.remaining() {
-			return false, final(refused(callerapi.CodeOverloaded, "others of its kind are being tried alone", after))
+			return false, finalAttemptFailure(refused(callerapi.CodeOverloaded, "others of its kind are being tried alone", after))
 		}
-		if s := pause(ctx, after); s != nil {
-			return false, s
+		if failed := pause(ctx, after); failed != nil {
+			return false, failed
 		}
 	}
 }
 
-// begin gets the attempt its turn.
-func (a *attempt) begin(ctx context.Context) *setback {
-	alone, s := guardTurn(ctx, a.run.router.opts.Guard, guardInput{
-		fingerprint: a.run.fingerprint,
-		permitted:   a.run.class.permitted,
+// awaitTurn waits until the quarantine guard lets the attempt run.
+func (a *attempt) awaitTurn(ctx context.Context) *attemptFailure {
+	alone, failed := awaitGuard(ctx, a.request.router.opts.Guard, guardInput{
+		fingerprint: a.request.fingerprint,
+		permitted:   a.request.params.permitted,
 		attempt:     a.id,
-		remaining:   a.run.remaining,
+		remaining:   a.request.remaining,
 	})
 	a.alone = alone
-	return s
+	return failed
 }
 
-// pause waits for d; a setback tells that ctx ended first.
-func pause(ctx context.Context, d time.Duration) *setback {
+// pause waits for d. It returns a failure if ctx ends first.
+func pause(ctx context.Context, d time.Duration) *attemptFailure {
 	if d > 0 && !sleep.For(ctx, d) {
-		return &setback{cause: fromContext(ctx)}
+		return &attemptFailure{cause: causeFromContext(ctx)}
 	}
 	return nil
 }
--- a/internal/route/bench_test.go
+++ b/internal/route/bench_test.go
@@ -14,21 +14,21 @@
 	"github.com/hyssopsail/hyssopsail/internal/route"
 )
 
-// fast decodes without waiting and holds nothing, so that the benchmark sees
-// the relay alone.
-type fast struct {
+// fastEngine decodes without waiting and holds nothing, so that the benchmark measures
+// the relay only.
+type fastEngine struct {
 	engines
 	text string // of each token
 }
 
-func (f fast) Decode(_ context.Context, t engine.Target, gate engine.Gate, r engineapi.DecodeRequest) (engine.Stream, error) {
+func (f fastEngine) Decode(_ context.Context, t engine.Target, gate engine.Gate, r engineapi.DecodeRequest) (engine.Stream, error) {
 	if err := gate(t); err != nil {
 		return nil, err
 	}
 	return &fastStream{attempt: r, at: r.Offset, incarnation: t, text: f.text}, nil
 }
 
-func (f fast) Prefill(_ context.Context, t engine.Target, gate engine.Gate, r engineapi.PrefillRequest) (engineapi.PrefillReply, error) {
+func (f fastEngine) Prefill(_ context.Context, t engine.Target, gate engine.Gate, r engineapi.PrefillRequest) (engineapi.PrefillReply, error) {
 	return engineapi.PrefillReply{Attempt: r.Attempt, Incarnation: t.Incarnation, PromptTokens: 5, ExpiresMs: 800}, gate(t)
 }
 
@@ -56,10 +56,10 @@
 
 const benchTokens = 2000
 
-// BenchmarkRelay is the router's own cost of one token, without HTTP.
+// BenchmarkRelay measures the router's cost per token, without HTTP.
 func BenchmarkRelay(b *testing.B) {
-	w := newWorld()
-	r := w.routerWith(fast{engines{w}, "cotton "}, route.Bounds{})
+	w := newFakeFleet()
+	r := w.routerWith(fastEngine{engines{w}, "cotton "}, route.Bounds{})
 	request := modelRequest()
 	request.MaxTokens = benchTokens
 	b.ReportAllocs()
@@ -68,17 +68,17 @@
 		if a := r.Model(b.Context(), request, discard{}); a.Failure != nil {
 			b.Fatal(a.Failure)
 		}
-		w.forget()
+		w.clearRecords()
 	}
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*benchTokens), "ns/token")
 }
 
-// BenchmarkRequest is the router's own cost of a request of one token.
+// BenchmarkRequest measures the router's cost of a request with one token.
 func BenchmarkRequest(b *testing.B) {
 	for _, key := range []string{"", "k"} {
 		b.Run("key="+key, func(b *testing.B) {
-			w := newWorld()
-			r := w.routerWith(fast{engines{w}, "cotton "}, route.Bounds{})
+			w := newFakeFleet()
+			r := w.routerWith(fastEngine{engines{w}, "cotton "}, route.Bounds{})
 			request := modelRequest()
 			request.MaxTokens = 1
 			b.ReportAllocs()
@@ -90,17 +90,17 @@
 				if a := r.Model(b.Context(), request, discard{}); a.Failure != nil {
 					b.Fatal(a.Failure)
 				}
-				w.forget()
+				w.clearRecords()
 			}
 		})
 	}
 }
 
-// BenchmarkStreamHTTP is the cost of one token from the fake engine to a
-// caller over loopback, the caller's side included.
+// BenchmarkStreamHTTP measures the cost per token from the fake engine to a caller over
+// loopback, including the caller's side.
 func BenchmarkStreamHTTP(b *testing.B) {
-	w := newWorld()
-	server := serveRouter(b, w, w.routerWith(fast{engines{w}, "cotton "}, route.Bounds{}))
+	w := newFakeFleet()
+	server := serveRouter(b, w, w.routerWith(fastEngine{engines{w}, "cotton "}, route.Bounds{}))
 	body := `{"model":"fibre","messages":[{"role":"user","content":"Assess."}],"max_tokens":2000,"stream":true}`
 	b.ReportAllocs()
 	for b.Loop() {
@@ -117,7 +117,7 @@
 			b.Fatal("short stream")
 		}
 		_ = response.Body.Close()
-		w.forget()
+		w.clearRecords()
 	}
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*benchTokens), "ns/token")
 }
--- a/internal/route/bounds.go
+++ b/internal/route/bounds.go
@@ -2,65 +2,65 @@
 
 import "time"
 
-// Bounds limit what one request may use at an entry.
+// Bounds limits what one request may use at an entry.
 type Bounds struct {
-	Attempts        int           // tries of one request, the first included
-	Patience        time.Duration // when neither caller nor settings say
-	LongestPatience time.Duration // caps the caller's own deadline
-	StreamTime      time.Duration // longest life of a request
-	OutputTokens    int           // when the caller names no max_tokens
-	JoinBytes       int           // output text kept for repeats that join
-	CallAnswerBytes int64         // longest answer of a plain service
-	CallTime        time.Duration // when the service's settings give none
-	Generations     int           // runs that one key may see, one after another
-	LedgerTime      time.Duration // longest wait for a claim
-	FinishTime      time.Duration // longest wait for a finish before the answer goes out
-	Running         int           // requests in flight at this entry
+	MaxAttempts          int           // attempts per request, including the first
+	DefaultPatience      time.Duration // if neither caller nor settings state one
+	MaxPatience          time.Duration // upper limit of the caller's own patience
+	StreamTime           time.Duration // maximum duration of a request
+	DefaultOutputTokens  int           // if the caller sets no max_tokens
+	MaxReplayBytes       int           // output text kept for repeats that join a running request
+	MaxCallResponseBytes int64         // response body of a plain service
+	DefaultCallTimeout   time.Duration // if the service's settings have none
+	MaxKeyGenerations    int           // runs under one key, one after another
+	LedgerTimeout        time.Duration // for a claim
+	FinishTimeout        time.Duration // for recording an outcome
+	MaxRunningRequests   int           // requests in flight at this entry
 }
 
-// DefaultBounds are used for the fields left zero.
+// DefaultBounds are the values of fields that are zero.
 var DefaultBounds = Bounds{
-	Attempts:        4,
-	Patience:        10 * time.Second,
-	LongestPatience: 10 * time.Minute,
-	StreamTime:      15 * time.Minute,
-	OutputTokens:    256,
-	JoinBytes:       1 << 20,
-	CallAnswerBytes: 8 << 20,
-	CallTime:        30 * time.Second,
-	Generations:     8,
-	LedgerTime:      time.Second,
-	FinishTime:      200 * time.Millisecond,
-	Running:         10000,
+	MaxAttempts:          4,
+	DefaultPatience:      10 * time.Second,
+	MaxPatience:          10 * time.Minute,
+	StreamTime:           15 * time.Minute,
+	DefaultOutputTokens:  256,
+	MaxReplayBytes:       1 << 20,
+	MaxCallResponseBytes: 8 << 20,
+	DefaultCallTimeout:   30 * time.Second,
+	MaxKeyGenerations:    8,
+	LedgerTimeout:        time.Second,
+	FinishTimeout:        200 * time.Millisecond,
+	MaxRunningRequests:   10000,
 }
 
 func (b Bounds) withDefaults() Bounds {
 	d := DefaultBounds
-	b.Attempts = orInt(b.Attempts, d.Attempts)
-	b.Patience = orTime(b.Patience, d.Patience)
-	b.LongestPatience = orTime(b.LongestPatience, d.LongestPatience)
-	b.StreamTime = orTime(b.StreamTime, d.StreamTime)
-	b.OutputTokens = orInt(b.OutputTokens, d.OutputTokens)
-	b.JoinBytes = orInt(b.JoinBytes, d.JoinBytes)
-	if b.CallAnswerBytes <= 0 {
-		b.CallAnswerBytes = d.CallAnswerBytes
+	b.MaxAttempts = intOrDefault(b.MaxAttempts, d.MaxAttempts)
+	b.DefaultPatience = durationOrDefault(b.DefaultPatience, d.DefaultPatience)
+	b.MaxPatience = durationOrDefault(b.MaxPatience, d.MaxPatience)
+	b.StreamTime = durationOrDefault(b.StreamTime, d.StreamTime)
+	b.DefaultOutputTokens = intOrDefault(b.DefaultOutputTokens, d.DefaultOutputTokens)
+	b.MaxReplayBytes = intOrDefault(b.MaxReplayBytes, d.MaxReplayBytes)
+	if b.MaxCallResponseBytes <= 0 {
+		b.MaxCallResponseBytes = d.MaxCallResponseBytes
 	}
-	b.CallTime = orTime(b.CallTime, d.CallTime)
-	b.Generations = orInt(b.Generations, d.Generations)
-	b.LedgerTime = orTime(b.LedgerTime, d.LedgerTime)
-	b.FinishTime = orTime(b.FinishTime, d.FinishTime)
-	b.Running = orInt(b.Running, d.Running)
+	b.DefaultCallTimeout = durationOrDefault(b.DefaultCallTimeout, d.DefaultCallTimeout)
+	b.MaxKeyGenerations = intOrDefault(b.MaxKeyGenerations, d.MaxKeyGenerations)
+	b.LedgerTimeout = durationOrDefault(b.LedgerTimeout, d.LedgerTimeout)
+	b.FinishTimeout = durationOrDefault(b.FinishTimeout, d.FinishTimeout)
+	b.MaxRunningRequests = intOrDefault(b.MaxRunningRequests, d.MaxRunningRequests)
 	return b
 }
 
-func orInt(v, fallback int) int {
+func intOrDefault(v, fallback int) int {
 	if v <= 0 {
 		return fallback
 	}
 	return v
 }
 
-func orTime(v, fallback time.Duration) time.Duration {
+func durationOrDefault(v, fallback time.Duration) time.Duration {
 	if v <= 0 {
 		return fallback
 	}
--- a/internal/route/broadcast.go
+++ b/internal/route/broadcast.go
@@ -7,37 +7,38 @@
 	"github.com/hyssopsail/hyssopsail/internal/engineapi"
 )
 
-// broadcast is a running answer's output so far, from which each caller that
-// sent the same keyed request reads at its own pace. It keeps at most limit
-// bytes of text; an answer that grows over it takes no more late joiners and
-// waits for its readers.
+// broadcast buffers the output of a running request. Each caller that sent the same
+// keyed request reads it at its own pace. At most maxBytes of text are kept. An output
+// that outgrows this loses its start, so that no more callers can join, and its writer
+// waits for the slowest reader.
 type broadcast struct {
-	limit int
-
-	mu      sync.Mutex
-	chunks  []engineapi.Chunk
-	dropped int // chunks dropped from the front
-	bytes   int
-	full    bool // the run waits for a reader
-	readers map[*reader]struct{}
-	answer  *Answer       // set when the run has ended
-	changed chan struct{} // closed and replaced at each change
+	maxBytes int
+
+	mu            sync.Mutex
+	chunks        []engineapi.Chunk
+	dropped       int // chunks dropped from the front
+	bytes         int
+	writerWaiting bool // the writer waits for a reader
+	readers       map[*reader]struct{}
+	answer        *Answer       // set when the request has ended
+	changed       chan struct{} // closed and replaced at each change
 }
 
-// reader is one caller's place in the answer.
+// reader is one caller's position in the output.
 type reader struct{ next int }
 
 func newBroadcast(limit int) *broadcast {
-	return &broadcast{limit: limit, readers: map[*reader]struct{}{}, changed: make(chan struct{})}
+	return &broadcast{maxBytes: limit, readers: map[*reader]struct{}{}, changed: make(chan struct{})}
 }
 
-func (b *broadcast) wakeLocked() {
+func (b *broadcast) notifyLocked() {
 	close(b.changed)
 	b.changed = make(chan struct{})
 }
 
-// join adds a reader from the start; false when the start is gone.
-func (b *broadcast) join() (*reader, bool) {
+// addReader adds a reader at the start of the output. It returns false if the start
+// has been dropped.
+func (b *broadcast) addReader() (*reader, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.dropped > 0 {
@@ -48,18 +49,18 @@
 	return r, true
 }
 
-// quit takes a reader out and tells whether it was the last.
-func (b *broadcast) quit(r *reader) (last bool) {
+// removeReader removes a reader and reports whether it was the last.
+func (b *broadcast) removeReader(r *reader) (last bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	delete(b.readers, r)
-	b.wakeLocked()
+	b.notifyLocked()
 	return len(b.readers) == 0
 }
 
-// pass adds a chunk; while the kept text is over the limit it waits for the
-// slowest reader.
-func (b *broadcast) pass(ctx context.Context, c engineapi.Chunk) error {
+// append adds a chunk. While the buffer is full it waits for the slowest reader; it
+// returns the error of ctx if that ends first.
+func (b *broadcast) append(ctx context.Context, c engineapi.Chunk) error {
 	for {
 		changed, room := b.tryAdd(c)
 		if room {
@@ -76,20 +77,20 @@
 func (b *broadcast) tryAdd(c engineapi.Chunk) (changed <-chan struct{}, added bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.bytes+len(c.Text) > b.limit {
+	if b.bytes+len(c.Text) > b.maxBytes {
 		b.dropReadLocked()
 	}
-	if b.bytes+len(c.Text) > b.limit && len(b.chunks) > 0 {
-		b.full = true
+	if b.bytes+len(c.Text) > b.maxBytes && len(b.chunks) > 0 {
+		b.writerWaiting = true
 		return b.changed, false
 	}
 	b.chunks = append(b.chunks, c)
 	b.bytes += len(c.Text)
-	b.wakeLocked()
+	b.notifyLocked()
 	return nil, true
 }
 
-// dropReadLocked drops what every reader has.
+// dropReadLocked drops the chunks that all readers have read.
 func (b *broadcast) dropReadLocked() {
 	slowest := b.dropped + len(b.chunks)
 	for r := range b.readers {
@@ -103,21 +104,21 @@
 	b.dropped = slowest
 }
 
-func (b *broadcast) end(a Answer) {
+func (b *broadcast) finish(a Answer) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.answer = &a
-	b.wakeLocked()
+	b.notifyLocked()
 }
 
-// failed tells whether the run has ended without a whole answer.
+// failed reports whether the request has ended with a failure.
 func (b *broadcast) failed() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.answer != nil && b.answer.Failure != nil
 }
 
-// batch is what a reader gets at once.
+// batch is the result of one read.
 type batch struct {
 	chunks  []engineapi.Chunk
 	answer  *Answer
@@ -129,9 +130,9 @@
 	defer b.mu.Unlock()
 	fresh := b.chunks[r.next-b.dropped:]
 	r.next += len(fresh)
-	if b.full && len(fresh) > 0 {
-		b.full = false
-		b.wakeLocked()
+	if b.writerWaiting && len(fresh) > 0 {
+		b.writerWaiting = false
+		b.notifyLocked()
 	}
 	return batch{chunks: fresh[:len(fresh):len(fresh)], answer: b.answer, changed: b.changed}
 }
--- a/internal/route/budget_test.go
+++ b/internal/route/budget_test.go
@@ -11,14 +11,14 @@
 	"github.com/hyssopsail/hyssopsail/internal/route"
 )
 
-// Guards against retries that no budget of the fleet bounds: the first after a crash, a
-// transfer to another decode engine, and one that asks a full engine again and again.
+// Guards against retries outside the fleet's retry budget: the first after a crash, a
+// transfer to another decode engine, and repeated sends to a full engine.
 func TestModelKeepsTheFleetsBudget(t *testing.T) {
 	for _, test := range []struct {
 		name, op string
 		at       fleet.EndpointID
 		fault    fault
-		mendable bool // by one arrival more at each pool
+		mendable bool // succeeds with one more arrival at each pool
 	}{
 		{"decode engine crashes", "decode", "d1", fault{broken: true, after: 3}, true},
 		{"prefill engine crashes", "prefill", "p1", fault{broken: true}, true},
@@ -26,33 +26,33 @@
 		{"transfer stands still", "import", "d1", fault{stall: true}, true},
 		{"decode engine is full", "import", "d1", fault{code: engineapi.CodeFull}, true},
 	} {
-		runInWorld(t, test.name, func(t *testing.T, w *world) {
+		runWithFakeFleet(t, test.name, func(t *testing.T, w *fakeFleet) {
 			w.budget = testBudget(0)
-			w.set(test.op, test.at, 100, test.fault)
+			w.setFault(test.op, test.at, 100, test.fault)
 			failed(t, w.router(route.Bounds{}), modelRequest())
 			assert.Assert(t, w.sent("prefill") <= 1 && w.sent("import") <= 1, "%v", w.sends)
-			w.assertFree(t)
+			w.assertNothingHeld(t)
 		})
 		if !test.mendable {
 			continue
 		}
-		runInWorld(t, test.name+", one arrival is allowed", func(t *testing.T, w *world) {
+		runWithFakeFleet(t, test.name+", one arrival is allowed", func(t *testing.T, w *fakeFleet) {
 			w.budget = testBudget(1.25)
-			w.set(test.op, test.at, 1, test.fault)
+			w.setFault(test.op, test.at, 1, test.fault)
 			served(t, w.router(route.Bounds{}), modelRequest(), &sink{})
 			assert.Assert(t, w.sent("prefill") <= 2 && w.sent("import") <= 2, "%v", w.sends)
-			w.assertFree(t)
+			w.assertNothingHeld(t)
 		})
 	}
 }
 
-// Guards against calls that are sent again beyond the fleet's budget, and against callers
-// that are told so late.
+// Guards against retries of calls outside the fleet's retry budget, and against telling
+// the caller late.
 func TestCallKeepsTheFleetsBudget(t *testing.T) {
-	inWorld(t, func(t *testing.T, w *world) {
+	withFakeFleet(t, func(t *testing.T, w *fakeFleet) {
 		w.budget = testBudget(0)
-		w.set("call", "s1", 9, fault{broken: true})
-		w.set("call", "s2", 9, fault{broken: true})
+		w.setFault("call", "s1", 9, fault{broken: true})
+		w.setFault("call", "s2", 9, fault{broken: true})
 		request := callRequest()
 		request.Method = "GET"
 		began := time.Now()
--- a/internal/route/call.go
+++ b/internal/route/call.go
@@ -13,57 +13,58 @@
 	"github.com/hyssopsail/hyssopsail/internal/timeline"
 )
 
-// Call runs a call of a plain service and gives its whole answer, or why
-// there is none. A call that may not be repeated is claimed at the ledger
-// before its first byte leaves, and sent at most once.
-func (r *Router) Call(ctx context.Context, req CallRequest) (*CallAnswer, *Failure) {
+// Call runs a call of a plain service and returns its complete response, or the
+// failure. A call that must not be repeated is claimed at the ledger before its
+// first byte is sent, and is sent at most once.
+func (r *Router) Call(ctx context.Context, req CallRequest) (*CallResponse, *Failure) {
 	answer, failure := r.call(ctx, req)
-	r.metrics.ended(kindCall, failure)
+	r.metrics.requestEnded(kindCall, failure)
 	r.recordEnd(req.ID, req.Team, failure)
 	return answer, failure
 }
 
-func (r *Router) call(ctx context.Context, req CallRequest) (*CallAnswer, *Failure) {
+func (r *Router) call(ctx context.Context, req CallRequest) (*CallResponse, *Failure) {
 	leave, failure := r.enter(req.Team)
 	if failure != nil {
-		return nil, unsureOfKey(req.Key, failure)
+		return nil, unknownIfKeyed(req.Key, failure)
 	}
 	defer leave()
 	r.record(timeline.Event{Kind: timeline.KindReceived, Request: req.ID, Team: req.Team})
-	c, failure := classifyCall(r.opts.Source.State().Tree, req, r.bounds)
+	c, failure := resolveCallParams(r.opts.Source.State().Tree, req, r.bounds)
 	if failure != nil {
 		return nil, failure
 	}
-	ctx, stop := r.abortable(ctx)
+	ctx, stop := r.withAbort(ctx)
 	defer stop()
-	m := r.newCallRun(req, c)
-	// Only after a panic is a hold still there.
-	defer func() { r.free(m.held, nil, 0) }()
+	m := r.newActiveCall(req, c)
+	// The grant is still held here only after a panic.
+	defer func() { r.release(m.latestGrant, nil, 0) }()
 	defer m.arrivals.account.Close()
 	if c.idempotent {
-		return m.repeatable(ctx)
+		return m.runRepeatable(ctx)
 	}
-	return m.once(ctx)
+	return m.runOnce(ctx)
 }
 
-// callRun is one plain call over its attempts. One goroutine owns it.
-type callRun struct {
+// activeCall is the state of one plain call over all its attempts. It is owned by
+// one goroutine.
+type activeCall struct {
 	router      *Router
 	req         CallRequest
-	class       callClass
+	params      callParams
 	fingerprint fleet.Fingerprint
 	gate        engine.Gate
 	arrivals    *arrivals
 	avoid       endpointSet
-	deadline    time.Time // for the endpoint to be chosen and free
-	held        *hold     // the newest
+	deadline    time.Time // for getting a slot at an endpoint
+	latestGrant *heldGrant
 }
 
-func (r *Router) newCallRun(req CallRequest, c callClass) *callRun {
-	return &callRun{
+func (r *Router) newActiveCall(req CallRequest, c callParams) *activeCall {
+	return &activeCall{
 		router:      r,
 		req:         req,
-		class:       c,
+		params:      c,
 		fingerprint: r.hash.callFingerprint(req),
 		gate:        placement.Gate(r.opts.Source, req.Team, r.opts.Recorder),
 		arrivals:    r.openArrivals(req.ID, servicePool+req.Service),
@@ -72,21 +73,22 @@
 	}
 }
 
-// unclaimed makes a refusal before the claim true over all entries.
-func (m *callRun) unclaimed(ctx context.Context, f *Failure) *Failure {
+// refuseUnclaimed returns f, a refusal before the claim. For a keyed call it first
+// records the refusal at the ledger, so that it holds at all entries.
+func (m *activeCall) refuseUnclaimed(ctx context.Context, f *Failure) *Failure {
 	if m.req.Key == "" {
 		return f
 	}
-	return m.router.truthful(ctx, forbidInput{
-		team: m.req.Team, key: m.req.Key, permitted: m.class.permitted, fingerprint: m.fingerprint,
+	return m.router.confirmNotRun(ctx, forbidInput{
+		team: m.req.Team, key: m.req.Key, permitted: m.params.permitted, fingerprint: m.fingerprint,
 	}, f)
 }
 
-func (m *callRun) event(k timeline.Kind, a fleet.AttemptID, at fleet.EndpointID) {
+func (m *activeCall) recordEvent(k timeline.Kind, a fleet.AttemptID, at fleet.EndpointID) {
 	m.router.record(timeline.Event{Kind: k, Request: m.req.ID, Attempt: a, Team: m.req.Team, Endpoint: at})
 }
 
-func (m *callRun) query() endpoint.Query {
+func (m *activeCall) query() endpoint.Query {
 	q := endpoint.Query{Kind: fleet.RolePlain, Service: m.req.Service}
 	if team, ok := m.router.opts.Source.State().Tree.Teams[m.req.Team]; ok {
 		q.Permitted = team.Permitted()
@@ -94,13 +96,13 @@
 	return q
 }
 
-// admit asks admission once.
-func (m *callRun) admit() (done func(), failure *Failure) {
+// admit asks the admission controller once. done must be called when the call ends.
+func (m *activeCall) admit() (done func(), failure *Failure) {
 	w := predictWaits(nil, m.router.opts.Follower.Candidates(m.query()), 0)
 	q := admission.Request{
 		Team:          m.req.Team,
-		Limits:        m.class.team.Limits,
-		Share:         m.class.team.Share,
+		Limits:        m.params.team.Limits,
+		Share:         m.params.team.Share,
 		Work:          1,
 		Patience:      time.Until(m.deadline),
 		PredictedWait: w.decode,
@@ -114,37 +116,38 @@
 	return func() { m.router.admissionDone(q) }, nil
 }
 
-// take chooses an endpoint and gets a slot at it from its home.
-func (m *callRun) take(ctx context.Context, id fleet.AttemptID, alone bool) (*hold, *setback) {
+// acquireSlot chooses an endpoint and requests a grant from its home. If that is
+// refused for want of a slot, it tries other endpoints.
+func (m *activeCall) acquireSlot(ctx context.Context, id fleet.AttemptID, alone bool) (*heldGrant, *attemptFailure) {
 	policies, ok := m.router.policies.get(m.router.opts.Source.State().Tree.Fleet.Decisions)
 	if !ok {
-		return nil, final(noPolicy())
+		return nil, finalAttemptFailure(noPolicyFailure())
 	}
-	avoid := m.avoid.with()
-	var last *setback
-	for range grantTries {
-		candidates, rest := m.router.open(ctx, m.query(), m.deadline)
-		chosen, ok := m.router.choose(policies.Plain, m.scheduleRequest(avoid), allowed(candidates, avoid))
+	avoid := m.avoid.copyWith()
+	var last *attemptFailure
+	for range maxGrantRequests {
+		candidates, cooldown := m.router.availableCandidates(ctx, m.query(), m.deadline)
+		chosen, ok := m.router.choose(policies.Plain, m.scheduleRequest(avoid), withoutAvoided(candidates, avoid))
 		if !ok && last == nil {
-			return nil, noCandidate(candidates, rest)
+			return nil, noCandidateFailure(candidates, cooldown)
 		}
 		if !ok {
 			return nil, last
 		}
-		h, s := m.askHome(ctx, chosen, id, alone, max(time.Until(m.deadline), 0))
-		if s == nil {
+		h, failed := m.requestGrant(ctx, chosen, id, alone, max(time.Until(m.deadline), 0))
+		if failed == nil {
 			return h, nil
 		}
-		if s.cause != causeFull {
-			return nil, s
+		if failed.cause != causeNoSlot {
+			return nil, failed
 		}
 		avoid.add(chosen.ID)
-		last = worse(last, s)
+		last = earlierRetry(last, failed)
 	}
 	return nil, last
 }
 
-func (m *callRun) scheduleRequest(avoid endpointSet) schedule.Request {
+func (m *activeCall) scheduleRequest(avoid endpointSet) schedule.Request {
 	return schedule.Request{
 		Team:      m.req.Team,
 		EntryZone: m.router.opts.Source.Self().Zone,
@@ -152,29 +155,29 @@
 	}
 }
 
-func (m *callRun) askHome(ctx context.Context, c endpoint.Candidate, id fleet.AttemptID, alone bool, wait time.Duration) (*hold, *setback) {
+func (m *activeCall) requestGrant(ctx context.Context, c endpoint.Candidate, id fleet.AttemptID, alone bool, wait time.Duration) (*heldGrant, *attemptFailure) {
 	grant, refusal, err := m.router.opts.Follower.Take(ctx, endpoint.GrantRequest{
 		Endpoint:    c.ID,
 		Kind:        fleet.RolePlain,
 		Attempt:     id,
 		Team:        m.req.Team,
 		Wait:        wait,
-		Share:       m.class.team.Share,
-		Priority:    m.class.priority,
+		Share:       m.params.team.Share,
+		Priority:    m.params.priority,
 		Fingerprint: m.fingerprint,
 		Alone:       alone,
 	})
 	switch {
 	case ctx.Err() != nil:
-		m.router.returnUnused(grant)
-		return nil, &setback{cause: fromContext(ctx)}
+		m.router.releaseUnused(grant)
+		return nil, &attemptFailure{cause: causeFromContext(ctx)}
 	case err != nil:
-		return nil, &setback{cause: causeFull}
+		return nil, &attemptFailure{cause: causeNoSlot}
 	case refusal != nil:
-		m.event(timeline.KindGrantRefused, id, c.ID)
-		return nil, &setback{cause: causeFull, retryAfter: refusal.RetryAfter}
+		m.recordEvent(timeline.KindGrantRefused, id, c.ID)
+		return nil, &attemptFailure{cause: causeNoSlot, retryAfter: refusal.RetryAfter}
 	}
-	m.event(timeline.KindGranted, id, c.ID)
-	m.held = newHold(*grant, time.Now())
-	return m.held, nil
+	m.recordEvent(timeline.KindGranted, id, c.ID)
+	m.latestGrant = newHeldGrant(*grant, time.Now())
+	return m.latestGrant, nil
 }
--- a/internal/route/callers_test.go
+++ b/internal/route/callers_test.go
@@ -24,18 +24,18 @@
 
 const teamKey = "s3cret-team-key"
 
-// serve runs the callers' interface over a world on a loopback port.
-func serve(t testing.TB, w *world) *httptest.Server {
+// serve serves the callers' interface of a fleet on a loopback port.
+func serve(t testing.TB, w *fakeFleet) *httptest.Server {
 	t.Helper()
 	return serveRouter(t, w, w.router(route.Bounds{}))
 }
 
-func serveRouter(t testing.TB, w *world, r *route.Router) *httptest.Server {
+func serveRouter(t testing.TB, w *fakeFleet, r *route.Router) *httptest.Server {
 	t.Helper()
 	return serveBounded(t, w, r, entry.Bounds{BodyBytes: 4096, KeyBytes: 32})
 }
 
-func serveBounded(t testing.TB, w *world, r *route.Router, bounds entry.Bounds) *httptest.Server {
+func serveBounded(t testing.TB, w *fakeFleet, r *route.Router, bounds entry.Bounds) *httptest.Server {
 	t.Helper()
 	handler := entry.NewCallers(entry.CallersOptions{
 		Router: r, Source: w, Recorder: w,
@@ -76,7 +76,7 @@
 	return reply{status: response.StatusCode, header: response.Header, body: string(body)}
 }
 
-// post sends a team's request and gives the answer as soon as it begins.
+// post sends a team's request and returns the response as soon as it begins.
 func post(ctx context.Context, t testing.TB, server *httptest.Server, path string, body io.Reader) *http.Response {
 	t.Helper()
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, server.URL+path, body)
@@ -88,7 +88,7 @@
 	return response
 }
 
-// failureIn reads the error in a body, or in a stream's last event.
+// failureIn parses the error in a body or in a stream's last event.
 func failureIn(t *testing.T, text string) callerapi.Error {
 	t.Helper()
 	var body callerapi.ErrorBody
@@ -96,7 +96,7 @@
 	return body.Error
 }
 
-// eventually waits until done is true, 5 s at most.
+// eventually waits until done returns true, for at most 5 s.
 func eventually(done func() bool) {
 	deadline := time.Now().Add(5 * time.Second)
 	for !done() && time.Now().Before(deadline) {
@@ -111,7 +111,7 @@
 )
 
 func TestJSONAnswers(t *testing.T) {
-	server := serve(t, newWorld())
+	server := serve(t, newFakeFleet())
 	for path, body := range map[string]string{"/v1/chat/completions": chatBody, "/v1/completions": textBody} {
 		got := call{method: "POST", path: path, body: body}.do(t, server)
 		assert.Equal(t, got.status, 200, got.body)
@@ -129,7 +129,7 @@
 	}
 }
 
-// events gives the data of each event of a stream.
+// events returns the data of each event of a stream.
 func events(body string) []string {
 	var out []string
 	lines := bufio.NewScanner(strings.NewReader(body))
@@ -154,19 +154,18 @@
 }
 
 func TestStreamAnswers(t *testing.T) {
-	got := call{method: "POST", path: "/v1/chat/completions", body: chatStream}.do(t, serve(t, newWorld()))
+	got := call{method: "POST", path: "/v1/chat/completions", body: chatStream}.do(t, serve(t, newFakeFleet()))
 	assert.Equal(t, got.status, 200)
 	list := events(got.body)
 	assert.Equal(t, list[len(list)-1], callerapi.StreamDone)
 	assert.Equal(t, streamText(t, list[:len(list)-1]), tokens(10))
 }
 
-// Every decode engine dies after some tokens. A stream that just ended would
-// look whole, and half a dialect gloss would go into the record; the last
-// event says that it failed, and when to come back.
+// Each decode engine dies after some tokens. The stream must end with an event that
+// states the failure and the retry delay; otherwise the partial answer looks complete.
 func TestStreamEndsClearly(t *testing.T) {
-	w := newWorld()
-	w.setBoth("decode", fault{broken: true, after: 2})
+	w := newFakeFleet()
+	w.setDecodeFaults("decode", fault{broken: true, after: 2})
 	got := call{method: "POST", path: "/v1/chat/completions", body: chatStream}.do(t, serve(t, w))
 	list := events(got.body)
 	assert.Equal(t, streamText(t, list[:len(list)-1]), tokens(4))
@@ -174,13 +173,13 @@
 	assert.Equal(t, failure.Outcome, callerapi.OutcomeFailed)
 	assert.Assert(t, failure.RetryAfterMs > 0)
 	assert.Assert(t, failure.RequestID != "")
-	w.assertFree(t)
+	w.assertNothingHeld(t)
 }
 
-// The same failure without a stream: the caller gets no part of the answer.
+// The same failure without streaming: the caller must not get a partial answer.
 func TestJSONNeverPartial(t *testing.T) {
-	w := newWorld()
-	w.setBoth("decode", fault{broken: true, after: 2})
+	w := newFakeFleet()
+	w.setDecodeFaults("decode", fault{broken: true, after: 2})
 	got := call{method: "POST", path: "/v1/chat/completions", body: chatBody}.do(t, serve(t, w))
 	assert.Equal(t, got.status, 502)
 	assert.Equal(t, got.header.Get(callerapi.HeaderOutcome), "failed")
@@ -223,7 +222,7 @@
 		"encoded above":     {call{method: "GET", path: "/v1/services/bank/%2e%2e/b"}, 400, callerapi.CodeBadRequest},
 		"unknown request":   {call{method: "GET", path: "/v1/requests/none"}, 404, callerapi.CodeNotFound},
 	}
-	w := newWorld()
+	w := newFakeFleet()
 	server := serve(t, w)
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -238,10 +237,10 @@
 	assert.Equal(t, len(w.sends), 0)
 }
 
-// The refusal carries when to come back: whole seconds rounded up in the
-// header, so that nobody comes early, and milliseconds in the body.
+// A refusal must state the retry delay in whole seconds in the header, rounded up so that
+// no caller comes early, and in milliseconds in the body.
 func TestRefusalForm(t *testing.T) {
-	w := newWorld()
+	w := newFakeFleet()
 	w.denied = &admission.Decision{Code: callerapi.CodeOverloaded, RetryAfter: 1300 * time.Millisecond}
 	got := call{method: "POST", path: "/v1/completions", body: textBody}.do(t, serve(t, w))
 	assert.Equal(t, got.status, 503)
@@ -251,11 +250,11 @@
 	assert.DeepEqual(t, failure.Addresses, []string{"127.0.0.1:2"})
 }
 
-// An entry cut off from the control group may hold settings that are no
-// longer in force: it refuses, and says where else to go.
+// An entry cut off from the control group may hold outdated settings. It must refuse and
+// name other entries.
 func TestNotCurrent(t *testing.T) {
-	w := newWorld()
-	w.freeze(true)
+	w := newFakeFleet()
+	w.setStale(true)
 	server := serve(t, w)
 	got := call{method: "POST", path: "/v1/completions", body: textBody}.do(t, server)
 	assert.Equal(t, got.status, 503)
@@ -268,7 +267,7 @@
 }
 
 func TestAddresses(t *testing.T) {
-	server := serve(t, newWorld())
+	server := serve(t, newFakeFleet())
 	got := call{method: "GET", path: "/v1/addresses"}.do(t, server)
 	var body callerapi.AddressesReply
 	assert.NilError(t, json.Unmarshal([]byte(got.body), &body))
@@ -278,10 +277,10 @@
 	})
 }
 
-// A caller knocks at an entry outside its team's zones: it learns where to go,
-// and its body isn't taken in. The entry answers before the body has come.
+// A caller reaches an entry outside its team's zones. The entry must name permitted ones
+// and refuse before it has read the body.
 func TestEntryOutsideTheZones(t *testing.T) {
-	w := newWorld()
+	w := newFakeFleet()
 	w.permit("kolkata-north")
 	server := serve(t, w)
 	got := call{method: "GET", path: "/v1/addresses"}.do(t, server)
@@ -295,9 +294,9 @@
 	assert.DeepEqual(t, refusal.Error.Addresses, []string{"127.0.0.1:2"})
 }
 
-// A caller begins a body and never ends it: the connection isn't kept for it.
+// A caller begins a body and never ends it. The connection must not be kept open for it.
 func TestBodyNeverEnds(t *testing.T) {
-	w := newWorld()
+	w := newFakeFleet()
 	server := serveBounded(t, w, w.router(route.Bounds{}), entry.Bounds{BodyTime: 20 * time.Millisecond})
 	unread, body := io.Pipe()
 	defer func() { _ = body.Close() }()
@@ -306,11 +305,11 @@
 	assert.Equal(t, response.StatusCode, 400)
 }
 
-// A caller stops reading in the middle of its answer but keeps its connection.
-// Its decode slot must not wait for it for ever.
+// A caller stops reading in the middle of its answer but keeps its connection open. Its
+// decode slot must be released.
 func TestCallerStopsReading(t *testing.T) {
-	w := newWorld()
-	r := w.routerWith(fast{engines{w}, strings.Repeat("cotton ", 600)}, route.Bounds{OutputTokens: 4000})
+	w := newFakeFleet()
+	r := w.routerWith(fastEngine{engines{w}, strings.Repeat("cotton ", 600)}, route.Bounds{DefaultOutputTokens: 4000})
 	server := serveBounded(t, w, r, entry.Bounds{WriteTime: 50 * time.Millisecond})
 	conn, err := net.Dial("tcp", server.Listener.Addr().String())
 	assert.NilError(t, err)
@@ -327,7 +326,7 @@
 }
 
 func TestServiceCall(t *testing.T) {
-	w := newWorld()
+	w := newFakeFleet()
 	server := serve(t, w)
 	slip := call{method: "POST", path: "/v1/services/bank/slips/7", body: "slip", header: map[string]string{"Idempotency-Key": "slip-7"}}
 	got := slip.do(t, server)
@@ -342,11 +341,11 @@
 	assert.Assert(t, strings.Contains(known.body, `"outcome":"completed","status_code":201`), known.body)
 }
 
-// A caller closes its connection in the middle of a stream: the decode engine
-// is told, and the slot is free.
+// A caller closes its connection in the middle of a stream. The decode engine must be
+// cancelled and the slot released.
 func TestHangUp(t *testing.T) {
-	w := newWorld()
-	w.set("decode", "d1", 1, fault{stall: true, after: 3})
+	w := newFakeFleet()
+	w.setFault("decode", "d1", 1, fault{stall: true, after: 3})
 	server := serve(t, w)
 	ctx, cancel := context.WithCancel(t.Context())
 	response := post(ctx, t, server, "/v1/chat/completions", strings.NewReader(chatStream))
@@ -355,14 +354,14 @@
 	cancel()
 	_ = response.Body.Close()
 	eventually(func() bool { return w.grantCount() == 0 })
-	w.assertFree(t)
+	w.assertNothingHeld(t)
 }
 
 // A fault in the code must not lose the caller's answer nor promise what isn't
 // known.
 func TestPanicAnswers(t *testing.T) {
 	for _, key := range []string{"", "k"} {
-		w := newWorld()
+		w := newFakeFleet()
 		w.beforeSend = func(string) { panic("fault") }
 		server := serve(t, w)
 		for _, c := range []call{
@@ -373,13 +372,13 @@
 			assert.Equal(t, got.status, 500)
 			assert.Equal(t, got.header.Get(callerapi.HeaderOutcome), "unknown")
 		}
-		w.assertFree(t)
+		w.assertNothingHeld(t)
 	}
 }
 
 // The time line is read by operators who may not see what callers send.
 func TestNoBodyInTimeline(t *testing.T) {
-	w := newWorld()
+	w := newFakeFleet()
 	server := serve(t, w)
 	header := map[string]string{"Idempotency-Key": "k-911"}
 	body := `{"model":"fibre","prompt":"PRIVATE","max_tokens":3}`
--- a/internal/route/chunk.go
+++ b/internal/route/chunk.go
@@ -5,26 +5,26 @@
 	"github.com/hyssopsail/hyssopsail/internal/fleet"
 )
 
-// chunkVerdict is what becomes of a chunk.
+// chunkVerdict states how to handle a chunk.
 type chunkVerdict int
 
 const (
-	chunkNext     chunkVerdict = iota + 1
-	chunkRepeated              // the caller has all of it: dropped
-	chunkForeign               // of another attempt or incarnation
-	chunkGap                   // not where the answer goes on
+	chunkNext         chunkVerdict = iota + 1 // continues the answer
+	chunkRepeated                             // the caller has all of it: dropped
+	chunkOtherAttempt                         // belongs to another attempt or incarnation
+	chunkGap                                  // doesn't continue the answer
 )
 
-// judgeChunk compares a chunk with where the answer stands. Pure.
+// checkChunk compares a chunk with the position in the answer. Pure.
 //
-// An engine or a connection that mixes up two answers shows as one caller's
-// text in the other's answer. Attempt IDs are random and never used twice, so
-// a chunk that names this one was made for it; offsets then show what was
-// lost or came twice.
-func judgeChunk(c engineapi.Chunk, a fleet.AttemptID, at fleet.Incarnation, passed int) chunkVerdict {
+// It prevents an engine or connection that mixes up two answers from passing one
+// caller's text to another: attempt IDs are random and never reused, so a chunk
+// with this attempt's ID belongs to it. The offset then shows lost and repeated
+// chunks.
+func checkChunk(c engineapi.Chunk, a fleet.AttemptID, at fleet.Incarnation, passed int) chunkVerdict {
 	switch {
 	case c.Attempt != a || c.Incarnation != at || c.Tokens < 0:
-		return chunkForeign
+		return chunkOtherAttempt
 	case c.Offset == passed:
 		return chunkNext
 	case c.Offset < passed && c.Offset+c.Tokens <= passed && c.Tokens > 0 && c.Finish == engineapi.FinishNone:
--- a/internal/route/claim.go
+++ b/internal/route/claim.go
@@ -11,74 +11,74 @@
 	"github.com/hyssopsail/hyssopsail/internal/timeline"
 )
 
-// inFlightRetry is when to come back for a request that runs elsewhere.
+// inFlightRetry is the retry delay for a request that runs elsewhere.
 const inFlightRetry = 500 * time.Millisecond
 
-// justEndedRetry is when to come back for a request that ended while its
-// repeat was on its way.
+// justEndedRetry is the retry delay for a repeat whose request ended while the
+// repeat was being handled.
 const justEndedRetry = 50 * time.Millisecond
 
-// claimStep is what a verdict means for a keyed model request.
-type claimStep struct {
-	run     bool          // this claim may run
-	next    bool          // this generation has ended: try the next one
-	ran     bool          // with next: the generation may have run
-	wait    time.Duration // before the next one
-	failure *Failure
+// claimDecision states what a ledger verdict means for a keyed model request.
+type claimDecision struct {
+	run            bool          // this claim may run
+	nextGeneration bool          // this generation has ended: try the next one
+	mayHaveRun     bool          // with nextGeneration: this generation may have run
+	wait           time.Duration // before the next generation
+	failure        *Failure
 }
 
-// claimInput is what a verdict is judged by.
+// claimInput is the input of decideClaim.
 type claimInput struct {
 	verdict     outcome.Verdict
 	record      outcome.Record
-	mine        fleet.AttemptID
+	ownAttempt  fleet.AttemptID
 	fingerprint fleet.Fingerprint
 	waited      time.Duration // since the request arrived
-	sweep       time.Duration // until holds of a dead owner are free
-	patience    time.Duration // left
+	untilSwept  time.Duration // until the grants of a dead owner are free
+	patience    time.Duration // remaining
 }
 
-// judgeClaim decides whether a keyed, idempotent request runs. Pure.
+// decideClaim decides whether a keyed, idempotent request runs. Pure.
 //
-// Two entries that both got the request would decode it twice at once, each
-// blocking a slot. Only the attempt whose intent is decided runs; a repeat
-// takes a new generation of the key once the one before has ended. One whose
-// owner died may still occupy an engine until the sweep: it is waited out.
-func judgeClaim(in claimInput) claimStep {
-	others := in.record.Attempt != "" && in.record.Attempt != in.mine
-	if others && !sameBody(in.record.Attempt, in.fingerprint) {
-		return claimStep{failure: keyReused()}
+// If two entries receive the same request, only the attempt that the ledger decided
+// on runs; otherwise both would occupy a decode slot. A repeat uses the next
+// generation of the key once the previous one has ended. A generation whose owner
+// died may occupy an engine until the sweep, so the repeat waits for that.
+func decideClaim(in claimInput) claimDecision {
+	otherAttempt := in.record.Attempt != "" && in.record.Attempt != in.ownAttempt
+	if otherAttempt && !sameBody(in.record.Attempt, in.fingerprint) {
+		return claimDecision{failure: keyReusedFailure()}
 	}
 	switch in.verdict {
 	case outcome.VerdictRun:
-		return claimStep{run: true}
+		return claimDecision{run: true}
 	case outcome.VerdictInFlight:
-		return claimStep{failure: inFlight()}
+		return claimDecision{failure: inFlightFailure()}
 	case outcome.VerdictRecorded:
-		return judgeEnded(in)
+		return decideAfterEnd(in)
 	case outcome.VerdictNotRun:
-		return claimStep{failure: refused(callerapi.CodeRecorded, "its key was given up on; use a new one", 0)}
+		return claimDecision{failure: refused(callerapi.CodeRecorded, "its key was given up on; use a new one", 0)}
 	}
-	if !others {
-		return claimStep{failure: unknownFate()}
+	if !otherAttempt {
+		return claimDecision{failure: unknownOutcomeFailure()}
 	}
-	if in.sweep >= in.patience {
-		return claimStep{failure: unknownFate()}
+	if in.untilSwept >= in.patience {
+		return claimDecision{failure: unknownOutcomeFailure()}
 	}
-	return claimStep{next: true, ran: true, wait: in.sweep}
+	return claimDecision{nextGeneration: true, mayHaveRun: true, wait: in.untilSwept}
 }
 
-// judgeEnded goes on past a generation only when it ended before this request
-// came: a copy that was frozen here while its caller was answered elsewhere
-// must not run after that answer.
-func judgeEnded(in claimInput) claimStep {
+// decideAfterEnd continues with the next generation only if this one ended before
+// the request arrived. Otherwise an entry that was frozen with a copy of the
+// request, while its caller was answered elsewhere, would run it after that answer.
+func decideAfterEnd(in claimInput) claimDecision {
 	if in.record.Age <= in.waited {
-		return claimStep{failure: endedMeanwhile()}
+		return claimDecision{failure: justEndedFailure()}
 	}
-	return claimStep{next: true, ran: in.record.Outcome != pb.OutcomeKind_OUTCOME_KIND_NOT_RUN}
+	return claimDecision{nextGeneration: true, mayHaveRun: in.record.Outcome != pb.OutcomeKind_OUTCOME_KIND_NOT_RUN}
 }
 
-func keyReused() *Failure {
+func keyReusedFailure() *Failure {
 	return &Failure{
 		Code:    callerapi.CodeKeyReused,
 		Message: "the key was used for another body",
@@ -86,7 +86,7 @@
 	}
 }
 
-func inFlight() *Failure {
+func inFlightFailure() *Failure {
 	return &Failure{
 		Code:       callerapi.CodeInFlight,
 		Message:    "a request with this key is running",
@@ -95,14 +95,14 @@
 	}
 }
 
-func endedMeanwhile() *Failure {
-	f := inFlight()
+func justEndedFailure() *Failure {
+	f := inFlightFailure()
 	f.Message = "a request with this key has just ended"
 	f.RetryAfter = justEndedRetry
 	return f
 }
 
-func unknownFate() *Failure {
+func unknownOutcomeFailure() *Failure {
 	return &Failure{
 		Code:       callerapi.CodeUnknown,
 		Message:    "whether a request with this key ran is not known",
@@ -111,34 +111,34 @@
 	}
 }
 
-// keyClaim is a decided generation of a key.
+// keyClaim is a generation of a key that was claimed for this request.
 type keyClaim struct {
 	outcome.Claim
 	ranBefore bool // an earlier generation may have run
 }
 
-// claimKey decides a generation of the key for this request.
-func (r *Router) claimKey(ctx context.Context, req ModelRequest, c class, f fleet.Fingerprint) (keyClaim, *Failure) {
-	ran := false
-	for generation := range r.bounds.Generations {
+// claimKey claims a generation of the key for this request.
+func (r *Router) claimKey(ctx context.Context, req ModelRequest, c modelParams, f fleet.Fingerprint) (keyClaim, *Failure) {
+	mayHaveRun := false
+	for generation := range r.bounds.MaxKeyGenerations {
 		claim := outcome.Claim{
 			Key:       r.hash.recordKey(req.Team, req.Key, generation),
 			Team:      req.Team,
 			Permitted: c.permitted,
 			Attempt:   newClaimAttempt(f),
 		}
-		step := r.claimOnce(ctx, req, c, f, claim)
+		step := r.claimGeneration(ctx, req, c, f, claim)
 		if step.run {
 			r.record(timeline.Event{Kind: timeline.KindLedgerClaimed, Request: req.ID, Team: req.Team, Attempt: claim.Attempt})
-			return keyClaim{Claim: claim, ranBefore: ran}, nil
+			return keyClaim{Claim: claim, ranBefore: mayHaveRun}, nil
 		}
 		if step.failure != nil {
 			r.record(timeline.Event{Kind: timeline.KindLedgerRefused, Request: req.ID, Team: req.Team, Detail: string(step.failure.Code)})
 			return keyClaim{}, step.failure
 		}
-		ran = ran || step.ran
-		if s := pause(ctx, step.wait); s != nil {
-			return keyClaim{}, unknownFate()
+		mayHaveRun = mayHaveRun || step.mayHaveRun
+		if failed := pause(ctx, step.wait); failed != nil {
+			return keyClaim{}, unknownOutcomeFailure()
 		}
 	}
 	return keyClaim{}, &Failure{
@@ -148,32 +148,33 @@
 	}
 }
 
-func (r *Router) claimOnce(ctx context.Context, req ModelRequest, c class, f fleet.Fingerprint, claim outcome.Claim) claimStep {
-	local, cancel := context.WithTimeout(ctx, r.bounds.LedgerTime)
+func (r *Router) claimGeneration(ctx context.Context, req ModelRequest, c modelParams, f fleet.Fingerprint, claim outcome.Claim) claimDecision {
+	local, cancel := context.WithTimeout(ctx, r.bounds.LedgerTimeout)
 	defer cancel()
 	verdict, record, err := r.opts.Ledger.Claim(local, claim)
 	if err != nil {
-		return claimStep{failure: unknownFate()}
+		return claimDecision{failure: unknownOutcomeFailure()}
 	}
-	return judgeClaim(claimInput{
+	return decideClaim(claimInput{
 		verdict:     verdict,
 		record:      record,
-		mine:        claim.Attempt,
+		ownAttempt:  claim.Attempt,
 		fingerprint: f,
 		waited:      time.Since(req.Arrived),
-		sweep:       c.timeouts.EndpointLease + c.timeouts.InstanceLease,
+		untilSwept:  c.timeouts.EndpointLease + c.timeouts.InstanceLease,
 		patience:    time.Until(req.Arrived.Add(c.patience)),
 	})
 }
 
-// finish records a decided attempt's end; the answer waits a little for it,
-// so that a repeat right after sees the record.
-func (r *Router) finish(claim outcome.Claim, kind pb.OutcomeKind, statusCode int) {
-	ctx, cancel := context.WithTimeout(context.Background(), r.bounds.FinishTime)
+// recordOutcome records the end of a claimed attempt at the ledger and waits for that
+// up to Bounds.FinishTimeout. A call is answered after it, so that a repeat right after
+// the answer finds the record.
+func (r *Router) recordOutcome(claim outcome.Claim, kind pb.OutcomeKind, statusCode int) {
+	ctx, cancel := context.WithTimeout(context.Background(), r.bounds.FinishTimeout)
 	defer cancel()
 	err := r.opts.Ledger.Finish(ctx, claim, kind, statusCode)
 	if err != nil {
-		r.opts.Part.Warn("an outcome is recorded late", "attempt", claim.Attempt, "err", err)
+		r.opts.Part.Warn("outcome not yet recorded at the ledger", "attempt", claim.Attempt, "err", err)
 		return
 	}
 	r.record(timeline.Event{Kind: timeline.KindLedgerDone, Attempt: claim.Attempt, Detail: kind.String()})
--- a/internal/route/classify.go
+++ b/internal/route/classify.go
@@ -10,79 +10,80 @@
 	"github.com/hyssopsail/hyssopsail/internal/settings"
 )
 
-// bytesPerToken estimates prompt tokens before an engine has counted them.
+// bytesPerToken is used to estimate prompt tokens before an engine has counted them.
 const bytesPerToken = 4
 
-// class is what the settings say of a model request.
-type class struct {
-	team      settings.Team
-	permitted fleet.ZoneSet
-	model     engineapi.ModelRef
-	declared  settings.Model
-	timeouts  settings.Timeouts
-	patience  time.Duration
-	priority  int
-	prompt    int // tokens, estimated
-	output    int // tokens, at most
+// modelParams are the settings that apply to a model request.
+type modelParams struct {
+	team            settings.Team
+	permitted       fleet.ZoneSet
+	model           engineapi.ModelRef
+	declared        settings.Model
+	timeouts        settings.Timeouts
+	patience        time.Duration
+	priority        int
+	promptTokens    int // estimated
+	maxOutputTokens int
 }
 
-// kvBytes estimates the KV cache of the prompt.
-func (c class) kvBytes() int64 {
-	return int64(c.declared.KVBytesPerToken) * int64(c.prompt)
+// kvBytes estimates the size of the prompt's KV cache.
+func (c modelParams) kvBytes() int64 {
+	return int64(c.declared.KVBytesPerToken) * int64(c.promptTokens)
 }
 
-// classify checks a model request against the settings. Pure.
-func classify(tree *settings.Tree, r ModelRequest, b Bounds) (class, *Failure) {
+// resolveModelParams checks a model request against the settings. Pure.
+func resolveModelParams(tree *settings.Tree, r ModelRequest, b Bounds) (modelParams, *Failure) {
 	team, ok := tree.Teams[r.Team]
 	if !ok {
-		return class{}, notRun(callerapi.CodeUnauthorised, "the team is not in the settings", 0)
+		return modelParams{}, notRun(callerapi.CodeUnauthorised, "the team is not in the settings", 0)
 	}
 	ref, declared, ok := resolveModel(tree.Fleet.Models, r.Model)
 	if !ok || !mayUseModel(team, ref) {
-		return class{}, notRun(callerapi.CodeNoModel, "the model is not declared for this team", 0)
+		return modelParams{}, notRun(callerapi.CodeNoModel, "the model is not declared for this team", 0)
 	}
 	kind := tree.CallerKind(team, r.CallerKind)
-	c := class{
-		team:      team,
-		permitted: team.Permitted(),
-		model:     ref,
-		declared:  declared,
-		timeouts:  filled(tree.Fleet.Timeouts),
-		patience:  patience(kind, r.Patience, b),
-		priority:  kind.Priority,
-		prompt:    estimateTokens(r.Prompt),
+	c := modelParams{
+		team:         team,
+		permitted:    team.Permitted(),
+		model:        ref,
+		declared:     declared,
+		timeouts:     withDefaultTimeouts(tree.Fleet.Timeouts),
+		patience:     patience(kind, r.Patience, b),
+		priority:     kind.Priority,
+		promptTokens: estimateTokens(r.Prompt),
 	}
-	return fitTokens(c, r.MaxTokens, b)
+	return limitTokens(c, r.MaxTokens, b)
 }
 
-// fitTokens bounds the output; a prompt that can never fit is refused for good.
-func fitTokens(c class, asked int, b Bounds) (class, *Failure) {
+// limitTokens limits the output tokens. It returns a final refusal for a prompt that
+// can never fit.
+func limitTokens(c modelParams, asked int, b Bounds) (modelParams, *Failure) {
 	if asked < 0 {
-		return class{}, notRun(callerapi.CodeBadRequest, "max_tokens is negative", 0)
+		return modelParams{}, notRun(callerapi.CodeBadRequest, "max_tokens is negative", 0)
 	}
 	limit := c.team.Limits.PromptTokens
-	if limit > 0 && c.prompt > limit {
-		return class{}, notRun(callerapi.CodeTooLarge, "the prompt is over the team's limit", 0)
+	if limit > 0 && c.promptTokens > limit {
+		return modelParams{}, notRun(callerapi.CodeTooLarge, "the prompt is over the team's limit", 0)
 	}
-	c.output = orInt(asked, b.OutputTokens)
-	most := c.declared.MaxTokens
-	if most <= 0 {
+	c.maxOutputTokens = intOrDefault(asked, b.DefaultOutputTokens)
+	maxTokens := c.declared.MaxTokens
+	if maxTokens <= 0 {
 		return c, nil
 	}
-	if c.prompt+asked > most || c.prompt >= most {
-		return class{}, notRun(callerapi.CodeTooLarge, "prompt and max_tokens are over the model's limit", 0)
+	if c.promptTokens+asked > maxTokens || c.promptTokens >= maxTokens {
+		return modelParams{}, notRun(callerapi.CodeTooLarge, "prompt and max_tokens are over the model's limit", 0)
 	}
-	c.output = min(c.output, most-c.prompt)
+	c.maxOutputTokens = min(c.maxOutputTokens, maxTokens-c.promptTokens)
 	return c, nil
 }
 
-// filled puts the defaults for the times that a run can't do without.
-func filled(t settings.Timeouts) settings.Timeouts {
+// withDefaultTimeouts fills in the timeouts that a request needs.
+func withDefaultTimeouts(t settings.Timeouts) settings.Timeouts {
 	d := settings.DefaultTimeouts()
-	t.KVLife = orTime(t.KVLife, d.KVLife)
-	t.Transfer = orTime(t.Transfer, d.Transfer)
-	t.EndpointLease = orTime(t.EndpointLease, d.EndpointLease)
-	t.InstanceLease = orTime(t.InstanceLease, d.InstanceLease)
+	t.KVLife = durationOrDefault(t.KVLife, d.KVLife)
+	t.Transfer = durationOrDefault(t.Transfer, d.Transfer)
+	t.EndpointLease = durationOrDefault(t.EndpointLease, d.EndpointLease)
+	t.InstanceLease = durationOrDefault(t.InstanceLease, d.InstanceLease)
 	return t
 }
 
@@ -122,6 +123,6 @@
 }
 
 func patience(kind settings.CallerKind, asked time.Duration, b Bounds) time.Duration {
-	p := orTime(asked, orTime(kind.Patience, b.Patience))
-	return min(p, b.LongestPatience)
+	p := durationOrDefault(asked, durationOrDefault(kind.Patience, b.DefaultPatience))
+	return min(p, b.MaxPatience)
 }
--- a/internal/route/resting_test.go
+++ b/internal/route/cooldown_test.go
@@ -12,7 +12,7 @@
 )
 
 // sentTo counts the sends of an operation to an endpoint.
-func (w *world) sentTo(send string) int {
+func (w *fakeFleet) sentTo(send string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	n := 0
@@ -24,16 +24,16 @@
 	return n
 }
 
-// Guards against an endpoint that asks an entry for rest with a refusal and is sent the
-// next request: its home still gives its slots.
-func TestRestingEndpointIsLeftAlone(t *testing.T) {
+// An endpoint asks an entry for a cooldown with a refusal, while its home still grants its
+// slots. The entry must not send it the next request until the cooldown has ended.
+func TestEndpointInCooldownGetsNoSends(t *testing.T) {
 	for _, test := range []struct {
 		op string
 		at fleet.EndpointID
 	}{{"prefill", "p1"}, {"import", "d1"}, {"call", "s1"}} {
-		runInWorld(t, test.op, func(t *testing.T, w *world) {
+		runWithFakeFleet(t, test.op, func(t *testing.T, w *fakeFleet) {
 			w.budget = testBudget(50)
-			w.set(test.op, test.at, 100, fault{code: engineapi.CodeFull, rest: 3 * time.Second})
+			w.setFault(test.op, test.at, 100, fault{code: engineapi.CodeFull, cooldown: 3 * time.Second})
 			router := w.router(route.Bounds{})
 			ask := func() {
 				if test.op == "call" {
@@ -52,7 +52,7 @@
 			time.Sleep(time.Second)
 			ask()
 			assert.Assert(t, w.sentTo(send) >= 2, "its rest is over")
-			w.assertFree(t)
+			w.assertNothingHeld(t)
 		})
 	}
 }
--- a/internal/route/decide_test.go
+++ b/internal/route/decide_test.go
@@ -18,7 +18,7 @@
 	"github.com/hyssopsail/hyssopsail/internal/settings"
 )
 
-func TestJudgeChunk(t *testing.T) {
+func TestCheckChunk(t *testing.T) {
 	good := engineapi.Chunk{Attempt: "a", Incarnation: 7, Offset: 5, Tokens: 2}
 	cases := map[string]struct {
 		bend func(c *engineapi.Chunk)
@@ -30,55 +30,55 @@
 		"repeated end":      {func(c *engineapi.Chunk) { c.Offset, c.Finish = 3, engineapi.FinishStop }, chunkGap},
 		"half repeated":     {func(c *engineapi.Chunk) { c.Offset = 4 }, chunkGap},
 		"missing":           {func(c *engineapi.Chunk) { c.Offset = 6 }, chunkGap},
-		"other attempt":     {func(c *engineapi.Chunk) { c.Attempt = "b" }, chunkForeign},
-		"other incarnation": {func(c *engineapi.Chunk) { c.Incarnation = 8 }, chunkForeign},
-		"negative":          {func(c *engineapi.Chunk) { c.Tokens = -1 }, chunkForeign},
+		"other attempt":     {func(c *engineapi.Chunk) { c.Attempt = "b" }, chunkOtherAttempt},
+		"other incarnation": {func(c *engineapi.Chunk) { c.Incarnation = 8 }, chunkOtherAttempt},
+		"negative":          {func(c *engineapi.Chunk) { c.Tokens = -1 }, chunkOtherAttempt},
 	}
 	for name, tc := range cases {
 		c := good
 		tc.bend(&c)
-		assert.Equal(t, judgeChunk(c, "a", 7, 5), tc.want, name)
+		assert.Equal(t, checkChunk(c, "a", 7, 5), tc.want, name)
 	}
 }
 
-func TestFromError(t *testing.T) {
+func TestAttemptFailureFromError(t *testing.T) {
 	target := engine.Target{ID: "d1"}
 	cases := map[string]struct {
 		err     error
 		want    cause
 		crashed bool
 	}{
-		"broken":      {&engine.Error{Target: target, Sent: true, Err: engine.ErrBroken}, causeBroken, true},
-		"reset":       {&engine.Error{Target: target, Sent: true, Err: io.ErrUnexpectedEOF}, causeBroken, true},
+		"broken":      {&engine.Error{Target: target, Sent: true, Err: engine.ErrBroken}, causeConnectionBroken, true},
+		"reset":       {&engine.Error{Target: target, Sent: true, Err: io.ErrUnexpectedEOF}, causeConnectionBroken, true},
 		"never sent":  {&engine.Error{Target: target, Err: io.EOF}, causeRefused, false},
 		"crossed":     {&engine.Error{Target: target, Sent: true, Err: engine.ErrAttempt}, causeRefused, false},
 		"gap":         {&engine.Error{Target: target, Sent: true, Err: engine.ErrGap}, causeRefused, false},
 		"oversized":   {&engine.Error{Target: target, Sent: true, Err: engine.ErrOversized}, causeRefused, false},
 		"malformed":   {&engine.Error{Target: target, Sent: true, Err: engine.ErrMalformed}, causeRefused, false},
-		"restarted":   {&engine.Error{Target: target, Sent: true, Err: engine.ErrIncarnation}, causeBroken, true},
+		"restarted":   {&engine.Error{Target: target, Sent: true, Err: engine.ErrIncarnation}, causeConnectionBroken, true},
 		"old chunk":   {&engine.Error{Target: target, Sent: true, Err: engine.ErrEarlier}, causeRefused, false},
 		"silent":      {&engine.Error{Target: target, Sent: true, Err: engine.ErrIdle}, causeStalled, false},
 		"stale":       {&engine.Error{Target: target, Sent: true, Code: engineapi.CodeStale}, causeRefused, false},
-		"full":        {&engine.Error{Target: target, Sent: true, Code: engineapi.CodeFull}, causeFull, false},
-		"gone":        {&engine.Error{Target: target, Sent: true, Code: engineapi.CodeGone}, causeLost, false},
+		"full":        {&engine.Error{Target: target, Sent: true, Code: engineapi.CodeFull}, causeNoSlot, false},
+		"gone":        {&engine.Error{Target: target, Sent: true, Code: engineapi.CodeGone}, causeKVExpired, false},
 		"transfer":    {&engine.Error{Target: target, Sent: true, Code: engineapi.CodeTransfer}, causeStalled, false},
-		"of no known": {errors.New("odd"), causeBroken, true},
+		"of no known": {errors.New("odd"), causeConnectionBroken, true},
 	}
 	for name, tc := range cases {
-		s := fromError(t.Context(), t.Context(), tc.err)
-		assert.Equal(t, s.cause, tc.want, name)
-		assert.Equal(t, s.crashed(), tc.crashed, name)
+		failed := attemptFailureFromError(t.Context(), t.Context(), tc.err)
+		assert.Equal(t, failed.cause, tc.want, name)
+		assert.Equal(t, failed.endpointMayHaveCrashed(), tc.crashed, name)
 	}
 	gone, cancel := context.WithCancel(t.Context())
 	cancel()
 	broken := &engine.Error{Target: target, Sent: true, Err: context.Canceled}
-	assert.Equal(t, fromError(gone, gone, broken).cause, causeCallerGone)
-	assert.Equal(t, fromError(t.Context(), gone, broken).cause, causeStalled)
+	assert.Equal(t, attemptFailureFromError(gone, gone, broken).cause, causeCallerGone)
+	assert.Equal(t, attemptFailureFromError(t.Context(), gone, broken).cause, causeStalled)
 }
 
 func TestDecideRetry(t *testing.T) {
 	now := time.Unix(1000, 0)
-	base := retryInput{setback: &setback{cause: causeBroken}, attempts: 1, most: 4, now: now, deadline: now.Add(time.Second)}
+	base := retryInput{attemptFailure: &attemptFailure{cause: causeConnectionBroken}, attempts: 1, maxAttempts: 4, now: now, deadline: now.Add(time.Second)}
 	cases := map[string]struct {
 		change  func(in *retryInput)
 		again   bool
@@ -87,23 +87,27 @@
 	}{
 		"again":            {func(*retryInput) {}, true, "", ""},
 		"out of attempts":  {func(in *retryInput) { in.attempts = 4 }, false, callerapi.CodeEngineFailed, callerapi.OutcomeNotRun},
-		"ran and gave up":  {func(in *retryInput) { in.attempts, in.touched = 4, true }, false, callerapi.CodeEngineFailed, callerapi.OutcomeFailed},
+		"ran and gave up":  {func(in *retryInput) { in.attempts, in.maybeSent = 4, true }, false, callerapi.CodeEngineFailed, callerapi.OutcomeFailed},
 		"out of patience":  {func(in *retryInput) { in.deadline = now }, false, callerapi.CodeEngineFailed, callerapi.OutcomeNotRun},
-		"full":             {func(in *retryInput) { in.setback = &setback{cause: causeFull} }, false, callerapi.CodeOverloaded, callerapi.OutcomeNotRun},
-		"full, wasted":     {func(in *retryInput) { in.setback, in.touched = &setback{cause: causeFull}, true }, false, callerapi.CodeOverloaded, callerapi.OutcomeFailed},
-		"no endpoint":      {func(in *retryInput) { in.setback = &setback{cause: causeNoEndpoint} }, false, callerapi.CodeNoZone, callerapi.OutcomeNotRun},
-		"caller gone":      {func(in *retryInput) { in.setback = &setback{cause: causeCallerGone} }, false, callerapi.CodeDeadline, callerapi.OutcomeNotRun},
-		"forbidden, again": {func(in *retryInput) { in.setback = &setback{cause: causeForbidden} }, true, "", ""},
-		"quarantined": {func(in *retryInput) { in.setback = final(notRun(callerapi.CodeQuarantined, "", 0)) },
+		"full":             {func(in *retryInput) { in.attemptFailure = &attemptFailure{cause: causeNoSlot} }, false, callerapi.CodeOverloaded, callerapi.OutcomeNotRun},
+		"full, wasted":     {func(in *retryInput) { in.attemptFailure, in.maybeSent = &attemptFailure{cause: causeNoSlot}, true }, false, callerapi.CodeOverloaded, callerapi.OutcomeFailed},
+		"no endpoint":      {func(in *retryInput) { in.attemptFailure = &attemptFailure{cause: causeNoEndpoint} }, false, callerapi.CodeNoZone, callerapi.OutcomeNotRun},
+		"caller gone":      {func(in *retryInput) { in.attemptFailure = &attemptFailure{cause: causeCallerGone} }, false, callerapi.CodeDeadline, callerapi.OutcomeNotRun},
+		"forbidden, again": {func(in *retryInput) { in.attemptFailure = &attemptFailure{cause: causeForbidden} }, true, "", ""},
+		"quarantined": {func(in *retryInput) {
+			in.attemptFailure = finalAttemptFailure(notRun(callerapi.CodeQuarantined, "", 0))
+		},
 			false, callerapi.CodeQuarantined, callerapi.OutcomeNotRun},
-		"quarantined after a run": {func(in *retryInput) { in.setback, in.touched = final(notRun(callerapi.CodeQuarantined, "", 0)), true },
+		"quarantined after a run": {func(in *retryInput) {
+			in.attemptFailure, in.maybeSent = finalAttemptFailure(notRun(callerapi.CodeQuarantined, "", 0)), true
+		},
 			false, callerapi.CodeQuarantined, callerapi.OutcomeFailed},
 	}
 	for name, tc := range cases {
 		in := base
 		tc.change(&in)
 		d := decideRetry(in)
-		assert.Equal(t, d.again, tc.again, name)
+		assert.Equal(t, d.retry, tc.again, name)
 		if !tc.again {
 			assert.Equal(t, d.failure.Code, tc.code, name)
 			assert.Equal(t, d.failure.Outcome, tc.outcome, name)
@@ -111,42 +115,42 @@
 	}
 }
 
-func TestJudgeClaim(t *testing.T) {
+func TestDecideClaim(t *testing.T) {
 	f := fleet.Fingerprint{1, 2, 3, 4}
 	mine, theirs := newClaimAttempt(f), newClaimAttempt(f)
-	base := claimInput{mine: mine, fingerprint: f, waited: time.Second, sweep: time.Second, patience: 10 * time.Second}
+	base := claimInput{ownAttempt: mine, fingerprint: f, waited: time.Second, untilSwept: time.Second, patience: 10 * time.Second}
 	record := outcome.Record{Attempt: theirs, Age: time.Minute}
 	cases := map[string]struct {
 		change func(in *claimInput)
-		want   claimStep
+		want   claimDecision
 		code   callerapi.Code
 	}{
-		"run":       {func(in *claimInput) { in.verdict = outcome.VerdictRun }, claimStep{run: true}, ""},
-		"in flight": {func(in *claimInput) { in.verdict, in.record = outcome.VerdictInFlight, record }, claimStep{}, callerapi.CodeInFlight},
-		"ended":     {func(in *claimInput) { in.verdict, in.record = outcome.VerdictRecorded, record }, claimStep{next: true, ran: true}, ""},
+		"run":       {func(in *claimInput) { in.verdict = outcome.VerdictRun }, claimDecision{run: true}, ""},
+		"in flight": {func(in *claimInput) { in.verdict, in.record = outcome.VerdictInFlight, record }, claimDecision{}, callerapi.CodeInFlight},
+		"ended":     {func(in *claimInput) { in.verdict, in.record = outcome.VerdictRecorded, record }, claimDecision{nextGeneration: true, mayHaveRun: true}, ""},
 		"refused before": {func(in *claimInput) {
 			in.verdict, in.record = outcome.VerdictRecorded, record
 			in.record.Outcome = pb.OutcomeKind_OUTCOME_KIND_NOT_RUN
-		}, claimStep{next: true}, ""},
+		}, claimDecision{nextGeneration: true}, ""},
 		"ended meanwhile": {func(in *claimInput) {
 			in.verdict, in.record = outcome.VerdictRecorded, record
 			in.record.Age = time.Second
-		}, claimStep{}, callerapi.CodeInFlight},
+		}, claimDecision{}, callerapi.CodeInFlight},
 		"other body": {func(in *claimInput) {
 			in.verdict, in.record = outcome.VerdictInFlight, record
 			in.fingerprint = fleet.Fingerprint{9}
-		}, claimStep{}, callerapi.CodeKeyReused},
-		"tombstone":     {func(in *claimInput) { in.verdict = outcome.VerdictNotRun }, claimStep{}, callerapi.CodeRecorded},
-		"owner is gone": {func(in *claimInput) { in.verdict, in.record = outcome.VerdictUnknown, record }, claimStep{next: true, ran: true, wait: time.Second}, ""},
+		}, claimDecision{}, callerapi.CodeKeyReused},
+		"tombstone":     {func(in *claimInput) { in.verdict = outcome.VerdictNotRun }, claimDecision{}, callerapi.CodeRecorded},
+		"owner is gone": {func(in *claimInput) { in.verdict, in.record = outcome.VerdictUnknown, record }, claimDecision{nextGeneration: true, mayHaveRun: true, wait: time.Second}, ""},
 		"no patience": {func(in *claimInput) {
 			in.verdict, in.record, in.patience = outcome.VerdictUnknown, record, time.Second
-		}, claimStep{}, callerapi.CodeUnknown},
-		"no majority": {func(in *claimInput) { in.verdict = outcome.VerdictUnknown }, claimStep{}, callerapi.CodeUnknown},
+		}, claimDecision{}, callerapi.CodeUnknown},
+		"no majority": {func(in *claimInput) { in.verdict = outcome.VerdictUnknown }, claimDecision{}, callerapi.CodeUnknown},
 	}
 	for name, tc := range cases {
 		in := base
 		tc.change(&in)
-		got := judgeClaim(in)
+		got := decideClaim(in)
 		if tc.code != "" {
 			assert.Assert(t, got.failure != nil, name)
 			assert.Equal(t, got.failure.Code, tc.code, name)
@@ -177,8 +181,8 @@
 	}
 }
 
-// The names of parts must not run into each other: team "a" with key "bc" is
-// another record than team "ab" with key "c".
+// The parts of a record key must be delimited: team "a" with key "bc" has another record
+// than team "ab" with key "c".
 func TestHashesKeepPartsApart(t *testing.T) {
 	h := hasher{secret: []byte("s")}
 	assert.Assert(t, h.recordKey("a", "bc", 0) != h.recordKey("ab", "c", 0))
@@ -186,8 +190,8 @@
 	assert.Assert(t, h.recordKey("a", "b", 0) != hasher{secret: []byte("t")}.recordKey("a", "b", 0))
 }
 
-// A caller names no kind, or one that nobody declared: it is owed what the
-// settings declare for the kind "default", not nothing.
+// A caller names no kind, or one that isn't declared. The settings of the kind "default"
+// must apply.
 func TestUndeclaredKindTakesDefault(t *testing.T) {
 	tree := &settings.Tree{
 		Fleet: settings.Fleet{
@@ -197,7 +201,7 @@
 		Teams: map[fleet.Team]settings.Team{"a": {Name: "a", Models: []string{"fibre"}}},
 	}
 	for _, kind := range []string{"", "sorter"} {
-		c, failure := classify(tree, ModelRequest{Team: "a", Model: "fibre", Prompt: "x", CallerKind: kind}, DefaultBounds)
+		c, failure := resolveModelParams(tree, ModelRequest{Team: "a", Model: "fibre", Prompt: "x", CallerKind: kind}, DefaultBounds)
 		assert.Assert(t, failure == nil, "%v", failure)
 		assert.Equal(t, c.patience, 7*time.Second)
 		assert.Equal(t, c.priority, 3)
--- a/internal/route/decode.go
+++ b/internal/route/decode.go
@@ -9,140 +9,140 @@
 	"github.com/hyssopsail/hyssopsail/internal/timeline"
 )
 
-// streamStall is the longest gap between tokens: many times any target, so
-// that only an engine that stands still is given up on.
-const streamStall = 5 * time.Second
+// maxTokenGap is the maximum time between tokens. It is many times any target, so
+// that only an engine that has stopped is given up on.
+const maxTokenGap = 5 * time.Second
 
-// runDecode streams output tokens to the sink, from the offset that the
-// caller already has.
-func (a *attempt) runDecode(ctx context.Context) *setback {
-	m := a.run
+// runDecode streams output tokens to the sink, from the offset that the caller
+// already has.
+func (a *attempt) runDecode(ctx context.Context) *attemptFailure {
+	m := a.request
 	local, cancel := context.WithCancel(ctx)
 	defer cancel()
 	watch := engine.NewWatch(m.remaining(), cancel)
 	defer watch.Close()
-	a.noteDecodeStart()
-	stream, err := m.router.opts.Engine.Decode(local, a.decode.target, m.router.gateUnder(a.decode, m.gate), a.decodeRequest())
-	a.touch(a.decode, err)
+	a.recordDecodeStart()
+	stream, err := m.router.opts.Engine.Decode(local, a.decode.target, m.router.grantGate(a.decode, m.gate), a.decodeRequest())
+	a.markSent(a.decode, err)
 	if err != nil {
-		m.router.hearRefusal(err)
+		m.router.recordCooldownFromError(err)
 		return a.decodeFailed(ctx, local, err)
 	}
 	defer func() { _ = stream.Close() }()
-	return a.relay(ctx, local, stream, watch)
+	return a.relayChunks(ctx, local, stream, watch)
 }
 
-func (a *attempt) noteDecodeStart() {
-	a.run.event(timeline.KindDecodeStart, a.id, a.decode.target.ID)
-	if a.run.passed == 0 {
+func (a *attempt) recordDecodeStart() {
+	a.request.recordEvent(timeline.KindDecodeStart, a.id, a.decode.target.ID)
+	if a.request.passedTokens == 0 {
 		return
 	}
-	a.run.event(timeline.KindResumed, a.id, a.decode.target.ID)
-	a.run.router.metrics.resumed.Inc()
+	a.request.recordEvent(timeline.KindResumed, a.id, a.decode.target.ID)
+	a.request.router.metrics.resumed.Inc()
 }
 
 func (a *attempt) decodeRequest() engineapi.DecodeRequest {
-	m := a.run
+	m := a.request
 	return engineapi.DecodeRequest{
-		Work:      a.work(a.decode.target, m.router.bounds.StreamTime),
+		Work:      a.engineWork(a.decode.target, m.router.bounds.StreamTime),
 		Prompt:    m.req.Prompt,
-		MaxTokens: m.class.output,
-		Offset:    m.passed,
+		MaxTokens: m.params.maxOutputTokens,
+		Offset:    m.passedTokens,
 		Prefix:    m.text.String(),
 	}
 }
 
-// relay passes chunks on until the last one.
-func (a *attempt) relay(ctx, local context.Context, stream engine.Stream, watch *engine.Watch) *setback {
+// relayChunks passes chunks to the sink until the last one.
+func (a *attempt) relayChunks(ctx, local context.Context, stream engine.Stream, watch *engine.Watch) *attemptFailure {
 	for first := true; ; first = false {
 		c, err := stream.Next()
 		if err != nil {
 			return a.decodeFailed(ctx, local, err)
 		}
-		// A caller that reads slowly is no fault of the engine.
+		// The time that the caller takes to read isn't counted against the engine.
 		watch.End()
-		if s := a.placeHeld(); s != nil {
-			return s
+		if failed := a.checkDecodeZone(); failed != nil {
+			return failed
 		}
-		ended, s := a.pass(c)
-		if ended || s != nil {
-			return s
+		ended, failed := a.passChunk(c)
+		if ended || failed != nil {
+			return failed
 		}
 		if first {
-			watch.SetLimit(streamStall)
+			watch.SetLimit(maxTokenGap)
 		}
 		watch.Begin()
 	}
 }
 
-// decodeFailed reads the end of a stream that is not whole.
-func (a *attempt) decodeFailed(ctx, local context.Context, err error) *setback {
-	s := fromError(ctx, local, err)
-	if !s.cause.faultless() && s.cause != causeDeadline {
-		s.endpoint = a.decode.target.ID
+// decodeFailed returns the failure of a decode that ended with err.
+func (a *attempt) decodeFailed(ctx, local context.Context, err error) *attemptFailure {
+	failed := attemptFailureFromError(ctx, local, err)
+	if !failed.cause.notEndpointFault() && failed.cause != causeDeadline {
+		failed.endpoint = a.decode.target.ID
 	}
-	if s.cause == causeStalled && a.run.passed == 0 && a.run.remaining() <= 0 {
-		s.cause = causeDeadline
+	if failed.cause == causeStalled && a.request.passedTokens == 0 && a.request.remaining() <= 0 {
+		failed.cause = causeDeadline
 	}
-	return s
+	return failed
 }
 
-// pass checks one chunk and gives it to the sink. ended is true after the
-// last one of a whole answer.
-func (a *attempt) pass(c engineapi.Chunk) (ended bool, s *setback) {
-	m := a.run
-	switch judgeChunk(c, a.id, a.decode.target.Incarnation, m.passed) {
+// passChunk checks one chunk and passes it to the sink. ended is true after the last
+// chunk of a complete answer.
+func (a *attempt) passChunk(c engineapi.Chunk) (ended bool, failed *attemptFailure) {
+	m := a.request
+	switch checkChunk(c, a.id, a.decode.target.Incarnation, m.passedTokens) {
 	case chunkRepeated:
 		return false, nil
-	case chunkForeign, chunkGap:
-		return false, &setback{cause: causeRefused, endpoint: a.decode.target.ID}
+	case chunkOtherAttempt, chunkGap:
+		return false, &attemptFailure{cause: causeRefused, endpoint: a.decode.target.ID}
 	}
 	if c.Finish == engineapi.FinishError || c.Finish == engineapi.FinishCancelled {
-		return false, &setback{cause: causeRefused, endpoint: a.decode.target.ID}
+		return false, &attemptFailure{cause: causeRefused, endpoint: a.decode.target.ID}
 	}
-	a.firstToken(c)
+	a.recordFirstToken(c)
 	if err := m.sink.Pass(c); err != nil {
-		return false, &setback{cause: causeCallerGone}
+		return false, &attemptFailure{cause: causeCallerGone}
 	}
-	m.passed += c.Tokens
+	m.passedTokens += c.Tokens
 	m.text.WriteString(c.Text)
 	a.tokens += c.Tokens
-	m.router.metrics.tokens.Add(float64(c.Tokens))
+	m.router.metrics.outputTokens.Add(float64(c.Tokens))
 	if c.Finish == engineapi.FinishNone {
 		return false, nil
 	}
-	a.ended(c)
+	a.recordDecodeEnd(c)
 	return true, nil
 }
 
-func (a *attempt) firstToken(c engineapi.Chunk) {
-	if a.run.passed > 0 || c.Tokens == 0 {
+func (a *attempt) recordFirstToken(c engineapi.Chunk) {
+	if a.request.passedTokens > 0 || c.Tokens == 0 {
 		return
 	}
-	a.run.event(timeline.KindFirstToken, a.id, a.decode.target.ID)
-	a.run.firstAt, a.run.firstTokens = time.Now(), c.Tokens
-	waited := a.run.firstAt.Sub(a.run.req.Arrived)
-	a.run.router.metrics.sawFirstToken(waited)
-	a.run.router.admissionSaw(a.run.admitted, waited)
+	a.request.recordEvent(timeline.KindFirstToken, a.id, a.decode.target.ID)
+	a.request.firstTokenAt, a.request.firstTokens = time.Now(), c.Tokens
+	waited := a.request.firstTokenAt.Sub(a.request.req.Arrived)
+	a.request.router.metrics.observeFirstToken(waited)
+	a.request.router.admissionFirstToken(a.request.admitted, waited)
 }
 
-func (a *attempt) ended(c engineapi.Chunk) {
+func (a *attempt) recordDecodeEnd(c engineapi.Chunk) {
 	a.decode.finished = true
-	a.run.finish = c.Finish
-	a.run.countTargets(time.Now())
-	a.run.router.succeeded(a.run.req.Team, a.decode.target.ID)
-	a.run.event(timeline.KindDecodeEnd, a.id, a.decode.target.ID)
+	a.request.finish = c.Finish
+	a.request.countTargets(time.Now())
+	a.request.router.recordSuccess(a.request.req.Team, a.decode.target.ID)
+	a.request.recordEvent(timeline.KindDecodeEnd, a.id, a.decode.target.ID)
 }
 
-// countTargets counts a whole answer by the targets that it met.
-func (m *modelRun) countTargets(now time.Time) {
-	if m.firstAt.IsZero() {
+// countTargets counts a complete answer by the targets that it met.
+func (m *activeModelRequest) countTargets(now time.Time) {
+	if m.firstTokenAt.IsZero() {
 		return
 	}
-	p := pace{
-		firstToken: m.firstAt.Sub(m.req.Arrived),
-		decoding:   now.Sub(m.firstAt),
-		later:      m.passed - m.firstTokens,
+	p := answerTiming{
+		firstToken:  m.firstTokenAt.Sub(m.req.Arrived),
+		decodeTime:  now.Sub(m.firstTokenAt),
+		laterTokens: m.passedTokens - m.firstTokens,
 	}
-	m.router.metrics.targets.WithLabelValues(string(p.judge(m.class.team.Targets))).Inc()
+	m.router.metrics.targets.WithLabelValues(string(p.compare(m.params.team.Targets))).Inc()
 }
--- a/internal/route/doc.go
+++ b/internal/route/doc.go
@@ -1,10 +1,11 @@
-// Package route runs a request's life at an entry: admission, the ledger's
-// claim, quarantine, grants, prefill, KV transfer, decode with resumption, and
-// the release of all that was held, whatever happens. Decisions are pure
-// functions and small types; the rest is a thin shell around the interfaces
-// of endpoint, engine, outcome, quarantine, admission and schedule.
+// Package route runs requests at an entry: admission, the claim at the ledger,
+// quarantine, grants, prefill, KV transfer, decode with resumption, and the
+// release of everything that a request holds, however it ends. Decisions are
+// pure functions and small types around the interfaces of endpoint, engine,
+// outcome, quarantine, admission and schedule.
 //
-// Lock order: Router.admissionMu, Router.randomMu, calls.mu, drain.mu and
-// broadcast.mu are leaves; none is held while another is taken or while any
-// interface that does I/O is called.
+// Lock order: Router.admissionMu, Router.randomMu, sharedRequests.mu,
+// inFlightRequests.mu, lastSeenTimes.mu, cooldowns.mu and broadcast.mu are leaves:
+// while one of them is held, no other lock is taken and no interface that does I/O
+// is called.
 package route
--- a/internal/route/early.go
+++ b/internal/route/early.go
@@ -2,60 +2,60 @@
 
 import "context"
 
-// earlyTake asks for the decode slot while prefill runs, so that the KV
-// cache's short life isn't spent on asking.
-type earlyTake struct {
+// earlyGrant is a request for a decode grant that runs while prefill runs, so that
+// the wait for the grant doesn't use up the short life of the KV cache.
+type earlyGrant struct {
 	cancel context.CancelFunc
-	result <-chan takeResult // buffered: the goroutine never blocks on it; nil once taken
+	result <-chan grantResult // buffered, so the goroutine never blocks; nil once received
 }
 
-type takeResult struct {
-	hold *hold
-	fail *setback
+type grantResult struct {
+	grant  *heldGrant
+	failed *attemptFailure
 }
 
-func (a *attempt) startEarly(ctx context.Context, w want) *earlyTake {
+func (a *attempt) requestGrantEarly(ctx context.Context, want slotRequest) *earlyGrant {
 	ctx, cancel := context.WithCancel(ctx)
-	result := make(chan takeResult, 1)
-	frozen := a.copyForTake()
+	result := make(chan grantResult, 1)
+	copied := a.copyForEarlyGrant()
 	go func() {
-		h, s := frozen.take(ctx, w)
-		result <- takeResult{hold: h, fail: s}
+		h, failed := copied.acquireSlot(ctx, want)
+		result <- grantResult{grant: h, failed: failed}
 	}()
-	return &earlyTake{cancel: cancel, result: result}
+	return &earlyGrant{cancel: cancel, result: result}
 }
 
-// copyForTake gives the goroutine its own copy of what the run changes
-// meanwhile.
-func (a *attempt) copyForTake() *attempt {
-	m := a.run
-	run := &modelRun{
-		router:      m.router,
-		req:         m.req,
-		class:       m.class,
-		fingerprint: m.fingerprint,
-		avoid:       m.avoid.with(),
-		passed:      m.passed,
-		deadline:    m.deadline,
-		policies:    m.policies,
+// copyForEarlyGrant returns a copy for the goroutine that requests the grant, since
+// the attempt and its request change meanwhile.
+func (a *attempt) copyForEarlyGrant() *attempt {
+	m := a.request
+	run := &activeModelRequest{
+		router:       m.router,
+		req:          m.req,
+		params:       m.params,
+		fingerprint:  m.fingerprint,
+		avoid:        m.avoid.copyWith(),
+		passedTokens: m.passedTokens,
+		deadline:     m.deadline,
+		policies:     m.policies,
 	}
-	return &attempt{run: run, id: a.id, alone: a.alone, prefill: a.prefill}
+	return &attempt{request: run, id: a.id, alone: a.alone, prefill: a.prefill}
 }
 
-// wait gives the grant, or the setback of ctx.
-func (e *earlyTake) wait(ctx context.Context) (*hold, *setback) {
+// wait returns the grant, or a failure if ctx ends first.
+func (e *earlyGrant) wait(ctx context.Context) (*heldGrant, *attemptFailure) {
 	select {
 	case r := <-e.result:
 		e.result = nil
 		e.cancel()
-		return r.hold, r.fail
+		return r.grant, r.failed
 	case <-ctx.Done():
-		return nil, &setback{cause: fromContext(ctx)}
+		return nil, &attemptFailure{cause: causeFromContext(ctx)}
 	}
 }
 
-// abandon gives back a grant that nobody waits for any more.
-func (e *earlyTake) abandon(r *Router) {
+// abandon cancels the request and releases a grant that still arrives.
+func (e *earlyGrant) abandon(r *Router) {
 	if e == nil || e.result == nil {
 		return
 	}
@@ -64,6 +64,6 @@
 	e.result = nil
 	go func() {
 		got := <-result
-		r.free(got.hold, nil, 0)
+		r.release(got.grant, nil, 0)
 	}()
 }
--- a/internal/route/engines_test.go
+++ b/internal/route/engines_test.go
@@ -18,7 +18,8 @@
 
 // Follower.
 
-func (w *world) Candidates(q endpoint.Query) []endpoint.Candidate {
+// endpoint.Follower.
+func (w *fakeFleet) Candidates(q endpoint.Query) []endpoint.Candidate {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var out []endpoint.Candidate
@@ -30,13 +31,13 @@
 	return out
 }
 
-func (w *world) Surveyed() (time.Time, bool) {
+func (w *fakeFleet) Surveyed() (time.Time, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.surveyedAt, !w.surveying
 }
 
-func (w *world) Take(ctx context.Context, r endpoint.GrantRequest) (*endpoint.Grant, *endpoint.Refusal, error) {
+func (w *fakeFleet) Take(ctx context.Context, r endpoint.GrantRequest) (*endpoint.Grant, *endpoint.Refusal, error) {
 	if f := w.next("take", r.Endpoint); f.stall {
 		<-ctx.Done()
 		return nil, nil, ctx.Err()
@@ -61,7 +62,7 @@
 	return nil, &endpoint.Refusal{Status: pb.GrantStatus_GRANT_STATUS_UNKNOWN_ENDPOINT}, nil
 }
 
-func (w *world) Give(r endpoint.Release) {
+func (w *fakeFleet) Give(r endpoint.Release) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.releases = append(w.releases, r)
@@ -72,17 +73,18 @@
 	}
 }
 
-func (w *world) Running(fleet.AttemptID) bool { return true }
+func (w *fakeFleet) Running(fleet.AttemptID) bool { return true }
 
-func (w *world) Valid(_ time.Time, g endpoint.Grant) bool {
+func (w *fakeFleet) Valid(_ time.Time, g endpoint.Grant) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return !w.ranOut[string(g.Endpoint)+"/"+string(g.Attempt)]
+	return !w.expiredGrants[string(g.Endpoint)+"/"+string(g.Attempt)]
 }
 
 // Engine.
 
-func (w *world) next(op string, at fleet.EndpointID) fault {
+// engine.Client.
+func (w *fakeFleet) next(op string, at fleet.EndpointID) fault {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if f, ok := w.fault[op+" "+string(at)]; ok {
@@ -91,7 +93,7 @@
 	return fault{}
 }
 
-func (w *world) hold(at fleet.EndpointID, a fleet.AttemptID, stage string) {
+func (w *fakeFleet) setHeld(at fleet.EndpointID, a fleet.AttemptID, stage string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	name := string(at) + "/" + string(a)
@@ -102,12 +104,12 @@
 	w.held[name] = stage
 }
 
-// send passes the gate, notes the bytes and brings about the fault.
-func (w *world) send(ctx context.Context, op string, t engine.Target, gate engine.Gate, a fleet.AttemptID) (fault, error) {
+// send passes the gate, records the send and applies the fault.
+func (w *fakeFleet) send(ctx context.Context, op string, t engine.Target, gate engine.Gate, a fleet.AttemptID) (fault, error) {
 	f := w.next(op, t.ID)
 	if w.freezeBefore == op {
 		w.freezeBefore = ""
-		w.ranOut = map[string]bool{string(t.ID) + "/" + string(a): true}
+		w.expiredGrants = map[string]bool{string(t.ID) + "/" + string(a): true}
 	}
 	if w.beforeSend != nil {
 		w.beforeSend(op + " " + string(t.ID))
@@ -120,11 +122,11 @@
 	}
 	w.mu.Lock()
 	w.sends = append(w.sends, op+" "+string(t.ID))
-	if w.ranOut[string(t.ID)+"/"+string(a)] {
+	if w.expiredGrants[string(t.ID)+"/"+string(a)] {
 		w.lateSends++
 	}
 	w.mu.Unlock()
-	w.hold(t.ID, a, op)
+	w.setHeld(t.ID, a, op)
 	if w.afterSend != nil {
 		w.afterSend(op + " " + string(t.ID))
 	}
@@ -139,18 +141,18 @@
 		<-ctx.Done()
 		return f, &engine.Error{Target: t, Op: op, Sent: true, Err: ctx.Err()}
 	case f.broken:
-		w.hold(t.ID, a, "")
+		w.setHeld(t.ID, a, "")
 		return f, &engine.Error{Target: t, Op: op, Sent: true, Err: io.ErrUnexpectedEOF}
 	case f.code != "":
 		if op == "call" {
-			w.hold(t.ID, a, "")
+			w.setHeld(t.ID, a, "")
 		}
-		return f, &engine.Error{Target: t, Op: op, Sent: true, Code: f.code, Rest: f.rest}
+		return f, &engine.Error{Target: t, Op: op, Sent: true, Code: f.code, Rest: f.cooldown}
 	}
 	return f, nil
 }
 
-func (w *world) Prefill(ctx context.Context, t engine.Target, gate engine.Gate, r engineapi.PrefillRequest) (engineapi.PrefillReply, error) {
+func (w *fakeFleet) Prefill(ctx context.Context, t engine.Target, gate engine.Gate, r engineapi.PrefillRequest) (engineapi.PrefillReply, error) {
 	if _, err := w.send(ctx, "prefill", t, gate, r.Attempt); err != nil {
 		return engineapi.PrefillReply{}, err
 	}
@@ -160,16 +162,16 @@
 	}, nil
 }
 
-func (w *world) Import(ctx context.Context, t engine.Target, gate engine.Gate, r engineapi.ImportRequest) (engineapi.ImportReply, error) {
+func (w *fakeFleet) Import(ctx context.Context, t engine.Target, gate engine.Gate, r engineapi.ImportRequest) (engineapi.ImportReply, error) {
 	if _, err := w.send(ctx, "import", t, gate, r.Attempt); err != nil {
 		return engineapi.ImportReply{}, err
 	}
 	source, _, _ := strings.Cut(r.Handle, "/")
-	w.hold(fleet.EndpointID(source), r.Attempt, "")
+	w.setHeld(fleet.EndpointID(source), r.Attempt, "")
 	return engineapi.ImportReply{Attempt: r.Attempt, Incarnation: t.Incarnation}, nil
 }
 
-func (w *world) Decode(ctx context.Context, t engine.Target, gate engine.Gate, r engineapi.DecodeRequest) (engine.Stream, error) {
+func (w *fakeFleet) Decode(ctx context.Context, t engine.Target, gate engine.Gate, r engineapi.DecodeRequest) (engine.Stream, error) {
 	f, err := w.send(ctx, "decode", t, gate, r.Attempt)
 	if err != nil {
 		return nil, err
@@ -177,9 +179,9 @@
 	return &stream{w: w, ctx: ctx, target: t, request: r, fault: f, at: r.Offset}, nil
 }
 
-// stream decodes MaxTokens tokens "0 ", "1 ", ..., a millisecond each.
+// stream decodes MaxTokens tokens "0 ", "1 ", ..., one per millisecond.
 type stream struct {
-	w       *world
+	w       *fakeFleet
 	ctx     context.Context
 	target  engine.Target
 	request engineapi.DecodeRequest
@@ -205,10 +207,10 @@
 	s.made++
 	if s.at >= s.request.MaxTokens {
 		c.Finish = engineapi.FinishLength
-		s.w.hold(s.target.ID, s.request.Attempt, "")
+		s.w.setHeld(s.target.ID, s.request.Attempt, "")
 	}
-	if s.fault.bend != nil && s.made > s.fault.after {
-		c = s.fault.bend(c)
+	if s.fault.alter != nil && s.made > s.fault.after {
+		c = s.fault.alter(c)
 	}
 	return c, nil
 }
@@ -220,22 +222,22 @@
 		e.Err = s.ctx.Err()
 	}
 	if s.fault.broken {
-		s.w.hold(s.target.ID, s.request.Attempt, "")
+		s.w.setHeld(s.target.ID, s.request.Attempt, "")
 	}
 	return e
 }
 
 func (s *stream) Close() error { return nil }
 
-func (w *world) Cancel(t engine.Target, a fleet.AttemptID) {
+func (w *fakeFleet) Cancel(t engine.Target, a fleet.AttemptID) {
 	if w.cancelLag == 0 {
-		w.hold(t.ID, a, "")
+		w.setHeld(t.ID, a, "")
 		return
 	}
-	time.AfterFunc(w.cancelLag, func() { w.hold(t.ID, a, "") })
+	time.AfterFunc(w.cancelLag, func() { w.setHeld(t.ID, a, "") })
 }
 
-func (w *world) Held(_ context.Context, t engine.Target) (engineapi.HeldReply, error) {
+func (w *fakeFleet) Held(_ context.Context, t engine.Target) (engineapi.HeldReply, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	reply := engineapi.HeldReply{Incarnation: t.Incarnation}
@@ -248,26 +250,27 @@
 	return reply, nil
 }
 
-func (w *world) Cache(context.Context, engine.Target) (engineapi.CacheSnapshot, error) {
+func (w *fakeFleet) Cache(context.Context, engine.Target) (engineapi.CacheSnapshot, error) {
 	return engineapi.CacheSnapshot{}, nil
 }
 
-// engines is world as an engine.Client, whose State differs from the source's.
-type engines struct{ *world }
+// engines is a fakeFleet as an engine.Client, whose State differs from that of
+// membership.Source.
+type engines struct{ *fakeFleet }
 
 func (engines) State(context.Context, engine.Target) (engineapi.Announcement, error) {
 	return engineapi.Announcement{}, nil
 }
 
-func (w *world) Order(context.Context, engine.Target, engineapi.Order) (engineapi.OrderReply, error) {
+func (w *fakeFleet) Order(context.Context, engine.Target, engineapi.Order) (engineapi.OrderReply, error) {
 	return engineapi.OrderReply{}, nil
 }
 
-func (w *world) Call(ctx context.Context, t engine.Target, gate engine.Gate, a fleet.AttemptID, r *http.Request) (*http.Response, error) {
+func (w *fakeFleet) Call(ctx context.Context, t engine.Target, gate engine.Gate, a fleet.AttemptID, r *http.Request) (*http.Response, error) {
 	if _, err := w.send(ctx, "call", t, gate, a); err != nil {
 		return nil, err
 	}
-	w.hold(t.ID, a, "")
+	w.setHeld(t.ID, a, "")
 	if ctx.Err() != nil {
 		return nil, &engine.Error{Target: t, Op: "call", Sent: true, Err: ctx.Err()}
 	}
--- a/internal/route/exchange.go
+++ b/internal/route/exchange.go
@@ -16,65 +16,65 @@
 	"github.com/hyssopsail/hyssopsail/internal/timeline"
 )
 
-// exchange sends the call under a hold and reads the whole answer. sent is
-// false only when the error proves that the call didn't run.
-func (m *callRun) exchange(ctx context.Context, h *hold, id fleet.AttemptID) (answer *CallAnswer, sent bool, s *setback) {
-	if !m.arrivals.maySend() {
-		return nil, false, overBudget()
+// exchange sends the call under a grant and reads the complete response. sent is
+// false only if the call provably didn't run.
+func (m *activeCall) exchange(ctx context.Context, h *heldGrant, id fleet.AttemptID) (answer *CallResponse, sent bool, failed *attemptFailure) {
+	if !m.arrivals.reserveSend() {
+		return nil, false, overBudgetFailure()
 	}
-	local, cancel := context.WithTimeout(ctx, m.class.callTime)
+	local, cancel := context.WithTimeout(ctx, m.params.callTime)
 	defer cancel()
-	m.event(timeline.KindCallStart, id, h.target.ID)
-	h.touched = true
+	m.recordEvent(timeline.KindCallStart, id, h.target.ID)
+	h.maybeSent = true
 	answer, err := m.roundTrip(local, h)
-	m.arrivals.sent(h.target.ID, err)
-	sent = !neverRan(err)
-	h.touched = sent
+	m.arrivals.recordSend(h.target.ID, err)
+	sent = !provesNotRun(err)
+	h.maybeSent = sent
 	if err != nil {
-		s = fromError(ctx, local, err)
-		if !s.cause.faultless() {
-			s.endpoint = h.target.ID
+		failed = attemptFailureFromError(ctx, local, err)
+		if !failed.cause.notEndpointFault() {
+			failed.endpoint = h.target.ID
 		}
-		return nil, sent, s
+		return nil, sent, failed
 	}
 	h.finished = true
-	m.event(timeline.KindCallEnd, id, h.target.ID)
+	m.recordEvent(timeline.KindCallEnd, id, h.target.ID)
 	return answer, true, nil
 }
 
-// neverRan tells whether err proves that the call didn't run and never will:
-// no byte left, or the endpoint said by a code that it refused it.
-func neverRan(err error) bool {
+// provesNotRun reports whether err proves that the call didn't run and never will:
+// no byte was sent, or the endpoint refused it with an error code.
+func provesNotRun(err error) bool {
 	var e *engine.Error
 	if errors.As(err, &e) && e.Code != "" {
 		return true
 	}
-	return neverSent(err)
+	return provesNotSent(err)
 }
 
-func (m *callRun) roundTrip(ctx context.Context, h *hold) (*CallAnswer, error) {
+func (m *activeCall) roundTrip(ctx context.Context, h *heldGrant) (*CallResponse, error) {
 	request, err := m.httpRequest(ctx)
 	if err != nil {
 		return nil, &engine.Error{Target: h.target, Op: "call", Err: err}
 	}
-	gate := m.router.gateUnder(h, m.gate)
+	gate := m.router.grantGate(h, m.gate)
 	response, err := m.router.opts.Engine.Call(ctx, h.target, gate, h.grant.Attempt, request)
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = response.Body.Close() }()
-	body, err := readWhole(response.Body, m.router.bounds.CallAnswerBytes)
+	body, err := readLimited(response.Body, m.router.bounds.MaxCallResponseBytes)
 	if err != nil {
 		return nil, &engine.Error{Target: h.target, Op: "call", Sent: true, Err: err}
 	}
-	answer := &CallAnswer{StatusCode: response.StatusCode, Header: response.Header, Body: body}
-	m.router.hearRest(h.target, restOf(answer))
+	answer := &CallResponse{StatusCode: response.StatusCode, Header: response.Header, Body: body}
+	m.router.recordCooldown(h.target, requestedCooldown(answer))
 	return answer, nil
 }
 
-// readWhole reads an answer to its end. A part of an answer is never passed
-// on: the caller would take it for the whole.
-func readWhole(from io.Reader, limit int64) ([]byte, error) {
+// readLimited reads a body of up to limit bytes to its end. A partial body is an
+// error: a caller couldn't tell it from the complete response.
+func readLimited(from io.Reader, limit int64) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(from, limit+1))
 	if err != nil {
 		return nil, err
@@ -85,7 +85,7 @@
 	return body, nil
 }
 
-func (m *callRun) httpRequest(ctx context.Context) (*http.Request, error) {
+func (m *activeCall) httpRequest(ctx context.Context) (*http.Request, error) {
 	target := url.URL{Scheme: "http", Host: "endpoint", Path: m.req.Path, RawQuery: m.req.Query}
 	request, err := http.NewRequestWithContext(ctx, m.req.Method, target.String(), bytes.NewReader(m.req.Body))
 	if err != nil {
@@ -98,17 +98,18 @@
 	return request, nil
 }
 
-// settle gives the hold back and tells the fingerprint's guard.
-func (m *callRun) settle(h *hold, id fleet.AttemptID, s *setback) {
-	m.router.free(h, s, 0)
-	m.router.opts.Guard.End(m.fingerprint, m.class.permitted, id, s == nil, s.crashed())
+// finishAttempt releases the grant and reports the end of the attempt to the
+// quarantine guard.
+func (m *activeCall) finishAttempt(h *heldGrant, id fleet.AttemptID, failed *attemptFailure) {
+	m.router.release(h, failed, 0)
+	m.router.opts.Guard.End(m.fingerprint, m.params.permitted, id, failed == nil, failed.endpointMayHaveCrashed())
 }
 
-// turn asks the fingerprint's guard before an attempt.
-func (m *callRun) turn(ctx context.Context, id fleet.AttemptID) (alone bool, s *setback) {
-	return guardTurn(ctx, m.router.opts.Guard, guardInput{
+// awaitTurn waits until the quarantine guard lets the attempt run.
+func (m *activeCall) awaitTurn(ctx context.Context, id fleet.AttemptID) (alone bool, failed *attemptFailure) {
+	return awaitGuard(ctx, m.router.opts.Guard, guardInput{
 		fingerprint: m.fingerprint,
-		permitted:   m.class.permitted,
+		permitted:   m.params.permitted,
 		attempt:     id,
 		remaining:   func() time.Duration { return time.Until(m.deadline) },
 	})
--- a/internal/route/failure.go
+++ b/internal/route/failure.go
@@ -6,28 +6,29 @@
 	"github.com/hyssopsail/hyssopsail/internal/callerapi"
 )
 
-// Failure is why a request has no whole answer. It is a value: the caller's
-// final answer is made from it.
+// Failure states why a request has no complete answer. The caller's final answer
+// is made from it.
 type Failure struct {
 	Code       callerapi.Code
 	Message    string
 	Outcome    callerapi.Outcome
-	RetryAfter time.Duration // 0: no use in coming back
-	TimedOut   bool          // a deadline passed, rather than something breaking
-	StatusCode int           // of the answer that a recorded call had; 0: none
+	RetryAfter time.Duration // 0: a repeat can't succeed
+	TimedOut   bool          // a deadline passed
+	StatusCode int           // HTTP status of the recorded call; 0: none
 }
 
 // Error implements error.
 func (f *Failure) Error() string { return string(f.Code) + ": " + f.Message }
 
-// DefaultRetryAfter is given when no drain rate is known.
+// DefaultRetryAfter is used when the drain rate is not known.
 const DefaultRetryAfter = time.Second
 
 func notRun(code callerapi.Code, message string, retryAfter time.Duration) *Failure {
 	return &Failure{Code: code, Message: message, Outcome: callerapi.OutcomeNotRun, RetryAfter: retryAfter}
 }
 
-// refused is a refusal that a later try may escape.
+// refused returns the failure of a request that wasn't run and may succeed when
+// repeated after retryAfter, or DefaultRetryAfter if that isn't positive.
 func refused(code callerapi.Code, message string, retryAfter time.Duration) *Failure {
 	if retryAfter <= 0 {
 		retryAfter = DefaultRetryAfter
@@ -35,7 +36,7 @@
 	return notRun(code, message, retryAfter)
 }
 
-// callerGone is the result when there is no one left to answer.
-func callerGone() *Failure {
+// callerGoneFailure returns the failure of a request whose caller has disconnected.
+func callerGoneFailure() *Failure {
 	return &Failure{Code: callerapi.CodeDeadline, Message: "the caller is gone", Outcome: callerapi.OutcomeFailed}
 }
--- a/internal/route/world_test.go
+++ b/internal/route/fakefleet_test.go
@@ -24,16 +24,16 @@
 	"github.com/hyssopsail/hyssopsail/internal/timeline"
 )
 
-// world is the fleet around one Router, in memory: endpoints with slots and
-// held memory, a ledger, and faults that a test sets.
-type world struct {
+// fakeFleet is the fleet around one Router, in memory: endpoints with slots and held
+// memory, a ledger, and faults that a test sets.
+type fakeFleet struct {
 	mu       sync.Mutex
 	state    *membership.State
 	stale    bool
 	list     []endpoint.Candidate
 	grants   map[string]int          // endpoint/attempt -> held grants
 	held     map[string]string       // endpoint/attempt -> stage in engine memory
-	sends    []string                // "op endpoint" of each send whose bytes left
+	sends    []string                // "op endpoint" of each send of which bytes were sent
 	releases []endpoint.Release      // in order
 	fault    map[string]func() fault // "op endpoint" -> next fault
 	refuse   endpoint.Refusal        // when Status is set, each Take gets it
@@ -45,27 +45,27 @@
 	plan     schedule.StartPlan
 	onClaim  func()
 	events   []timeline.Event
-	noBudget bool // no retry is left
+	noBudget bool // no retry is allowed
 	budget   *retrybudget.Budget
-	// surveying: the follower has not asked all homes yet; surveyedAt is when it
-	// had, long ago when zero.
+	// surveying: the follower has not asked all homes yet. surveyedAt is the time when it
+	// had; zero: long ago.
 	surveying  bool
 	surveyedAt time.Time
 	links      *schedule.LinkTable
-	// cancelLag is the time that a cancel takes until it is confirmed.
+	// cancelLag is the time until a cancel takes effect.
 	cancelLag time.Duration
-	// takeLag is the time that a home takes to grant a decode slot, whether or
-	// not the caller still waits.
+	// takeLag is the time that a home takes to grant a decode slot, whether or not the
+	// caller still waits.
 	takeLag time.Duration
-	// beforeSend runs after the choice and before the last check.
+	// beforeSend runs after the choice of the endpoint and before the last check.
 	beforeSend func(next string)
 	afterSend  func(sent string)
-	// freezeBefore names the op before whose next send the entry is frozen for
-	// longer than its grant lives; ranOut are the grants lost so, by endpoint
-	// and attempt, and lateSends the sends that left under one all the same.
-	freezeBefore string
-	ranOut       map[string]bool
-	lateSends    int
+	// freezeBefore is the op before whose next send the entry is frozen for longer than
+	// its grant lives. expiredGrants are the grants that expired so, by endpoint and
+	// attempt. lateSends counts the sends under such a grant.
+	freezeBefore  string
+	expiredGrants map[string]bool
+	lateSends     int
 }
 
 type guardEnd struct{ completed, crashed bool }
@@ -75,18 +75,18 @@
 	decided time.Time
 }
 
-// fault is how one call to an endpoint goes wrong.
+// fault describes how one call to an endpoint fails.
 type fault struct {
-	broken bool           // the connection breaks after the bytes left
-	code   engineapi.Code // the endpoint's error answer
-	rest   time.Duration  // that its error answer asks for
-	stall  bool           // no answer until the context ends
-	unsent bool           // no connection: no byte left
-	after  int            // decode: tokens before the fault
-	bend   func(engineapi.Chunk) engineapi.Chunk
+	broken   bool           // the connection breaks after the bytes were sent
+	code     engineapi.Code // the endpoint's error answer
+	cooldown time.Duration  // requested by the error answer
+	stall    bool           // no answer until the context ends
+	unsent   bool           // no connection: no byte is sent
+	after    int            // decode: tokens before the fault
+	alter    func(engineapi.Chunk) engineapi.Chunk
 }
 
-func newWorld() *world {
+func newFakeFleet() *fakeFleet {
 	zones := []settings.Zone{{Name: "howrah"}, {Name: "kolkata-north"}, {Name: "barasat"}}
 	tree := &settings.Tree{
 		Fleet: settings.Fleet{
@@ -106,7 +106,7 @@
 			Models: []string{"fibre"}, Services: []string{"bank"}, Share: 1,
 		}},
 	}
-	w := &world{
+	w := &fakeFleet{
 		state:   &membership.State{Index: 1, Tree: tree, View: view()},
 		grants:  map[string]int{},
 		held:    map[string]string{},
@@ -125,7 +125,8 @@
 	return w
 }
 
-// testBudget is that of the only entry, with so much slack and more that isn't used.
+// testBudget returns the budget of the only entry, with the given slack and further
+// limits that aren't reached.
 func testBudget(slack float64) *retrybudget.Budget {
 	b := retrybudget.New(time.Now().Add(-time.Hour), retrybudget.Limits{Slack: slack, Window: time.Minute})
 	b.Entries(time.Now(), 1)
@@ -145,13 +146,13 @@
 	return v
 }
 
-func (w *world) add(id fleet.EndpointID, role fleet.EndpointRole, zone fleet.AvailabilityZone) {
+func (w *fakeFleet) add(id fleet.EndpointID, role fleet.EndpointRole, zone fleet.AvailabilityZone) {
 	c := endpoint.Candidate{ID: id, Incarnation: 7, Zone: zone, Address: string(id) + ":1", Role: role, Slots: 20}
 	w.list = append(w.list, c)
 }
 
-// hide takes all endpoints out of sight and gives them for show.
-func (w *world) hide() []endpoint.Candidate {
+// hideEndpoints removes all endpoints and returns them for showEndpoints.
+func (w *fakeFleet) hideEndpoints() []endpoint.Candidate {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	known := w.list
@@ -159,34 +160,36 @@
 	return known
 }
 
-func (w *world) show(known []endpoint.Candidate) {
+func (w *fakeFleet) showEndpoints(known []endpoint.Candidate) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.list = known
 }
 
-// refuseTakes has each home refuse each slot so; 0: no more.
-func (w *world) refuseTakes(status pb.GrantStatus) {
+// refuseGrants makes each home refuse each grant with status; 0: no more.
+func (w *fakeFleet) refuseGrants(status pb.GrantStatus) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.refuse = endpoint.Refusal{Status: status}
 }
 
-// router makes a Router in this world.
-func (w *world) router(bounds route.Bounds) *route.Router { return w.routerWith(engines{w}, bounds) }
+// router returns a Router in this fleet.
+func (w *fakeFleet) router(bounds route.Bounds) *route.Router {
+	return w.routerWith(engines{w}, bounds)
+}
 
-func (w *world) routerWith(client engine.Client, bounds route.Bounds) *route.Router {
+func (w *fakeFleet) routerWith(client engine.Client, bounds route.Bounds) *route.Router {
 	return route.New(route.Options{
 		Source: w, Follower: w, Engine: client, Ledger: w, Guard: w, Admission: w, Recorder: w, Budget: w.budget,
 		Policies: func(settings.Decisions) (route.Policies, error) {
-			return route.Policies{Prefill: first{}, Decode: first{}, Plain: first{}, Start: w}, nil
+			return route.Policies{Prefill: firstChoice{}, Decode: firstChoice{}, Plain: firstChoice{}, Start: w}, nil
 		},
 		Secret: []byte("secret"), Bounds: bounds, Links: w.links,
 	})
 }
 
-// set puts a fault on each call of op at an endpoint, times times; then none.
-func (w *world) set(op string, at fleet.EndpointID, times int, f fault) {
+// setFault sets a fault for the next calls of op at an endpoint, as many as times.
+func (w *fakeFleet) setFault(op string, at fleet.EndpointID, times int, f fault) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.fault[op+" "+string(at)] = func() fault {
@@ -198,14 +201,14 @@
 	}
 }
 
-// setBoth puts a fault on all calls of op at the two decode engines.
-func (w *world) setBoth(op string, f fault) {
-	w.set(op, "d1", 9, f)
-	w.set(op, "d2", 9, f)
+// setDecodeFaults sets a fault for the next calls of op at both decode engines.
+func (w *fakeFleet) setDecodeFaults(op string, f fault) {
+	w.setFault(op, "d1", 9, f)
+	w.setFault(op, "d2", 9, f)
 }
 
-// permit narrows the team's zones, as newly applied settings do.
-func (w *world) permit(zones ...fleet.AvailabilityZone) {
+// permit replaces the team's permitted zones, as newly applied settings do.
+func (w *fakeFleet) permit(zones ...fleet.AvailabilityZone) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	tree := *w.state.Tree
@@ -215,8 +218,8 @@
 	w.state = &membership.State{Index: w.state.Index + 1, Tree: &tree, View: w.state.View}
 }
 
-// moveTo puts an endpoint into another zone.
-func (w *world) moveTo(id fleet.EndpointID, zone fleet.AvailabilityZone) {
+// moveTo moves an endpoint into another zone.
+func (w *fakeFleet) moveTo(id fleet.EndpointID, zone fleet.AvailabilityZone) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for n := range w.list {
@@ -226,8 +229,8 @@
 	}
 }
 
-// releaseOf is the reason that an endpoint's home was first given.
-func (w *world) releaseOf(id fleet.EndpointID) pb.ReleaseReason {
+// releaseOf returns the reason of the first release at an endpoint's home.
+func (w *fakeFleet) releaseOf(id fleet.EndpointID) pb.ReleaseReason {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, r := range w.releases {
@@ -240,22 +243,22 @@
 
 var allowGuardEnd = cmp.AllowUnexported(guardEnd{})
 
-// setState replaces the applied state, and gives the one before.
-func (w *world) setState(next *membership.State) (before *membership.State) {
+// setState replaces the applied state and returns the previous one.
+func (w *fakeFleet) setState(next *membership.State) (before *membership.State) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	before, w.state = w.state, next
 	return before
 }
 
-func (w *world) freeze(stale bool) {
+func (w *fakeFleet) setStale(stale bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.stale = stale
 }
 
-// assertFree checks that no grant and no engine memory is held.
-func (w *world) assertFree(t *testing.T) {
+// assertNothingHeld checks that no grant and no engine memory is held.
+func (w *fakeFleet) assertNothingHeld(t *testing.T) {
 	t.Helper()
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -263,7 +266,7 @@
 	assert.Equal(t, len(w.held), 0, "memory held: %v", w.held)
 }
 
-func (w *world) sent(prefix string) int {
+func (w *fakeFleet) sent(prefix string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	n := 0
@@ -277,20 +280,21 @@
 
 // Membership.
 
-func (w *world) State() *membership.State {
+// membership.Source.
+func (w *fakeFleet) State() *membership.State {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.state
 }
 
-func (w *world) Current(time.Time) bool {
+func (w *fakeFleet) Current(time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return !w.stale
 }
 
-func (w *world) Self() fleet.Instance {
+func (w *fakeFleet) Self() fleet.Instance {
 	return fleet.Instance{ID: "e1", Incarnation: 3, Zone: "howrah"}
 }
 
-func (w *world) Changed() <-chan struct{} { return nil }
+func (w *fakeFleet) Changed() <-chan struct{} { return nil }
--- a/internal/route/fakes_test.go
+++ b/internal/route/fakes_test.go
@@ -23,19 +23,20 @@
 
 // Guard, admission, choice, recorder.
 
-func (w *world) Begin(context.Context, fleet.Fingerprint, fleet.ZoneSet, fleet.AttemptID) (pb.RunVerdict, time.Duration) {
+// quarantine.Guard, admission.Controller, schedule.Start and timeline.Recorder.
+func (w *fakeFleet) Begin(context.Context, fleet.Fingerprint, fleet.ZoneSet, fleet.AttemptID) (pb.RunVerdict, time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.verdict, 20 * time.Millisecond
 }
 
-func (w *world) End(_ fleet.Fingerprint, _ fleet.ZoneSet, _ fleet.AttemptID, completed, crashed bool) {
+func (w *fakeFleet) End(_ fleet.Fingerprint, _ fleet.ZoneSet, _ fleet.AttemptID, completed, crashed bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.ends = append(w.ends, guardEnd{completed: completed, crashed: crashed})
 }
 
-func (w *world) Admit(time.Time, admission.Request) admission.Decision {
+func (w *fakeFleet) Admit(time.Time, admission.Request) admission.Decision {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.denied != nil {
@@ -44,32 +45,32 @@
 	return admission.Decision{Admitted: true}
 }
 
-func (w *world) Done(time.Time, admission.Request) {}
+func (w *fakeFleet) Done(time.Time, admission.Request) {}
 
-func (w *world) FirstToken(time.Time, admission.Request, time.Duration) {}
+func (w *fakeFleet) FirstToken(time.Time, admission.Request, time.Duration) {}
 
-func (w *world) MayRetry(time.Time, fleet.Team, fleet.EndpointID) bool { return !w.noBudget }
+func (w *fakeFleet) MayRetry(time.Time, fleet.Team, fleet.EndpointID) bool { return !w.noBudget }
 
-func (w *world) Succeeded(time.Time, fleet.Team, fleet.EndpointID) {}
+func (w *fakeFleet) Succeeded(time.Time, fleet.Team, fleet.EndpointID) {}
 
-func (w *world) Plan(schedule.StartInput) schedule.StartPlan { return w.plan }
+func (w *fakeFleet) Plan(schedule.StartInput) schedule.StartPlan { return w.plan }
 
-func (w *world) Record(e timeline.Event) {
+func (w *fakeFleet) Record(e timeline.Event) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.events = append(w.events, e)
 }
 
-type first struct{}
+type firstChoice struct{}
 
-func (first) Choose(_ schedule.Request, from []endpoint.Candidate, _ *rand.Rand) (endpoint.Candidate, bool) {
+func (firstChoice) Choose(_ schedule.Request, from []endpoint.Candidate, _ *rand.Rand) (endpoint.Candidate, bool) {
 	if len(from) == 0 {
 		return endpoint.Candidate{}, false
 	}
 	return from[0], true
 }
 
-// sink is a caller.
+// sink collects the output that a caller receives.
 type sink struct {
 	mu    sync.Mutex
 	text  strings.Builder
@@ -92,7 +93,7 @@
 	return s.text.String()
 }
 
-// tokens is the whole answer of n tokens.
+// tokens returns the complete output of n tokens.
 func tokens(n int) string {
 	var b strings.Builder
 	for i := range n {
@@ -108,7 +109,7 @@
 	}
 }
 
-// served runs a request that must be served: s gets each token once.
+// served runs a request that must be served: s must receive each token once.
 func served(t *testing.T, r *route.Router, request route.ModelRequest, s *sink) route.Answer {
 	t.Helper()
 	a := r.Model(t.Context(), request, s)
@@ -145,8 +146,8 @@
 	}
 }
 
-// recorded is the outcome in the one record that the ledger has; 0: none.
-func (w *world) recorded() pb.OutcomeKind {
+// recorded returns the outcome in the only record of the ledger; 0: there is none.
+func (w *fakeFleet) recorded() pb.OutcomeKind {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, r := range w.records {
@@ -155,14 +156,14 @@
 	return 0
 }
 
-func (w *world) grantCount() int {
+func (w *fakeFleet) grantCount() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return len(w.grants)
 }
 
-// forget drops what benchmarks would pile up.
-func (w *world) forget() {
+// clearRecords drops what would accumulate over a benchmark.
+func (w *fakeFleet) clearRecords() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.events, w.sends, w.releases, w.ends = w.events[:0], w.sends[:0], w.releases[:0], w.ends[:0]
--- a/internal/route/forbid.go
+++ b/internal/route/forbid.go
@@ -9,7 +9,7 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// forbidInput names a keyed call that is refused before its claim.
+// forbidInput identifies a keyed call that is refused before its claim.
 type forbidInput struct {
 	team        fleet.Team
 	key         string
@@ -17,13 +17,12 @@
 	fingerprint fleet.Fingerprint
 }
 
-// truthful makes a refusal of a keyed request true over all entries: "not
-// run" is answered only after a tombstone is decided.
+// confirmNotRun makes a "not run" refusal of a keyed call hold at all entries: it
+// is answered only after the ledger has decided on a tombstone for the key.
 //
-// Without it an overloaded entry would answer "not run" to the repeat of a
-// pickup slip that another entry has already dispatched, and the caller would
-// send a second truck.
-func (r *Router) truthful(ctx context.Context, in forbidInput, f *Failure) *Failure {
+// Otherwise an overloaded entry would answer "not run" to the repeat of a call that
+// another entry has already sent, and the caller would trigger it a second time.
+func (r *Router) confirmNotRun(ctx context.Context, in forbidInput, f *Failure) *Failure {
 	if f.Outcome != callerapi.OutcomeNotRun {
 		return f
 	}
@@ -33,7 +32,7 @@
 }
 
 func (r *Router) forbid(ctx context.Context, in forbidInput) callerapi.Outcome {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), r.bounds.LedgerTime)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), r.bounds.LedgerTimeout)
 	defer cancel()
 	verdict, record, err := r.opts.Ledger.Forbid(ctx, outcome.Claim{
 		Key:       r.hash.recordKey(in.team, in.key, 0),
@@ -47,7 +46,7 @@
 	return outcomeOf(verdict, record)
 }
 
-// outcomeOf reads a verdict for a caller. Pure.
+// outcomeOf returns the outcome that a verdict means for the caller. Pure.
 func outcomeOf(v outcome.Verdict, record outcome.Record) callerapi.Outcome {
 	switch v {
 	case outcome.VerdictNotRun:
--- a/internal/route/grantgate.go
+++ b/internal/route/grantgate.go
@@ -7,28 +7,28 @@
 	"github.com/hyssopsail/hyssopsail/internal/engine"
 )
 
-// errGrantOver is the gate's refusal when the grant ran out before the send.
-var errGrantOver = errors.New("the grant ran out before the send")
+// errGrantExpired is the gate's error when the grant expired before the send.
+var errGrantExpired = errors.New("the grant expired before the send")
 
-// gateUnder adds the hold's grant to the last check of placement and lease.
+// grantGate returns a gate that checks the placement and lease by place, then the
+// endpoint's cooldown and the validity of the grant.
 //
-// Failure: an entry is frozen between the grant and the send for longer than
-// the grant lives. The home has given the slot to another request meanwhile;
-// the late send shows as two requests in one slot, or as a second run of an
-// attempt that the home has already swept. The guard holds as the follower
-// counts the grant's life from before it asked for it, so never longer than
-// the home does, and nothing but the write comes after the gate.
-func (r *Router) gateUnder(h *hold, place engine.Gate) engine.Gate {
+// An entry may be frozen between grant and send for longer than the grant lives,
+// and the home may give the slot to another request meanwhile. A late send would
+// put two requests into one slot, or run an attempt again that the home has already
+// swept. The follower counts a grant's life from before it requested the grant, so
+// never longer than the home does, and only the write follows the gate.
+func (r *Router) grantGate(h *heldGrant, placementGate engine.Gate) engine.Gate {
 	return func(t engine.Target) error {
-		if err := place(t); err != nil {
+		if err := placementGate(t); err != nil {
 			return err
 		}
-		if err := r.mayReach(h, t); err != nil {
+		if err := r.checkCooldown(h, t); err != nil {
 			return err
 		}
 		if !r.opts.Follower.Valid(time.Now(), h.grant) {
-			r.metrics.grantsOver.Inc()
-			return errGrantOver
+			r.metrics.grantsExpired.Inc()
+			return errGrantExpired
 		}
 		return nil
 	}
--- a/internal/route/grants.go
+++ b/internal/route/grants.go
@@ -11,93 +11,95 @@
 	"github.com/hyssopsail/hyssopsail/internal/timeline"
 )
 
-// grantTries bounds how many homes one stage asks.
-const grantTries = 3
+// maxGrantRequests limits how many homes one stage asks for a grant, not counting
+// refusals because a home is moving.
+const maxGrantRequests = 3
 
-// want is what a stage asks a home for.
-type want struct {
-	kind   fleet.EndpointRole
-	choice schedule.Choice
-	wait   time.Duration // longest wait in a home's queue
-	lead   time.Duration
+// slotRequest describes the slot that a stage needs.
+type slotRequest struct {
+	kind    fleet.EndpointRole
+	choice  schedule.Choice
+	maxWait time.Duration // in a home's queue
+	lead    time.Duration
 }
 
-// take chooses an endpoint and asks its home for a slot, going to another
-// endpoint when the first one's home refuses.
+// acquireSlot chooses an endpoint and requests a grant from its home. If that is
+// refused, it tries another endpoint.
 //
-// Failure guarded: an instance stops while another joins, and each home that is
-// asked has just given the endpoint away, has not heard of it yet, or is gone.
-// Counted as refusals, such answers used up the request's endpoints within some
-// ms while their slots were free. They are asked again, for as long as a move
-// takes.
-func (a *attempt) take(ctx context.Context, w want) (*hold, *setback) {
+// While one instance stops and another joins, each home asked may have just handed
+// the endpoint over, not know it yet, or be unreachable. Counted as refusals, such
+// answers would use up the candidates within milliseconds although slots are free.
+// They are therefore retried for up to maxHomeMoveDuration.
+func (a *attempt) acquireSlot(ctx context.Context, w slotRequest) (*heldGrant, *attemptFailure) {
 	began := time.Now()
-	avoid, moving := a.run.avoid.with(), false
-	var last *setback
-	for tries := 0; tries < grantTries; {
-		chosen, s := a.pick(ctx, w, avoid)
+	avoid, moving := a.request.avoid.copyWith(), false
+	var last *attemptFailure
+	for requested := 0; requested < maxGrantRequests; {
+		chosen, failed := a.chooseEndpoint(ctx, w, avoid)
 		switch {
-		case s != nil && last == nil:
-			return nil, s
-		case s != nil && moving && time.Since(began) < homeMove:
-			if s := pause(ctx, absencePoll); s != nil {
-				return nil, s
+		case failed != nil && last == nil:
+			return nil, failed
+		case failed != nil && moving && time.Since(began) < maxHomeMoveDuration:
+			if failed := pause(ctx, absencePollInterval); failed != nil {
+				return nil, failed
 			}
-			avoid, moving = a.run.avoid.with(), false
+			avoid, moving = a.request.avoid.copyWith(), false
 			continue
-		case s != nil:
+		case failed != nil:
 			return nil, last
 		}
-		left := max(w.wait-time.Since(began), 0)
-		h, s := a.askHome(ctx, w, chosen, left)
-		if s == nil {
+		remaining := max(w.maxWait-time.Since(began), 0)
+		h, failed := a.requestGrant(ctx, w, chosen, remaining)
+		if failed == nil {
 			return h, nil
 		}
-		if s.cause != causeFull {
-			return nil, s
+		if failed.cause != causeNoSlot {
+			return nil, failed
 		}
 		avoid.add(chosen.ID)
-		last = worse(last, s)
-		moving = moving || s.moved
-		if !s.moved {
-			tries++
+		last = earlierRetry(last, failed)
+		moving = moving || failed.homeMoving
+		if !failed.homeMoving {
+			requested++
 		}
 	}
 	return nil, last
 }
 
-// worse keeps the refusal that says when to come back soonest.
-func worse(a, b *setback) *setback {
+// earlierRetry returns the failure with the shorter retry delay; b if only b or
+// neither states one.
+func earlierRetry(a, b *attemptFailure) *attemptFailure {
 	if a != nil && a.retryAfter > 0 && (b.retryAfter == 0 || a.retryAfter < b.retryAfter) {
 		return a
 	}
 	return b
 }
 
-func (a *attempt) pick(ctx context.Context, w want, avoid endpointSet) (endpoint.Candidate, *setback) {
-	candidates, rest := a.run.router.open(ctx, a.query(w.kind), a.run.deadline)
-	chosen, ok := a.run.router.choose(w.choice, a.scheduleRequest(avoid), allowed(candidates, avoid))
+func (a *attempt) chooseEndpoint(ctx context.Context, w slotRequest, avoid endpointSet) (endpoint.Candidate, *attemptFailure) {
+	candidates, cooldown := a.request.router.availableCandidates(ctx, a.query(w.kind), a.request.deadline)
+	chosen, ok := a.request.router.choose(w.choice, a.scheduleRequest(avoid), withoutAvoided(candidates, avoid))
 	if !ok {
-		return endpoint.Candidate{}, noCandidate(candidates, rest)
+		return endpoint.Candidate{}, noCandidateFailure(candidates, cooldown)
 	}
 	return chosen, nil
 }
 
-// noCandidate tells an empty place from one whose endpoints are all avoided, or rest for a
-// while yet.
-func noCandidate(candidates []endpoint.Candidate, rest time.Duration) *setback {
-	if len(candidates) == 0 && rest > 0 {
-		return &setback{cause: causeFull, retryAfter: rest}
+// noCandidateFailure returns the failure when no endpoint can be chosen: all are in a
+// cooldown, the first of which ends after cooldown; there are none; or all are avoided.
+func noCandidateFailure(candidates []endpoint.Candidate, cooldown time.Duration) *attemptFailure {
+	if len(candidates) == 0 && cooldown > 0 {
+		return &attemptFailure{cause: causeNoSlot, retryAfter: cooldown}
 	}
 	if len(candidates) == 0 {
-		return &setback{cause: causeNoEndpoint}
+		return &attemptFailure{cause: causeNoEndpoint}
 	}
-	return &setback{cause: causeExhausted}
+	return &attemptFailure{cause: causeExhausted}
 }
 
-// allowed drops the endpoints to avoid: a retry never goes to an endpoint
-// that just failed the request, whatever a choice makes of Avoid.
-func allowed(candidates []endpoint.Candidate, avoid endpointSet) []endpoint.Candidate {
+// withoutAvoided returns the candidates that aren't to be avoided. It ensures that a
+// retry never goes to an endpoint that just failed the request, even if a choice
+// ignores Avoid.
+func withoutAvoided(candidates []endpoint.Candidate, avoid endpointSet) []endpoint.Candidate {
 	if len(avoid) == 0 {
 		return candidates
 	}
@@ -111,64 +113,65 @@
 }
 
 func (a *attempt) scheduleRequest(avoid endpointSet) schedule.Request {
-	m := a.run
+	m := a.request
 	var prefixes []uint64
 	if m.router.opts.Prefixes != nil {
-		prefixes = m.router.opts.Prefixes(m.class.model, m.req.Prompt)
+		prefixes = m.router.opts.Prefixes(m.params.model, m.req.Prompt)
 	}
 	return schedule.Request{
 		Team:           m.req.Team,
-		EntryZone:      a.near(),
-		PromptTokens:   m.class.prompt,
-		ExpectedTokens: m.class.output - m.passed,
+		EntryZone:      a.preferredZone(),
+		PromptTokens:   m.params.promptTokens,
+		ExpectedTokens: m.params.maxOutputTokens - m.passedTokens,
 		Prefixes:       prefixes,
-		KVBytes:        m.class.kvBytes(),
+		KVBytes:        m.params.kvBytes(),
 		Avoid:          avoid,
 	}
 }
 
-func (a *attempt) askHome(ctx context.Context, w want, c endpoint.Candidate, wait time.Duration) (*hold, *setback) {
-	m := a.run
+func (a *attempt) requestGrant(ctx context.Context, w slotRequest, c endpoint.Candidate, wait time.Duration) (*heldGrant, *attemptFailure) {
+	m := a.request
 	if c.Queued > 0 || c.NextFree > 0 {
-		m.event(timeline.KindQueued, a.id, c.ID)
+		m.recordEvent(timeline.KindQueued, a.id, c.ID)
 	}
 	grant, refusal, err := m.router.opts.Follower.Take(ctx, endpoint.GrantRequest{
 		Endpoint:       c.ID,
 		Kind:           w.kind,
 		Attempt:        a.id,
 		Team:           m.req.Team,
-		Model:          m.class.model,
-		PromptTokens:   m.class.prompt,
-		ExpectedTokens: m.class.output - m.passed,
+		Model:          m.params.model,
+		PromptTokens:   m.params.promptTokens,
+		ExpectedTokens: m.params.maxOutputTokens - m.passedTokens,
 		Wait:           wait,
 		Lead:           w.lead,
-		Share:          m.class.team.Share,
-		Priority:       m.class.priority,
+		Share:          m.params.team.Share,
+		Priority:       m.params.priority,
 		Fingerprint:    m.fingerprint,
 		Alone:          a.alone,
 	})
 	switch {
 	case ctx.Err() != nil:
-		m.router.returnUnused(grant)
-		return nil, &setback{cause: fromContext(ctx)}
+		m.router.releaseUnused(grant)
+		return nil, &attemptFailure{cause: causeFromContext(ctx)}
 	case err != nil:
-		return nil, &setback{cause: causeFull, moved: true}
+		return nil, &attemptFailure{cause: causeNoSlot, homeMoving: true}
 	case refusal != nil:
-		m.event(timeline.KindGrantRefused, a.id, c.ID)
-		return nil, &setback{cause: causeFull, retryAfter: refusal.RetryAfter, moved: homeMoves(refusal.Status)}
+		m.recordEvent(timeline.KindGrantRefused, a.id, c.ID)
+		return nil, &attemptFailure{cause: causeNoSlot, retryAfter: refusal.RetryAfter, homeMoving: isHomeMoving(refusal.Status)}
 	}
-	m.event(timeline.KindGranted, a.id, c.ID)
-	return newHold(*grant, time.Now()), nil
+	m.recordEvent(timeline.KindGranted, a.id, c.ID)
+	return newHeldGrant(*grant, time.Now()), nil
 }
 
-// homeMoves tells whether a refusal is for want of the right home, not of a slot.
-func homeMoves(s pb.GrantStatus) bool {
+// isHomeMoving reports whether a grant was refused because the endpoint's home is
+// moving, rather than for want of a slot.
+func isHomeMoving(s pb.GrantStatus) bool {
 	return s == pb.GrantStatus_GRANT_STATUS_NOT_HOME || s == pb.GrantStatus_GRANT_STATUS_UNKNOWN_ENDPOINT
 }
 
-// returnUnused gives back a grant that came too late to be used.
-func (r *Router) returnUnused(g *endpoint.Grant) {
+// releaseUnused releases a grant that arrived too late to be used.
+func (r *Router) releaseUnused(g *endpoint.Grant) {
 	if g != nil {
-		r.free(newHold(*g, time.Now()), nil, 0)
+		r.release(newHeldGrant(*g, time.Now()), nil, 0)
 	}
 }
--- a/internal/route/hold.go
+++ b/internal/route/heldgrant.go
@@ -10,51 +10,52 @@
 	"github.com/hyssopsail/hyssopsail/internal/timeline"
 )
 
-// hold is a grant and what may lie in the engine's memory under it.
-type hold struct {
-	grant    endpoint.Grant
-	target   engine.Target
-	began    time.Time
-	touched  bool // a byte may have reached the endpoint
-	finished bool // the endpoint has freed it by itself
-	released bool
+// heldGrant is a grant and the state of the endpoint's memory under it.
+type heldGrant struct {
+	grant     endpoint.Grant
+	target    engine.Target
+	began     time.Time
+	maybeSent bool // bytes may have reached the endpoint
+	finished  bool // the endpoint has freed its memory itself
+	released  bool
 }
 
-func newHold(g endpoint.Grant, now time.Time) *hold {
-	return &hold{grant: g, target: targetOf(g), began: now}
+func newHeldGrant(g endpoint.Grant, now time.Time) *heldGrant {
+	return &heldGrant{grant: g, target: targetOf(g), began: now}
 }
 
 func targetOf(g endpoint.Grant) engine.Target {
 	return engine.Target{ID: g.Endpoint, Incarnation: g.Incarnation, Zone: g.Zone, Address: g.Address}
 }
 
-// free cancels what the endpoint may still hold and gives the grant back,
-// once. An endpoint that was sent a byte is cancelled whatever error came
-// back: a lost answer shows as memory that stays occupied by no one's request.
-func (r *Router) free(h *hold, s *setback, tokens int) {
+// release cancels the work at the endpoint and returns the grant to its home. Calls
+// after the first do nothing. The endpoint is cancelled whenever bytes may have
+// reached it, whatever error came back; otherwise a lost response would leave memory
+// occupied that no request uses.
+func (r *Router) release(h *heldGrant, failed *attemptFailure, tokens int) {
 	if h == nil || h.released {
 		return
 	}
 	h.released = true
-	if h.touched && !h.finished {
+	if h.maybeSent && !h.finished {
 		r.opts.Engine.Cancel(h.target, h.grant.Attempt)
 	}
 	r.opts.Follower.Give(endpoint.Release{
 		Grant:        h.grant,
-		Reason:       releaseReason(h, s),
+		Reason:       releaseReason(h, failed),
 		OutputTokens: tokens,
 		Busy:         time.Since(h.began),
 	})
 	r.record(timeline.Event{Kind: timeline.KindReleased, Attempt: h.grant.Attempt, Endpoint: h.grant.Endpoint})
 }
 
-func releaseReason(h *hold, s *setback) pb.ReleaseReason {
+func releaseReason(h *heldGrant, failed *attemptFailure) pb.ReleaseReason {
 	switch {
 	case h.finished:
 		return pb.ReleaseReason_RELEASE_REASON_COMPLETED
-	case !h.touched:
+	case !h.maybeSent:
 		return pb.ReleaseReason_RELEASE_REASON_UNUSED
-	case s.crashed() && s.endpoint == h.grant.Endpoint:
+	case failed.endpointMayHaveCrashed() && failed.endpoint == h.grant.Endpoint:
 		return pb.ReleaseReason_RELEASE_REASON_ENDPOINT_FAILED
 	}
 	return pb.ReleaseReason_RELEASE_REASON_CANCELLED
@@ -69,7 +70,7 @@
 	}
 }
 
-func (s endpointSet) with(ids ...fleet.EndpointID) endpointSet {
+func (s endpointSet) copyWith(ids ...fleet.EndpointID) endpointSet {
 	out := make(endpointSet, len(s)+len(ids))
 	for id := range s {
 		out[id] = struct{}{}
--- a/internal/route/ids.go
+++ b/internal/route/ids.go
@@ -14,42 +14,42 @@
 )
 
 const (
-	attemptBytes = 16
-	bodyTagBytes = 4
-	bodyTagMark  = "-"
+	attemptBytes     = 16
+	bodyTagBytes     = 4
+	bodyTagSeparator = "-"
 )
 
-// newAttemptID gives 128 random bits from the system's source: attempt IDs of
-// two processes, or of one before and after a restart, never meet.
+// newAttemptID returns 128 bits from the system's random source, so that attempt IDs
+// are unique across processes and restarts.
 func newAttemptID() fleet.AttemptID {
 	var b [attemptBytes]byte
-	_, _ = crand.Read(b[:]) // never fails, by crypto/rand's contract
+	_, _ = crand.Read(b[:]) // never fails, as documented by crypto/rand
 	return fleet.AttemptID(hex.EncodeToString(b[:]))
 }
 
-// NewRequestID names a request in logs and the time line.
+// NewRequestID returns an ID for a request in logs and on the time line.
 func NewRequestID() fleet.RequestID { return fleet.RequestID("r-" + string(newAttemptID())[:20]) }
 
-// newClaimAttempt is an attempt ID that also carries a few bits of the
-// fingerprint, so that another entry which meets the record can tell a repeat
-// from another body under the same key.
+// newClaimAttempt returns an attempt ID that includes a few bits of the fingerprint.
+// By them another entry that reads the record can tell a repeat from a request with
+// another body under the same key.
 func newClaimAttempt(f fleet.Fingerprint) fleet.AttemptID {
-	return newAttemptID() + fleet.AttemptID(bodyTagMark+bodyTag(f))
+	return newAttemptID() + fleet.AttemptID(bodyTagSeparator+bodyTag(f))
 }
 
 func bodyTag(f fleet.Fingerprint) string { return hex.EncodeToString(f[:bodyTagBytes]) }
 
-// sameBody tells whether a record's attempt was of the request f. An attempt
-// without a tag says nothing, and counts as the same.
+// sameBody reports whether a record's attempt belongs to a request with fingerprint
+// f. An attempt without a tag counts as the same.
 func sameBody(a fleet.AttemptID, f fleet.Fingerprint) bool {
-	_, tag, ok := strings.Cut(string(a), bodyTagMark)
+	_, tag, ok := strings.Cut(string(a), bodyTagSeparator)
 	return !ok || tag == bodyTag(f)
 }
 
-// hasher makes the keyed hashes of one fleet.
+// hasher computes the fleet's keyed hashes.
 type hasher struct{ secret []byte }
 
-// recordKey names the record of a key's generation.
+// recordKey returns the ledger key of one generation of a caller's key.
 func (h hasher) recordKey(team fleet.Team, key string, generation int) outcome.Key {
 	return outcome.KeyFor(h.secret, team, strconv.Itoa(generation)+":"+key)
 }
--- a/internal/route/keyed.go
+++ b/internal/route/keyed.go
@@ -11,58 +11,63 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// modelCall is a keyed request that runs here, shared by its callers.
-type modelCall struct {
+// sharedRequest is a keyed model request that runs at this entry, shared by its
+// callers.
+type sharedRequest struct {
 	fingerprint fleet.Fingerprint
 	out         *broadcast
 	cancel      context.CancelFunc
-	done        chan struct{} // closed when nothing of it is held any more
+	done        chan struct{} // closed when the request holds nothing any more
 }
 
-// callTable holds the keyed requests that run here.
-type callTable struct {
-	mu    sync.Mutex
-	calls map[outcome.Key]*modelCall
+// sharedRequests are the keyed model requests that run at this entry.
+type sharedRequests struct {
+	mu       sync.Mutex
+	requests map[outcome.Key]*sharedRequest
 }
 
-func newCallTable() *callTable { return &callTable{calls: map[outcome.Key]*modelCall{}} }
+func newSharedRequests() *sharedRequests {
+	return &sharedRequests{requests: map[outcome.Key]*sharedRequest{}}
+}
 
-// find gives the running call, or puts fresh in its place.
-func (t *callTable) find(k outcome.Key, fresh *modelCall) (found *modelCall, isNew bool) {
+// findOrAdd returns the running request with the key, or adds fresh.
+func (t *sharedRequests) findOrAdd(k outcome.Key, fresh *sharedRequest) (found *sharedRequest, isNew bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if c, ok := t.calls[k]; ok {
+	if c, ok := t.requests[k]; ok {
 		return c, false
 	}
-	t.calls[k] = fresh
+	t.requests[k] = fresh
 	return fresh, true
 }
 
-func (t *callTable) remove(k outcome.Key) {
+func (t *sharedRequests) remove(k outcome.Key) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	delete(t.calls, k)
+	delete(t.requests, k)
 }
 
-// running counts the calls, those whose callers have gone included.
-func (t *callTable) running() int {
+// running returns the number of requests, including those whose callers have all
+// disconnected.
+func (t *sharedRequests) running() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return len(t.calls)
+	return len(t.requests)
 }
 
-// keyed joins the running call of the same key or starts one. The run isn't
-// bound to the caller that started it, but to the last one that listens.
-func (r *Router) keyed(ctx context.Context, req ModelRequest, c class, f fleet.Fingerprint, sink Sink) Answer {
+// runOrJoin joins the running request with the same key or starts one. A shared
+// request isn't bound to the caller that started it; it ends when its last caller
+// disconnects.
+func (r *Router) runOrJoin(ctx context.Context, req ModelRequest, c modelParams, f fleet.Fingerprint, sink Sink) Answer {
 	name := r.hash.recordKey(req.Team, req.Key, 0)
 	for {
-		runCtx, cancel := r.keyedContext(ctx)
-		fresh := &modelCall{fingerprint: f, out: newBroadcast(r.bounds.JoinBytes), cancel: cancel, done: make(chan struct{})}
-		place, _ := fresh.out.join()
-		call, isNew := r.calls.find(name, fresh)
+		runCtx, cancel := r.sharedContext(ctx)
+		fresh := &sharedRequest{fingerprint: f, out: newBroadcast(r.bounds.MaxReplayBytes), cancel: cancel, done: make(chan struct{})}
+		reader, _ := fresh.out.addReader()
+		call, isNew := r.shared.findOrAdd(name, fresh)
 		if isNew {
-			go r.runKeyed(runCtx, name, call, req, c)
-			return call.follow(ctx, place, sink)
+			go r.runShared(runCtx, name, call, req, c)
+			return call.follow(ctx, reader, sink)
 		}
 		cancel()
 		answer, joined := r.join(ctx, call, f, sink)
@@ -72,9 +77,9 @@
 	}
 }
 
-// keyedContext gives a run that isn't bound to one caller its own life.
-func (r *Router) keyedContext(ctx context.Context) (context.Context, context.CancelFunc) {
-	ctx, stop := r.abortable(context.WithoutCancel(ctx))
+// sharedContext returns a context for a shared request, independent of its callers.
+func (r *Router) sharedContext(ctx context.Context) (context.Context, context.CancelFunc) {
+	ctx, stop := r.withAbort(context.WithoutCancel(ctx))
 	ctx, cancel := context.WithTimeout(ctx, r.bounds.StreamTime)
 	return ctx, func() {
 		cancel()
@@ -82,19 +87,19 @@
 	}
 }
 
-// join follows a call that runs already. joined is false when that had failed
-// or was cancelled for want of callers, and has now ended: the request runs
-// anew.
-func (r *Router) join(ctx context.Context, call *modelCall, f fleet.Fingerprint, sink Sink) (answer Answer, joined bool) {
+// join follows a request that already runs. joined is false if that request had
+// failed, or was cancelled because all its callers had disconnected, and has ended:
+// the request then runs again.
+func (r *Router) join(ctx context.Context, call *sharedRequest, f fleet.Fingerprint, sink Sink) (answer Answer, joined bool) {
 	if call.fingerprint != f {
-		return Answer{Failure: keyReused()}, true
+		return Answer{Failure: keyReusedFailure()}, true
 	}
 	if !call.out.failed() {
-		place, ok := call.out.join()
+		reader, ok := call.out.addReader()
 		if !ok {
-			return Answer{Failure: inFlight()}, true
+			return Answer{Failure: inFlightFailure()}, true
 		}
-		answer = call.follow(ctx, place, sink)
+		answer = call.follow(ctx, reader, sink)
 		abandoned := answer.Failure != nil && answer.Failure.Code == codeAbandoned
 		if !abandoned || ctx.Err() != nil {
 			return answer, true
@@ -104,34 +109,35 @@
 	case <-call.done:
 		return Answer{}, false
 	case <-ctx.Done():
-		return Answer{Failure: endOf(ctx)}, true
+		return Answer{Failure: followerFailure(ctx)}, true
 	}
 }
 
-// codeAbandoned marks the end of a run whose callers had all gone. It never
-// reaches a caller.
+// codeAbandoned marks the end of a shared request whose callers have all
+// disconnected. It is never sent to a caller.
 const codeAbandoned callerapi.Code = "abandoned"
 
-// runKeyed claims the key, runs the request and records its end. The claim
-// comes before admission: a refusal is then recorded as "not run", which holds
-// over all entries, and the key stays usable for a later repeat.
-func (r *Router) runKeyed(ctx context.Context, name outcome.Key, call *modelCall, req ModelRequest, c class) {
+// runShared claims the key, runs the request and records its outcome. The key is
+// claimed before admission, so that a refusal is recorded as "not run", which holds
+// at all entries, and a later repeat may still use the key.
+func (r *Router) runShared(ctx context.Context, name outcome.Key, call *sharedRequest, req ModelRequest, c modelParams) {
 	defer close(call.done)
-	defer r.calls.remove(name)
+	defer r.shared.remove(name)
 	defer call.cancel()
-	// A panic here would end the process and all its requests, as no handler
-	// of the HTTP server stands above this goroutine.
+	// This goroutine isn't called by an HTTP handler, whose panics the server recovers:
+	// a panic here would end the process and all its requests.
 	defer func() {
 		if cause := recover(); cause != nil {
-			r.opts.Part.Error("a keyed run panicked", "request", req.ID)
-			call.out.end(Answer{Failure: panicked()})
+			r.opts.Part.Error("a keyed model request panicked", "request", req.ID)
+			call.out.finish(Answer{Failure: panicFailure()})
 		}
 	}()
 	r.claimAndRun(ctx, req, c, call)
 }
 
-// mark tells joiners of a run whose callers had all gone.
-func mark(ctx context.Context, a Answer) Answer {
+// markAbandoned marks the failure of a request that was cancelled because all its
+// callers had disconnected, so that callers that join it run it again.
+func markAbandoned(ctx context.Context, a Answer) Answer {
 	if a.Failure == nil || ctx.Err() != context.Canceled || isAborted(ctx) {
 		return a
 	}
@@ -141,7 +147,7 @@
 	return a
 }
 
-func panicked() *Failure {
+func panicFailure() *Failure {
 	return &Failure{
 		Code:    callerapi.CodeInternal,
 		Message: "the entry failed while it held the request",
@@ -149,30 +155,30 @@
 	}
 }
 
-// claimAndRun gives the callers their answer first and the ledger its record
-// after that: one that is lost in between lets a repeat run again, which is
-// harmless here.
-func (r *Router) claimAndRun(ctx context.Context, req ModelRequest, c class, call *modelCall) {
+// claimAndRun answers the callers before it records the outcome at the ledger. If the
+// record is lost, a repeat may run the request again, which is harmless for a model
+// request.
+func (r *Router) claimAndRun(ctx context.Context, req ModelRequest, c modelParams, call *sharedRequest) {
 	claim, failure := r.claimKey(ctx, req, c, call.fingerprint)
 	if failure != nil {
-		call.out.end(mark(ctx, Answer{Failure: failure}))
+		call.out.finish(markAbandoned(ctx, Answer{Failure: failure}))
 		return
 	}
-	m := r.newRun(req, c, call.fingerprint, callSink{ctx: ctx, out: call.out})
-	kind := pb.OutcomeKind_OUTCOME_KIND_UNKNOWN // should the run panic
+	m := r.newActiveModelRequest(req, c, call.fingerprint, broadcastSink{ctx: ctx, out: call.out})
+	kind := pb.OutcomeKind_OUTCOME_KIND_UNKNOWN // recorded if the run panics
 	defer func() {
-		m.awaitGone()
-		r.finish(claim.Claim, kind, 0)
+		m.awaitCancels()
+		r.recordOutcome(claim.Claim, kind, 0)
 	}()
 	a := m.admitAndRun(ctx)
-	kind = kindOf(a.Failure)
+	kind = outcomeKind(a.Failure)
 	if claim.ranBefore {
-		a.Failure = unsureOfKey(req.Key, a.Failure)
+		a.Failure = unknownIfKeyed(req.Key, a.Failure)
 	}
-	call.out.end(mark(ctx, a))
+	call.out.finish(markAbandoned(ctx, a))
 }
 
-func kindOf(f *Failure) pb.OutcomeKind {
+func outcomeKind(f *Failure) pb.OutcomeKind {
 	switch {
 	case f == nil:
 		return pb.OutcomeKind_OUTCOME_KIND_COMPLETED
@@ -184,28 +190,28 @@
 	return pb.OutcomeKind_OUTCOME_KIND_FAILED
 }
 
-// callSink is the running end of a broadcast.
-type callSink struct {
+// broadcastSink writes to a broadcast.
+type broadcastSink struct {
 	ctx context.Context
 	out *broadcast
 }
 
 // Pass implements Sink.
-func (s callSink) Pass(c engineapi.Chunk) error { return s.out.pass(s.ctx, c) }
+func (s broadcastSink) Pass(c engineapi.Chunk) error { return s.out.append(s.ctx, c) }
 
-// follow passes the call's output to one caller until its end. The last
-// caller that leaves cancels the run and waits until nothing is held.
-func (c *modelCall) follow(ctx context.Context, place *reader, sink Sink) Answer {
+// follow passes the output to one caller until its end. When the last caller leaves,
+// it cancels the request.
+func (c *sharedRequest) follow(ctx context.Context, reader *reader, sink Sink) Answer {
 	defer func() {
-		if c.out.quit(place) {
+		if c.out.removeReader(reader) {
 			c.cancel()
 		}
 	}()
 	for {
-		b := c.out.read(place)
+		b := c.out.read(reader)
 		for _, chunk := range b.chunks {
 			if err := sink.Pass(chunk); err != nil {
-				return Answer{Failure: callerGone()}
+				return Answer{Failure: callerGoneFailure()}
 			}
 		}
 		if b.answer != nil && len(b.chunks) == 0 {
@@ -217,7 +223,7 @@
 		select {
 		case <-b.changed:
 		case <-ctx.Done():
-			return Answer{Failure: endOf(ctx)}
+			return Answer{Failure: followerFailure(ctx)}
 		}
 	}
 }
--- a/internal/route/keyed_test.go
+++ b/internal/route/keyed_test.go
@@ -20,11 +20,11 @@
 	return request
 }
 
-// A scholar's client times out in the middle of a gloss and sends it again to
-// the same entry. Run twice, it would take two of twenty decode slots. The
-// repeat joins the running answer from its start; both get all of it.
+// A client times out in the middle of an answer and sends the request again to the same
+// entry. The repeat must join the running request from its start and both get the whole
+// answer; otherwise the request takes two decode slots.
 func TestRepeatJoins(t *testing.T) {
-	inWorld(t, func(t *testing.T, w *world) {
+	withFakeFleet(t, func(t *testing.T, w *fakeFleet) {
 		r := w.router(route.Bounds{})
 		one, two := &sink{}, &sink{}
 		ends := make(chan route.Answer, 2)
@@ -38,14 +38,14 @@
 		assert.Equal(t, one.got(), tokens(10))
 		assert.Equal(t, two.got(), tokens(10))
 		assert.Equal(t, w.sent("decode"), 1)
-		w.assertFree(t)
+		w.assertNothingHeld(t)
 	})
 }
 
-// The first caller hangs up, the second one stays: the run belongs to whoever
-// still listens, and ends when nobody does.
+// The first caller disconnects, the second one stays. The request must continue until its
+// last caller disconnects.
 func TestRunLivesWithItsLastCaller(t *testing.T) {
-	inWorld(t, func(t *testing.T, w *world) {
+	withFakeFleet(t, func(t *testing.T, w *fakeFleet) {
 		r := w.router(route.Bounds{})
 		ctx, cancel := context.WithCancel(t.Context())
 		ends := make(chan route.Answer, 2)
@@ -59,14 +59,14 @@
 		assert.Assert(t, gone.Failure != nil)
 		assert.Assert(t, whole.Failure == nil, "%v", whole.Failure)
 		assert.Equal(t, s.got(), tokens(10))
-		w.assertFree(t)
+		w.assertNothingHeld(t)
 	})
 }
 
-// A repeat reaches another entry: while the first runs it is told so at once;
-// once that ended it runs again, as its answer is kept nowhere.
+// A repeat reaches another entry. While the first request runs, the repeat must be refused
+// at once; after that it must run again, as the answer isn't stored.
 func TestRepeatElsewhere(t *testing.T) {
-	inWorld(t, func(t *testing.T, w *world) {
+	withFakeFleet(t, func(t *testing.T, w *fakeFleet) {
 		one, two := w.router(route.Bounds{}), w.router(route.Bounds{})
 		end := make(chan route.Answer, 1)
 		go func() { end <- one.Model(t.Context(), keyedRequest(), &sink{}) }()
@@ -84,11 +84,10 @@
 	})
 }
 
-// An entry freezes with a request in its hands. The caller sends it elsewhere
-// and is told that it was not run. The first entry wakes and must not run the
-// copy that it still holds.
+// An entry freezes while it holds a request. The caller sends it elsewhere and is told
+// that it was not run. When the first entry continues, it must not run its copy.
 func TestFrozenCopyDoesNotRun(t *testing.T) {
-	inWorld(t, func(t *testing.T, w *world) {
+	withFakeFleet(t, func(t *testing.T, w *fakeFleet) {
 		frozen, other := w.router(route.Bounds{}), w.router(route.Bounds{})
 		copied := keyedRequest()
 		time.Sleep(4 * time.Second)
@@ -104,10 +103,10 @@
 	})
 }
 
-// The last caller hangs up and sends the request again while the first run is
-// being cancelled: the repeat waits for its end, then runs.
+// The last caller disconnects and sends the request again while the first run is being
+// cancelled. The repeat must wait for its end, then run.
 func TestRepeatAfterCancel(t *testing.T) {
-	inWorld(t, func(t *testing.T, w *world) {
+	withFakeFleet(t, func(t *testing.T, w *fakeFleet) {
 		r := w.router(route.Bounds{})
 		ctx, cancel := context.WithCancel(t.Context())
 		_ = r.Model(ctx, keyedRequest(), &sink{after: func(c engineapi.Chunk) {
@@ -118,29 +117,28 @@
 		synctest.Wait()
 		time.Sleep(time.Millisecond)
 		served(t, r, keyedRequest(), &sink{})
-		w.assertFree(t)
+		w.assertNothingHeld(t)
 	})
 }
 
-// A caller reads slowly while the answer outgrows what is kept for repeats:
-// memory stays bounded, the slow caller still gets all.
+// A caller reads slowly while the answer outgrows the replay buffer. The buffer must stay
+// bounded, and the slow caller must still get the whole answer.
 func TestJoinBufferBounded(t *testing.T) {
-	inWorld(t, func(t *testing.T, w *world) {
-		r := w.router(route.Bounds{JoinBytes: 16})
+	withFakeFleet(t, func(t *testing.T, w *fakeFleet) {
+		r := w.router(route.Bounds{MaxReplayBytes: 16})
 		s := &sink{after: func(engineapi.Chunk) { time.Sleep(20 * time.Millisecond) }}
 		request := keyedRequest()
 		request.MaxTokens = 100
 		served(t, r, request, s)
-		w.assertFree(t)
+		w.assertNothingHeld(t)
 	})
 }
 
-// The last caller hangs up; the cancel to the decode engine is lost and gets
-// through 300 ms later. The caller sends the request again to another entry.
-// Run at once, it would occupy two slots of the same engine: it is told "in
-// flight" until the first run is seen gone.
+// The last caller disconnects; the cancel at the decode engine takes effect 300 ms later.
+// The caller sends the request again to another entry, which must answer "in flight" until
+// the first run has ended; otherwise the request takes two slots of the same engine.
 func TestRepeatWaitsForTheCancel(t *testing.T) {
-	inWorld(t, func(t *testing.T, w *world) {
+	withFakeFleet(t, func(t *testing.T, w *fakeFleet) {
 		w.cancelLag = 300 * time.Millisecond
 		one, two := w.router(route.Bounds{}), w.router(route.Bounds{})
 		ctx, cancel := context.WithCancel(t.Context())
@@ -151,6 +149,6 @@
 		assert.Equal(t, w.sent("decode"), 1)
 		time.Sleep(200 * time.Millisecond)
 		served(t, two, keyedRequest(), &sink{})
-		w.assertFree(t)
+		w.assertNothingHeld(t)
 	})
 }
--- a/internal/route/ledger_test.go
+++ b/internal/route/ledger_test.go
@@ -12,7 +12,8 @@
 
 // Ledger.
 
-func (w *world) broken(op string) error {
+// outcome.Ledger.
+func (w *fakeFleet) broken(op string) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.ledger == nil {
@@ -23,7 +24,7 @@
 
 var errUndecided = errors.New("no majority after the proposal")
 
-func (w *world) Claim(_ context.Context, c outcome.Claim) (outcome.Verdict, outcome.Record, error) {
+func (w *fakeFleet) Claim(_ context.Context, c outcome.Claim) (outcome.Verdict, outcome.Record, error) {
 	if err := w.broken("claim"); errors.Is(err, errUndecided) {
 		return outcome.VerdictUnknown, outcome.Record{}, nil
 	} else if err != nil {
@@ -56,7 +57,7 @@
 	return outcome.VerdictRecorded, record
 }
 
-func (w *world) Finish(_ context.Context, c outcome.Claim, k pb.OutcomeKind, status int) error {
+func (w *fakeFleet) Finish(_ context.Context, c outcome.Claim, k pb.OutcomeKind, status int) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	r := w.records[c.Key]
@@ -64,7 +65,7 @@
 	return nil
 }
 
-func (w *world) Lookup(_ context.Context, _ fleet.Team, k outcome.Key, _ fleet.ZoneSet) (outcome.Verdict, outcome.Record, error) {
+func (w *fakeFleet) Lookup(_ context.Context, _ fleet.Team, k outcome.Key, _ fleet.ZoneSet) (outcome.Verdict, outcome.Record, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	r, ok := w.records[k]
@@ -75,7 +76,7 @@
 	return v, record, nil
 }
 
-func (w *world) Forbid(_ context.Context, c outcome.Claim) (outcome.Verdict, outcome.Record, error) {
+func (w *fakeFleet) Forbid(_ context.Context, c outcome.Claim) (outcome.Verdict, outcome.Record, error) {
 	if err := w.broken("forbid"); err != nil {
 		return 0, outcome.Record{}, err
 	}
--- a/internal/route/links.go
+++ b/internal/route/links.go
@@ -9,7 +9,7 @@
 	"github.com/hyssopsail/hyssopsail/internal/settings"
 )
 
-// links is the table of links, kept at the newest settings.
+// links is the link table, kept up to date with the latest applied settings.
 type links struct {
 	table   *schedule.LinkTable
 	applied atomic.Pointer[settings.Tree]
@@ -22,8 +22,8 @@
 	return &links{table: table}
 }
 
-// at gives the table with the links that tree declares.
-func (l *links) at(tree *settings.Tree) *schedule.LinkTable {
+// withSettings returns the table with the links that tree declares.
+func (l *links) withSettings(tree *settings.Tree) *schedule.LinkTable {
 	if l.applied.Load() != tree {
 		l.table.Apply(tree.Fleet.Links)
 		l.applied.Store(tree)
@@ -31,40 +31,43 @@
 	return l.table
 }
 
-func (r *Router) linkTable() *schedule.LinkTable { return r.links.at(r.opts.Source.State().Tree) }
+func (r *Router) linkTable() *schedule.LinkTable {
+	return r.links.withSettings(r.opts.Source.State().Tree)
+}
 
-// linkUse is room that an attempt has booked on a link.
-type linkUse struct {
+// linkBooking is capacity on a link that an attempt has booked.
+type linkBooking struct {
 	from, to fleet.AvailabilityZone
 	bytes    int64
 }
 
-// bookLink takes room for the KV transfer, once both ends are known, so that
-// attempts which predict meanwhile see it. Booking again moves it.
+// bookLink books capacity for the KV transfer once both ends are known, so that the
+// predictions of other attempts include it. It replaces an earlier booking.
 func (a *attempt) bookLink(readyAt time.Time, bytes int64) {
 	if a.prefill == nil || a.decode == nil {
 		return
 	}
-	a.leaveLink(0)
-	use := linkUse{from: a.prefill.target.Zone, to: a.decode.target.Zone, bytes: bytes}
-	a.run.router.linkTable().Book(time.Now(), readyAt, use.from, use.to, a.id, use.bytes)
-	a.link = &use
+	a.releaseLink(0)
+	use := linkBooking{from: a.prefill.target.Zone, to: a.decode.target.Zone, bytes: bytes}
+	a.request.router.linkTable().Book(time.Now(), readyAt, use.from, use.to, a.id, use.bytes)
+	a.linkBooking = &use
 }
 
-// leaveLink gives the room back; took is the transfer's time, 0: none was made.
-func (a *attempt) leaveLink(took time.Duration) {
-	if a.link == nil {
+// releaseLink releases the booking. took is the duration of the transfer; 0: there
+// was none.
+func (a *attempt) releaseLink(took time.Duration) {
+	if a.linkBooking == nil {
 		return
 	}
-	a.run.router.linkTable().Finish(a.link.from, a.link.to, a.id, a.link.bytes, took)
-	a.link = nil
+	a.request.router.linkTable().Finish(a.linkBooking.from, a.linkBooking.to, a.id, a.linkBooking.bytes, took)
+	a.linkBooking = nil
 }
 
-// transferTime predicts the KV transfer with what is booked. Ends that aren't
-// chosen yet count as this entry's own zone.
+// transferTime predicts the duration of the KV transfer, including the current
+// bookings. An end that isn't chosen yet counts as being in this entry's zone.
 func (a *attempt) transferTime() time.Duration {
-	own := a.run.router.opts.Source.Self().Zone
-	from, to := own, own
+	entryZone := a.request.router.opts.Source.Self().Zone
+	from, to := entryZone, entryZone
 	if a.prefill != nil {
 		from = a.prefill.target.Zone
 	}
@@ -72,23 +75,23 @@
 		to = a.decode.target.Zone
 	}
 	now := time.Now()
-	return a.run.router.linkTable().Predict(now, now, from, to, a.run.class.kvBytes())
+	return a.request.router.linkTable().Predict(now, now, from, to, a.request.params.kvBytes())
 }
 
-// near gives the zone that the next endpoint is to be near by link: the other
-// end of the KV transfer when that is chosen, else this entry's own.
-func (a *attempt) near() fleet.AvailabilityZone {
+// preferredZone returns the zone to which the next endpoint should have a good link:
+// that of the other end of the KV transfer if it is chosen, else this entry's.
+func (a *attempt) preferredZone() fleet.AvailabilityZone {
 	switch {
 	case a.prefill != nil:
 		return a.prefill.target.Zone
 	case a.decode != nil:
 		return a.decode.target.Zone
 	}
-	return a.run.router.opts.Source.Self().Zone
+	return a.request.router.opts.Source.Self().Zone
 }
 
-// predictPrefill gives the engine's time for the prompt, and its spread.
-func (m *modelRun) predictPrefill() (work, spread time.Duration) {
+// predictPrefill returns the predicted prefill time of the prompt and its spread.
+func (m *activeModelRequest) predictPrefill() (work, spread time.Duration) {
 	p := m.router.opts.Prefill
-	return p.Predict(m.class.prompt), p.Spread()
+	return p.Predict(m.params.promptTokens), p.Spread()
 }
--- a/internal/route/links_test.go
+++ b/internal/route/links_test.go
@@ -11,18 +11,18 @@
 	"github.com/hyssopsail/hyssopsail/internal/settings"
 )
 
-// Two prompts are to cross one slow link. Each alone would arrive in time; both
-// together don't. The second one's prediction must see the first one's transfer
-// from the start of its prefill until the transfer has ended, however it ends.
+// Two prompts need the same slow link; each alone would arrive in time, both together
+// don't. The prediction for the second must include the first one's transfer from the
+// start of its prefill until the transfer has ended, however it ends.
 func TestTransfersBookTheirLink(t *testing.T) {
 	faults := map[string]fault{"whole": {}, "prefill fails": {broken: true}}
 	for name, f := range faults {
-		runInWorld(t, name, func(t *testing.T, w *world) {
-			w.alone()
+		runWithFakeFleet(t, name, func(t *testing.T, w *fakeFleet) {
+			w.keepOnePerRole()
 			w.moveTo("d1", "kolkata-north")
 			w.state.Tree.Fleet.Links = []settings.Link{{From: "howrah", To: "kolkata-north", Rate: 100_000}}
 			w.links = schedule.NewLinkTable(nil, time.Now)
-			w.set("prefill", "p1", 9, f)
+			w.setFault("prefill", "p1", 9, f)
 			predicted := func() time.Duration { return w.links.Cost("howrah", "kolkata-north", 1000) }
 			var during time.Duration
 			w.afterSend = func(sent string) {
--- a/internal/route/metrics.go
+++ b/internal/route/metrics.go
@@ -8,23 +8,23 @@
 	"github.com/hyssopsail/hyssopsail/internal/callerapi"
 )
 
-// metrics are the router's own; label values come from fixed sets.
+// metrics are the router's metrics. All label values come from fixed sets.
 type metrics struct {
 	requests   *prometheus.CounterVec
 	firstToken prometheus.Histogram
 	retries    prometheus.Counter
-	// extraArrivals counts arrivals at a pool beyond the first of a request, and
-	// extraRefused sends that were not made for want of budget.
-	extraArrivals prometheus.Counter
-	extraRefused  prometheus.Counter
-	resumed       prometheus.Counter
-	wasted        prometheus.Counter
-	tokens        prometheus.Counter
-	grantsOver    prometheus.Counter
-	// rests counts words of endpoints that asked for rest, and restKept sends that were
-	// given up for them right before they left.
-	rests, restKept prometheus.Counter
-	targets         *prometheus.CounterVec
+	// extraArrivals counts the arrivals of a request at a pool after the first, and
+	// extraRefused the sends that the fleet's retry budget didn't allow.
+	extraArrivals       prometheus.Counter
+	extraRefused        prometheus.Counter
+	resumed             prometheus.Counter
+	wastedPrefillTokens prometheus.Counter
+	outputTokens        prometheus.Counter
+	grantsExpired       prometheus.Counter
+	// cooldowns counts the answers by which an endpoint requested a cooldown, and
+	// cooldownRefused the sends that the last check refused because of one.
+	cooldowns, cooldownRefused prometheus.Counter
+	targets                    *prometheus.CounterVec
 }
 
 const (
@@ -32,7 +32,7 @@
 	kindCall  = "call"
 )
 
-func newMetrics(to prometheus.Registerer, f *flight) *metrics {
+func newMetrics(to prometheus.Registerer, f *inFlightRequests) *metrics {
 	m := &metrics{
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "hyssopsail_route_requests_total",
@@ -59,11 +59,11 @@
 			Name: "hyssopsail_route_resumed_total",
 			Help: "Streams that went on at another decode engine.",
 		}),
-		wasted: prometheus.NewCounter(prometheus.CounterOpts{
+		wastedPrefillTokens: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "hyssopsail_route_wasted_prefill_tokens_total",
 			Help: "Prompt tokens whose prefill was discarded before use.",
 		}),
-		tokens: prometheus.NewCounter(prometheus.CounterOpts{
+		outputTokens: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "hyssopsail_route_output_tokens_total",
 			Help: "Output tokens passed on to callers.",
 		}),
@@ -71,16 +71,16 @@
 			Name: "hyssopsail_route_whole_answers_total",
 			Help: "Whole answers of models by the team's targets that they met; both: goodput.",
 		}, []string{"met"}),
-		grantsOver: prometheus.NewCounter(prometheus.CounterOpts{
+		grantsExpired: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "hyssopsail_route_grants_over_total",
 			Help: "Sends refused by the last check since their grant had run out.",
 		}),
 	}
-	m.rests = prometheus.NewCounter(prometheus.CounterOpts{
+	m.cooldowns = prometheus.NewCounter(prometheus.CounterOpts{
 		Name: "hyssopsail_route_rests_total",
 		Help: "Answers by which an endpoint asked this entry for rest.",
 	})
-	m.restKept = prometheus.NewCounter(prometheus.CounterOpts{
+	m.cooldownRefused = prometheus.NewCounter(prometheus.CounterOpts{
 		Name: "hyssopsail_route_rest_kept_total",
 		Help: "Sends refused by the last check since their endpoint had asked for rest.",
 	})
@@ -91,11 +91,11 @@
 		Name: "hyssopsail_route_running_requests",
 		Help: "Requests in flight.",
 	}, func() float64 { return float64(f.running()) })
-	to.MustRegister(m.requests, m.firstToken, m.retries, m.extraArrivals, m.extraRefused, m.resumed, m.wasted, m.tokens, m.grantsOver, m.rests, m.restKept, m.targets, running)
+	to.MustRegister(m.requests, m.firstToken, m.retries, m.extraArrivals, m.extraRefused, m.resumed, m.wastedPrefillTokens, m.outputTokens, m.grantsExpired, m.cooldowns, m.cooldownRefused, m.targets, running)
 	return m
 }
 
-func (m *metrics) ended(kind string, failure *Failure) {
+func (m *metrics) requestEnded(kind string, failure *Failure) {
 	outcome := callerapi.OutcomeCompleted
 	if failure != nil {
 		outcome = failure.Outcome
@@ -103,4 +103,4 @@
 	m.requests.WithLabelValues(kind, string(outcome)).Inc()
 }
 
-func (m *metrics) sawFirstToken(after time.Duration) { m.firstToken.Observe(after.Seconds()) }
+func (m *metrics) observeFirstToken(after time.Duration) { m.firstToken.Observe(after.Seconds()) }
--- a/internal/route/model.go
+++ b/internal/route/model.go
@@ -10,12 +10,12 @@
 	"github.com/hyssopsail/hyssopsail/internal/timeline"
 )
 
-// Model runs a completion and gives its chunks to sink as they come. It
-// returns once nothing of the request is held by this call: the end of ctx
-// cancels it at whatever stage it is.
+// Model runs a completion and passes its chunks to sink as they arrive. It returns
+// once this call holds nothing for the request. The end of ctx cancels it at any
+// stage.
 func (r *Router) Model(ctx context.Context, req ModelRequest, sink Sink) Answer {
 	a := r.model(ctx, req, sink)
-	r.metrics.ended(kindModel, a.Failure)
+	r.metrics.requestEnded(kindModel, a.Failure)
 	r.recordEnd(req.ID, req.Team, a.Failure)
 	return a
 }
@@ -23,29 +23,30 @@
 func (r *Router) model(ctx context.Context, req ModelRequest, sink Sink) Answer {
 	leave, failure := r.enter(req.Team)
 	if failure != nil {
-		return Answer{Failure: unsureOfKey(req.Key, failure)}
+		return Answer{Failure: unknownIfKeyed(req.Key, failure)}
 	}
 	defer leave()
 	r.record(timeline.Event{Kind: timeline.KindReceived, Request: req.ID, Team: req.Team})
-	c, failure := classify(r.opts.Source.State().Tree, req, r.bounds)
+	c, failure := resolveModelParams(r.opts.Source.State().Tree, req, r.bounds)
 	if failure != nil {
 		return Answer{Failure: failure}
 	}
-	ctx, stop := r.abortable(ctx)
+	ctx, stop := r.withAbort(ctx)
 	defer stop()
 	ctx, cancel := context.WithTimeout(ctx, r.bounds.StreamTime)
 	defer cancel()
-	f := r.hash.modelFingerprint(req, c.model, c.output)
+	f := r.hash.modelFingerprint(req, c.model, c.maxOutputTokens)
 	if req.Key != "" {
-		return r.keyed(ctx, req, c, f, sink)
+		return r.runOrJoin(ctx, req, c, f, sink)
 	}
-	return r.newRun(req, c, f, sink).admitAndRun(ctx)
+	return r.newActiveModelRequest(req, c, f, sink).admitAndRun(ctx)
 }
 
-// unsureOfKey keeps a refusal truthful at an entry that can't ask the ledger:
-// another copy under the same key may have run elsewhere, so that nothing is
-// promised about it. The caller may repeat it at another address.
-func unsureOfKey(key string, f *Failure) *Failure {
+// unknownIfKeyed changes the outcome of a refusal of a keyed request from "not run"
+// to "unknown". It is used where the ledger can't be asked: another copy with the
+// same key may have run elsewhere. The caller may repeat the request at another
+// address.
+func unknownIfKeyed(key string, f *Failure) *Failure {
 	if key == "" || f == nil || f.Outcome != callerapi.OutcomeNotRun {
 		return f
 	}
@@ -54,21 +55,22 @@
 	return &out
 }
 
-func (m *modelRun) admitAndRun(ctx context.Context) Answer {
+func (m *activeModelRequest) admitAndRun(ctx context.Context) Answer {
 	done, failure := m.admit()
 	if failure != nil {
 		return Answer{Failure: failure}
 	}
 	defer done()
-	return m.answer(m.run(ctx))
+	return m.result(m.run(ctx))
 }
 
-func (m *modelRun) answer(f *Failure) Answer {
-	return Answer{Finish: m.finish, PromptTokens: m.promptTokens, OutputTokens: m.passed, Failure: f}
+func (m *activeModelRequest) result(f *Failure) Answer {
+	return Answer{Finish: m.finish, PromptTokens: m.promptTokens, OutputTokens: m.passedTokens, Failure: f}
 }
 
-// admit asks admission once, by what the candidates promise now.
-func (m *modelRun) admit() (done func(), failure *Failure) {
+// admit asks the admission controller once, with the waits that the candidates report
+// now. done must be called when the request ends.
+func (m *activeModelRequest) admit() (done func(), failure *Failure) {
 	q := m.admissionRequest()
 	d := m.router.admit(q)
 	if !d.Admitted {
@@ -85,37 +87,37 @@
 	return refused(d.Code, "it can't be served in time now", d.RetryAfter)
 }
 
-func (m *modelRun) admissionRequest() admission.Request {
-	a := &attempt{run: m}
+func (m *activeModelRequest) admissionRequest() admission.Request {
+	a := &attempt{request: m}
 	w := predictWaits(
 		m.router.opts.Follower.Candidates(a.query(fleet.RolePrefill)),
 		m.router.opts.Follower.Candidates(a.query(fleet.RoleDecode)),
-		m.class.output,
+		m.params.maxOutputTokens,
 	)
 	prefill, _ := m.predictPrefill()
 	transfer := a.transferTime()
 	return admission.Request{
 		Team:          m.req.Team,
-		Limits:        m.class.team.Limits,
-		Share:         m.class.team.Share,
-		Work:          float64(prefill.Milliseconds()) + float64(w.tokenTime.Milliseconds())*float64(m.class.output),
+		Limits:        m.params.team.Limits,
+		Share:         m.params.team.Share,
+		Work:          float64(prefill.Milliseconds()) + float64(w.tokenTime.Milliseconds())*float64(m.params.maxOutputTokens),
 		Patience:      m.admissionPatience(prefill + transfer),
-		PredictedWait: w.firstToken(prefill, transfer),
+		PredictedWait: w.timeToFirstToken(prefill, transfer),
 		DrainPerSec:   w.drainPerSec,
 		Queued:        w.queued,
-		PromptTokens:  m.class.prompt,
+		PromptTokens:  m.params.promptTokens,
 		RequestID:     m.req.ID,
 	}
 }
 
-// admissionPatience is the longest wait with which a request is taken. One that
-// would miss its team's target is refused at once: taken, it would be late and
-// make those behind it late too, until all answers of an overloaded fleet are.
-// own is what the request takes on idle engines: a prompt so long that this
-// alone passes the target may queue for as long as the target besides, since
-// refusing it would refuse it for ever.
-func (m *modelRun) admissionPatience(own time.Duration) time.Duration {
-	target := m.class.team.Targets.FirstToken
+// admissionPatience returns the maximum wait with which the request is admitted. A
+// request that would miss its team's target for the first token is refused at once;
+// if admitted it would be late and delay those behind it, until all answers of an
+// overloaded fleet are late. own is the time that the request takes on idle engines.
+// If that alone exceeds the target, the request may queue for the target's time on
+// top of it, since otherwise such a long prompt would always be refused.
+func (m *activeModelRequest) admissionPatience(own time.Duration) time.Duration {
+	target := m.params.team.Targets.FirstToken
 	if target <= 0 {
 		return m.remaining()
 	}
@@ -137,8 +139,8 @@
 	r.record(e)
 }
 
-// noPolicy is the failure when the settings name policies unknown to this
-// build and none was in force before.
-func noPolicy() *Failure {
+// noPolicyFailure returns the failure when the settings name policies unknown to this
+// build and there are no previous ones.
+func noPolicyFailure() *Failure {
 	return refused(callerapi.CodeInternal, "the settings name policies that this build doesn't know", 5*time.Second)
 }
