--- a/internal/route/life_test.go
+++ b/internal/route/model_test.go
@@ -19,16 +19,16 @@
 	"github.com/hyssopsail/hyssopsail/internal/schedule"
 )
 
-// inWorld runs a test in a bubble with its own clock.
-func inWorld(t *testing.T, test func(t *testing.T, w *world)) {
+// withFakeFleet runs a test with its own clock and a new fakeFleet.
+func withFakeFleet(t *testing.T, test func(t *testing.T, w *fakeFleet)) {
 	t.Helper()
-	synctest.Test(t, func(t *testing.T) { test(t, newWorld()) })
+	synctest.Test(t, func(t *testing.T) { test(t, newFakeFleet()) })
 }
 
-// runInWorld is inWorld as a subtest.
-func runInWorld(t *testing.T, name string, test func(t *testing.T, w *world)) {
+// runWithFakeFleet is withFakeFleet as a subtest.
+func runWithFakeFleet(t *testing.T, name string, test func(t *testing.T, w *fakeFleet)) {
 	t.Helper()
-	t.Run(name, func(t *testing.T) { inWorld(t, test) })
+	t.Run(name, func(t *testing.T) { withFakeFleet(t, test) })
 }
 
 func TestModelWhole(t *testing.T) {
@@ -38,21 +38,20 @@
 		"delayed":       {Delay: 50 * time.Millisecond, Lead: 10 * time.Millisecond},
 	}
 	for name, plan := range plans {
-		runInWorld(t, name, func(t *testing.T, w *world) {
+		runWithFakeFleet(t, name, func(t *testing.T, w *fakeFleet) {
 			w.plan = plan
 			a := served(t, w.router(route.Bounds{}), modelRequest(), &sink{})
 			assert.Equal(t, a.OutputTokens, 10)
 			assert.Equal(t, a.Finish, engineapi.FinishLength)
 			assert.Equal(t, w.releases[0].Reason, pb.ReleaseReason_RELEASE_REASON_COMPLETED)
-			w.assertFree(t)
+			w.assertNothingHeld(t)
 		})
 	}
 }
 
-// A caller hangs up while its request waits for a slot, is prefilled, moves or
-// decodes. Its slot and memory would stay occupied until the engine's own
-// limit, and at peak twenty of those fill a decode engine. The caller's end
-// must free each hold at once.
+// A caller disconnects while its request waits for a slot, is prefilled, transferred
+// or decoded. Each grant must be released at once; otherwise slot and memory stay
+// occupied until the engine's own limit, and twenty such requests fill a decode engine.
 func TestCallerGoneFreesAll(t *testing.T) {
 	stages := []struct {
 		op string
@@ -60,8 +59,8 @@
 	}{{"take", "d1"}, {"take", "p1"}, {"prefill", "p1"}, {"import", "d1"}, {"decode", "d1"}}
 	for _, stage := range stages {
 		for _, key := range []string{"", "bale-7"} {
-			runInWorld(t, stage.op+" "+string(stage.at)+" key="+key, func(t *testing.T, w *world) {
-				w.set(stage.op, stage.at, 1, fault{stall: true, after: 3})
+			runWithFakeFleet(t, stage.op+" "+string(stage.at)+" key="+key, func(t *testing.T, w *fakeFleet) {
+				w.setFault(stage.op, stage.at, 1, fault{stall: true, after: 3})
 				r := w.router(route.Bounds{})
 				ctx, cancel := context.WithCancel(t.Context())
 				go func() {
@@ -76,32 +75,32 @@
 				assert.Assert(t, a.Failure != nil)
 				assert.Equal(t, time.Since(began), 100*time.Millisecond)
 				assert.Equal(t, r.Running(), 0)
-				w.assertFree(t)
+				w.assertNothingHeld(t)
 			})
 		}
 	}
 }
 
-// A decode engine is killed in the middle of an answer. The caller would see
-// the stream stop, or the text repeat from the start. The answer goes on at
-// the next token at another engine; the quarantine learns of the crash.
+// A decode engine is killed in the middle of an answer. The answer must continue with
+// the next token at another engine, without a cut or a repeat from the start, and the
+// quarantine guard must be told of the crash.
 func TestDecodeKilledResumes(t *testing.T) {
 	for after := range 10 {
-		inWorld(t, func(t *testing.T, w *world) {
-			w.set("decode", "d1", 1, fault{broken: true, after: after})
+		withFakeFleet(t, func(t *testing.T, w *fakeFleet) {
+			w.setFault("decode", "d1", 1, fault{broken: true, after: after})
 			served(t, w.router(route.Bounds{}), modelRequest(), &sink{})
 			assert.Equal(t, w.sent("decode d1"), 1)
 			assert.Equal(t, w.sent("decode d2"), 1)
 			assert.DeepEqual(t, w.ends, []guardEnd{{crashed: true}, {completed: true}}, allowGuardEnd)
 			assert.Equal(t, w.releaseOf("d1"), pb.ReleaseReason_RELEASE_REASON_ENDPOINT_FAILED)
-			w.assertFree(t)
+			w.assertNothingHeld(t)
 		})
 	}
 }
 
-// A prefill engine is killed while it computes, or the KV cache is gone when
-// the decode engine fetches it. The request must run again from another
-// prefill engine, and never at the one that just failed it.
+// A prefill engine is killed while it computes, or the KV cache is gone when the decode
+// engine fetches it. The request must be retried at another prefill engine, never at
+// the one that just failed it.
 func TestPrefillLostRetriesElsewhere(t *testing.T) {
 	faults := map[string]struct {
 		op string
@@ -116,37 +115,36 @@
 	}
 	for name, tc := range faults {
 		for _, plan := range []schedule.StartPlan{{ReserveFirst: true}, {}} {
-			runInWorld(t, name, func(t *testing.T, w *world) {
+			runWithFakeFleet(t, name, func(t *testing.T, w *fakeFleet) {
 				w.plan = plan
-				w.set(tc.op, tc.at, 1, tc.f)
+				w.setFault(tc.op, tc.at, 1, tc.f)
 				served(t, w.router(route.Bounds{}), modelRequest(), &sink{})
 				assert.Assert(t, w.sent("prefill p1") <= 1)
 				assert.Equal(t, w.sent("prefill p2"), 1)
 				synctest.Wait()
-				w.assertFree(t)
+				w.assertNothingHeld(t)
 			})
 		}
 	}
 }
 
-// The link between two engines stands still in the middle of a transfer. The
-// decode slot and the prefill memory would stay occupied until the caller's
-// patience of 20 s ends. The transfer is given up on after its bound of
-// 300 ms; the cache, still alive, goes to another decode engine.
+// The link between two engines stalls in the middle of a transfer. The transfer must
+// end after its timeout of 300 ms and the cache, still alive, go to another decode
+// engine. Otherwise the decode slot and the prefill memory stay occupied until the
+// caller's patience of 20 s ends.
 func TestTransferStalls(t *testing.T) {
-	inWorld(t, func(t *testing.T, w *world) {
-		w.set("import", "d1", 1, fault{stall: true})
+	withFakeFleet(t, func(t *testing.T, w *fakeFleet) {
+		w.setFault("import", "d1", 1, fault{stall: true})
 		began := time.Now()
 		served(t, w.router(route.Bounds{}), modelRequest(), &sink{})
 		assert.Equal(t, time.Since(began), 311*time.Millisecond)
 		assert.Equal(t, w.sent("prefill"), 1)
-		w.assertFree(t)
+		w.assertNothingHeld(t)
 	})
 }
 
-// An engine mixes up two callers' answers, loses a chunk, or repeats one. One
-// caller would read another's note, or a note with a hole. Nothing foreign is
-// passed on; a gap is filled from another engine.
+// An engine mixes up two callers' answers, loses a chunk or repeats one. Chunks of other
+// attempts must not be passed on, and gaps must be filled from another engine.
 func TestCrossedChunks(t *testing.T) {
 	bends := map[string]func(engineapi.Chunk) engineapi.Chunk{
 		"other attempt":     func(c engineapi.Chunk) engineapi.Chunk { c.Attempt, c.Text = "other", "secret"; return c },
@@ -161,37 +159,37 @@
 		"negative": func(c engineapi.Chunk) engineapi.Chunk { c.Tokens = -1; return c },
 	}
 	for name, bend := range bends {
-		runInWorld(t, name, func(t *testing.T, w *world) {
-			w.set("decode", "d1", 1, fault{after: 4, bend: bend})
+		runWithFakeFleet(t, name, func(t *testing.T, w *fakeFleet) {
+			w.setFault("decode", "d1", 1, fault{after: 4, alter: bend})
 			served(t, w.router(route.Bounds{}), modelRequest(), &sink{})
-			w.assertFree(t)
+			w.assertNothingHeld(t)
 		})
 	}
 }
 
-// Each way of being refused answers at once: a caller that is held back until
-// near its deadline can't go elsewhere.
+// Every kind of refusal must be answered at once: a caller that is kept waiting until
+// near its deadline can't try elsewhere.
 func TestRefusedAtOnce(t *testing.T) {
 	cases := map[string]struct {
-		prepare func(w *world)
+		prepare func(w *fakeFleet)
 		code    callerapi.Code
 		after   time.Duration
 	}{
-		"not current": {func(w *world) { w.freeze(true) }, callerapi.CodeNotCurrent, route.DefaultRetryAfter},
-		"entry zone":  {func(w *world) { w.permit("barasat") }, callerapi.CodeNoZone, 0},
-		"overload": {func(w *world) {
+		"not current": {func(w *fakeFleet) { w.setStale(true) }, callerapi.CodeNotCurrent, route.DefaultRetryAfter},
+		"entry zone":  {func(w *fakeFleet) { w.permit("barasat") }, callerapi.CodeNoZone, 0},
+		"overload": {func(w *fakeFleet) {
 			w.denied = &admission.Decision{Code: callerapi.CodeOverloaded, RetryAfter: 1300 * time.Millisecond}
 		}, callerapi.CodeOverloaded, 1300 * time.Millisecond},
-		"oversized": {func(w *world) {
+		"oversized": {func(w *fakeFleet) {
 			w.denied = &admission.Decision{Code: callerapi.CodeTooLarge, Final: true}
 		}, callerapi.CodeTooLarge, 0},
-		"no slot": {func(w *world) {
+		"no slot": {func(w *fakeFleet) {
 			w.refuse = endpoint.Refusal{Status: pb.GrantStatus_GRANT_STATUS_FULL, RetryAfter: 700 * time.Millisecond}
 		}, callerapi.CodeOverloaded, 700 * time.Millisecond},
-		"quarantined": {func(w *world) { w.verdict = pb.RunVerdict_RUN_VERDICT_QUARANTINED }, callerapi.CodeQuarantined, 0},
+		"quarantined": {func(w *fakeFleet) { w.verdict = pb.RunVerdict_RUN_VERDICT_QUARANTINED }, callerapi.CodeQuarantined, 0},
 	}
 	for name, tc := range cases {
-		runInWorld(t, name, func(t *testing.T, w *world) {
+		runWithFakeFleet(t, name, func(t *testing.T, w *fakeFleet) {
 			tc.prepare(w)
 			began := time.Now()
 			failure := failed(t, w.router(route.Bounds{}), modelRequest())
@@ -201,59 +199,59 @@
 			assert.Equal(t, time.Since(began), time.Duration(0))
 			assert.Equal(t, len(w.sends), 0)
 			assert.Equal(t, len(w.releases), 0)
-			w.assertFree(t)
+			w.assertNothingHeld(t)
 		})
 	}
 }
 
-// Each engine that gets the request dies. The caller gets a clear failure with
-// when to come back after the bounded tries, not silence until its deadline.
+// Each engine that receives the request dies. The caller must get a failure with a retry
+// delay after the maximum number of attempts, instead of waiting until its deadline.
 func TestGivenUpAtOnce(t *testing.T) {
-	inWorld(t, func(t *testing.T, w *world) {
-		w.setBoth("decode", fault{broken: true, after: 2})
+	withFakeFleet(t, func(t *testing.T, w *fakeFleet) {
+		w.setDecodeFaults("decode", fault{broken: true, after: 2})
 		s := &sink{}
 		a := w.router(route.Bounds{}).Model(t.Context(), modelRequest(), s)
 		assert.Assert(t, a.Failure != nil)
 		assert.Equal(t, a.Failure.Outcome, callerapi.OutcomeFailed)
 		assert.Assert(t, a.Failure.RetryAfter > 0)
 		assert.Equal(t, s.got(), tokens(4))
-		w.assertFree(t)
+		w.assertNothingHeld(t)
 	})
 }
 
-// The engine stands still in the middle of a stream without closing it. The
-// caller would wait for ever: after 5 s the answer goes on elsewhere, and the
-// engine isn't taken for dead.
+// An engine stalls in the middle of a stream without closing it. After 5 s the answer
+// must continue elsewhere, and the engine must not be reported as crashed.
 func TestDecodeStandsStill(t *testing.T) {
-	inWorld(t, func(t *testing.T, w *world) {
-		w.set("decode", "d1", 1, fault{stall: true, after: 4})
+	withFakeFleet(t, func(t *testing.T, w *fakeFleet) {
+		w.setFault("decode", "d1", 1, fault{stall: true, after: 4})
 		served(t, w.router(route.Bounds{}), modelRequest(), &sink{})
 		assert.DeepEqual(t, w.ends, []guardEnd{{}, {completed: true}}, allowGuardEnd)
-		w.assertFree(t)
+		w.assertNothingHeld(t)
 	})
 }
 
-// The first token doesn't come within the caller's patience of 20 s: it gets
+// The first token doesn't come within the caller's patience of 20 s. The caller must get
 // its final answer then, not after the engine's own limits.
 func TestPatienceEnds(t *testing.T) {
 	for _, stage := range []string{"prefill p1", "decode d1"} {
-		inWorld(t, func(t *testing.T, w *world) {
+		withFakeFleet(t, func(t *testing.T, w *fakeFleet) {
 			op, at, _ := strings.Cut(stage, " ")
-			w.set(op, fleet.EndpointID(at), 9, fault{stall: true})
+			w.setFault(op, fleet.EndpointID(at), 9, fault{stall: true})
 			began := time.Now()
 			failure := failed(t, w.router(route.Bounds{}), modelRequest())
 			assert.Equal(t, failure.Code, callerapi.CodeDeadline)
 			assert.Equal(t, failure.Outcome, callerapi.OutcomeFailed)
 			assert.Equal(t, time.Since(began), 20*time.Second)
-			w.assertFree(t)
+			w.assertNothingHeld(t)
 		})
 	}
 }
 
-// A daemon is stopped for good while a request runs and callers still keep its
-// address. Cut off, the request fails, and the next ones meet a closed door.
+// A daemon is stopped as planned while a request runs and callers still keep its address.
+// The request must complete, and new ones must be served until callers no longer keep
+// the address.
 func TestDrain(t *testing.T) {
-	inWorld(t, func(t *testing.T, w *world) {
+	withFakeFleet(t, func(t *testing.T, w *fakeFleet) {
 		r := w.router(route.Bounds{})
 		ends := make(chan route.Answer, 1)
 		long := modelRequest()
@@ -280,14 +278,14 @@
 	})
 }
 
-// A daemon has stopped for good and given up its lease; a caller that was slow to come
-// finds it still there. It must be told that the daemon is leaving and that its request
-// has not run, not that a lease was lost.
-func TestSlowCallerOfADaemonThatHasLeft(t *testing.T) {
-	inWorld(t, func(t *testing.T, w *world) {
+// A daemon has drained and given up its lease; a slow caller still reaches it. The caller
+// must be told that the daemon is stopping and that the request hasn't run, not that the
+// lease was lost.
+func TestLateCallerOfStoppedDaemon(t *testing.T) {
+	withFakeFleet(t, func(t *testing.T, w *fakeFleet) {
 		r := w.router(route.Bounds{})
 		assert.NilError(t, r.Drain(t.Context()))
-		w.freeze(true)
+		w.setStale(true)
 		late := r.Model(t.Context(), modelRequest(), &sink{})
 		assert.Equal(t, late.Failure.Code, callerapi.CodeDraining)
 		assert.Equal(t, late.Failure.Outcome, callerapi.OutcomeNotRun)
@@ -295,11 +293,11 @@
 	})
 }
 
-// The decode slot was asked for while prefill ran; the caller hangs up before
-// the home answers, and the grant comes afterwards. Nobody would use it, and
-// the slot would stand empty until the grant's life ends.
+// A decode grant is requested while prefill runs; the caller disconnects before the home
+// answers, and the grant arrives afterwards. It must be released; otherwise the slot
+// stays empty until the grant expires.
 func TestEarlyGrantComesTooLate(t *testing.T) {
-	inWorld(t, func(t *testing.T, w *world) {
+	withFakeFleet(t, func(t *testing.T, w *fakeFleet) {
 		w.plan = schedule.StartPlan{}
 		w.takeLag = 200 * time.Millisecond
 		ctx, cancel := context.WithCancel(t.Context())
@@ -307,14 +305,14 @@
 		a := w.router(route.Bounds{}).Model(ctx, modelRequest(), &sink{})
 		assert.Assert(t, a.Failure != nil)
 		time.Sleep(time.Second)
-		w.assertFree(t)
+		w.assertNothingHeld(t)
 	})
 }
 
-// A caller takes 8 s to read one chunk. The engine, which waits for no one,
-// isn't at fault: it must not be given up on for standing still.
+// A caller takes 8 s to read one chunk. The engine, which waits for no one, must not be
+// given up on as stalled.
 func TestSlowCallerIsNoStall(t *testing.T) {
-	inWorld(t, func(t *testing.T, w *world) {
+	withFakeFleet(t, func(t *testing.T, w *fakeFleet) {
 		s := &sink{after: func(c engineapi.Chunk) {
 			if c.Offset == 3 {
 				time.Sleep(8 * time.Second)
@@ -325,13 +323,13 @@
 	})
 }
 
-// A full decode engine dies with twenty answers in progress, more than the
-// retry budget has saved up. Some would go on and the rest fail for no fault of
-// their own: each has one free retry after a death. The second costs budget.
+// A full decode engine dies with twenty answers in progress, more than the retry budget
+// allows. Each must continue, as the first retry after a crash is free; the second one
+// takes from the budget. Otherwise some answers fail for no fault of their own.
 func TestDeathOfAFullEngine(t *testing.T) {
-	inWorld(t, func(t *testing.T, w *world) {
+	withFakeFleet(t, func(t *testing.T, w *fakeFleet) {
 		w.noBudget = true
-		w.set("decode", "d1", 20, fault{broken: true, after: 5})
+		w.setFault("decode", "d1", 20, fault{broken: true, after: 5})
 		r := w.router(route.Bounds{})
 		ends := make(chan route.Answer, 20)
 		for range 20 {
@@ -341,19 +339,19 @@
 			a := <-ends
 			assert.Assert(t, a.Failure == nil, "%v", a.Failure)
 		}
-		w.set("decode", "d1", 1, fault{broken: true, after: 5})
-		w.set("decode", "d2", 1, fault{broken: true, after: 2})
+		w.setFault("decode", "d1", 1, fault{broken: true, after: 5})
+		w.setFault("decode", "d2", 1, fault{broken: true, after: 2})
 		failure := failed(t, r, modelRequest())
 		assert.Equal(t, failure.Code, callerapi.CodeEngineFailed)
-		w.assertFree(t)
+		w.assertNothingHeld(t)
 	})
 }
 
-// Each decode engine has failed the request, though there are some: this isn't
-// a place without endpoints, and the caller is told so.
+// All decode engines have failed the request. The caller must be told that, and not that
+// there are no endpoints.
 func TestExhausted(t *testing.T) {
-	inWorld(t, func(t *testing.T, w *world) {
-		w.setBoth("decode", fault{broken: true})
+	withFakeFleet(t, func(t *testing.T, w *fakeFleet) {
+		w.setDecodeFaults("decode", fault{broken: true})
 		failure := failed(t, w.router(route.Bounds{}), modelRequest())
 		assert.Equal(t, failure.Code, callerapi.CodeEngineFailed)
 		assert.Equal(t, failure.Outcome, callerapi.OutcomeFailed)
--- a/internal/route/once.go
+++ b/internal/route/once.go
@@ -10,58 +10,57 @@
 	"github.com/hyssopsail/hyssopsail/internal/timeline"
 )
 
-// onceTries bounds the endpoints that a call which was provably never sent
-// may still go to.
-const onceTries = 2
+// maxOnceAttempts limits the attempts of a call that must not be repeated and provably
+// hasn't run.
+const maxOnceAttempts = 2
 
-// once runs a call that may not be repeated: slot, claim, last check, one
-// send.
+// runOnce runs a call that must not be repeated: grant, claim, last check, one send.
 //
-// A second send, here or at another entry, shows as a second truck at the
-// bank. It can't happen: one attempt per key is decided at the ledger before
-// the first byte, this attempt is sent again only when the error proves that
-// no byte left, and the gate refuses a daemon that slept past its lease.
-func (m *callRun) once(ctx context.Context) (*CallAnswer, *Failure) {
+// A second send, here or at another entry, would carry out the call's effect twice.
+// It is ruled out as follows: the ledger decides on one attempt per key before the
+// first byte is sent, that attempt is sent again only if the error proves that the
+// call didn't run, and the gate refuses to send when the entry's lease has expired.
+func (m *activeCall) runOnce(ctx context.Context) (*CallResponse, *Failure) {
 	done, failure := m.admit()
 	if failure != nil {
-		return nil, m.unclaimed(ctx, failure)
+		return nil, m.refuseUnclaimed(ctx, failure)
 	}
 	defer done()
 	id := newClaimAttempt(m.fingerprint)
-	alone, s := m.turn(ctx, id)
-	if s != nil {
-		return nil, m.unclaimed(ctx, onceFailure(s, false))
+	alone, failed := m.awaitTurn(ctx, id)
+	if failed != nil {
+		return nil, m.refuseUnclaimed(ctx, onceFailure(failed, false))
 	}
-	h, s := m.take(ctx, id, alone)
-	if s != nil {
-		m.settle(nil, id, s)
-		return nil, m.unclaimed(ctx, onceFailure(s, false))
+	h, failed := m.acquireSlot(ctx, id, alone)
+	if failed != nil {
+		m.finishAttempt(nil, id, failed)
+		return nil, m.refuseUnclaimed(ctx, onceFailure(failed, false))
 	}
 	claim, failure := m.claim(ctx, id, h)
 	if failure != nil {
-		m.settle(h, id, &setback{cause: causeRefused})
+		m.finishAttempt(h, id, &attemptFailure{cause: causeRefused})
 		return nil, failure
 	}
-	end := callEnd{kind: pb.OutcomeKind_OUTCOME_KIND_UNKNOWN} // should the send panic
-	defer func() { m.router.finish(claim, end.kind, end.statusCode) }()
-	answer, sent, s := m.sendOnce(ctx, h, id, alone)
-	if s != nil {
-		failure = onceFailure(s, sent)
-		end.kind = kindOf(failure)
+	end := callEnd{kind: pb.OutcomeKind_OUTCOME_KIND_UNKNOWN} // recorded if the send panics
+	defer func() { m.router.recordOutcome(claim, end.kind, end.statusCode) }()
+	answer, sent, failed := m.sendOnce(ctx, h, id, alone)
+	if failed != nil {
+		failure = onceFailure(failed, sent)
+		end.kind = outcomeKind(failure)
 		return nil, failure
 	}
 	end = callEnd{kind: pb.OutcomeKind_OUTCOME_KIND_COMPLETED, statusCode: answer.StatusCode}
 	return answer, nil
 }
 
-// callEnd is what the ledger keeps of a call.
+// callEnd is the part of a call's end that the ledger records.
 type callEnd struct {
 	kind       pb.OutcomeKind
 	statusCode int
 }
 
-// claim decides the record for this attempt.
-func (m *callRun) claim(ctx context.Context, id fleet.AttemptID, h *hold) (outcome.Claim, *Failure) {
+// claim claims the call's key at the ledger for this attempt.
+func (m *activeCall) claim(ctx context.Context, id fleet.AttemptID, h *heldGrant) (outcome.Claim, *Failure) {
 	key := m.req.Key
 	if key == "" {
 		key = string(newAttemptID())
@@ -70,51 +69,51 @@
 		Key:       m.router.hash.recordKey(m.req.Team, key, 0),
 		Team:      m.req.Team,
 		Fresh:     m.req.Key == "",
-		Permitted: m.class.permitted,
+		Permitted: m.params.permitted,
 		Attempt:   id,
 		Endpoint:  h.target.ID,
 	}
-	local, cancel := context.WithTimeout(ctx, m.router.bounds.LedgerTime)
+	local, cancel := context.WithTimeout(ctx, m.router.bounds.LedgerTimeout)
 	defer cancel()
 	verdict, record, err := m.router.opts.Ledger.Claim(local, claim)
-	failure := judgeOnce(verdict, record, err, m.req.Key != "", id, m.fingerprint)
+	failure := decideOnce(verdict, record, err, m.req.Key != "", id, m.fingerprint)
 	if failure != nil {
 		m.router.record(timeline.Event{Kind: timeline.KindLedgerRefused, Request: m.req.ID, Team: m.req.Team, Attempt: id, Detail: string(failure.Code)})
 		return claim, failure
 	}
-	m.event(timeline.KindLedgerClaimed, id, h.target.ID)
+	m.recordEvent(timeline.KindLedgerClaimed, id, h.target.ID)
 	return claim, nil
 }
 
-// judgeOnce reads a claim's verdict for a call that may not be repeated; nil:
-// run. Pure. A key that was decided once is never run again, whatever became
-// of it.
-func judgeOnce(v outcome.Verdict, record outcome.Record, err error, keyed bool, mine fleet.AttemptID, f fleet.Fingerprint) *Failure {
-	others := record.Attempt != "" && record.Attempt != mine
+// decideOnce returns nil if a claim's verdict allows a call that must not be repeated
+// to run, else the failure. Pure. A key that was decided once never runs again,
+// whatever its outcome.
+func decideOnce(v outcome.Verdict, record outcome.Record, err error, keyed bool, mine fleet.AttemptID, f fleet.Fingerprint) *Failure {
+	otherAttempt := record.Attempt != "" && record.Attempt != mine
 	switch {
 	case err != nil && !keyed:
 		return refused(callerapi.CodeInternal, "its record can't be written now", 0)
 	case err != nil:
-		return unknownFate()
-	case others && !sameBody(record.Attempt, f):
-		return keyReused()
+		return unknownOutcomeFailure()
+	case otherAttempt && !sameBody(record.Attempt, f):
+		return keyReusedFailure()
 	case v == outcome.VerdictRun:
 		return nil
 	case v == outcome.VerdictInFlight:
-		return inFlight()
+		return inFlightFailure()
 	case v == outcome.VerdictNotRun:
 		return notRun(callerapi.CodeRecorded, "it was not run; use a new key to run it", 0)
 	case v == outcome.VerdictRecorded:
-		return recorded(record)
+		return recordedFailure(record)
 	case !keyed:
 		// The key is this call's own and unsent: no other copy exists.
 		return refused(callerapi.CodeInternal, "its record can't be decided now", 0)
 	}
-	return unknownFate()
+	return unknownOutcomeFailure()
 }
 
-// recorded answers the repeat of a call that has ended.
-func recorded(record outcome.Record) *Failure {
+// recordedFailure returns the failure of a repeat of a call that has ended.
+func recordedFailure(record outcome.Record) *Failure {
 	return &Failure{
 		Code:       callerapi.CodeRecorded,
 		Message:    "it ran before; its answer is not kept",
@@ -123,26 +122,27 @@
 	}
 }
 
-// sendOnce sends the claimed call. Once it has left it is no longer bound to
-// its caller: ending it early would only make its outcome unknown.
-func (m *callRun) sendOnce(ctx context.Context, h *hold, id fleet.AttemptID, alone bool) (answer *CallAnswer, sent bool, s *setback) {
+// sendOnce sends the claimed call. The end of ctx doesn't end a call that has been
+// sent, since that would only make its outcome unknown.
+func (m *activeCall) sendOnce(ctx context.Context, h *heldGrant, id fleet.AttemptID, alone bool) (answer *CallResponse, sent bool, failed *attemptFailure) {
 	for n := 1; ; n++ {
 		if ctx.Err() != nil {
-			s = &setback{cause: fromContext(ctx)}
-			m.settle(h, id, s)
-			return nil, false, s
+			failed = &attemptFailure{cause: causeFromContext(ctx)}
+			m.finishAttempt(h, id, failed)
+			return nil, false, failed
 		}
-		answer, sent, s = m.exchangeUnbound(ctx, h, id)
-		m.settle(h, id, s)
-		if s == nil || sent {
-			return answer, sent, s
+		answer, sent, failed = m.exchangeDetached(ctx, h, id)
+		m.finishAttempt(h, id, failed)
+		if failed == nil || sent {
+			return answer, sent, failed
 		}
-		if !mendable(s.cause) || n >= onceTries || !m.router.mayTryAgain(m.req.Team, s) {
-			return nil, false, s
+		if !isRetryable(failed.cause) || n >= maxOnceAttempts || !m.router.mayRetryAfter(m.req.Team, failed) {
+			return nil, false, failed
 		}
-		m.avoid.add(s.endpoint)
-		// The first take's release may reach the same home after this take.
-		next, refusal := m.take(ctx, newAttemptID(), alone)
+		m.avoid.add(failed.endpoint)
+		// A new ID, as the release of the first grant may reach the same home after this
+		// request for a grant.
+		next, refusal := m.acquireSlot(ctx, newAttemptID(), alone)
 		if refusal != nil {
 			return nil, false, refusal
 		}
@@ -150,17 +150,17 @@
 	}
 }
 
-// exchangeUnbound sends the call so that only Abort ends it early.
-func (m *callRun) exchangeUnbound(ctx context.Context, h *hold, id fleet.AttemptID) (answer *CallAnswer, sent bool, s *setback) {
-	unbound, stop := m.router.abortable(context.WithoutCancel(ctx))
+// exchangeDetached sends the call so that only Abort or its timeout ends it early.
+func (m *activeCall) exchangeDetached(ctx context.Context, h *heldGrant, id fleet.AttemptID) (answer *CallResponse, sent bool, failed *attemptFailure) {
+	unbound, stop := m.router.withAbort(context.WithoutCancel(ctx))
 	defer stop()
 	return m.exchange(unbound, h, id)
 }
 
-// onceFailure is the caller's answer when the call has no whole answer: not
-// run when no byte left, unknown otherwise. Pure.
-func onceFailure(s *setback, sent bool) *Failure {
-	f := finalFailure(retryInput{setback: s})
+// onceFailure returns the failure of a call without a complete response: "not run" if
+// the call provably didn't run, "unknown" otherwise. Pure.
+func onceFailure(failed *attemptFailure, sent bool) *Failure {
+	f := callerFailure(retryInput{attemptFailure: failed})
 	if !sent {
 		f.Outcome = callerapi.OutcomeNotRun
 		return f
@@ -169,6 +169,6 @@
 		Code:     callerapi.CodeUnknown,
 		Message:  "the service gave no whole answer; whether it ran is not known",
 		Outcome:  callerapi.OutcomeUnknown,
-		TimedOut: s.cause == causeStalled || s.cause == causeDeadline,
+		TimedOut: failed.cause == causeStalled || failed.cause == causeDeadline,
 	}
 }
--- a/internal/route/once_test.go
+++ b/internal/route/once_test.go
@@ -18,62 +18,61 @@
 
 var errNoReplica = errors.New("no replica was asked")
 
-// A pickup slip's call fails at each position of its way. Sent again, it sends
-// a second truck; answered "not run" when it may have run, the volunteer sends
-// it again by hand. It must be sent at most once, and "not run" said only when
-// nothing left.
+// A call that must not be repeated fails at each of its stages. It must be sent at most
+// once, and its outcome may be "not run" only if nothing was sent: otherwise the effect
+// happens twice, by a retry here or by the caller.
 func TestOnceFailurePositions(t *testing.T) {
 	cases := map[string]struct {
-		prepare func(w *world)
+		prepare func(w *fakeFleet)
 		sent    int
 		outcome callerapi.Outcome // empty: answered
 		record  pb.OutcomeKind    // of the key afterwards; 0: none
 	}{
-		"whole": {func(*world) {}, 1, "", pb.OutcomeKind_OUTCOME_KIND_COMPLETED},
-		"overloaded": {func(w *world) {
+		"whole": {func(*fakeFleet) {}, 1, "", pb.OutcomeKind_OUTCOME_KIND_COMPLETED},
+		"overloaded": {func(w *fakeFleet) {
 			w.denied = &admission.Decision{Code: callerapi.CodeOverloaded}
 		}, 0, callerapi.OutcomeNotRun, pb.OutcomeKind_OUTCOME_KIND_NOT_RUN},
-		"no slot": {func(w *world) {
+		"no slot": {func(w *fakeFleet) {
 			w.refuse = endpoint.Refusal{Status: pb.GrantStatus_GRANT_STATUS_FULL}
 		}, 0, callerapi.OutcomeNotRun, pb.OutcomeKind_OUTCOME_KIND_NOT_RUN},
-		"no slot, ledger cut off": {func(w *world) {
+		"no slot, ledger cut off": {func(w *fakeFleet) {
 			w.refuse = endpoint.Refusal{Status: pb.GrantStatus_GRANT_STATUS_FULL}
 			w.ledger = func(string) error { return errNoReplica }
 		}, 0, callerapi.OutcomeUnknown, 0},
-		"claim not proposed": {func(w *world) {
+		"claim not proposed": {func(w *fakeFleet) {
 			w.ledger = func(string) error { return errNoReplica }
 		}, 0, callerapi.OutcomeUnknown, 0},
-		"claim undecided": {func(w *world) {
+		"claim undecided": {func(w *fakeFleet) {
 			w.ledger = func(string) error { return errUndecided }
 		}, 0, callerapi.OutcomeUnknown, 0},
-		"frozen after the claim": {func(w *world) {
+		"frozen after the claim": {func(w *fakeFleet) {
 			w.onClaim = func() { w.stale = true }
 		}, 0, callerapi.OutcomeNotRun, pb.OutcomeKind_OUTCOME_KIND_NOT_RUN},
-		"no connection": {func(w *world) {
-			w.set("call", "s1", 9, fault{unsent: true})
+		"no connection": {func(w *fakeFleet) {
+			w.setFault("call", "s1", 9, fault{unsent: true})
 		}, 1, "", pb.OutcomeKind_OUTCOME_KIND_COMPLETED},
-		"no connection to any": {func(w *world) {
-			w.set("call", "s1", 9, fault{unsent: true})
-			w.set("call", "s2", 9, fault{unsent: true})
+		"no connection to any": {func(w *fakeFleet) {
+			w.setFault("call", "s1", 9, fault{unsent: true})
+			w.setFault("call", "s2", 9, fault{unsent: true})
 		}, 0, callerapi.OutcomeNotRun, pb.OutcomeKind_OUTCOME_KIND_NOT_RUN},
-		"connection broke": {func(w *world) {
-			w.set("call", "s1", 9, fault{broken: true})
+		"connection broke": {func(w *fakeFleet) {
+			w.setFault("call", "s1", 9, fault{broken: true})
 		}, 1, callerapi.OutcomeUnknown, pb.OutcomeKind_OUTCOME_KIND_UNKNOWN},
-		"no answer in time": {func(w *world) {
-			w.set("call", "s1", 9, fault{stall: true})
+		"no answer in time": {func(w *fakeFleet) {
+			w.setFault("call", "s1", 9, fault{stall: true})
 		}, 1, callerapi.OutcomeUnknown, pb.OutcomeKind_OUTCOME_KIND_UNKNOWN},
-		"endpoint refuses": {func(w *world) {
-			w.set("call", "s1", 9, fault{code: "stale"})
+		"endpoint refuses": {func(w *fakeFleet) {
+			w.setFault("call", "s1", 9, fault{code: "stale"})
 		}, 2, "", pb.OutcomeKind_OUTCOME_KIND_COMPLETED},
 	}
 	for name, tc := range cases {
-		runInWorld(t, name, func(t *testing.T, w *world) {
+		runWithFakeFleet(t, name, func(t *testing.T, w *fakeFleet) {
 			tc.prepare(w)
 			request := keyedCall()
 			answer, failure := w.router(route.Bounds{}).Call(t.Context(), request)
 			assert.Equal(t, w.sent("call"), tc.sent)
 			assert.Equal(t, w.recorded(), tc.record)
-			w.assertFree(t)
+			w.assertNothingHeld(t)
 			if tc.outcome == "" {
 				assert.Assert(t, failure == nil, "%v", failure)
 				assert.Equal(t, string(answer.Body), "slip POST /slips/7")
@@ -85,11 +84,11 @@
 	}
 }
 
-// The same slip is sent again: at once by two entries, after it ran, after its
-// outcome was lost, and with another body. Only the first ever runs.
+// The same call is sent again: at once to another entry, after its outcome was lost, and
+// with another body. Only the first may ever run.
 func TestOnceRepeated(t *testing.T) {
-	inWorld(t, func(t *testing.T, w *world) {
-		w.set("call", "s1", 1, fault{stall: true})
+	withFakeFleet(t, func(t *testing.T, w *fakeFleet) {
+		w.setFault("call", "s1", 1, fault{stall: true})
 		one, two := w.router(route.Bounds{}), w.router(route.Bounds{})
 		request := keyedCall()
 		go func() { _, _ = one.Call(t.Context(), request) }()
@@ -104,15 +103,14 @@
 		failure = callFailed(t, two, request)
 		assert.Equal(t, failure.Code, callerapi.CodeKeyReused)
 		assert.Equal(t, w.sent("call"), 1)
-		w.assertFree(t)
+		w.assertNothingHeld(t)
 	})
 }
 
-// A volunteer's phone loses its connection while the slip is written. Ending
-// the call then would leave nobody knowing whether it ran; it goes on, and its
-// outcome is there for the repeat.
+// The caller's connection breaks while the call runs. Ending the call would leave its
+// outcome unknown; it must continue, and its outcome be there for the repeat.
 func TestOnceOutlivesItsCaller(t *testing.T) {
-	inWorld(t, func(t *testing.T, w *world) {
+	withFakeFleet(t, func(t *testing.T, w *fakeFleet) {
 		ctx, cancel := context.WithCancel(t.Context())
 		w.beforeSend = func(string) { cancel() }
 		request := keyedCall()
@@ -126,11 +124,11 @@
 	})
 }
 
-// An idempotent lookup meets an endpoint that dies: it is sent to another one,
-// and never to the same again.
+// An endpoint dies during an idempotent call. The call must be retried at another
+// endpoint, never at the same one.
 func TestRepeatableCallRetries(t *testing.T) {
-	inWorld(t, func(t *testing.T, w *world) {
-		w.set("call", "s1", 9, fault{broken: true})
+	withFakeFleet(t, func(t *testing.T, w *fakeFleet) {
+		w.setFault("call", "s1", 9, fault{broken: true})
 		request := callRequest()
 		request.Method = "GET"
 		answer, failure := w.router(route.Bounds{}).Call(t.Context(), request)
@@ -139,15 +137,14 @@
 		assert.Equal(t, w.sent("call s1"), 1)
 		assert.Equal(t, w.sent("call s2"), 1)
 		assert.Equal(t, len(w.records), 0)
-		w.assertFree(t)
+		w.assertNothingHeld(t)
 	})
 }
 
-// What the caller says wins over settings that allow a repeat; settings win
-// when the caller says nothing.
+// A caller that forbids a repeat takes precedence over settings that allow it.
 func TestCallerForbidsRepeat(t *testing.T) {
-	inWorld(t, func(t *testing.T, w *world) {
-		w.set("call", "s1", 9, fault{broken: true})
+	withFakeFleet(t, func(t *testing.T, w *fakeFleet) {
+		w.setFault("call", "s1", 9, fault{broken: true})
 		request := callRequest()
 		request.Method, request.Once = "GET", true
 		failure := callFailed(t, w.router(route.Bounds{}), request)
@@ -156,11 +153,11 @@
 	})
 }
 
-// A slip is on its way at one entry when its repeat meets another one that has
-// no slot. "Not run" would be false: the answer must say that it is in flight.
+// A call is running at one entry when its repeat reaches another that refuses it. The
+// answer must be "in flight", since "not run" would be false.
 func TestOnceRefusedRepeat(t *testing.T) {
-	inWorld(t, func(t *testing.T, w *world) {
-		w.set("call", "s1", 1, fault{stall: true})
+	withFakeFleet(t, func(t *testing.T, w *fakeFleet) {
+		w.setFault("call", "s1", 1, fault{stall: true})
 		one, two := w.router(route.Bounds{}), w.router(route.Bounds{})
 		request := keyedCall()
 		go func() { _, _ = one.Call(t.Context(), request) }()
--- a/internal/route/options.go
+++ b/internal/route/options.go
@@ -17,7 +17,7 @@
 	"github.com/hyssopsail/hyssopsail/internal/timeline"
 )
 
-// Options are the parts that a Router works with; all interfaces are required.
+// Options are the dependencies and settings of a Router. All interfaces are required.
 type Options struct {
 	Source    membership.Source
 	Follower  endpoint.Follower
@@ -27,24 +27,25 @@
 	Admission admission.Controller
 	// Budget bounds the fleet's arrivals beyond the first at each pool.
 	Budget *retrybudget.Budget
-	// Policies gives the choices that the settings name; an error leaves the
-	// last good ones in force.
+	// Policies returns the choices that the settings name. After an error the
+	// previous policies stay in force.
 	Policies func(settings.Decisions) (Policies, error)
 	Recorder timeline.Recorder
-	// Prefill and Links are learned from what engines answer; the choices may
-	// share them. nil: the router's own.
+	// Prefill and Links are updated from the engines' replies and may be shared with
+	// the choices. nil: the router creates its own.
 	Prefill *schedule.PrefillPredictor
 	Links   *schedule.LinkTable
-	// Prefixes hashes a prompt's blocks as engines do; nil: no cache affinity.
+	// Prefixes returns the hashes of a prompt's blocks, computed as the engines do.
+	// nil: no cache affinity.
 	Prefixes   func(model engineapi.ModelRef, prompt string) []uint64
-	Secret     []byte // keys the hashes of request keys and fingerprints; equal over the fleet
-	Seed       uint64 // seeds the choices' random source
+	Secret     []byte // key of the hashes of request keys and fingerprints; the same in the whole fleet
+	Seed       uint64 // seed of the random source of the choices
 	Part       logging.Part
 	Registerer prometheus.Registerer // nil: no metrics
-	Bounds     Bounds                // zero fields take DefaultBounds
+	Bounds     Bounds                // zero fields take the values of DefaultBounds
 }
 
-// Policies are the choices in force.
+// Policies are the scheduling choices in force.
 type Policies struct {
 	Prefill schedule.Choice
 	Decode  schedule.Choice
--- a/internal/route/outcomes.go
+++ b/internal/route/outcomes.go
@@ -9,38 +9,38 @@
 	"github.com/hyssopsail/hyssopsail/internal/outcome"
 )
 
-// Known is what the ledger knows of a caller's key.
-type Known struct {
+// KeyStatus is what the ledger knows of a caller's key.
+type KeyStatus struct {
 	Found      bool
 	Outcome    callerapi.Outcome
 	StatusCode int
 	Age        time.Duration
 }
 
-// Lookup reads what became of a team's key: of its newest generation.
-func (r *Router) Lookup(ctx context.Context, team fleet.Team, key string) (Known, *Failure) {
+// Lookup returns the status of the latest generation of a team's key.
+func (r *Router) Lookup(ctx context.Context, team fleet.Team, key string) (KeyStatus, *Failure) {
 	leave, failure := r.enter(team)
 	if failure != nil {
-		return Known{}, unsureOfKey(key, failure)
+		return KeyStatus{}, unknownIfKeyed(key, failure)
 	}
 	defer leave()
 	owner, ok := r.opts.Source.State().Tree.Teams[team]
 	if !ok {
-		return Known{}, notRun(callerapi.CodeUnauthorised, "the team is not in the settings", 0)
+		return KeyStatus{}, notRun(callerapi.CodeUnauthorised, "the team is not in the settings", 0)
 	}
-	ctx, cancel := context.WithTimeout(ctx, r.bounds.LedgerTime)
+	ctx, cancel := context.WithTimeout(ctx, r.bounds.LedgerTimeout)
 	defer cancel()
-	var last Known
-	for generation := range r.bounds.Generations {
+	var last KeyStatus
+	for generation := range r.bounds.MaxKeyGenerations {
 		name := r.hash.recordKey(team, key, generation)
 		verdict, record, err := r.opts.Ledger.Lookup(ctx, team, name, owner.Permitted())
 		if err != nil {
-			return Known{}, unknownFate()
+			return KeyStatus{}, unknownOutcomeFailure()
 		}
 		if verdict == outcome.VerdictUnset {
 			return last, nil
 		}
-		last = Known{Found: true, Outcome: outcomeOf(verdict, record), StatusCode: record.StatusCode, Age: record.Age}
+		last = KeyStatus{Found: true, Outcome: outcomeOf(verdict, record), StatusCode: record.StatusCode, Age: record.Age}
 	}
 	return last, nil
 }
--- a/internal/route/policy.go
+++ b/internal/route/policy.go
@@ -6,33 +6,33 @@
 	"github.com/hyssopsail/hyssopsail/internal/settings"
 )
 
-// policyCache keeps the choices of the decisions in force.
+// policyCache keeps the policies for the decisions in force.
 type policyCache struct {
-	make func(settings.Decisions) (Policies, error)
+	build func(settings.Decisions) (Policies, error)
 
-	mu   sync.Mutex
-	of   settings.Decisions
-	have bool
-	last Policies
+	mu        sync.Mutex
+	decisions settings.Decisions
+	loaded    bool
+	policies  Policies
 }
 
 func newPolicyCache(m func(settings.Decisions) (Policies, error)) *policyCache {
-	return &policyCache{make: m}
+	return &policyCache{build: m}
 }
 
-// get gives the policies for d. A policy may keep state, so it is made anew
-// only when the settings name another. When d names one that this build
-// doesn't know, the last good ones stay.
+// get returns the policies for d. Since policies may have state, they are built again
+// only when the settings name others. If d names one that this build doesn't know,
+// the previous policies stay in force.
 func (c *policyCache) get(d settings.Decisions) (Policies, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.have && c.of == d {
-		return c.last, true
+	if c.loaded && c.decisions == d {
+		return c.policies, true
 	}
-	made, err := c.make(d)
+	made, err := c.build(d)
 	if err != nil {
-		return c.last, c.have
+		return c.policies, c.loaded
 	}
-	c.of, c.last, c.have = d, made, true
+	c.decisions, c.policies, c.loaded = d, made, true
 	return made, true
 }
--- a/internal/route/predict.go
+++ b/internal/route/predict.go
@@ -6,24 +6,25 @@
 	"github.com/hyssopsail/hyssopsail/internal/endpoint"
 )
 
-// waits is what the candidates promise to a new request.
-type waits struct {
+// waitEstimate is what a new request can expect from the candidates.
+type waitEstimate struct {
 	prefill     time.Duration // shortest prefill queue
 	decode      time.Duration // shortest wait for a decode slot
 	queued      int           // requests waiting for decode slots
-	drainPerSec float64       // decode slots that come free a second; 0: not known
+	drainPerSec float64       // decode slots that become free per second; 0: not known
 	tokenTime   time.Duration // mean time between tokens
 }
 
-// firstToken predicts the time until the first token: the decode slot may
-// come free while prefill runs.
-func (w waits) firstToken(prefill, transfer time.Duration) time.Duration {
+// timeToFirstToken predicts the time to the first token. The wait for the decode slot
+// overlaps with prefill and transfer.
+func (w waitEstimate) timeToFirstToken(prefill, transfer time.Duration) time.Duration {
 	return max(w.prefill+prefill+transfer, w.decode) + w.tokenTime
 }
 
-// predictWaits sums up the candidates for a request of output tokens. Pure.
-func predictWaits(prefill, decode []endpoint.Candidate, output int) waits {
-	var w waits
+// predictWaits sums up the candidates for a request with the given number of output
+// tokens. Pure.
+func predictWaits(prefill, decode []endpoint.Candidate, output int) waitEstimate {
+	var w waitEstimate
 	for n, c := range prefill {
 		if n == 0 || c.QueuedWork < w.prefill {
 			w.prefill = c.QueuedWork
--- a/internal/route/prefill.go
+++ b/internal/route/prefill.go
@@ -10,34 +10,34 @@
 	"github.com/hyssopsail/hyssopsail/internal/timeline"
 )
 
-// chooseAndPlan decides when the prefill may start, and takes the decode slot
-// first when the plan says so.
-func (a *attempt) chooseAndPlan(ctx context.Context) *setback {
-	m := a.run
-	decode, rest := m.router.open(ctx, a.query(fleet.RoleDecode), m.deadline)
-	if len(allowed(decode, m.avoid)) == 0 {
-		return noCandidate(decode, rest)
+// planStart decides when prefill may start and waits until then. If the plan says so,
+// it acquires the decode slot first.
+func (a *attempt) planStart(ctx context.Context) *attemptFailure {
+	m := a.request
+	decode, cooldown := m.router.availableCandidates(ctx, a.query(fleet.RoleDecode), m.deadline)
+	if len(withoutAvoided(decode, m.avoid)) == 0 {
+		return noCandidateFailure(decode, cooldown)
 	}
-	soonest := predictWaits(nil, allowed(decode, m.avoid), m.class.output).decode
+	soonest := predictWaits(nil, withoutAvoided(decode, m.avoid), m.params.maxOutputTokens).decode
 	a.plan = m.policies.Start.Plan(a.startInput(soonest))
 	if !a.plan.ReserveFirst {
 		return pause(ctx, a.plan.Delay)
 	}
-	h, s := a.take(ctx, a.wantDecode(m.remaining()))
-	if s != nil {
-		return s
+	h, failed := a.acquireSlot(ctx, a.decodeSlotRequest(m.remaining()))
+	if failed != nil {
+		return failed
 	}
 	a.decode = h
-	again := m.policies.Start.Plan(a.startInput(h.grant.ReadyIn))
-	return pause(ctx, min(again.Delay, m.remaining()))
+	revised := m.policies.Start.Plan(a.startInput(h.grant.ReadyIn))
+	return pause(ctx, min(revised.Delay, m.remaining()))
 }
 
-func (a *attempt) wantDecode(wait time.Duration) want {
-	return want{kind: fleet.RoleDecode, choice: a.run.policies.Decode, wait: wait, lead: max(a.plan.Lead, 0)}
+func (a *attempt) decodeSlotRequest(wait time.Duration) slotRequest {
+	return slotRequest{kind: fleet.RoleDecode, choice: a.request.policies.Decode, maxWait: wait, lead: max(a.plan.Lead, 0)}
 }
 
 func (a *attempt) startInput(decodeReady time.Duration) schedule.StartInput {
-	m := a.run
+	m := a.request
 	r := m.router
 	work, spread := m.predictPrefill()
 	queue := predictWaits(r.opts.Follower.Candidates(a.query(fleet.RolePrefill)), nil, 0).prefill
@@ -45,72 +45,74 @@
 		DecodeReadyIn: decodeReady,
 		PrefillTime:   queue + work,
 		TransferTime:  a.transferTime(),
-		KVLife:        m.class.timeouts.KVLife,
-		WasteWeight:   m.class.team.WastedPrefillWeight,
+		KVLife:        m.params.timeouts.KVLife,
+		WasteWeight:   m.params.team.WastedPrefillWeight,
 		Spread:        spread,
 	}
 }
 
-func (a *attempt) takePrefill(ctx context.Context) *setback {
-	w := want{kind: fleet.RolePrefill, choice: a.run.policies.Prefill, wait: a.run.remaining()}
-	h, s := a.take(ctx, w)
-	if s != nil {
-		return s
+func (a *attempt) acquirePrefillSlot(ctx context.Context) *attemptFailure {
+	w := slotRequest{kind: fleet.RolePrefill, choice: a.request.policies.Prefill, maxWait: a.request.remaining()}
+	h, failed := a.acquireSlot(ctx, w)
+	if failed != nil {
+		return failed
 	}
 	a.prefill = h
 	return nil
 }
 
-// runPrefill computes the KV cache, for the prompt and for what the caller
-// already has of the answer.
-func (a *attempt) runPrefill(ctx context.Context) *setback {
-	m := a.run
+// runPrefill computes the KV cache for the prompt and the output that the caller
+// already has.
+func (a *attempt) runPrefill(ctx context.Context) *attemptFailure {
+	m := a.request
 	local, cancel := context.WithDeadline(ctx, m.deadline)
 	defer cancel()
 	if a.decode == nil {
 		work, spread := m.predictPrefill()
-		wait := work + spread + m.class.timeouts.KVLife
-		a.early = a.startEarly(ctx, a.wantDecode(min(wait, m.remaining())))
+		wait := work + spread + m.params.timeouts.KVLife
+		a.earlyGrant = a.requestGrantEarly(ctx, a.decodeSlotRequest(min(wait, m.remaining())))
 	}
 	expected, _ := m.predictPrefill()
-	a.bookLink(time.Now().Add(a.prefill.grant.ReadyIn+expected), m.class.kvBytes())
-	if !m.reads.maySend() {
-		return overBudget()
+	a.bookLink(time.Now().Add(a.prefill.grant.ReadyIn+expected), m.params.kvBytes())
+	if !m.prefillArrivals.reserveSend() {
+		return overBudgetFailure()
 	}
-	m.event(timeline.KindPrefillStart, a.id, a.prefill.target.ID)
-	reply, err := m.router.opts.Engine.Prefill(local, a.prefill.target, m.router.gateUnder(a.prefill, m.gate), engineapi.PrefillRequest{
-		Work:      a.work(a.prefill.target, m.remaining()),
+	m.recordEvent(timeline.KindPrefillStart, a.id, a.prefill.target.ID)
+	reply, err := m.router.opts.Engine.Prefill(local, a.prefill.target, m.router.grantGate(a.prefill, m.gate), engineapi.PrefillRequest{
+		Work:      a.engineWork(a.prefill.target, m.remaining()),
 		Prompt:    m.req.Prompt + m.text.String(),
-		MaxTokens: m.class.output - m.passed,
+		MaxTokens: m.params.maxOutputTokens - m.passedTokens,
 	})
-	m.reads.sent(a.prefill.target.ID, err)
-	a.touch(a.prefill, err)
+	m.prefillArrivals.recordSend(a.prefill.target.ID, err)
+	a.markSent(a.prefill, err)
 	if err != nil {
 		return a.prefillFailed(ctx, local, err)
 	}
-	m.event(timeline.KindPrefillEnd, a.id, a.prefill.target.ID)
-	a.keep(reply)
+	m.recordEvent(timeline.KindPrefillEnd, a.id, a.prefill.target.ID)
+	a.keepKVCache(reply)
 	return nil
 }
 
-// prefillFailed tells patience that ran out from an engine that failed.
-func (a *attempt) prefillFailed(ctx, local context.Context, err error) *setback {
-	s := fromError(ctx, local, err)
-	if s.cause == causeStalled && local.Err() != nil {
-		s.cause = causeDeadline
+// prefillFailed returns the failure of a prefill that ended with err. It tells patience
+// that has run out from an engine that failed.
+func (a *attempt) prefillFailed(ctx, local context.Context, err error) *attemptFailure {
+	failed := attemptFailureFromError(ctx, local, err)
+	if failed.cause == causeStalled && local.Err() != nil {
+		failed.cause = causeDeadline
 	}
-	return s
+	return failed
 }
 
-// keep notes the KV cache, which lives for the shorter of what the engine says and what the settings allow.
-func (a *attempt) keep(reply engineapi.PrefillReply) {
-	m := a.run
-	life := m.class.timeouts.KVLife
-	if told := time.Duration(reply.ExpiresMs) * time.Millisecond; told > 0 && (life <= 0 || told < life) {
-		life = told
+// keepKVCache records the KV cache. It expires after the shorter of the engine's time
+// and the settings' KVLife.
+func (a *attempt) keepKVCache(reply engineapi.PrefillReply) {
+	m := a.request
+	life := m.params.timeouts.KVLife
+	if expiresIn := time.Duration(reply.ExpiresMs) * time.Millisecond; expiresIn > 0 && (life <= 0 || expiresIn < life) {
+		life = expiresIn
 	}
 	a.kv = kvCache{reply: reply, expires: time.Now().Add(life)}
-	if m.passed == 0 {
+	if m.passedTokens == 0 {
 		m.promptTokens = reply.PromptTokens
 	}
 	m.router.opts.Prefill.Observe(reply.PromptTokens-reply.CachedTokens, millis(reply.WorkMs))
@@ -118,20 +120,20 @@
 
 func millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// takeDecode waits for the decode slot while the KV cache lives.
-func (a *attempt) takeDecode(ctx context.Context) *setback {
+// acquireDecodeSlot waits for the early grant until the KV cache expires.
+func (a *attempt) acquireDecodeSlot(ctx context.Context) *attemptFailure {
 	if a.decode != nil {
 		return nil
 	}
 	local, cancel := context.WithDeadline(ctx, a.kv.expires)
 	defer cancel()
-	h, s := a.early.wait(local)
-	if s == nil {
+	h, failed := a.earlyGrant.wait(local)
+	if failed == nil {
 		a.decode = h
 		return nil
 	}
 	if ctx.Err() == nil && local.Err() != nil {
-		return &setback{cause: causeFull}
+		return &attemptFailure{cause: causeNoSlot}
 	}
-	return s
+	return failed
 }
--- a/internal/route/relaycost_test.go
+++ b/internal/route/relaycost_test.go
@@ -27,7 +27,7 @@
 	"github.com/hyssopsail/hyssopsail/internal/timeline"
 )
 
-// The shape of the relay's cost measurement.
+// Parameters of the measurement of the relay's cost.
 var (
 	relayStreams = flag.Int("relay.streams", 340, "concurrent streams of BenchmarkRelayProcess")
 	relayTokens  = flag.Int("relay.tokens", 150, "tokens of each stream")
@@ -36,7 +36,7 @@
 	relayRounds  = flag.Int("relay.rounds", 2, "answers of each stream, one after another")
 )
 
-// peerMode marks the process that plays engines and callers.
+// peerMode is the environment variable that marks the process with engines and callers.
 const peerMode = "HYSSOPSAIL_RELAY_PEER"
 
 func TestMain(m *testing.M) {
@@ -48,10 +48,10 @@
 	os.Exit(m.Run())
 }
 
-// BenchmarkRelayProcess gives what this process, a Router and its entry over
-// loopback sockets, pays for a token, in processor time. Engines and callers
-// run in a process of their own, which also calls its engines directly and
-// tells the delay that the relay adds to a token. Run it with -benchtime 1x.
+// BenchmarkRelayProcess measures the processor time per token of this process, which runs
+// a Router and its entry over loopback sockets. Engines and callers run in a second
+// process, which also calls its engines directly and reports the delay that the relay adds
+// to a token. Run it with -benchtime 1x.
 func BenchmarkRelayProcess(b *testing.B) {
 	peer, asked := startPeer(b)
 	server := httptest.NewServer(relayHandler(asked.Engine))
@@ -89,7 +89,7 @@
 	out *json.Decoder
 }
 
-// startPeer starts this program again as engines and callers.
+// startPeer starts this program again as the process with engines and callers.
 func startPeer(b *testing.B) (peerProcess, peerHello) {
 	b.Helper()
 	reader, writer, err := os.Pipe()
@@ -121,21 +121,21 @@
 	return peer, hello
 }
 
-// relayFleet is a fleet of one prefill and one decode engine without limits,
-// which costs next to nothing itself.
+// relayFleet is a fleet of one prefill and one decode engine without limits, with
+// negligible cost of its own.
 type relayFleet struct {
-	world  // the parts that are never asked, or cheap
-	state  atomic.Pointer[membership.State]
-	engine string // host:port
+	fakeFleet // the methods that are never called, or cheap
+	state     atomic.Pointer[membership.State]
+	engine    string // host:port
 }
 
 func relayHandler(engineAddress string) http.Handler {
-	f := &relayFleet{world: world{records: map[outcome.Key]*ledgerRecord{}}, engine: engineAddress}
-	f.state.Store(newWorld().state)
+	f := &relayFleet{fakeFleet: fakeFleet{records: map[outcome.Key]*ledgerRecord{}}, engine: engineAddress}
+	f.state.Store(newFakeFleet().state)
 	router := route.New(route.Options{
 		Source: f, Follower: f, Engine: engine.NewClient(engine.Options{MaxIdle: 1024}), Ledger: f, Guard: f, Admission: f, Recorder: f, Budget: testBudget(1000),
 		Policies: func(settings.Decisions) (route.Policies, error) {
-			return route.Policies{Prefill: first{}, Decode: first{}, Plain: first{}, Start: f}, nil
+			return route.Policies{Prefill: firstChoice{}, Decode: firstChoice{}, Plain: firstChoice{}, Start: f}, nil
 		},
 		Secret: []byte("secret"),
 	})
--- a/internal/route/relaypeer_test.go
+++ b/internal/route/relaypeer_test.go
@@ -21,11 +21,11 @@
 	"github.com/hyssopsail/hyssopsail/internal/engineapi"
 )
 
-// peerHello tells where the peer's engine listens.
+// peerHello states the address of the peer's engine.
 type peerHello struct{ Engine string }
 
-// peerResult is what the callers saw. Delays are from the engine's write of a
-// token to the caller's reading of it, in microseconds.
+// peerResult is what the callers measured. Delays are from the engine's write of a token
+// to the caller's reading of it, in microseconds.
 type peerResult struct {
 	Streams, Failed, Tokens int
 	Cause                   string
@@ -34,8 +34,7 @@
 	DirectP50, DirectP99    float64
 }
 
-// directShare is how many streams there are to each that goes to the engine
-// directly.
+// directShare: one in so many streams goes to the engine directly.
 const directShare = 20
 
 func runPeer() {
@@ -53,13 +52,13 @@
 	_ = out.Encode(callAll(strings.TrimSpace(target), listener.Addr().String()))
 }
 
-// batch wakes its streams at once, as an engine's step does.
+// batch wakes all its streams at the same time, like one step of an engine.
 type batch struct {
 	mu   sync.Mutex
 	next chan struct{}
 }
 
-// batchSize is how many streams one engine decodes at a time.
+// batchSize is the number of streams that one engine decodes at a time.
 const batchSize = 20
 
 // batches are engines whose steps are spread evenly over time.
@@ -120,7 +119,7 @@
 	return mux
 }
 
-// decodeSteps streams tokens whose text is the time of their write.
+// decodeSteps streams tokens whose text is the time when they were written.
 func decodeSteps(s *batch, w http.ResponseWriter, r *http.Request) {
 	var in engineapi.DecodeRequest
 	_ = json.NewDecoder(r.Body).Decode(&in)
@@ -143,7 +142,7 @@
 	}
 }
 
-// callAll runs the streams, all at once, and rounds of them one after another.
+// callAll runs all streams concurrently, each relayRounds times in a row.
 func callAll(entryAddress, engineAddress string) peerResult {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2048}}
 	var mu sync.Mutex
@@ -208,7 +207,7 @@
 	return readDelays(response.Body)
 }
 
-// readDelays reads one stream to its end.
+// readDelays reads one stream to its end and returns the delays of its tokens.
 func readDelays(body io.Reader) ([]float64, error) {
 	var delays []float64
 	reader := bufio.NewReader(body)
--- a/internal/route/repeatable.go
+++ b/internal/route/repeatable.go
@@ -7,9 +7,9 @@
 	"github.com/hyssopsail/hyssopsail/internal/timeline"
 )
 
-// repeatable runs an idempotent call, again elsewhere when an endpoint fails
-// it. It needs no record: running it twice changes nothing.
-func (m *callRun) repeatable(ctx context.Context) (*CallAnswer, *Failure) {
+// runRepeatable runs an idempotent call and retries it at other endpoints when one
+// fails. It needs no ledger record, as running it twice is harmless.
+func (m *activeCall) runRepeatable(ctx context.Context) (*CallResponse, *Failure) {
 	done, failure := m.admit()
 	if failure != nil {
 		return nil, failure
@@ -17,46 +17,46 @@
 	defer done()
 	touched := false
 	for attempts := 1; ; attempts++ {
-		answer, sent, s := m.tryRepeatable(ctx)
-		if s == nil {
+		answer, sent, failed := m.tryRepeatable(ctx)
+		if failed == nil {
 			return answer, nil
 		}
 		touched = touched || sent
-		m.avoid.add(s.endpoint)
+		m.avoid.add(failed.endpoint)
 		in := retryInput{
-			setback:  s,
-			attempts: attempts,
-			most:     m.router.bounds.Attempts,
-			touched:  touched,
-			now:      time.Now(),
-			deadline: m.deadline,
+			attemptFailure: failed,
+			attempts:       attempts,
+			maxAttempts:    m.router.bounds.MaxAttempts,
+			maybeSent:      touched,
+			now:            time.Now(),
+			deadline:       m.deadline,
 		}
 		d := decideRetry(in)
-		if !d.again {
+		if !d.retry {
 			return nil, d.failure
 		}
-		if !m.router.mayTryAgain(m.req.Team, s) {
-			return nil, finalFailure(in)
+		if !m.router.mayRetryAfter(m.req.Team, failed) {
+			return nil, callerFailure(in)
 		}
-		m.event(timeline.KindRetry, "", s.endpoint)
+		m.recordEvent(timeline.KindRetry, "", failed.endpoint)
 	}
 }
 
-func (m *callRun) tryRepeatable(ctx context.Context) (answer *CallAnswer, sent bool, s *setback) {
+func (m *activeCall) tryRepeatable(ctx context.Context) (answer *CallResponse, sent bool, failed *attemptFailure) {
 	id := newAttemptID()
-	alone, s := m.turn(ctx, id)
-	if s != nil {
-		return nil, false, s
+	alone, failed := m.awaitTurn(ctx, id)
+	if failed != nil {
+		return nil, false, failed
 	}
-	h, s := m.take(ctx, id, alone)
-	if s != nil {
-		m.settle(nil, id, s)
-		return nil, false, s
+	h, failed := m.acquireSlot(ctx, id, alone)
+	if failed != nil {
+		m.finishAttempt(nil, id, failed)
+		return nil, false, failed
 	}
-	answer, sent, s = m.exchange(ctx, h, id)
-	m.settle(h, id, s)
-	if s == nil {
-		m.router.succeeded(m.req.Team, h.target.ID)
+	answer, sent, failed = m.exchange(ctx, h, id)
+	m.finishAttempt(h, id, failed)
+	if failed == nil {
+		m.router.recordSuccess(m.req.Team, h.target.ID)
 	}
-	return answer, sent, s
+	return answer, sent, failed
 }
--- a/internal/route/request.go
+++ b/internal/route/request.go
@@ -8,16 +8,16 @@
 	"github.com/hyssopsail/hyssopsail/internal/fleet"
 )
 
-// ModelRequest is a completion that a caller asks for.
+// ModelRequest is a caller's completion request.
 type ModelRequest struct {
 	ID         fleet.RequestID
 	Team       fleet.Team
 	Key        string // the caller's Idempotency-Key; empty: none
 	Model      string // as the caller names it
 	Prompt     string
-	MaxTokens  int // 0: the bound's default
+	MaxTokens  int // 0: Bounds.DefaultOutputTokens
 	CallerKind string
-	Patience   time.Duration // the caller's own; 0: by caller kind
+	Patience   time.Duration // requested by the caller; 0: the default of CallerKind
 	Arrived    time.Time
 }
 
@@ -28,25 +28,25 @@
 	Key        string
 	Service    string
 	Method     string
-	Path       string // below the service, begins with "/"
+	Path       string // relative to the service, begins with "/"
 	Query      string
-	Header     http.Header // the caller's, internal ones taken out
+	Header     http.Header // the caller's headers, without internal ones
 	Body       []byte
-	Once       bool // the caller says that it may not be repeated
+	Once       bool // the caller states that it must not be repeated
 	CallerKind string
 	Patience   time.Duration
 	Arrived    time.Time
 }
 
-// CallAnswer is a plain service's whole answer.
-type CallAnswer struct {
+// CallResponse is the complete response of a plain service.
+type CallResponse struct {
 	StatusCode int
 	Header     http.Header
 	Body       []byte
 }
 
-// Answer tells how a model request ended. With Failure nil the whole answer
-// went to the Sink.
+// Answer is the result of a model request. If Failure is nil, the whole output
+// was passed to the Sink.
 type Answer struct {
 	Finish       engineapi.Finish
 	PromptTokens int
@@ -54,8 +54,8 @@
 	Failure      *Failure
 }
 
-// Sink takes the answer's chunks in order, without gap or repeat. An error
-// means that the caller is gone.
+// Sink receives the output chunks in order, without gaps or repeats. An error
+// means that the caller has disconnected.
 type Sink interface {
 	Pass(c engineapi.Chunk) error
 }
--- a/internal/route/retry.go
+++ b/internal/route/retry.go
@@ -6,67 +6,66 @@
 	"github.com/hyssopsail/hyssopsail/internal/callerapi"
 )
 
-// retryInput is what is known when an attempt has ended short.
+// retryInput is the state of a request whose attempt has failed.
 type retryInput struct {
-	setback  *setback
-	attempts int // made so far
-	most     int
-	passed   int // tokens that the caller has
-	touched  bool
-	now      time.Time
-	deadline time.Time // for the next token
+	attemptFailure *attemptFailure
+	attempts       int // made so far
+	maxAttempts    int
+	passedTokens   int // tokens passed to the caller
+	maybeSent      bool
+	now            time.Time
+	deadline       time.Time // for the next token
 }
 
-// retryDecision is what comes next.
+// retryDecision is the result of decideRetry.
 type retryDecision struct {
-	again bool
-	// failure is the final answer when not again.
+	retry bool
+	// failure is the request's failure if it isn't retried.
 	failure *Failure
 }
 
-// decideRetry tells whether a model request goes on. Pure. A request that is
-// given up on gets its final answer now: waiting for its deadline would keep a
-// caller from going elsewhere.
+// decideRetry decides whether a request is retried. Pure. A request that isn't gets its
+// failure now: waiting for its deadline would keep the caller from trying elsewhere.
 func decideRetry(in retryInput) retryDecision {
-	s := in.setback
-	if !mendable(s.cause) {
-		return retryDecision{failure: finalFailure(in)}
+	failed := in.attemptFailure
+	if !isRetryable(failed.cause) {
+		return retryDecision{failure: callerFailure(in)}
 	}
-	if in.attempts >= in.most || !in.now.Before(in.deadline) {
-		return retryDecision{failure: finalFailure(in)}
+	if in.attempts >= in.maxAttempts || !in.now.Before(in.deadline) {
+		return retryDecision{failure: callerFailure(in)}
 	}
-	return retryDecision{again: true}
+	return retryDecision{retry: true}
 }
 
-// mendable tells whether another endpoint may do better.
-func mendable(c cause) bool {
+// isRetryable reports whether another attempt may succeed after a failure by c.
+func isRetryable(c cause) bool {
 	switch c {
-	case causeForbidden, causeRefused, causeBroken, causeStalled, causeLost, causeGrantOver:
+	case causeForbidden, causeRefused, causeConnectionBroken, causeStalled, causeKVExpired, causeGrantExpired:
 		return true
 	}
 	return false
 }
 
-// finalFailure makes the caller's answer. "Not run" is said only when no byte
-// can have reached an endpoint.
-func finalFailure(in retryInput) *Failure {
-	s := in.setback
-	f := s.failure
+// callerFailure returns the failure for the caller. Its outcome is "not run" only if
+// no byte can have reached an endpoint.
+func callerFailure(in retryInput) *Failure {
+	failed := in.attemptFailure
+	f := failed.failure
 	if f == nil {
-		f = plainFailure(s)
+		f = failureForCause(failed)
 	}
 	out := *f
-	if in.touched && out.Outcome == callerapi.OutcomeNotRun {
+	if in.maybeSent && out.Outcome == callerapi.OutcomeNotRun {
 		out.Outcome = callerapi.OutcomeFailed
 	}
 	return &out
 }
 
-func plainFailure(s *setback) *Failure {
-	after := orTime(s.retryAfter, DefaultRetryAfter)
-	switch s.cause {
+func failureForCause(failed *attemptFailure) *Failure {
+	after := durationOrDefault(failed.retryAfter, DefaultRetryAfter)
+	switch failed.cause {
 	case causeCallerGone:
-		f := callerGone()
+		f := callerGoneFailure()
 		f.Outcome = callerapi.OutcomeNotRun
 		return f
 	case causeDeadline:
@@ -77,13 +76,13 @@
 		return notRun(callerapi.CodeNoZone, "no endpoint in the permitted availability zones can take it", after)
 	case causeExhausted:
 		return notRun(callerapi.CodeEngineFailed, "each endpoint that could take it has failed it", after)
-	case causeFull:
+	case causeNoSlot:
 		return notRun(callerapi.CodeOverloaded, "no slot comes free in time", after)
 	case causeAborted:
-		return aborted()
+		return abortedFailure()
 	case causeOverBudget:
 		return notRun(callerapi.CodeOverloaded, "the fleet may not send it again now", after)
-	case causeGrantOver:
+	case causeGrantExpired:
 		return notRun(callerapi.CodeOverloaded, "its slots ran out before they could be used", after)
 	case causeForbidden:
 		return notRun(callerapi.CodeNoZone, "the settings no longer permit the chosen place", after)
--- a/internal/route/router.go
+++ b/internal/route/router.go
@@ -15,65 +15,65 @@
 	"github.com/hyssopsail/hyssopsail/internal/timeline"
 )
 
-// Router runs requests at one entry. Safe for many goroutines.
+// Router runs requests at one entry. It is safe for concurrent use.
 type Router struct {
-	opts     Options
-	bounds   Bounds
-	hash     hasher
-	policies *policyCache
-	links    *links
-	calls    *callTable
-	flight   *flight
-	seen     *seen
-	resting  *resting
-	metrics  *metrics
-	life     context.Context // ended by abort
-	abort    context.CancelCauseFunc
-
-	admissionMu sync.Mutex // serialises opts.Admission
+	opts         Options
+	bounds       Bounds
+	hash         hasher
+	policies     *policyCache
+	links        *links
+	shared       *sharedRequests
+	inFlight     *inFlightRequests
+	lastSeen     *lastSeenTimes
+	cooldowns    *cooldowns
+	metrics      *metrics
+	abortContext context.Context // cancelled by Abort
+	cancelAll    context.CancelCauseFunc
+
+	admissionMu sync.Mutex // serialises calls to opts.Admission
 
 	randomMu sync.Mutex
 	random   *rand.Rand // guarded by randomMu
 }
 
-// New makes a Router. It starts no goroutine of its own.
+// New returns a Router. It starts no goroutines.
 func New(o Options) *Router {
 	r := &Router{
-		opts:     o,
-		bounds:   o.Bounds.withDefaults(),
-		hash:     hasher{secret: o.Secret},
-		policies: newPolicyCache(o.Policies),
-		calls:    newCallTable(),
-		seen:     newSeen(),
-		resting:  newResting(),
-		random:   rand.New(rand.NewPCG(o.Seed, o.Seed^0x9e3779b97f4a7c15)),
+		opts:      o,
+		bounds:    o.Bounds.withDefaults(),
+		hash:      hasher{secret: o.Secret},
+		policies:  newPolicyCache(o.Policies),
+		shared:    newSharedRequests(),
+		lastSeen:  newLastSeenTimes(),
+		cooldowns: newCooldowns(),
+		random:    rand.New(rand.NewPCG(o.Seed, o.Seed^0x9e3779b97f4a7c15)),
 	}
-	r.life, r.abort = context.WithCancelCause(context.Background())
+	r.abortContext, r.cancelAll = context.WithCancelCause(context.Background())
 	if o.Prefill == nil {
 		r.opts.Prefill = schedule.NewPrefillPredictor()
 	}
 	r.links = newLinks(o.Links)
-	r.flight = newFlight(r.bounds.Running)
-	r.metrics = newMetrics(o.Registerer, r.flight)
+	r.inFlight = newInFlightRequests(r.bounds.MaxRunningRequests)
+	r.metrics = newMetrics(o.Registerer, r.inFlight)
 	return r
 }
 
-// Refuses tells whether a request of team would be refused whatever it is, so
-// that its body need not be read: a body that is never read can't linger in a
-// zone that the team forbids.
+// Refuses returns the failure of a request that team may not make at this entry,
+// whatever its body, or nil. Callers check it before they read the body, so that
+// no body enters an availability zone that the team's settings forbid.
 func (r *Router) Refuses(team fleet.Team, key string) *Failure {
-	if r.flight.closed(time.Now()) {
-		return unsureOfKey(key, stopping())
+	if r.inFlight.closed(time.Now()) {
+		return unknownIfKeyed(key, drainingFailure())
 	}
-	return unsureOfKey(key, r.checkSelf(team))
+	return unknownIfKeyed(key, r.checkEntry(team))
 }
 
-// checkSelf refuses what this entry may not take.
+// checkEntry returns a failure unless this entry may serve the team.
 //
-// A daemon that can't confirm its lease could place by settings that are no
-// longer in force: it shows as a request served in a zone that the team has
-// just forbidden. Refusing before anything else is looked at rules it out.
-func (r *Router) checkSelf(team fleet.Team) *Failure {
+// An entry that can't confirm its lease may hold outdated settings and could
+// serve a request in a zone that the team has just forbidden. It therefore
+// refuses before any other check.
+func (r *Router) checkEntry(team fleet.Team) *Failure {
 	if !r.opts.Source.Current(time.Now()) {
 		return refused(callerapi.CodeNotCurrent, "this entry can't confirm its settings now", 0)
 	}
@@ -87,25 +87,26 @@
 	return nil
 }
 
-// enter counts a request in, or refuses it at once.
+// enter counts a request as in flight until leave is called, or returns why the
+// entry doesn't accept it.
 func (r *Router) enter(team fleet.Team) (leave func(), failure *Failure) {
-	if r.flight.closed(time.Now()) {
-		return nil, stopping() // whatever else is true of an entry that leaves
+	if r.inFlight.closed(time.Now()) {
+		return nil, drainingFailure() // takes precedence over other refusals
 	}
-	if failure := r.checkSelf(team); failure != nil {
+	if failure := r.checkEntry(team); failure != nil {
 		return nil, failure
 	}
-	leave, entered := r.flight.enter(time.Now())
+	leave, entered := r.inFlight.enter(time.Now())
 	if !entered.draining && !entered.full {
 		return leave, nil
 	}
 	if entered.draining {
-		return nil, stopping()
+		return nil, drainingFailure()
 	}
 	return nil, refused(callerapi.CodeOverloaded, "this entry holds all the requests that it can", 0)
 }
 
-func stopping() *Failure { return refused(callerapi.CodeDraining, "this entry is stopping", 0) }
+func drainingFailure() *Failure { return refused(callerapi.CodeDraining, "this entry is stopping", 0) }
 
 func (r *Router) admit(a admission.Request) admission.Decision {
 	r.admissionMu.Lock()
@@ -119,7 +120,7 @@
 	r.opts.Admission.Done(time.Now(), a)
 }
 
-func (r *Router) admissionSaw(a admission.Request, waited time.Duration) {
+func (r *Router) admissionFirstToken(a admission.Request, waited time.Duration) {
 	r.admissionMu.Lock()
 	defer r.admissionMu.Unlock()
 	r.opts.Admission.FirstToken(time.Now(), a, waited)
@@ -131,13 +132,15 @@
 	return r.opts.Admission.MayRetry(time.Now(), team, failed)
 }
 
-// mayTryAgain spends a retry. One after a grant that ran out is free: no byte
-// left under it, and the tries of a request are bounded all the same.
-func (r *Router) mayTryAgain(team fleet.Team, s *setback) bool {
-	return s.cause == causeGrantOver || r.mayRetry(team, s.endpoint)
+// mayRetryAfter reports whether the retry budgets of the team and the endpoint allow a
+// retry, and takes it from them. A retry after an expired
+// grant is free: nothing was sent under the grant, and the attempts of a request
+// are bounded anyway.
+func (r *Router) mayRetryAfter(team fleet.Team, failed *attemptFailure) bool {
+	return failed.cause == causeGrantExpired || r.mayRetry(team, failed.endpoint)
 }
 
-func (r *Router) succeeded(team fleet.Team, by fleet.EndpointID) {
+func (r *Router) recordSuccess(team fleet.Team, by fleet.EndpointID) {
 	r.admissionMu.Lock()
 	defer r.admissionMu.Unlock()
 	r.opts.Admission.Succeeded(time.Now(), team, by)
@@ -153,5 +156,5 @@
 
 func (r *Router) owner() fleet.Owner { return r.opts.Source.Self().Owner() }
 
-// Running tells how many requests are in flight here.
-func (r *Router) Running() int { return r.flight.running() }
+// Running returns the number of requests in flight at this entry.
+func (r *Router) Running() int { return r.inFlight.running() }
--- a/internal/route/run.go
+++ b/internal/route/run.go
@@ -13,122 +13,124 @@
 	"github.com/hyssopsail/hyssopsail/internal/timeline"
 )
 
-// modelRun is one model request over all its attempts. One goroutine owns it.
-type modelRun struct {
+// activeModelRequest is the state of one model request over all its attempts. It
+// is owned by one goroutine.
+type activeModelRequest struct {
 	router      *Router
 	req         ModelRequest
-	class       class
+	params      modelParams
 	fingerprint fleet.Fingerprint
 	gate        engine.Gate
 	sink        Sink
 
-	policies     Policies
-	admitted     admission.Request
-	reads        *arrivals // at prefill engines
-	decodes      *arrivals // at decode engines
-	avoid        endpointSet
-	stalled      stall
-	deadline     time.Time // for the next token
-	attempts     int
-	passed       int // output tokens that the sink has
-	text         strings.Builder
-	promptTokens int
-	firstAt      time.Time // of the first chunk; zero: none yet
-	firstTokens  int       // in the first chunk
-	touched      bool      // a byte may have reached an endpoint
-	freeRetry    bool      // the free retry is used up
-	resuming     bool      // a stream has broken after its first token
-	cancelled    []leftover
-	finish       engineapi.Finish
+	policies        Policies
+	admitted        admission.Request
+	prefillArrivals *arrivals // at prefill engines
+	decodeArrivals  *arrivals // at decode engines
+	avoid           endpointSet
+	firstStall      transferStall
+	deadline        time.Time // for the next token
+	attempts        int
+	passedTokens    int // output tokens passed to the sink
+	text            strings.Builder
+	promptTokens    int
+	firstTokenAt    time.Time // arrival of the first chunk; zero: none yet
+	firstTokens     int       // tokens of the first chunk
+	maybeSent       bool      // bytes may have reached an endpoint
+	freeRetryUsed   bool      // see spendRetry
+	resuming        bool      // an attempt has failed after the first token
+	pendingCancels  []pendingCancel
+	finish          engineapi.Finish
 }
 
-func (r *Router) newRun(req ModelRequest, c class, f fleet.Fingerprint, sink Sink) *modelRun {
-	return &modelRun{
-		router:      r,
-		req:         req,
-		class:       c,
-		fingerprint: f,
-		gate:        placement.Gate(r.opts.Source, req.Team, r.opts.Recorder),
-		sink:        sink,
-		reads:       r.openArrivals(req.ID, prefillPool+c.model.Model),
-		decodes:     r.openArrivals(req.ID, decodePool+c.model.Model),
-		avoid:       endpointSet{},
-		deadline:    req.Arrived.Add(c.patience),
+func (r *Router) newActiveModelRequest(req ModelRequest, c modelParams, f fleet.Fingerprint, sink Sink) *activeModelRequest {
+	return &activeModelRequest{
+		router:          r,
+		req:             req,
+		params:          c,
+		fingerprint:     f,
+		gate:            placement.Gate(r.opts.Source, req.Team, r.opts.Recorder),
+		sink:            sink,
+		prefillArrivals: r.openArrivals(req.ID, prefillPool+c.model.Model),
+		decodeArrivals:  r.openArrivals(req.ID, decodePool+c.model.Model),
+		avoid:           endpointSet{},
+		deadline:        req.Arrived.Add(c.patience),
 	}
 }
 
-// run makes attempts until one ends whole or the request is given up on.
-func (m *modelRun) run(ctx context.Context) *Failure {
+// run makes attempts until one completes the answer or no retry is allowed.
+func (m *activeModelRequest) run(ctx context.Context) *Failure {
 	policies, ok := m.router.policies.get(m.router.opts.Source.State().Tree.Fleet.Decisions)
 	if !ok {
-		return noPolicy()
+		return noPolicyFailure()
 	}
 	m.policies = policies
-	defer m.reads.account.Close()
-	defer m.decodes.account.Close()
+	defer m.prefillArrivals.account.Close()
+	defer m.decodeArrivals.account.Close()
 	for {
 		m.attempts++
-		s := m.try(ctx)
-		if s == nil {
+		failed := m.runAttempt(ctx)
+		if failed == nil {
 			return nil
 		}
-		if failure := m.afterSetback(s); failure != nil {
+		if failure := m.afterFailure(failed); failure != nil {
 			return failure
 		}
 	}
 }
 
-// afterSetback decides what follows an attempt that ended short; nil: again.
-func (m *modelRun) afterSetback(s *setback) *Failure {
+// afterFailure returns the request's failure, or nil if it should be retried.
+func (m *activeModelRequest) afterFailure(failed *attemptFailure) *Failure {
 	now := time.Now()
-	m.avoid.add(s.endpoint)
-	if m.passed > 0 && !m.resuming {
-		// Patience was for the first token; the same is granted to go on.
+	m.avoid.add(failed.endpoint)
+	if m.passedTokens > 0 && !m.resuming {
+		// Patience covers the time to the first token; resuming gets the same time again.
 		m.resuming = true
-		m.deadline = now.Add(m.class.patience)
+		m.deadline = now.Add(m.params.patience)
 	}
 	in := retryInput{
-		setback:  s,
-		attempts: m.attempts,
-		most:     m.router.bounds.Attempts,
-		passed:   m.passed,
-		touched:  m.touched,
-		now:      now,
-		deadline: m.deadline,
+		attemptFailure: failed,
+		attempts:       m.attempts,
+		maxAttempts:    m.router.bounds.MaxAttempts,
+		passedTokens:   m.passedTokens,
+		maybeSent:      m.maybeSent,
+		now:            now,
+		deadline:       m.deadline,
 	}
 	d := decideRetry(in)
-	if !d.again {
+	if !d.retry {
 		return d.failure
 	}
-	if !m.granted(s) {
-		return finalFailure(in)
+	if !m.spendRetry(failed) {
+		return callerFailure(in)
 	}
-	if !m.reads.maySend() || !m.decodes.maySend() {
-		in.setback = overBudget()
-		return finalFailure(in)
+	if !m.prefillArrivals.reserveSend() || !m.decodeArrivals.reserveSend() {
+		in.attemptFailure = overBudgetFailure()
+		return callerFailure(in)
 	}
 	m.router.metrics.retries.Inc()
-	m.event(timeline.KindRetry, "", s.endpoint)
+	m.recordEvent(timeline.KindRetry, "", failed.endpoint)
 	return nil
 }
 
-// granted spends a retry.
+// spendRetry reports whether the request may be retried, and takes the retry from
+// the budgets of the team and the endpoint.
 //
-// The first retry after an endpoint's death is free. A death throws out all
-// that ran there at once, twenty requests of a full decode engine: a budget
-// that is earned by successes would resume some and fail the rest. It can't
-// overload the engines, since each request has one such retry in its life.
-func (m *modelRun) granted(s *setback) bool {
-	if s.crashed() && !m.freeRetry {
-		m.freeRetry = true
+// The first retry after an endpoint's crash is free. A crash ends everything that
+// ran there, twenty requests on a full decode engine; a budget that successes
+// refill would resume some of them and fail the rest. The free retries can't
+// overload the engines, since each request has only one.
+func (m *activeModelRequest) spendRetry(failed *attemptFailure) bool {
+	if failed.endpointMayHaveCrashed() && !m.freeRetryUsed {
+		m.freeRetryUsed = true
 		return true
 	}
-	return m.router.mayTryAgain(m.req.Team, s)
+	return m.router.mayRetryAfter(m.req.Team, failed)
 }
 
-func (m *modelRun) event(k timeline.Kind, a fleet.AttemptID, at fleet.EndpointID) {
+func (m *activeModelRequest) recordEvent(k timeline.Kind, a fleet.AttemptID, at fleet.EndpointID) {
 	m.router.record(timeline.Event{Kind: k, Request: m.req.ID, Attempt: a, Team: m.req.Team, Endpoint: at})
 }
 
-// remaining is the time left until the next token is due.
-func (m *modelRun) remaining() time.Duration { return time.Until(m.deadline) }
+// remaining returns the time left until the next token is due.
+func (m *activeModelRequest) remaining() time.Duration { return time.Until(m.deadline) }
--- a/internal/route/sent.go
+++ b/internal/route/sent.go
@@ -7,12 +7,12 @@
 	"github.com/hyssopsail/hyssopsail/internal/placement"
 )
 
-// isOtherProcess tells whether the endpoint was restarted since.
+// isOtherProcess reports whether the endpoint has been restarted since it was chosen.
 func isOtherProcess(err error) bool { return errors.Is(err, engine.ErrIncarnation) }
 
-// neverSent tells whether err proves that no byte left for the endpoint. An
-// error of any other make proves nothing.
-func neverSent(err error) bool {
+// provesNotSent reports whether err proves that no byte was sent to the endpoint.
+// Errors of unknown types prove nothing.
+func provesNotSent(err error) bool {
 	if err == nil {
 		return false
 	}
--- a/internal/route/stall.go
+++ b/internal/route/stall.go
@@ -2,27 +2,26 @@
 
 import "github.com/hyssopsail/hyssopsail/internal/fleet"
 
-// stall is the first transfer of a request that stood still.
-type stall struct {
+// transferStall is the first transfer of a request that stalled.
+type transferStall struct {
 	source fleet.EndpointID
-	at     fleet.EndpointID
+	decode fleet.EndpointID
 }
 
-// blameStall names the endpoint to avoid after a transfer stood still.
+// suspectAfterStall returns the endpoint to avoid after a stalled transfer.
 //
-// Both ends are suspected, and one stall doesn't tell which. Blaming the decode
-// engine each time shows, when a prefill engine's sends stall, as a request
-// that "each endpoint has failed" though all decode engines are well. A second
-// stall with the same source blames that one, and clears the engine that was
-// blamed first.
-func (m *modelRun) blameStall(source, at fleet.EndpointID) fleet.EndpointID {
-	if m.stalled.source != source {
-		m.stalled = stall{source: source, at: at}
+// One stall doesn't show which end is at fault. If the decode engine were always
+// suspected, a prefill engine whose sends stall would make the request fail at every
+// decode engine, though all of them work. A second stall with the same source
+// therefore puts the suspicion on the source and clears the first decode engine.
+func (m *activeModelRequest) suspectAfterStall(source, at fleet.EndpointID) fleet.EndpointID {
+	if m.firstStall.source != source {
+		m.firstStall = transferStall{source: source, decode: at}
 		return at
 	}
-	m.clearStalled()
+	m.clearFirstStall()
 	return source
 }
 
-// clearStalled lets the decode engine of the first stall be chosen again.
-func (m *modelRun) clearStalled() { delete(m.avoid, m.stalled.at) }
+// clearFirstStall allows the decode engine of the first stall to be chosen again.
+func (m *activeModelRequest) clearFirstStall() { delete(m.avoid, m.firstStall.decode) }
--- a/internal/route/targets.go
+++ b/internal/route/targets.go
@@ -6,28 +6,29 @@
 	"github.com/hyssopsail/hyssopsail/internal/settings"
 )
 
-// targetsMet tells which of a team's targets a whole answer met: a label value.
+// targetsMet states which of the team's targets a complete answer met. It is a label
+// value.
 type targetsMet string
 
 const (
 	metBoth       targetsMet = "both"
-	metFirstToken targetsMet = "first-token" // but not the gap
-	metTokenGap   targetsMet = "token-gap"   // but not the first token
+	metFirstToken targetsMet = "first-token" // not the token gap
+	metTokenGap   targetsMet = "token-gap"   // not the first token
 	metNone       targetsMet = "none"
 )
 
-// pace is how fast a whole answer came.
-type pace struct {
-	firstToken time.Duration // from arrival
-	decoding   time.Duration // from the first token to the last
-	later      int           // tokens after the first chunk
+// answerTiming is the timing of a complete answer.
+type answerTiming struct {
+	firstToken  time.Duration // from arrival
+	decodeTime  time.Duration // from the first token to the last
+	laterTokens int           // tokens after the first chunk
 }
 
-// judge compares a pace with the targets; a target of 0 is met. The gap is the
-// mean over the answer, so that a resumption counts with its whole pause. Pure.
-func (p pace) judge(t settings.Targets) targetsMet {
+// compare returns the targets that the timing meets; a target of 0 is always met. The
+// token gap is the mean over the answer and includes the pauses of resumptions. Pure.
+func (p answerTiming) compare(t settings.Targets) targetsMet {
 	first := t.FirstToken <= 0 || p.firstToken <= t.FirstToken
-	gap := t.TokenGap <= 0 || p.later <= 0 || p.decoding <= time.Duration(p.later)*t.TokenGap
+	gap := t.TokenGap <= 0 || p.laterTokens <= 0 || p.decodeTime <= time.Duration(p.laterTokens)*t.TokenGap
 	switch {
 	case first && gap:
 		return metBoth
--- a/internal/route/transfer.go
+++ b/internal/route/transfer.go
@@ -9,147 +9,150 @@
 )
 
 const (
-	// fullPause is the wait before a decode engine that was still full is
-	// asked again: grants may come a little before the slot is free. It doubles
-	// each time, as each question draws on the fleet's budget for retries.
-	fullPause = 15 * time.Millisecond
-	// transferTries bounds the decode engines that one KV cache is sent to.
-	transferTries = 2
-	// secondChance is the part of a transfer's time bound that must be left of
-	// the KV cache's life for another transfer to be worth a start.
-	secondChance = 4
+	// minFullRetryDelay is the delay before a full decode engine is asked again, since
+	// grants may arrive shortly before the slot is free. It doubles each time, as each
+	// send takes from the fleet's retry budget.
+	minFullRetryDelay = 15 * time.Millisecond
+	// maxTransferAttempts limits the decode engines to which one KV cache is sent.
+	maxTransferAttempts = 2
+	// minTransferTimeDivisor: another transfer is started only if the KV cache lives for
+	// at least the transfer timeout divided by this.
+	minTransferTimeDivisor = 4
 )
 
-// moveKV has the decode engine fetch the KV cache. A transfer that stalls is
-// given up on within Timeouts.Transfer; another decode engine gets it while
-// the cache still lives.
+// transferKV makes the decode engine fetch the KV cache. A transfer that stalls is
+// cancelled after Timeouts.Transfer; another decode engine gets the cache while it
+// lives.
 //
-// Without the bound a stalled link shows as a decode slot and prefill memory
-// that stay occupied until the caller's patience ends. The bound holds as both
-// ends are cancelled when it passes, whatever the link does.
-func (a *attempt) moveKV(ctx context.Context) *setback {
-	s := a.sourceHeld()
-	if s != nil {
-		return s
+// Without the timeout a stalled link would occupy a decode slot and prefill memory
+// until the caller's patience ends. When it passes, both ends are cancelled whatever
+// the state of the link.
+func (a *attempt) transferKV(ctx context.Context) *attemptFailure {
+	failed := a.checkPrefillZone()
+	if failed != nil {
+		return failed
 	}
-	for n := range transferTries {
-		if n > 0 && !a.nextDecode(ctx, s) {
-			return s
+	for attempt := range maxTransferAttempts {
+		if attempt > 0 && !a.replaceDecode(ctx, failed) {
+			return failed
 		}
-		if s = a.importOnce(ctx); s == nil {
-			a.moved()
+		if failed = a.importKV(ctx); failed == nil {
+			a.releasePrefill()
 			return nil
 		}
-		if !a.anotherDecode(s) {
-			return s
+		if !a.mayReplaceDecode(failed) {
+			return failed
 		}
 	}
-	return s
+	return failed
 }
 
-// moved frees the prefill side: its memory is free once the cache has left.
-func (a *attempt) moved() {
-	a.kv.moved = true
+// releasePrefill releases the prefill grant. The engine has freed its memory by itself
+// once the cache was transferred.
+func (a *attempt) releasePrefill() {
+	a.kv.transferred = true
 	a.prefill.finished = true
-	a.run.router.free(a.prefill, nil, 0)
+	a.request.router.release(a.prefill, nil, 0)
 }
 
-// nextDecode swaps a decode engine that a transfer failed at for another, if
-// the KV cache lives long enough.
-func (a *attempt) nextDecode(ctx context.Context, s *setback) bool {
+// replaceDecode replaces a decode engine at which a transfer failed. It returns false
+// if the KV cache expires too soon, no retry is allowed or no slot is granted.
+func (a *attempt) replaceDecode(ctx context.Context, failed *attemptFailure) bool {
 	left := time.Until(a.kv.expires)
-	if left < a.run.class.timeouts.Transfer/secondChance || ctx.Err() != nil {
+	if left < a.request.params.timeouts.Transfer/minTransferTimeDivisor || ctx.Err() != nil {
 		return false
 	}
-	a.run.noteLeftover(a.decode)
-	a.run.router.free(a.decode, s, 0)
-	failed := a.decode.grant.Endpoint
+	a.request.addPendingCancel(a.decode)
+	a.request.router.release(a.decode, failed, 0)
+	failedEndpoint := a.decode.grant.Endpoint
 	a.decode = nil
-	if !a.run.router.mayTryAgain(a.run.req.Team, s) {
+	if !a.request.router.mayRetryAfter(a.request.req.Team, failed) {
 		return false
 	}
-	// Its home may get this attempt's release after a second take there.
-	a.run.avoid.add(failed)
-	h, refusal := a.take(ctx, a.wantDecode(left/2))
-	if s.cause == causeGrantOver {
-		delete(a.run.avoid, failed)
+	// Avoided, as its home may receive this attempt's release only after another request
+	// for a grant.
+	a.request.avoid.add(failedEndpoint)
+	h, refusal := a.acquireSlot(ctx, a.decodeSlotRequest(left/2))
+	if failed.cause == causeGrantExpired {
+		delete(a.request.avoid, failedEndpoint)
 	}
 	if refusal != nil {
-		a.blameSource(s, refusal)
+		a.suspectPrefill(failed, refusal)
 		return false
 	}
 	a.decode = h
 	return true
 }
 
-// blameSource suspects the prefill engine when there is no other decode engine
-// to send to: the same one can be tried with another source.
-func (a *attempt) blameSource(s, refusal *setback) {
-	if s.cause == causeStalled && refusal.cause == causeExhausted {
-		a.run.clearStalled()
-		s.endpoint = a.prefill.target.ID
+// suspectPrefill marks the prefill engine for avoidance if a transfer stalled and there
+// is no other decode engine: the same decode engine can be tried with another source.
+func (a *attempt) suspectPrefill(failed, refusal *attemptFailure) {
+	if failed.cause == causeStalled && refusal.cause == causeExhausted {
+		a.request.clearFirstStall()
+		failed.endpoint = a.prefill.target.ID
 	}
 }
 
-func (a *attempt) importOnce(ctx context.Context) *setback {
-	m := a.run
-	m.event(timeline.KindTransferStart, a.id, a.decode.target.ID)
-	local, cancel := context.WithTimeout(ctx, a.transferBound())
+func (a *attempt) importKV(ctx context.Context) *attemptFailure {
+	m := a.request
+	m.recordEvent(timeline.KindTransferStart, a.id, a.decode.target.ID)
+	local, cancel := context.WithTimeout(ctx, a.transferTimeout())
 	defer cancel()
-	gate := m.router.gateUnder(a.decode, m.gate)
+	gate := m.router.grantGate(a.decode, m.gate)
 	a.bookLink(time.Now(), a.kv.reply.KVBytes)
-	defer a.leaveLink(0)
-	for wait := fullPause; ; wait *= 2 {
-		if !m.decodes.maySend() {
-			return overBudget()
+	defer a.releaseLink(0)
+	for wait := minFullRetryDelay; ; wait *= 2 {
+		if !m.decodeArrivals.reserveSend() {
+			return overBudgetFailure()
 		}
 		reply, err := m.router.opts.Engine.Import(local, a.decode.target, gate, a.importRequest())
-		m.decodes.sent(a.decode.target.ID, err)
-		a.touch(a.decode, err)
+		m.decodeArrivals.recordSend(a.decode.target.ID, err)
+		a.markSent(a.decode, err)
 		if err == nil {
-			a.leaveLink(millis(reply.TransferMs))
-			m.event(timeline.KindTransferEnd, a.id, a.decode.target.ID)
+			a.releaseLink(millis(reply.TransferMs))
+			m.recordEvent(timeline.KindTransferEnd, a.id, a.decode.target.ID)
 			return nil
 		}
-		s := fromError(ctx, local, err)
-		a.blame(s)
-		if s.cause != causeFull || s.rests || time.Until(a.kv.expires) < wait {
-			return s
+		failed := attemptFailureFromError(ctx, local, err)
+		a.suspect(failed)
+		if failed.cause != causeNoSlot || failed.cooldown || time.Until(a.kv.expires) < wait {
+			return failed
 		}
 		if pause(local, wait) != nil {
-			return &setback{cause: causeFull, endpoint: a.decode.target.ID}
+			return &attemptFailure{cause: causeNoSlot, endpoint: a.decode.target.ID}
 		}
 	}
 }
 
-// blame names the endpoint to avoid: a decode engine that answers that its
-// fetch failed lives, so the other end is suspected.
-func (a *attempt) blame(s *setback) {
+// suspect sets the endpoint to avoid. If a decode engine answers that its fetch failed,
+// it is alive, so that the prefill engine is suspected.
+func (a *attempt) suspect(failed *attemptFailure) {
 	switch {
-	case s.cause == causeGrantOver:
-	case s.code == engineapi.CodeTransfer || s.code == engineapi.CodeGone:
-		s.endpoint = a.prefill.target.ID
-	case s.cause == causeStalled:
-		s.endpoint = a.run.blameStall(a.prefill.target.ID, a.decode.target.ID)
-	case s.endpoint == "":
-		s.endpoint = a.decode.target.ID
+	case failed.cause == causeGrantExpired:
+	case failed.code == engineapi.CodeTransfer || failed.code == engineapi.CodeGone:
+		failed.endpoint = a.prefill.target.ID
+	case failed.cause == causeStalled:
+		failed.endpoint = a.request.suspectAfterStall(a.prefill.target.ID, a.decode.target.ID)
+	case failed.endpoint == "":
+		failed.endpoint = a.decode.target.ID
 	}
 }
 
-// anotherDecode tells whether the KV cache may go to another decode engine.
-func (a *attempt) anotherDecode(s *setback) bool {
-	stuck := s.cause == causeStalled || s.cause == causeBroken || s.cause == causeGrantOver
-	return stuck && s.endpoint != a.prefill.target.ID
+// mayReplaceDecode reports whether the KV cache may be sent to another decode engine.
+func (a *attempt) mayReplaceDecode(failed *attemptFailure) bool {
+	stuck := failed.cause == causeStalled || failed.cause == causeConnectionBroken || failed.cause == causeGrantExpired
+	return stuck && failed.endpoint != a.prefill.target.ID
 }
 
-// transferBound is the time one transfer may take: never past the cache's life.
-func (a *attempt) transferBound() time.Duration {
-	return min(a.run.class.timeouts.Transfer, time.Until(a.kv.expires))
+// transferTimeout returns the maximum duration of one transfer, which ends no later than
+// the KV cache expires.
+func (a *attempt) transferTimeout() time.Duration {
+	return min(a.request.params.timeouts.Transfer, time.Until(a.kv.expires))
 }
 
 func (a *attempt) importRequest() engineapi.ImportRequest {
 	return engineapi.ImportRequest{
-		Work:         a.work(a.decode.target, a.run.remaining()),
+		Work:         a.engineWork(a.decode.target, a.request.remaining()),
 		Source:       a.prefill.target.Address,
 		Handle:       a.kv.reply.Handle,
 		PromptTokens: a.kv.reply.PromptTokens,
--- a/internal/route/zones_test.go
+++ b/internal/route/zones_test.go
@@ -13,13 +13,12 @@
 	"github.com/hyssopsail/hyssopsail/internal/schedule"
 )
 
-// Settings take the zone of the chosen endpoint away while the request waits
-// in its home's queue or computes. Its prompt would go on to a place that the
-// team has just forbidden. The last check sees the new settings; the request
-// runs in what is left, or is refused.
+// Settings remove the zone of the chosen endpoint while the request waits in its home's
+// queue or is computed. The last check must see the new settings, so that no prompt is
+// sent to a forbidden zone, and the request run in the remaining zones.
 func TestZonesNarrowInFlight(t *testing.T) {
 	for _, op := range []string{"prefill p1", "import d1", "decode d1"} {
-		runInWorld(t, op, func(t *testing.T, w *world) {
+		runWithFakeFleet(t, op, func(t *testing.T, w *fakeFleet) {
 			w.permit("howrah", "barasat")
 			w.add("p3", fleet.RolePrefill, "barasat")
 			w.add("d3", fleet.RoleDecode, "barasat")
@@ -33,15 +32,15 @@
 			}
 			served(t, w.router(route.Bounds{}), modelRequest(), &sink{})
 			assert.Equal(t, w.sent(op), 0)
-			w.assertFree(t)
+			w.assertNothingHeld(t)
 		})
 	}
 }
 
-// The team's zones are all down. Serving it in another place would break the
-// one promise that matters more than speed: it is refused, at once.
+// All endpoints in the team's zones are down. The request must be refused at once, never
+// served in another zone.
 func TestZonesAllDown(t *testing.T) {
-	inWorld(t, func(t *testing.T, w *world) {
+	withFakeFleet(t, func(t *testing.T, w *fakeFleet) {
 		for _, id := range []fleet.EndpointID{"p1", "p2", "d1", "d2"} {
 			w.moveTo(id, "barasat")
 		}
@@ -55,11 +54,10 @@
 	})
 }
 
-// Settings take a zone away while an answer is being decoded there. The team's
-// data would stay in a place that it has forbidden for as long as the answer
-// takes: the next token ends that run, and the answer goes on elsewhere.
+// Settings remove the zone in which an answer is being decoded. The next token must end
+// that attempt, and the answer continue in a permitted zone.
 func TestZonesNarrowMidStream(t *testing.T) {
-	inWorld(t, func(t *testing.T, w *world) {
+	withFakeFleet(t, func(t *testing.T, w *fakeFleet) {
 		w.moveTo("d1", "kolkata-north")
 		w.moveTo("d2", "howrah")
 		s := &sink{after: func(c engineapi.Chunk) {
@@ -69,14 +67,14 @@
 		}}
 		served(t, w.router(route.Bounds{}), modelRequest(), s)
 		assert.Equal(t, w.sent("decode d2"), 1)
-		w.assertFree(t)
+		w.assertNothingHeld(t)
 	})
 }
 
-// Settings take the prefill engine's zone away between prefill and transfer:
-// the KV cache, which is the prompt in another form, isn't moved on from there.
+// Settings remove the prefill engine's zone between prefill and transfer. The KV cache,
+// which contains the prompt, must not be transferred from there.
 func TestZonesNarrowBeforeTransfer(t *testing.T) {
-	inWorld(t, func(t *testing.T, w *world) {
+	withFakeFleet(t, func(t *testing.T, w *fakeFleet) {
 		w.moveTo("p1", "kolkata-north")
 		w.moveTo("p2", "howrah")
 		w.plan = schedule.StartPlan{ReserveFirst: true}
@@ -88,6 +86,6 @@
 		served(t, w.router(route.Bounds{}), modelRequest(), &sink{})
 		assert.Equal(t, w.sent("prefill p2"), 1)
 		assert.Equal(t, w.sent("import"), 1)
-		w.assertFree(t)
+		w.assertNothingHeld(t)
 	})
 }
