--- a/internal/route/broadcast.go
+++ b/internal/route/broadcast.go
@@ -27,8 +27,8 @@
 // reader is one caller's position in the output.
 type reader struct{ next int }
 
-func newBroadcast(limit int) *broadcast {
-	return &broadcast{maxBytes: limit, readers: map[*reader]struct{}{}, changed: make(chan struct{})}
+func newBroadcast(maxBytes int) *broadcast {
+	return &broadcast{maxBytes: maxBytes, readers: map[*reader]struct{}{}, changed: make(chan struct{})}
 }
 
 func (b *broadcast) notifyLocked() {
@@ -62,8 +62,8 @@
 // returns the error of ctx if that ends first.
 func (b *broadcast) append(ctx context.Context, c engineapi.Chunk) error {
 	for {
-		changed, room := b.tryAdd(c)
-		if room {
+		changed, added := b.tryAdd(c)
+		if added {
 			return nil
 		}
 		select {
--- a/internal/route/budget_test.go
+++ b/internal/route/budget_test.go
@@ -15,10 +15,10 @@
 // transfer to another decode engine, and repeated sends to a full engine.
 func TestModelKeepsTheFleetsBudget(t *testing.T) {
 	for _, test := range []struct {
-		name, op string
-		at       fleet.EndpointID
-		fault    fault
-		mendable bool // succeeds with one more arrival at each pool
+		name, op  string
+		at        fleet.EndpointID
+		fault     fault
+		retryable bool // succeeds with one more arrival at each pool
 	}{
 		{"decode engine crashes", "decode", "d1", fault{broken: true, after: 3}, true},
 		{"prefill engine crashes", "prefill", "p1", fault{broken: true}, true},
@@ -33,7 +33,7 @@
 			assert.Assert(t, w.sent("prefill") <= 1 && w.sent("import") <= 1, "%v", w.sends)
 			w.assertNothingHeld(t)
 		})
-		if !test.mendable {
+		if !test.retryable {
 			continue
 		}
 		runWithFakeFleet(t, test.name+", one arrival is allowed", func(t *testing.T, w *fakeFleet) {
--- a/internal/route/call.go
+++ b/internal/route/call.go
@@ -30,20 +30,20 @@
 	}
 	defer leave()
 	r.record(timeline.Event{Kind: timeline.KindReceived, Request: req.ID, Team: req.Team})
-	c, failure := resolveCallParams(r.opts.Source.State().Tree, req, r.bounds)
+	params, failure := resolveCallParams(r.opts.Source.State().Tree, req, r.bounds)
 	if failure != nil {
 		return nil, failure
 	}
 	ctx, stop := r.withAbort(ctx)
 	defer stop()
-	m := r.newActiveCall(req, c)
+	c := r.newActiveCall(req, params)
 	// The grant is still held here only after a panic.
-	defer func() { r.release(m.latestGrant, nil, 0) }()
-	defer m.arrivals.account.Close()
-	if c.idempotent {
-		return m.runRepeatable(ctx)
+	defer func() { r.release(c.latestGrant, nil, 0) }()
+	defer c.arrivals.account.Close()
+	if params.idempotent {
+		return c.runRepeatable(ctx)
 	}
-	return m.runOnce(ctx)
+	return c.runOnce(ctx)
 }
 
 // activeCall is the state of one plain call over all its attempts. It is owned by
@@ -60,81 +60,81 @@
 	latestGrant *heldGrant
 }
 
-func (r *Router) newActiveCall(req CallRequest, c callParams) *activeCall {
+func (r *Router) newActiveCall(req CallRequest, params callParams) *activeCall {
 	return &activeCall{
 		router:      r,
 		req:         req,
-		params:      c,
+		params:      params,
 		fingerprint: r.hash.callFingerprint(req),
 		gate:        placement.Gate(r.opts.Source, req.Team, r.opts.Recorder),
 		arrivals:    r.openArrivals(req.ID, servicePool+req.Service),
 		avoid:       endpointSet{},
-		deadline:    req.Arrived.Add(c.patience),
+		deadline:    req.Arrived.Add(params.patience),
 	}
 }
 
 // refuseUnclaimed returns f, a refusal before the claim. For a keyed call it first
 // records the refusal at the ledger, so that it holds at all entries.
-func (m *activeCall) refuseUnclaimed(ctx context.Context, f *Failure) *Failure {
-	if m.req.Key == "" {
+func (c *activeCall) refuseUnclaimed(ctx context.Context, f *Failure) *Failure {
+	if c.req.Key == "" {
 		return f
 	}
-	return m.router.confirmNotRun(ctx, forbidInput{
-		team: m.req.Team, key: m.req.Key, permitted: m.params.permitted, fingerprint: m.fingerprint,
+	return c.router.confirmNotRun(ctx, forbidInput{
+		team: c.req.Team, key: c.req.Key, permitted: c.params.permitted, fingerprint: c.fingerprint,
 	}, f)
 }
 
-func (m *activeCall) recordEvent(k timeline.Kind, a fleet.AttemptID, at fleet.EndpointID) {
-	m.router.record(timeline.Event{Kind: k, Request: m.req.ID, Attempt: a, Team: m.req.Team, Endpoint: at})
+func (c *activeCall) recordEvent(k timeline.Kind, a fleet.AttemptID, at fleet.EndpointID) {
+	c.router.record(timeline.Event{Kind: k, Request: c.req.ID, Attempt: a, Team: c.req.Team, Endpoint: at})
 }
 
-func (m *activeCall) query() endpoint.Query {
-	q := endpoint.Query{Kind: fleet.RolePlain, Service: m.req.Service}
-	if team, ok := m.router.opts.Source.State().Tree.Teams[m.req.Team]; ok {
+func (c *activeCall) query() endpoint.Query {
+	q := endpoint.Query{Kind: fleet.RolePlain, Service: c.req.Service}
+	if team, ok := c.router.opts.Source.State().Tree.Teams[c.req.Team]; ok {
 		q.Permitted = team.Permitted()
 	}
 	return q
 }
 
 // admit asks the admission controller once. done must be called when the call ends.
-func (m *activeCall) admit() (done func(), failure *Failure) {
-	w := predictWaits(nil, m.router.opts.Follower.Candidates(m.query()), 0)
+func (c *activeCall) admit() (done func(), failure *Failure) {
+	w := predictWaits(nil, c.router.opts.Follower.Candidates(c.query()), 0)
 	q := admission.Request{
-		Team:          m.req.Team,
-		Limits:        m.params.team.Limits,
-		Share:         m.params.team.Share,
+		Team:          c.req.Team,
+		Limits:        c.params.team.Limits,
+		Share:         c.params.team.Share,
 		Work:          1,
-		Patience:      time.Until(m.deadline),
+		Patience:      time.Until(c.deadline),
 		PredictedWait: w.decode,
 		Queued:        w.queued,
-		RequestID:     m.req.ID,
+		RequestID:     c.req.ID,
 	}
-	d := m.router.admit(q)
+	d := c.router.admit(q)
 	if !d.Admitted {
 		return nil, admissionRefusal(d)
 	}
-	return func() { m.router.admissionDone(q) }, nil
+	return func() { c.router.admissionDone(q) }, nil
 }
 
 // acquireSlot chooses an endpoint and requests a grant from its home. If that is
 // refused for want of a slot, it tries other endpoints.
-func (m *activeCall) acquireSlot(ctx context.Context, id fleet.AttemptID, alone bool) (*heldGrant, *attemptFailure) {
-	policies, ok := m.router.policies.get(m.router.opts.Source.State().Tree.Fleet.Decisions)
+func (c *activeCall) acquireSlot(ctx context.Context, id fleet.AttemptID, alone bool) (*heldGrant, *attemptFailure) {
+	policies, ok := c.router.policies.get(c.router.opts.Source.State().Tree.Fleet.Decisions)
 	if !ok {
 		return nil, finalAttemptFailure(noPolicyFailure())
 	}
-	avoid := m.avoid.copyWith()
+	avoid := c.avoid.copyWith()
 	var last *attemptFailure
 	for range maxGrantRequests {
-		candidates, cooldown := m.router.availableCandidates(ctx, m.query(), m.deadline)
-		chosen, ok := m.router.choose(policies.Plain, m.scheduleRequest(avoid), withoutAvoided(candidates, avoid))
+		candidates, cooldown := c.router.availableCandidates(ctx, c.query(), c.deadline)
+		chosen, ok := c.router.choose(policies.Plain, c.scheduleRequest(avoid), withoutAvoided(candidates, avoid))
 		if !ok && last == nil {
 			return nil, noCandidateFailure(candidates, cooldown)
 		}
 		if !ok {
 			return nil, last
 		}
-		h, failed := m.requestGrant(ctx, chosen, id, alone, max(time.Until(m.deadline), 0))
+		h, failed := c.requestGrant(ctx, chosen, id, alone, max(time.Until(c.deadline), 0))
 		if failed == nil {
 			return h, nil
 		}
@@ -147,37 +147,37 @@
 	return nil, last
 }
 
-func (m *activeCall) scheduleRequest(avoid endpointSet) schedule.Request {
+func (c *activeCall) scheduleRequest(avoid endpointSet) schedule.Request {
 	return schedule.Request{
-		Team:      m.req.Team,
-		EntryZone: m.router.opts.Source.Self().Zone,
+		Team:      c.req.Team,
+		EntryZone: c.router.opts.Source.Self().Zone,
 		Avoid:     avoid,
 	}
 }
 
-func (m *activeCall) requestGrant(ctx context.Context, c endpoint.Candidate, id fleet.AttemptID, alone bool, wait time.Duration) (*heldGrant, *attemptFailure) {
-	grant, refusal, err := m.router.opts.Follower.Take(ctx, endpoint.GrantRequest{
-		Endpoint:    c.ID,
+func (c *activeCall) requestGrant(ctx context.Context, candidate endpoint.Candidate, id fleet.AttemptID, alone bool, wait time.Duration) (*heldGrant, *attemptFailure) {
+	grant, refusal, err := c.router.opts.Follower.Take(ctx, endpoint.GrantRequest{
+		Endpoint:    candidate.ID,
 		Kind:        fleet.RolePlain,
 		Attempt:     id,
-		Team:        m.req.Team,
+		Team:        c.req.Team,
 		Wait:        wait,
-		Share:       m.params.team.Share,
-		Priority:    m.params.priority,
-		Fingerprint: m.fingerprint,
+		Share:       c.params.team.Share,
+		Priority:    c.params.priority,
+		Fingerprint: c.fingerprint,
 		Alone:       alone,
 	})
 	switch {
 	case ctx.Err() != nil:
-		m.router.releaseUnused(grant)
+		c.router.releaseUnused(grant)
 		return nil, &attemptFailure{cause: causeFromContext(ctx)}
 	case err != nil:
 		return nil, &attemptFailure{cause: causeNoSlot}
 	case refusal != nil:
-		m.recordEvent(timeline.KindGrantRefused, id, c.ID)
+		c.recordEvent(timeline.KindGrantRefused, id, candidate.ID)
 		return nil, &attemptFailure{cause: causeNoSlot, retryAfter: refusal.RetryAfter}
 	}
-	m.recordEvent(timeline.KindGranted, id, c.ID)
-	m.latestGrant = newHeldGrant(*grant, time.Now())
-	return m.latestGrant, nil
+	c.recordEvent(timeline.KindGranted, id, candidate.ID)
+	c.latestGrant = newHeldGrant(*grant, time.Now())
+	return c.latestGrant, nil
 }
--- a/internal/route/callers_test.go
+++ b/internal/route/callers_test.go
@@ -357,8 +357,7 @@
 	w.assertNothingHeld(t)
 }
 
-// A fault in the code must not lose the caller's answer nor promise what isn't
-// known.
+// After a panic the caller must still get an answer, and its outcome must be "unknown".
 func TestPanicAnswers(t *testing.T) {
 	for _, key := range []string{"", "k"} {
 		w := newFakeFleet()
--- a/internal/route/claim.go
+++ b/internal/route/claim.go
@@ -118,26 +118,26 @@
 }
 
 // claimKey claims a generation of the key for this request.
-func (r *Router) claimKey(ctx context.Context, req ModelRequest, c modelParams, f fleet.Fingerprint) (keyClaim, *Failure) {
+func (r *Router) claimKey(ctx context.Context, req ModelRequest, params modelParams, f fleet.Fingerprint) (keyClaim, *Failure) {
 	mayHaveRun := false
 	for generation := range r.bounds.MaxKeyGenerations {
 		claim := outcome.Claim{
 			Key:       r.hash.recordKey(req.Team, req.Key, generation),
 			Team:      req.Team,
-			Permitted: c.permitted,
+			Permitted: params.permitted,
 			Attempt:   newClaimAttempt(f),
 		}
-		step := r.claimGeneration(ctx, req, c, f, claim)
-		if step.run {
+		decision := r.claimGeneration(ctx, req, params, f, claim)
+		if decision.run {
 			r.record(timeline.Event{Kind: timeline.KindLedgerClaimed, Request: req.ID, Team: req.Team, Attempt: claim.Attempt})
 			return keyClaim{Claim: claim, ranBefore: mayHaveRun}, nil
 		}
-		if step.failure != nil {
-			r.record(timeline.Event{Kind: timeline.KindLedgerRefused, Request: req.ID, Team: req.Team, Detail: string(step.failure.Code)})
-			return keyClaim{}, step.failure
+		if decision.failure != nil {
+			r.record(timeline.Event{Kind: timeline.KindLedgerRefused, Request: req.ID, Team: req.Team, Detail: string(decision.failure.Code)})
+			return keyClaim{}, decision.failure
 		}
-		mayHaveRun = mayHaveRun || step.mayHaveRun
-		if failed := pause(ctx, step.wait); failed != nil {
+		mayHaveRun = mayHaveRun || decision.mayHaveRun
+		if failed := pause(ctx, decision.wait); failed != nil {
 			return keyClaim{}, unknownOutcomeFailure()
 		}
 	}
@@ -148,7 +148,7 @@
 	}
 }
 
-func (r *Router) claimGeneration(ctx context.Context, req ModelRequest, c modelParams, f fleet.Fingerprint, claim outcome.Claim) claimDecision {
+func (r *Router) claimGeneration(ctx context.Context, req ModelRequest, params modelParams, f fleet.Fingerprint, claim outcome.Claim) claimDecision {
 	local, cancel := context.WithTimeout(ctx, r.bounds.LedgerTimeout)
 	defer cancel()
 	verdict, record, err := r.opts.Ledger.Claim(local, claim)
@@ -161,8 +161,8 @@
 		ownAttempt:  claim.Attempt,
 		fingerprint: f,
 		waited:      time.Since(req.Arrived),
-		untilSwept:  c.timeouts.EndpointLease + c.timeouts.InstanceLease,
-		patience:    time.Until(req.Arrived.Add(c.patience)),
+		untilSwept:  params.timeouts.EndpointLease + params.timeouts.InstanceLease,
+		patience:    time.Until(req.Arrived.Add(params.patience)),
 	})
 }
 
--- a/internal/route/cooldown.go
+++ b/internal/route/cooldown.go
@@ -58,24 +58,24 @@
 
 // filter returns the candidates that are in no cooldown, and the time until the first
 // cooldown of the others ends; 0: no candidate is in one.
-func (r *cooldowns) filter(now time.Time, candidates []endpoint.Candidate) (open []endpoint.Candidate, first time.Duration) {
-	open = make([]endpoint.Candidate, 0, len(candidates))
+func (r *cooldowns) filter(now time.Time, candidates []endpoint.Candidate) (available []endpoint.Candidate, firstEnd time.Duration) {
+	available = make([]endpoint.Candidate, 0, len(candidates))
 	for _, c := range candidates {
 		left := r.remaining(now, c.ID, c.Incarnation)
 		if left == 0 {
-			open = append(open, c)
+			available = append(available, c)
 			continue
 		}
-		if first == 0 || left < first {
-			first = left
+		if firstEnd == 0 || left < firstEnd {
+			firstEnd = left
 		}
 	}
-	return open, first
+	return available, firstEnd
 }
 
 // availableCandidates returns the candidates that are in no cooldown, and the time
 // until the first cooldown of the others ends; 0: no candidate is in one.
-func (r *Router) availableCandidates(ctx context.Context, q endpoint.Query, deadline time.Time) (list []endpoint.Candidate, first time.Duration) {
+func (r *Router) availableCandidates(ctx context.Context, q endpoint.Query, deadline time.Time) (available []endpoint.Candidate, firstEnd time.Duration) {
 	return r.cooldowns.filter(time.Now(), r.candidates(ctx, q, deadline))
 }
 
--- a/internal/route/cooldown_test.go
+++ b/internal/route/cooldown_test.go
@@ -51,7 +51,7 @@
 			assert.Equal(t, w.sentTo(send), 1)
 			time.Sleep(time.Second)
 			ask()
-			assert.Assert(t, w.sentTo(send) >= 2, "its rest is over")
+			assert.Assert(t, w.sentTo(send) >= 2, "the cooldown is over")
 			w.assertNothingHeld(t)
 		})
 	}
--- a/internal/route/decide_test.go
+++ b/internal/route/decide_test.go
@@ -21,8 +21,8 @@
 func TestCheckChunk(t *testing.T) {
 	good := engineapi.Chunk{Attempt: "a", Incarnation: 7, Offset: 5, Tokens: 2}
 	cases := map[string]struct {
-		bend func(c *engineapi.Chunk)
-		want chunkVerdict
+		alter func(c *engineapi.Chunk)
+		want  chunkVerdict
 	}{
 		"next":              {func(*engineapi.Chunk) {}, chunkNext},
 		"empty end":         {func(c *engineapi.Chunk) { c.Tokens, c.Finish = 0, engineapi.FinishStop }, chunkNext},
@@ -36,7 +36,7 @@
 	}
 	for name, tc := range cases {
 		c := good
-		tc.bend(&c)
+		tc.alter(&c)
 		assert.Equal(t, checkChunk(c, "a", 7, 5), tc.want, name)
 	}
 }
@@ -69,11 +69,11 @@
 		assert.Equal(t, failed.cause, tc.want, name)
 		assert.Equal(t, failed.endpointMayHaveCrashed(), tc.crashed, name)
 	}
-	gone, cancel := context.WithCancel(t.Context())
+	cancelled, cancel := context.WithCancel(t.Context())
 	cancel()
 	broken := &engine.Error{Target: target, Sent: true, Err: context.Canceled}
-	assert.Equal(t, attemptFailureFromError(gone, gone, broken).cause, causeCallerGone)
-	assert.Equal(t, attemptFailureFromError(t.Context(), gone, broken).cause, causeStalled)
+	assert.Equal(t, attemptFailureFromError(cancelled, cancelled, broken).cause, causeCallerGone)
+	assert.Equal(t, attemptFailureFromError(t.Context(), cancelled, broken).cause, causeStalled)
 }
 
 func TestDecideRetry(t *testing.T) {
--- a/internal/route/early.go
+++ b/internal/route/earlygrant.go
@@ -29,7 +29,7 @@
 // the attempt and its request change meanwhile.
 func (a *attempt) copyForEarlyGrant() *attempt {
 	m := a.request
-	run := &activeModelRequest{
+	request := &activeModelRequest{
 		router:       m.router,
 		req:          m.req,
 		params:       m.params,
@@ -39,7 +39,7 @@
 		deadline:     m.deadline,
 		policies:     m.policies,
 	}
-	return &attempt{request: run, id: a.id, alone: a.alone, prefill: a.prefill}
+	return &attempt{request: request, id: a.id, alone: a.alone, prefill: a.prefill}
 }
 
 // wait returns the grant, or a failure if ctx ends first.
--- a/internal/route/engines_test.go
+++ b/internal/route/engines_test.go
@@ -16,9 +16,8 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// Follower.
+// Methods of endpoint.Follower.
 
-// endpoint.Follower.
 func (w *fakeFleet) Candidates(q endpoint.Query) []endpoint.Candidate {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -81,9 +80,8 @@
 	return !w.expiredGrants[string(g.Endpoint)+"/"+string(g.Attempt)]
 }
 
-// Engine.
+// Methods of engine.Client.
 
-// engine.Client.
 func (w *fakeFleet) next(op string, at fleet.EndpointID) fault {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/route/exchange.go
+++ b/internal/route/exchange.go
@@ -18,16 +18,16 @@
 
 // exchange sends the call under a grant and reads the complete response. sent is
 // false only if the call provably didn't run.
-func (m *activeCall) exchange(ctx context.Context, h *heldGrant, id fleet.AttemptID) (answer *CallResponse, sent bool, failed *attemptFailure) {
-	if !m.arrivals.reserveSend() {
+func (c *activeCall) exchange(ctx context.Context, h *heldGrant, id fleet.AttemptID) (answer *CallResponse, sent bool, failed *attemptFailure) {
+	if !c.arrivals.reserveSend() {
 		return nil, false, overBudgetFailure()
 	}
-	local, cancel := context.WithTimeout(ctx, m.params.callTime)
+	local, cancel := context.WithTimeout(ctx, c.params.callTime)
 	defer cancel()
-	m.recordEvent(timeline.KindCallStart, id, h.target.ID)
+	c.recordEvent(timeline.KindCallStart, id, h.target.ID)
 	h.maybeSent = true
-	answer, err := m.roundTrip(local, h)
-	m.arrivals.recordSend(h.target.ID, err)
+	answer, err := c.roundTrip(local, h)
+	c.arrivals.recordSend(h.target.ID, err)
 	sent = !provesNotRun(err)
 	h.maybeSent = sent
 	if err != nil {
@@ -38,7 +38,7 @@
 		return nil, sent, failed
 	}
 	h.finished = true
-	m.recordEvent(timeline.KindCallEnd, id, h.target.ID)
+	c.recordEvent(timeline.KindCallEnd, id, h.target.ID)
 	return answer, true, nil
 }
 
@@ -52,23 +52,23 @@
 	return provesNotSent(err)
 }
 
-func (m *activeCall) roundTrip(ctx context.Context, h *heldGrant) (*CallResponse, error) {
-	request, err := m.httpRequest(ctx)
+func (c *activeCall) roundTrip(ctx context.Context, h *heldGrant) (*CallResponse, error) {
+	request, err := c.httpRequest(ctx)
 	if err != nil {
 		return nil, &engine.Error{Target: h.target, Op: "call", Err: err}
 	}
-	gate := m.router.grantGate(h, m.gate)
-	response, err := m.router.opts.Engine.Call(ctx, h.target, gate, h.grant.Attempt, request)
+	gate := c.router.grantGate(h, c.gate)
+	response, err := c.router.opts.Engine.Call(ctx, h.target, gate, h.grant.Attempt, request)
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = response.Body.Close() }()
-	body, err := readLimited(response.Body, m.router.bounds.MaxCallResponseBytes)
+	body, err := readLimited(response.Body, c.router.bounds.MaxCallResponseBytes)
 	if err != nil {
 		return nil, &engine.Error{Target: h.target, Op: "call", Sent: true, Err: err}
 	}
 	answer := &CallResponse{StatusCode: response.StatusCode, Header: response.Header, Body: body}
-	m.router.recordCooldown(h.target, requestedCooldown(answer))
+	c.router.recordCooldown(h.target, requestedCooldown(answer))
 	return answer, nil
 }
 
@@ -85,13 +85,13 @@
 	return body, nil
 }
 
-func (m *activeCall) httpRequest(ctx context.Context) (*http.Request, error) {
-	target := url.URL{Scheme: "http", Host: "endpoint", Path: m.req.Path, RawQuery: m.req.Query}
-	request, err := http.NewRequestWithContext(ctx, m.req.Method, target.String(), bytes.NewReader(m.req.Body))
+func (c *activeCall) httpRequest(ctx context.Context) (*http.Request, error) {
+	target := url.URL{Scheme: "http", Host: "endpoint", Path: c.req.Path, RawQuery: c.req.Query}
+	request, err := http.NewRequestWithContext(ctx, c.req.Method, target.String(), bytes.NewReader(c.req.Body))
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	request.Header = m.req.Header.Clone()
+	request.Header = c.req.Header.Clone()
 	if request.Header == nil {
 		request.Header = http.Header{}
 	}
@@ -100,17 +100,17 @@
 
 // finishAttempt releases the grant and reports the end of the attempt to the
 // quarantine guard.
-func (m *activeCall) finishAttempt(h *heldGrant, id fleet.AttemptID, failed *attemptFailure) {
-	m.router.release(h, failed, 0)
-	m.router.opts.Guard.End(m.fingerprint, m.params.permitted, id, failed == nil, failed.endpointMayHaveCrashed())
+func (c *activeCall) finishAttempt(h *heldGrant, id fleet.AttemptID, failed *attemptFailure) {
+	c.router.release(h, failed, 0)
+	c.router.opts.Guard.End(c.fingerprint, c.params.permitted, id, failed == nil, failed.endpointMayHaveCrashed())
 }
 
 // awaitTurn waits until the quarantine guard lets the attempt run.
-func (m *activeCall) awaitTurn(ctx context.Context, id fleet.AttemptID) (alone bool, failed *attemptFailure) {
-	return awaitGuard(ctx, m.router.opts.Guard, guardInput{
-		fingerprint: m.fingerprint,
-		permitted:   m.params.permitted,
+func (c *activeCall) awaitTurn(ctx context.Context, id fleet.AttemptID) (alone bool, failed *attemptFailure) {
+	return awaitGuard(ctx, c.router.opts.Guard, guardInput{
+		fingerprint: c.fingerprint,
+		permitted:   c.params.permitted,
 		attempt:     id,
-		remaining:   func() time.Duration { return time.Until(m.deadline) },
+		remaining:   func() time.Duration { return time.Until(c.deadline) },
 	})
 }
--- a/internal/route/fakefleet_test.go
+++ b/internal/route/fakefleet_test.go
@@ -33,7 +33,7 @@
 	list     []endpoint.Candidate
 	grants   map[string]int          // endpoint/attempt -> held grants
 	held     map[string]string       // endpoint/attempt -> stage in engine memory
-	sends    []string                // "op endpoint" of each send of which bytes were sent
+	sends    []string                // "op endpoint" of each send that passed the gate
 	releases []endpoint.Release      // in order
 	fault    map[string]func() fault // "op endpoint" -> next fault
 	refuse   endpoint.Refusal        // when Status is set, each Take gets it
@@ -155,9 +155,9 @@
 func (w *fakeFleet) hideEndpoints() []endpoint.Candidate {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	known := w.list
+	hidden := w.list
 	w.list = nil
-	return known
+	return hidden
 }
 
 func (w *fakeFleet) showEndpoints(known []endpoint.Candidate) {
@@ -278,9 +278,8 @@
 	return n
 }
 
-// Membership.
+// Methods of membership.Source.
 
-// membership.Source.
 func (w *fakeFleet) State() *membership.State {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/route/fakes_test.go
+++ b/internal/route/fakes_test.go
@@ -21,9 +21,8 @@
 	"github.com/hyssopsail/hyssopsail/internal/timeline"
 )
 
-// Guard, admission, choice, recorder.
+// Methods of quarantine.Guard, admission.Controller, schedule.Start and timeline.Recorder.
 
-// quarantine.Guard, admission.Controller, schedule.Start and timeline.Recorder.
 func (w *fakeFleet) Begin(context.Context, fleet.Fingerprint, fleet.ZoneSet, fleet.AttemptID) (pb.RunVerdict, time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/route/inflight.go
+++ b/internal/route/inflight.go
@@ -19,12 +19,14 @@
 	closesAt time.Time // while draining, new requests are refused from this time on
 }
 
-func newInFlightRequests(most int) *inFlightRequests { return &inFlightRequests{maxCount: most} }
+func newInFlightRequests(maxCount int) *inFlightRequests {
+	return &inFlightRequests{maxCount: maxCount}
+}
 
 // entryRefusal states why a request wasn't accepted.
 type entryRefusal struct{ draining, full bool }
 
-func (f *inFlightRequests) enter(now time.Time) (leave func(), state entryRefusal) {
+func (f *inFlightRequests) enter(now time.Time) (leave func(), refusal entryRefusal) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.closedLocked(now) {
@@ -59,14 +61,14 @@
 	return f.count
 }
 
-func (f *inFlightRequests) drain(closes time.Time) {
+func (f *inFlightRequests) drain(closesAt time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.draining {
 		return
 	}
 	f.draining = true
-	f.closesAt = closes
+	f.closesAt = closesAt
 }
 
 func (f *inFlightRequests) isDraining() bool {
@@ -85,12 +87,12 @@
 // served until then; refusing them at once would cause refusals at every planned
 // stop.
 func (r *Router) Drain(ctx context.Context) error {
-	closes := time.Now().Add(r.addressKeep())
-	r.inFlight.drain(closes)
+	closesAt := time.Now().Add(r.addressKeep())
+	r.inFlight.drain(closesAt)
 	tick := time.NewTicker(drainPollInterval)
 	defer tick.Stop()
 	for {
-		if !time.Now().Before(closes) && r.inFlight.running() == 0 && r.shared.running() == 0 {
+		if !time.Now().Before(closesAt) && r.inFlight.running() == 0 && r.shared.running() == 0 {
 			return nil
 		}
 		select {
--- a/internal/route/keyed.go
+++ b/internal/route/keyed.go
@@ -31,46 +31,46 @@
 }
 
 // findOrAdd returns the running request with the key, or adds fresh.
-func (t *sharedRequests) findOrAdd(k outcome.Key, fresh *sharedRequest) (found *sharedRequest, isNew bool) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if c, ok := t.requests[k]; ok {
-		return c, false
+func (s *sharedRequests) findOrAdd(k outcome.Key, fresh *sharedRequest) (found *sharedRequest, isNew bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if request, ok := s.requests[k]; ok {
+		return request, false
 	}
-	t.requests[k] = fresh
+	s.requests[k] = fresh
 	return fresh, true
 }
 
-func (t *sharedRequests) remove(k outcome.Key) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	delete(t.requests, k)
+func (s *sharedRequests) remove(k outcome.Key) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.requests, k)
 }
 
 // running returns the number of requests, including those whose callers have all
 // disconnected.
-func (t *sharedRequests) running() int {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return len(t.requests)
+func (s *sharedRequests) running() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return len(s.requests)
 }
 
 // runOrJoin joins the running request with the same key or starts one. A shared
 // request isn't bound to the caller that started it; it ends when its last caller
 // disconnects.
-func (r *Router) runOrJoin(ctx context.Context, req ModelRequest, c modelParams, f fleet.Fingerprint, sink Sink) Answer {
-	name := r.hash.recordKey(req.Team, req.Key, 0)
+func (r *Router) runOrJoin(ctx context.Context, req ModelRequest, params modelParams, f fleet.Fingerprint, sink Sink) Answer {
+	key := r.hash.recordKey(req.Team, req.Key, 0)
 	for {
 		runCtx, cancel := r.sharedContext(ctx)
 		fresh := &sharedRequest{fingerprint: f, out: newBroadcast(r.bounds.MaxReplayBytes), cancel: cancel, done: make(chan struct{})}
-		reader, _ := fresh.out.addReader()
-		call, isNew := r.shared.findOrAdd(name, fresh)
+		position, _ := fresh.out.addReader()
+		running, isNew := r.shared.findOrAdd(key, fresh)
 		if isNew {
-			go r.runShared(runCtx, name, call, req, c)
-			return call.follow(ctx, reader, sink)
+			go r.runShared(runCtx, key, running, req, params)
+			return running.follow(ctx, position, sink)
 		}
 		cancel()
-		answer, joined := r.join(ctx, call, f, sink)
+		answer, joined := r.join(ctx, running, f, sink)
 		if joined {
 			return answer
 		}
@@ -90,23 +90,23 @@
 // join follows a request that already runs. joined is false if that request had
 // failed, or was cancelled because all its callers had disconnected, and has ended:
 // the request then runs again.
-func (r *Router) join(ctx context.Context, call *sharedRequest, f fleet.Fingerprint, sink Sink) (answer Answer, joined bool) {
-	if call.fingerprint != f {
+func (r *Router) join(ctx context.Context, running *sharedRequest, f fleet.Fingerprint, sink Sink) (answer Answer, joined bool) {
+	if running.fingerprint != f {
 		return Answer{Failure: keyReusedFailure()}, true
 	}
-	if !call.out.failed() {
-		reader, ok := call.out.addReader()
+	if !running.out.failed() {
+		position, ok := running.out.addReader()
 		if !ok {
 			return Answer{Failure: inFlightFailure()}, true
 		}
-		answer = call.follow(ctx, reader, sink)
+		answer = running.follow(ctx, position, sink)
 		abandoned := answer.Failure != nil && answer.Failure.Code == codeAbandoned
 		if !abandoned || ctx.Err() != nil {
 			return answer, true
 		}
 	}
 	select {
-	case <-call.done:
+	case <-running.done:
 		return Answer{}, false
 	case <-ctx.Done():
 		return Answer{Failure: followerFailure(ctx)}, true
@@ -120,19 +120,19 @@
 // runShared claims the key, runs the request and records its outcome. The key is
 // claimed before admission, so that a refusal is recorded as "not run", which holds
 // at all entries, and a later repeat may still use the key.
-func (r *Router) runShared(ctx context.Context, name outcome.Key, call *sharedRequest, req ModelRequest, c modelParams) {
-	defer close(call.done)
-	defer r.shared.remove(name)
-	defer call.cancel()
+func (r *Router) runShared(ctx context.Context, key outcome.Key, shared *sharedRequest, req ModelRequest, params modelParams) {
+	defer close(shared.done)
+	defer r.shared.remove(key)
+	defer shared.cancel()
 	// This goroutine isn't called by an HTTP handler, whose panics the server recovers:
 	// a panic here would end the process and all its requests.
 	defer func() {
 		if cause := recover(); cause != nil {
 			r.opts.Part.Error("a keyed model request panicked", "request", req.ID)
-			call.out.finish(Answer{Failure: panicFailure()})
+			shared.out.finish(Answer{Failure: panicFailure()})
 		}
 	}()
-	r.claimAndRun(ctx, req, c, call)
+	r.claimAndRun(ctx, req, params, shared)
 }
 
 // markAbandoned marks the failure of a request that was cancelled because all its
@@ -158,13 +158,13 @@
 // claimAndRun answers the callers before it records the outcome at the ledger. If the
 // record is lost, a repeat may run the request again, which is harmless for a model
 // request.
-func (r *Router) claimAndRun(ctx context.Context, req ModelRequest, c modelParams, call *sharedRequest) {
-	claim, failure := r.claimKey(ctx, req, c, call.fingerprint)
+func (r *Router) claimAndRun(ctx context.Context, req ModelRequest, params modelParams, shared *sharedRequest) {
+	claim, failure := r.claimKey(ctx, req, params, shared.fingerprint)
 	if failure != nil {
-		call.out.finish(markAbandoned(ctx, Answer{Failure: failure}))
+		shared.out.finish(markAbandoned(ctx, Answer{Failure: failure}))
 		return
 	}
-	m := r.newActiveModelRequest(req, c, call.fingerprint, broadcastSink{ctx: ctx, out: call.out})
+	m := r.newActiveModelRequest(req, params, shared.fingerprint, broadcastSink{ctx: ctx, out: shared.out})
 	kind := pb.OutcomeKind_OUTCOME_KIND_UNKNOWN // recorded if the run panics
 	defer func() {
 		m.awaitCancels()
@@ -175,7 +175,7 @@
 	if claim.ranBefore {
 		a.Failure = unknownIfKeyed(req.Key, a.Failure)
 	}
-	call.out.finish(markAbandoned(ctx, a))
+	shared.out.finish(markAbandoned(ctx, a))
 }
 
 func outcomeKind(f *Failure) pb.OutcomeKind {
@@ -201,14 +201,14 @@
 
 // follow passes the output to one caller until its end. When the last caller leaves,
 // it cancels the request.
-func (c *sharedRequest) follow(ctx context.Context, reader *reader, sink Sink) Answer {
+func (s *sharedRequest) follow(ctx context.Context, reader *reader, sink Sink) Answer {
 	defer func() {
-		if c.out.removeReader(reader) {
-			c.cancel()
+		if s.out.removeReader(reader) {
+			s.cancel()
 		}
 	}()
 	for {
-		b := c.out.read(reader)
+		b := s.out.read(reader)
 		for _, chunk := range b.chunks {
 			if err := sink.Pass(chunk); err != nil {
 				return Answer{Failure: callerGoneFailure()}
--- a/internal/route/keyed_test.go
+++ b/internal/route/keyed_test.go
@@ -55,9 +55,9 @@
 		go func() { ends <- r.Model(t.Context(), keyedRequest(), s) }()
 		time.Sleep(2 * time.Millisecond)
 		cancel()
-		gone, whole := <-ends, <-ends
-		assert.Assert(t, gone.Failure != nil)
-		assert.Assert(t, whole.Failure == nil, "%v", whole.Failure)
+		left, stayed := <-ends, <-ends
+		assert.Assert(t, left.Failure != nil)
+		assert.Assert(t, stayed.Failure == nil, "%v", stayed.Failure)
 		assert.Equal(t, s.got(), tokens(10))
 		w.assertNothingHeld(t)
 	})
--- a/internal/route/absence.go
+++ b/internal/route/lastseen.go
@@ -37,20 +37,20 @@
 
 func newLastSeenTimes() *lastSeenTimes { return &lastSeenTimes{times: make(map[queryKey]time.Time)} }
 
-func (s *lastSeenTimes) record(p queryKey, now time.Time) {
+func (s *lastSeenTimes) record(key queryKey, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, known := s.times[p]; !known && len(s.times) >= maxQueryKeys {
+	if _, known := s.times[key]; !known && len(s.times) >= maxQueryKeys {
 		return
 	}
-	s.times[p] = now
+	s.times[key] = now
 }
 
 // last returns when the query last found endpoints.
-func (s *lastSeenTimes) last(p queryKey) (time.Time, bool) {
+func (s *lastSeenTimes) last(key queryKey) (time.Time, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	at, known := s.times[p]
+	at, known := s.times[key]
 	return at, known
 }
 
@@ -61,8 +61,8 @@
 // any endpoints, or while its own joining moves their homes. So that requests in
 // its first second aren't refused while endpoints are idle, a query without any
 // result so far counts as last seen at the time when all homes had been asked.
-func (r *Router) endpointsMayAppear(p queryKey, now time.Time) bool {
-	if last, known := r.lastSeen.last(p); known {
+func (r *Router) endpointsMayAppear(key queryKey, now time.Time) bool {
+	if last, known := r.lastSeen.last(key); known {
 		return now.Before(last.Add(maxHomeMoveDuration))
 	}
 	surveyed, done := r.opts.Follower.Surveyed()
@@ -72,15 +72,15 @@
 // candidates returns the follower's candidates. While there are none but some may
 // still appear, it waits until deadline or the end of ctx.
 func (r *Router) candidates(ctx context.Context, q endpoint.Query, deadline time.Time) []endpoint.Candidate {
-	p := queryKey{kind: q.Kind, model: q.Model.String(), service: q.Service, zones: q.Permitted.Class()}
+	key := queryKey{kind: q.Kind, model: q.Model.String(), service: q.Service, zones: q.Permitted.Class()}
 	for {
 		found := r.opts.Follower.Candidates(q)
 		now := time.Now()
 		if len(found) > 0 {
-			r.lastSeen.record(p, now)
+			r.lastSeen.record(key, now)
 			return found
 		}
-		if !now.Before(deadline) || !r.endpointsMayAppear(p, now) {
+		if !now.Before(deadline) || !r.endpointsMayAppear(key, now) {
 			return nil
 		}
 		if pause(ctx, absencePollInterval) != nil {
--- a/internal/route/ledger_test.go
+++ b/internal/route/ledger_test.go
@@ -10,9 +10,8 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// Ledger.
+// Methods of outcome.Ledger.
 
-// outcome.Ledger.
 func (w *fakeFleet) broken(op string) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/route/links.go
+++ b/internal/route/links.go
@@ -48,9 +48,9 @@
 		return
 	}
 	a.releaseLink(0)
-	use := linkBooking{from: a.prefill.target.Zone, to: a.decode.target.Zone, bytes: bytes}
-	a.request.router.linkTable().Book(time.Now(), readyAt, use.from, use.to, a.id, use.bytes)
-	a.linkBooking = &use
+	booking := linkBooking{from: a.prefill.target.Zone, to: a.decode.target.Zone, bytes: bytes}
+	a.request.router.linkTable().Book(time.Now(), readyAt, booking.from, booking.to, a.id, booking.bytes)
+	a.linkBooking = &booking
 }
 
 // releaseLink releases the booking. took is the duration of the transfer; 0: there
--- a/internal/route/model.go
+++ b/internal/route/model.go
@@ -27,7 +27,7 @@
 	}
 	defer leave()
 	r.record(timeline.Event{Kind: timeline.KindReceived, Request: req.ID, Team: req.Team})
-	c, failure := resolveModelParams(r.opts.Source.State().Tree, req, r.bounds)
+	params, failure := resolveModelParams(r.opts.Source.State().Tree, req, r.bounds)
 	if failure != nil {
 		return Answer{Failure: failure}
 	}
@@ -35,11 +35,11 @@
 	defer stop()
 	ctx, cancel := context.WithTimeout(ctx, r.bounds.StreamTime)
 	defer cancel()
-	f := r.hash.modelFingerprint(req, c.model, c.maxOutputTokens)
+	f := r.hash.modelFingerprint(req, params.model, params.maxOutputTokens)
 	if req.Key != "" {
-		return r.runOrJoin(ctx, req, c, f, sink)
+		return r.runOrJoin(ctx, req, params, f, sink)
 	}
-	return r.newActiveModelRequest(req, c, f, sink).admitAndRun(ctx)
+	return r.newActiveModelRequest(req, params, f, sink).admitAndRun(ctx)
 }
 
 // unknownIfKeyed changes the outcome of a refusal of a keyed request from "not run"
@@ -113,16 +113,16 @@
 // admissionPatience returns the maximum wait with which the request is admitted. A
 // request that would miss its team's target for the first token is refused at once;
 // if admitted it would be late and delay those behind it, until all answers of an
-// overloaded fleet are late. own is the time that the request takes on idle engines.
+// overloaded fleet are late. idleTime is the time that it takes on idle engines.
 // If that alone exceeds the target, the request may queue for the target's time on
 // top of it, since otherwise such a long prompt would always be refused.
-func (m *activeModelRequest) admissionPatience(own time.Duration) time.Duration {
+func (m *activeModelRequest) admissionPatience(idleTime time.Duration) time.Duration {
 	target := m.params.team.Targets.FirstToken
 	if target <= 0 {
 		return m.remaining()
 	}
-	if own > target {
-		return min(m.remaining(), own+target)
+	if idleTime > target {
+		return min(m.remaining(), idleTime+target)
 	}
 	return min(m.remaining(), target)
 }
--- a/internal/route/model_test.go
+++ b/internal/route/model_test.go
@@ -146,7 +146,7 @@
 // An engine mixes up two callers' answers, loses a chunk or repeats one. Chunks of other
 // attempts must not be passed on, and gaps must be filled from another engine.
 func TestCrossedChunks(t *testing.T) {
-	bends := map[string]func(engineapi.Chunk) engineapi.Chunk{
+	alterations := map[string]func(engineapi.Chunk) engineapi.Chunk{
 		"other attempt":     func(c engineapi.Chunk) engineapi.Chunk { c.Attempt, c.Text = "other", "secret"; return c },
 		"other incarnation": func(c engineapi.Chunk) engineapi.Chunk { c.Incarnation, c.Text = 6, "secret"; return c },
 		"gap":               func(c engineapi.Chunk) engineapi.Chunk { c.Offset += 2; c.Text = token(c.Offset); return c },
@@ -158,9 +158,9 @@
 		},
 		"negative": func(c engineapi.Chunk) engineapi.Chunk { c.Tokens = -1; return c },
 	}
-	for name, bend := range bends {
+	for name, alter := range alterations {
 		runWithFakeFleet(t, name, func(t *testing.T, w *fakeFleet) {
-			w.setFault("decode", "d1", 1, fault{after: 4, alter: bend})
+			w.setFault("decode", "d1", 1, fault{after: 4, alter: alter})
 			served(t, w.router(route.Bounds{}), modelRequest(), &sink{})
 			w.assertNothingHeld(t)
 		})
@@ -205,7 +205,7 @@
 }
 
 // Each engine that receives the request dies. The caller must get a failure with a retry
-// delay after the maximum number of attempts, instead of waiting until its deadline.
+// delay once no attempt is left, instead of waiting until its deadline.
 func TestGivenUpAtOnce(t *testing.T) {
 	withFakeFleet(t, func(t *testing.T, w *fakeFleet) {
 		w.setDecodeFaults("decode", fault{broken: true, after: 2})
@@ -256,10 +256,10 @@
 		ends := make(chan route.Answer, 1)
 		long := modelRequest()
 		long.MaxTokens = 4000
-		whole := &sink{}
+		output := &sink{}
 		go func() {
 			time.Sleep(3 * time.Second)
-			ends <- r.Model(t.Context(), long, whole)
+			ends <- r.Model(t.Context(), long, output)
 		}()
 		began := time.Now()
 		done := make(chan error, 1)
@@ -272,7 +272,7 @@
 		assert.Equal(t, late.Failure.Code, callerapi.CodeDraining)
 		assert.Equal(t, late.Failure.Outcome, callerapi.OutcomeNotRun)
 		assert.NilError(t, <-done)
-		assert.Equal(t, whole.got(), tokens(4000))
+		assert.Equal(t, output.got(), tokens(4000))
 		assert.Assert(t, (<-ends).Failure == nil)
 		assert.Assert(t, time.Since(began) >= 7*time.Second)
 	})
--- a/internal/route/classify.go
+++ b/internal/route/modelparams.go
@@ -27,8 +27,8 @@
 }
 
 // kvBytes estimates the size of the prompt's KV cache.
-func (c modelParams) kvBytes() int64 {
-	return int64(c.declared.KVBytesPerToken) * int64(c.promptTokens)
+func (p modelParams) kvBytes() int64 {
+	return int64(p.declared.KVBytesPerToken) * int64(p.promptTokens)
 }
 
 // resolveModelParams checks a model request against the settings. Pure.
@@ -42,7 +42,7 @@
 		return modelParams{}, notRun(callerapi.CodeNoModel, "the model is not declared for this team", 0)
 	}
 	kind := tree.CallerKind(team, r.CallerKind)
-	c := modelParams{
+	params := modelParams{
 		team:         team,
 		permitted:    team.Permitted(),
 		model:        ref,
@@ -52,29 +52,29 @@
 		priority:     kind.Priority,
 		promptTokens: estimateTokens(r.Prompt),
 	}
-	return limitTokens(c, r.MaxTokens, b)
+	return limitTokens(params, r.MaxTokens, b)
 }
 
 // limitTokens limits the output tokens. It returns a final refusal for a prompt that
 // can never fit.
-func limitTokens(c modelParams, asked int, b Bounds) (modelParams, *Failure) {
+func limitTokens(params modelParams, asked int, b Bounds) (modelParams, *Failure) {
 	if asked < 0 {
 		return modelParams{}, notRun(callerapi.CodeBadRequest, "max_tokens is negative", 0)
 	}
-	limit := c.team.Limits.PromptTokens
-	if limit > 0 && c.promptTokens > limit {
+	limit := params.team.Limits.PromptTokens
+	if limit > 0 && params.promptTokens > limit {
 		return modelParams{}, notRun(callerapi.CodeTooLarge, "the prompt is over the team's limit", 0)
 	}
-	c.maxOutputTokens = intOrDefault(asked, b.DefaultOutputTokens)
-	maxTokens := c.declared.MaxTokens
+	params.maxOutputTokens = intOrDefault(asked, b.DefaultOutputTokens)
+	maxTokens := params.declared.MaxTokens
 	if maxTokens <= 0 {
-		return c, nil
+		return params, nil
 	}
-	if c.promptTokens+asked > maxTokens || c.promptTokens >= maxTokens {
+	if params.promptTokens+asked > maxTokens || params.promptTokens >= maxTokens {
 		return modelParams{}, notRun(callerapi.CodeTooLarge, "prompt and max_tokens are over the model's limit", 0)
 	}
-	c.maxOutputTokens = min(c.maxOutputTokens, maxTokens-c.promptTokens)
-	return c, nil
+	params.maxOutputTokens = min(params.maxOutputTokens, maxTokens-params.promptTokens)
+	return params, nil
 }
 
 // withDefaultTimeouts fills in the timeouts that a request needs.
--- a/internal/route/once.go
+++ b/internal/route/once.go
@@ -20,30 +20,30 @@
 // It is ruled out as follows: the ledger decides on one attempt per key before the
 // first byte is sent, that attempt is sent again only if the error proves that the
 // call didn't run, and the gate refuses to send when the entry's lease has expired.
-func (m *activeCall) runOnce(ctx context.Context) (*CallResponse, *Failure) {
-	done, failure := m.admit()
+func (c *activeCall) runOnce(ctx context.Context) (*CallResponse, *Failure) {
+	done, failure := c.admit()
 	if failure != nil {
-		return nil, m.refuseUnclaimed(ctx, failure)
+		return nil, c.refuseUnclaimed(ctx, failure)
 	}
 	defer done()
-	id := newClaimAttempt(m.fingerprint)
-	alone, failed := m.awaitTurn(ctx, id)
+	id := newClaimAttempt(c.fingerprint)
+	alone, failed := c.awaitTurn(ctx, id)
 	if failed != nil {
-		return nil, m.refuseUnclaimed(ctx, onceFailure(failed, false))
+		return nil, c.refuseUnclaimed(ctx, onceFailure(failed, false))
 	}
-	h, failed := m.acquireSlot(ctx, id, alone)
+	h, failed := c.acquireSlot(ctx, id, alone)
 	if failed != nil {
-		m.finishAttempt(nil, id, failed)
-		return nil, m.refuseUnclaimed(ctx, onceFailure(failed, false))
+		c.finishAttempt(nil, id, failed)
+		return nil, c.refuseUnclaimed(ctx, onceFailure(failed, false))
 	}
-	claim, failure := m.claim(ctx, id, h)
+	claim, failure := c.claim(ctx, id, h)
 	if failure != nil {
-		m.finishAttempt(h, id, &attemptFailure{cause: causeRefused})
+		c.finishAttempt(h, id, &attemptFailure{cause: causeRefused})
 		return nil, failure
 	}
 	end := callEnd{kind: pb.OutcomeKind_OUTCOME_KIND_UNKNOWN} // recorded if the send panics
-	defer func() { m.router.recordOutcome(claim, end.kind, end.statusCode) }()
-	answer, sent, failed := m.sendOnce(ctx, h, id, alone)
+	defer func() { c.router.recordOutcome(claim, end.kind, end.statusCode) }()
+	answer, sent, failed := c.sendOnce(ctx, h, id, alone)
 	if failed != nil {
 		failure = onceFailure(failed, sent)
 		end.kind = outcomeKind(failure)
@@ -60,36 +60,36 @@
 }
 
 // claim claims the call's key at the ledger for this attempt.
-func (m *activeCall) claim(ctx context.Context, id fleet.AttemptID, h *heldGrant) (outcome.Claim, *Failure) {
-	key := m.req.Key
+func (c *activeCall) claim(ctx context.Context, id fleet.AttemptID, h *heldGrant) (outcome.Claim, *Failure) {
+	key := c.req.Key
 	if key == "" {
 		key = string(newAttemptID())
 	}
 	claim := outcome.Claim{
-		Key:       m.router.hash.recordKey(m.req.Team, key, 0),
-		Team:      m.req.Team,
-		Fresh:     m.req.Key == "",
-		Permitted: m.params.permitted,
+		Key:       c.router.hash.recordKey(c.req.Team, key, 0),
+		Team:      c.req.Team,
+		Fresh:     c.req.Key == "",
+		Permitted: c.params.permitted,
 		Attempt:   id,
 		Endpoint:  h.target.ID,
 	}
-	local, cancel := context.WithTimeout(ctx, m.router.bounds.LedgerTimeout)
+	local, cancel := context.WithTimeout(ctx, c.router.bounds.LedgerTimeout)
 	defer cancel()
-	verdict, record, err := m.router.opts.Ledger.Claim(local, claim)
-	failure := decideOnce(verdict, record, err, m.req.Key != "", id, m.fingerprint)
+	verdict, record, err := c.router.opts.Ledger.Claim(local, claim)
+	failure := decideOnce(verdict, record, err, c.req.Key != "", id, c.fingerprint)
 	if failure != nil {
-		m.router.record(timeline.Event{Kind: timeline.KindLedgerRefused, Request: m.req.ID, Team: m.req.Team, Attempt: id, Detail: string(failure.Code)})
+		c.router.record(timeline.Event{Kind: timeline.KindLedgerRefused, Request: c.req.ID, Team: c.req.Team, Attempt: id, Detail: string(failure.Code)})
 		return claim, failure
 	}
-	m.recordEvent(timeline.KindLedgerClaimed, id, h.target.ID)
+	c.recordEvent(timeline.KindLedgerClaimed, id, h.target.ID)
 	return claim, nil
 }
 
 // decideOnce returns nil if a claim's verdict allows a call that must not be repeated
 // to run, else the failure. Pure. A key that was decided once never runs again,
 // whatever its outcome.
-func decideOnce(v outcome.Verdict, record outcome.Record, err error, keyed bool, mine fleet.AttemptID, f fleet.Fingerprint) *Failure {
-	otherAttempt := record.Attempt != "" && record.Attempt != mine
+func decideOnce(v outcome.Verdict, record outcome.Record, err error, keyed bool, ownAttempt fleet.AttemptID, f fleet.Fingerprint) *Failure {
+	otherAttempt := record.Attempt != "" && record.Attempt != ownAttempt
 	switch {
 	case err != nil && !keyed:
 		return refused(callerapi.CodeInternal, "its record can't be written now", 0)
@@ -124,25 +124,25 @@
 
 // sendOnce sends the claimed call. The end of ctx doesn't end a call that has been
 // sent, since that would only make its outcome unknown.
-func (m *activeCall) sendOnce(ctx context.Context, h *heldGrant, id fleet.AttemptID, alone bool) (answer *CallResponse, sent bool, failed *attemptFailure) {
+func (c *activeCall) sendOnce(ctx context.Context, h *heldGrant, id fleet.AttemptID, alone bool) (answer *CallResponse, sent bool, failed *attemptFailure) {
 	for n := 1; ; n++ {
 		if ctx.Err() != nil {
 			failed = &attemptFailure{cause: causeFromContext(ctx)}
-			m.finishAttempt(h, id, failed)
+			c.finishAttempt(h, id, failed)
 			return nil, false, failed
 		}
-		answer, sent, failed = m.exchangeDetached(ctx, h, id)
-		m.finishAttempt(h, id, failed)
+		answer, sent, failed = c.exchangeDetached(ctx, h, id)
+		c.finishAttempt(h, id, failed)
 		if failed == nil || sent {
 			return answer, sent, failed
 		}
-		if !isRetryable(failed.cause) || n >= maxOnceAttempts || !m.router.mayRetryAfter(m.req.Team, failed) {
+		if !isRetryable(failed.cause) || n >= maxOnceAttempts || !c.router.mayRetryAfter(c.req.Team, failed) {
 			return nil, false, failed
 		}
-		m.avoid.add(failed.endpoint)
+		c.avoid.add(failed.endpoint)
 		// A new ID, as the release of the first grant may reach the same home after this
 		// request for a grant.
-		next, refusal := m.acquireSlot(ctx, newAttemptID(), alone)
+		next, refusal := c.acquireSlot(ctx, newAttemptID(), alone)
 		if refusal != nil {
 			return nil, false, refusal
 		}
@@ -151,10 +151,10 @@
 }
 
 // exchangeDetached sends the call so that only Abort or its timeout ends it early.
-func (m *activeCall) exchangeDetached(ctx context.Context, h *heldGrant, id fleet.AttemptID) (answer *CallResponse, sent bool, failed *attemptFailure) {
-	unbound, stop := m.router.withAbort(context.WithoutCancel(ctx))
+func (c *activeCall) exchangeDetached(ctx context.Context, h *heldGrant, id fleet.AttemptID) (answer *CallResponse, sent bool, failed *attemptFailure) {
+	detached, stop := c.router.withAbort(context.WithoutCancel(ctx))
 	defer stop()
-	return m.exchange(unbound, h, id)
+	return c.exchange(detached, h, id)
 }
 
 // onceFailure returns the failure of a call without a complete response: "not run" if
--- a/internal/route/policy.go
+++ b/internal/route/policy.go
@@ -16,8 +16,8 @@
 	policies  Policies
 }
 
-func newPolicyCache(m func(settings.Decisions) (Policies, error)) *policyCache {
-	return &policyCache{build: m}
+func newPolicyCache(build func(settings.Decisions) (Policies, error)) *policyCache {
+	return &policyCache{build: build}
 }
 
 // get returns the policies for d. Since policies may have state, they are built again
--- a/internal/route/predict.go
+++ b/internal/route/predict.go
@@ -23,7 +23,7 @@
 
 // predictWaits sums up the candidates for a request with the given number of output
 // tokens. Pure.
-func predictWaits(prefill, decode []endpoint.Candidate, output int) waitEstimate {
+func predictWaits(prefill, decode []endpoint.Candidate, outputTokens int) waitEstimate {
 	var w waitEstimate
 	for n, c := range prefill {
 		if n == 0 || c.QueuedWork < w.prefill {
@@ -37,8 +37,8 @@
 		}
 		w.queued += c.Queued
 		sum += c.TokenTime
-		if c.TokenTime > 0 && output > 0 {
-			w.drainPerSec += float64(c.Slots) / (c.TokenTime.Seconds() * float64(output))
+		if c.TokenTime > 0 && outputTokens > 0 {
+			w.drainPerSec += float64(c.Slots) / (c.TokenTime.Seconds() * float64(outputTokens))
 		}
 	}
 	if len(decode) > 0 {
--- a/internal/route/router.go
+++ b/internal/route/router.go
@@ -96,11 +96,11 @@
 	if failure := r.checkEntry(team); failure != nil {
 		return nil, failure
 	}
-	leave, entered := r.inFlight.enter(time.Now())
-	if !entered.draining && !entered.full {
+	leave, refusal := r.inFlight.enter(time.Now())
+	if !refusal.draining && !refusal.full {
 		return leave, nil
 	}
-	if entered.draining {
+	if refusal.draining {
 		return nil, drainingFailure()
 	}
 	return nil, refused(callerapi.CodeOverloaded, "this entry holds all the requests that it can", 0)
--- a/internal/route/run.go
+++ b/internal/route/run.go
@@ -43,18 +43,18 @@
 	finish          engineapi.Finish
 }
 
-func (r *Router) newActiveModelRequest(req ModelRequest, c modelParams, f fleet.Fingerprint, sink Sink) *activeModelRequest {
+func (r *Router) newActiveModelRequest(req ModelRequest, params modelParams, f fleet.Fingerprint, sink Sink) *activeModelRequest {
 	return &activeModelRequest{
 		router:          r,
 		req:             req,
-		params:          c,
+		params:          params,
 		fingerprint:     f,
 		gate:            placement.Gate(r.opts.Source, req.Team, r.opts.Recorder),
 		sink:            sink,
-		prefillArrivals: r.openArrivals(req.ID, prefillPool+c.model.Model),
-		decodeArrivals:  r.openArrivals(req.ID, decodePool+c.model.Model),
+		prefillArrivals: r.openArrivals(req.ID, prefillPool+params.model.Model),
+		decodeArrivals:  r.openArrivals(req.ID, decodePool+params.model.Model),
 		avoid:           endpointSet{},
-		deadline:        req.Arrived.Add(c.patience),
+		deadline:        req.Arrived.Add(params.patience),
 	}
 }
 
--- a/internal/route/transfer.go
+++ b/internal/route/transfer.go
@@ -32,8 +32,8 @@
 	if failed != nil {
 		return failed
 	}
-	for attempt := range maxTransferAttempts {
-		if attempt > 0 && !a.replaceDecode(ctx, failed) {
+	for transfer := range maxTransferAttempts {
+		if transfer > 0 && !a.replaceDecode(ctx, failed) {
 			return failed
 		}
 		if failed = a.importKV(ctx); failed == nil {
