--- a/internal/route/bounds.go
+++ b/internal/route/bounds.go
@@ -18,7 +18,7 @@
 	MaxRunningRequests   int           // requests in flight at this entry
 }
 
-// DefaultBounds are the values of fields that are zero.
+// DefaultBounds are the values used for fields of Bounds that are zero.
 var DefaultBounds = Bounds{
 	MaxAttempts:          4,
 	DefaultPatience:      10 * time.Second,
--- a/internal/route/lastseen.go
+++ b/internal/route/lastseen.go
@@ -11,7 +11,7 @@
 
 // Limits of the wait for endpoints whose home is moving.
 const (
-	maxHomeMoveDuration = 2 * time.Second // after this time a move has made its endpoints visible again
+	maxHomeMoveDuration = 2 * time.Second // maximum time for which a move hides endpoints
 	absencePollInterval = 20 * time.Millisecond
 	maxQueryKeys        = 4096 // queries remembered
 )
