--- a/internal/route/call.go
+++ b/internal/route/call.go
@@ -13,168 +13,171 @@
 	"github.com/hyssopsail/hyssopsail/internal/timeline"
 )
 
-// Call runs a call of a plain service and gives its whole answer, or why
-// there is none. A call that may not be repeated is claimed at the ledger
-// before its first byte leaves, and sent at most once.
-func (r *Router) Call(ctx context.Context, req CallRequest) (*CallAnswer, *Failure) {
+// Call runs a call of a plain service and returns its complete response, or the
+// failure. A call that must not be repeated is claimed at the ledger before its
+// first byte is sent, and is sent at most once.
+func (r *Router) Call(ctx context.Context, req CallRequest) (*CallResponse, *Failure) {
 	answer, failure := r.call(ctx, req)
-	r.metrics.ended(kindCall, failure)
+	r.metrics.requestEnded(kindCall, failure)
 	r.recordEnd(req.ID, req.Team, failure)
 	return answer, failure
 }
 
-func (r *Router) call(ctx context.Context, req CallRequest) (*CallAnswer, *Failure) {
+func (r *Router) call(ctx context.Context, req CallRequest) (*CallResponse, *Failure) {
 	leave, failure := r.enter(req.Team)
 	if failure != nil {
-		return nil, unsureOfKey(req.Key, failure)
+		return nil, unknownIfKeyed(req.Key, failure)
 	}
 	defer leave()
 	r.record(timeline.Event{Kind: timeline.KindReceived, Request: req.ID, Team: req.Team})
-	c, failure := classifyCall(r.opts.Source.State().Tree, req, r.bounds)
+	params, failure := resolveCallParams(r.opts.Source.State().Tree, req, r.bounds)
 	if failure != nil {
 		return nil, failure
 	}
-	ctx, stop := r.abortable(ctx)
+	ctx, stop := r.withAbort(ctx)
 	defer stop()
-	m := r.newCallRun(req, c)
-	// Only after a panic is a hold still there.
-	defer func() { r.free(m.held, nil, 0) }()
-	defer m.arrivals.account.Close()
-	if c.idempotent {
-		return m.repeatable(ctx)
+	c := r.newActiveCall(req, params)
+	// The grant is still held here only after a panic.
+	defer func() { r.release(c.latestGrant, nil, 0) }()
+	defer c.arrivals.account.Close()
+	if params.idempotent {
+		return c.runRepeatable(ctx)
 	}
-	return m.once(ctx)
+	return c.runOnce(ctx)
 }
 
-// callRun is one plain call over its attempts. One goroutine owns it.
-type callRun struct {
+// activeCall is the state of one plain call over all its attempts. It is owned by
+// one goroutine.
+type activeCall struct {
 	router      *Router
 	req         CallRequest
-	class       callClass
+	params      callParams
 	fingerprint fleet.Fingerprint
 	gate        engine.Gate
 	arrivals    *arrivals
 	avoid       endpointSet
-	deadline    time.Time // for the endpoint to be chosen and free
-	held        *hold     // the newest
+	deadline    time.Time // for getting a slot at an endpoint
+	latestGrant *heldGrant
 }
 
-func (r *Router) newCallRun(req CallRequest, c callClass) *callRun {
-	return &callRun{
+func (r *Router) newActiveCall(req CallRequest, params callParams) *activeCall {
+	return &activeCall{
 		router:      r,
 		req:         req,
-		class:       c,
+		params:      params,
 		fingerprint: r.hash.callFingerprint(req),
 		gate:        placement.Gate(r.opts.Source, req.Team, r.opts.Recorder),
 		arrivals:    r.openArrivals(req.ID, servicePool+req.Service),
 		avoid:       endpointSet{},
-		deadline:    req.Arrived.Add(c.patience),
+		deadline:    req.Arrived.Add(params.patience),
 	}
 }
 
-// unclaimed makes a refusal before the claim true over all entries.
-func (m *callRun) unclaimed(ctx context.Context, f *Failure) *Failure {
-	if m.req.Key == "" {
+// refuseUnclaimed returns f, a refusal before the claim. For a keyed call it first
+// records the refusal at the ledger, so that it holds at all entries.
+func (c *activeCall) refuseUnclaimed(ctx context.Context, f *Failure) *Failure {
+	if c.req.Key == "" {
 		return f
 	}
-	return m.router.truthful(ctx, forbidInput{
-		team: m.req.Team, key: m.req.Key, permitted: m.class.permitted, fingerprint: m.fingerprint,
+	return c.router.confirmNotRun(ctx, forbidInput{
+		team: c.req.Team, key: c.req.Key, permitted: c.params.permitted, fingerprint: c.fingerprint,
 	}, f)
 }
 
-func (m *callRun) event(k timeline.Kind, a fleet.AttemptID, at fleet.EndpointID) {
-	m.router.record(timeline.Event{Kind: k, Request: m.req.ID, Attempt: a, Team: m.req.Team, Endpoint: at})
+func (c *activeCall) recordEvent(k timeline.Kind, a fleet.AttemptID, at fleet.EndpointID) {
+	c.router.record(timeline.Event{Kind: k, Request: c.req.ID, Attempt: a, Team: c.req.Team, Endpoint: at})
 }
 
-func (m *callRun) query() endpoint.Query {
-	q := endpoint.Query{Kind: fleet.RolePlain, Service: m.req.Service}
-	if team, ok := m.router.opts.Source.State().Tree.Teams[m.req.Team]; ok {
+func (c *activeCall) query() endpoint.Query {
+	q := endpoint.Query{Kind: fleet.RolePlain, Service: c.req.Service}
+	if team, ok := c.router.opts.Source.State().Tree.Teams[c.req.Team]; ok {
 		q.Permitted = team.Permitted()
 	}
 	return q
 }
 
-// admit asks admission once.
-func (m *callRun) admit() (done func(), failure *Failure) {
-	w := predictWaits(nil, m.router.opts.Follower.Candidates(m.query()), 0)
+// admit asks the admission controller once. done must be called when the call ends.
+func (c *activeCall) admit() (done func(), failure *Failure) {
+	w := predictWaits(nil, c.router.opts.Follower.Candidates(c.query()), 0)
 	q := admission.Request{
-		Team:          m.req.Team,
-		Limits:        m.class.team.Limits,
-		Share:         m.class.team.Share,
+		Team:          c.req.Team,
+		Limits:        c.params.team.Limits,
+		Share:         c.params.team.Share,
 		Work:          1,
-		Patience:      time.Until(m.deadline),
+		Patience:      time.Until(c.deadline),
 		PredictedWait: w.decode,
 		Queued:        w.queued,
-		RequestID:     m.req.ID,
+		RequestID:     c.req.ID,
 	}
-	d := m.router.admit(q)
+	d := c.router.admit(q)
 	if !d.Admitted {
 		return nil, admissionRefusal(d)
 	}
-	return func() { m.router.admissionDone(q) }, nil
+	return func() { c.router.admissionDone(q) }, nil
 }
 
-// take chooses an endpoint and gets a slot at it from its home.
-func (m *callRun) take(ctx context.Context, id fleet.AttemptID, alone bool) (*hold, *setback) {
-	policies, ok := m.router.policies.get(m.router.opts.Source.State().Tree.Fleet.Decisions)
+// acquireSlot chooses an endpoint and requests a grant from its home. If that is
+// refused for want of a slot, it tries other endpoints.
+func (c *activeCall) acquireSlot(ctx context.Context, id fleet.AttemptID, alone bool) (*heldGrant, *attemptFailure) {
+	policies, ok := c.router.policies.get(c.router.opts.Source.State().Tree.Fleet.Decisions)
 	if !ok {
-		return nil, final(noPolicy())
+		return nil, finalAttemptFailure(noPolicyFailure())
 	}
-	avoid := m.avoid.with()
-	var last *setback
-	for range grantTries {
-		candidates, rest := m.router.open(ctx, m.query(), m.deadline)
-		chosen, ok := m.router.choose(policies.Plain, m.scheduleRequest(avoid), allowed(candidates, avoid))
+	avoid := c.avoid.copyWith()
+	var last *attemptFailure
+	for range maxGrantRequests {
+		candidates, cooldown := c.router.availableCandidates(ctx, c.query(), c.deadline)
+		chosen, ok := c.router.choose(policies.Plain, c.scheduleRequest(avoid), withoutAvoided(candidates, avoid))
 		if !ok && last == nil {
-			return nil, noCandidate(candidates, rest)
+			return nil, noCandidateFailure(candidates, cooldown)
 		}
 		if !ok {
 			return nil, last
 		}
-		h, s := m.askHome(ctx, chosen, id, alone, max(time.Until(m.deadline), 0))
-		if s == nil {
+		h, failed := c.requestGrant(ctx, chosen, id, alone, max(time.Until(c.deadline), 0))
+		if failed == nil {
 			return h, nil
 		}
-		if s.cause != causeFull {
-			return nil, s
+		if failed.cause != causeNoSlot {
+			return nil, failed
 		}
 		avoid.add(chosen.ID)
-		last = worse(last, s)
+		last = earlierRetry(last, failed)
 	}
 	return nil, last
 }
 
-func (m *callRun) scheduleRequest(avoid endpointSet) schedule.Request {
+func (c *activeCall) scheduleRequest(avoid endpointSet) schedule.Request {
 	return schedule.Request{
-		Team:      m.req.Team,
-		EntryZone: m.router.opts.Source.Self().Zone,
+		Team:      c.req.Team,
+		EntryZone: c.router.opts.Source.Self().Zone,
 		Avoid:     avoid,
 	}
 }
 
-func (m *callRun) askHome(ctx context.Context, c endpoint.Candidate, id fleet.AttemptID, alone bool, wait time.Duration) (*hold, *setback) {
-	grant, refusal, err := m.router.opts.Follower.Take(ctx, endpoint.GrantRequest{
-		Endpoint:    c.ID,
+func (c *activeCall) requestGrant(ctx context.Context, candidate endpoint.Candidate, id fleet.AttemptID, alone bool, wait time.Duration) (*heldGrant, *attemptFailure) {
+	grant, refusal, err := c.router.opts.Follower.Take(ctx, endpoint.GrantRequest{
+		Endpoint:    candidate.ID,
 		Kind:        fleet.RolePlain,
 		Attempt:     id,
-		Team:        m.req.Team,
+		Team:        c.req.Team,
 		Wait:        wait,
-		Share:       m.class.team.Share,
-		Priority:    m.class.priority,
-		Fingerprint: m.fingerprint,
+		Share:       c.params.team.Share,
+		Priority:    c.params.priority,
+		Fingerprint: c.fingerprint,
 		Alone:       alone,
 	})
 	switch {
 	case ctx.Err() != nil:
-		m.router.returnUnused(grant)
-		return nil, &setback{cause: fromContext(ctx)}
+		c.router.releaseUnused(grant)
+		return nil, &attemptFailure{cause: causeFromContext(ctx)}
 	case err != nil:
-		return nil, &setback{cause: causeFull}
+		return nil, &attemptFailure{cause: causeNoSlot}
 	case refusal != nil:
-		m.event(timeline.KindGrantRefused, id, c.ID)
-		return nil, &setback{cause: causeFull, retryAfter: refusal.RetryAfter}
+		c.recordEvent(timeline.KindGrantRefused, id, candidate.ID)
+		return nil, &attemptFailure{cause: causeNoSlot, retryAfter: refusal.RetryAfter}
 	}
-	m.event(timeline.KindGranted, id, c.ID)
-	m.held = newHold(*grant, time.Now())
-	return m.held, nil
+	c.recordEvent(timeline.KindGranted, id, candidate.ID)
+	c.latestGrant = newHeldGrant(*grant, time.Now())
+	return c.latestGrant, nil
 }
--- a/internal/route/repeatable.go
+++ b/internal/route/repeatable.go
@@ -7,56 +7,56 @@
 	"github.com/hyssopsail/hyssopsail/internal/timeline"
 )
 
-// repeatable runs an idempotent call, again elsewhere when an endpoint fails
-// it. It needs no record: running it twice changes nothing.
-func (m *callRun) repeatable(ctx context.Context) (*CallAnswer, *Failure) {
-	done, failure := m.admit()
+// runRepeatable runs an idempotent call and retries it at other endpoints when one
+// fails. It needs no ledger record, as running it twice is harmless.
+func (c *activeCall) runRepeatable(ctx context.Context) (*CallResponse, *Failure) {
+	done, failure := c.admit()
 	if failure != nil {
 		return nil, failure
 	}
 	defer done()
-	touched := false
+	maybeSent := false
 	for attempts := 1; ; attempts++ {
-		answer, sent, s := m.tryRepeatable(ctx)
-		if s == nil {
+		answer, sent, failed := c.tryRepeatable(ctx)
+		if failed == nil {
 			return answer, nil
 		}
-		touched = touched || sent
-		m.avoid.add(s.endpoint)
+		maybeSent = maybeSent || sent
+		c.avoid.add(failed.endpoint)
 		in := retryInput{
-			setback:  s,
-			attempts: attempts,
-			most:     m.router.bounds.Attempts,
-			touched:  touched,
-			now:      time.Now(),
-			deadline: m.deadline,
+			attemptFailure: failed,
+			attempts:       attempts,
+			maxAttempts:    c.router.bounds.MaxAttempts,
+			maybeSent:      maybeSent,
+			now:            time.Now(),
+			deadline:       c.deadline,
 		}
 		d := decideRetry(in)
-		if !d.again {
+		if !d.retry {
 			return nil, d.failure
 		}
-		if !m.router.mayTryAgain(m.req.Team, s) {
-			return nil, finalFailure(in)
+		if !c.router.mayRetryAfter(c.req.Team, failed) {
+			return nil, callerFailure(in)
 		}
-		m.event(timeline.KindRetry, "", s.endpoint)
+		c.recordEvent(timeline.KindRetry, "", failed.endpoint)
 	}
 }
 
-func (m *callRun) tryRepeatable(ctx context.Context) (answer *CallAnswer, sent bool, s *setback) {
+func (c *activeCall) tryRepeatable(ctx context.Context) (answer *CallResponse, sent bool, failed *attemptFailure) {
 	id := newAttemptID()
-	alone, s := m.turn(ctx, id)
-	if s != nil {
-		return nil, false, s
+	alone, failed := c.awaitTurn(ctx, id)
+	if failed != nil {
+		return nil, false, failed
 	}
-	h, s := m.take(ctx, id, alone)
-	if s != nil {
-		m.settle(nil, id, s)
-		return nil, false, s
+	h, failed := c.acquireSlot(ctx, id, alone)
+	if failed != nil {
+		c.finishAttempt(nil, id, failed)
+		return nil, false, failed
 	}
-	answer, sent, s = m.exchange(ctx, h, id)
-	m.settle(h, id, s)
-	if s == nil {
-		m.router.succeeded(m.req.Team, h.target.ID)
+	answer, sent, failed = c.exchange(ctx, h, id)
+	c.finishAttempt(h, id, failed)
+	if failed == nil {
+		c.router.recordSuccess(c.req.Team, h.target.ID)
 	}
-	return answer, sent, s
+	return answer, sent, failed
 }
