--- a/internal/consensus/config.go
+++ b/internal/consensus/config.go
@@ -10,7 +10,7 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// The defaults of Config.
+// Defaults of Config.
 const (
 	DefaultElectionTimeout   = 500 * time.Millisecond
 	DefaultHeartbeatInterval = 100 * time.Millisecond
@@ -20,35 +20,37 @@
 	DefaultMaxPendingBytes   = 64 << 20
 )
 
-// MaxCommand bounds one proposed command, bytes.
-const MaxCommand = 4 << 20
+// MaxCommandBytes is the maximum size of one proposed command.
+const MaxCommandBytes = 4 << 20
 
 // leaseDivisor sets the lease of a leader to ElectionTimeout minus
 // ElectionTimeout/leaseDivisor. A lease read is safe as long as the clocks of
 // two members differ in rate by less than 1/leaseDivisor.
 const leaseDivisor = 4
 
-// Config is what one Core needs to know of its surroundings.
+// Config configures a Core. Zero values of the numeric fields select the
+// defaults.
 type Config struct {
 	// ID is the disk ID of this member.
 	ID string
-	// ElectionTimeout is the least silence of a leader after which a member
-	// may stand or vote; each member waits up to twice as long at random.
+	// ElectionTimeout is the minimum time without contact from a leader after
+	// which a member may vote or start an election. Each member waits a random
+	// time between one and two election timeouts before it starts one.
 	ElectionTimeout time.Duration
-	// HeartbeatInterval is the pause between a leader's heartbeat rounds.
+	// HeartbeatInterval is the time between a leader's heartbeat rounds.
 	HeartbeatInterval time.Duration
-	// MaxMessageBytes bounds the entries or the part of a snapshot in one
-	// message; one larger entry is still sent, alone. A heartbeat waits behind
-	// the message before it: 256 KB take 0.2 s on a link of 10 Mbit/s, less than
-	// an election timeout.
+	// MaxMessageBytes limits the entries or the snapshot part in one message; a
+	// larger single entry is sent alone. A heartbeat is queued behind the
+	// message before it: 256 KB take 0.2 s on a 10 Mbit/s link, less than an
+	// election timeout.
 	MaxMessageBytes int
-	// MaxInflight bounds the unanswered append messages for each member.
+	// MaxInflight limits the unacknowledged append messages per member.
 	MaxInflight int
-	// MaxUncommitted bounds the entries of a leader that await commit.
+	// MaxUncommitted limits a leader's uncommitted entries.
 	MaxUncommitted uint64
-	// MaxPendingBytes bounds the commands in them.
+	// MaxPendingBytes limits the total size of the uncommitted commands.
 	MaxPendingBytes int
-	// Random draws election timeouts.
+	// Random randomizes election timeouts.
 	Random *rand.Rand
 }
 
@@ -72,14 +74,15 @@
 	return c, nil
 }
 
-// lease is how long a quorum's answers keep a leader from being replaced.
-func (c Config) lease() time.Duration {
+// leaseDuration returns how long a heartbeat round that a quorum answered
+// protects the leader from being replaced, counted from the sending of the round.
+func (c Config) leaseDuration() time.Duration {
 	return c.ElectionTimeout - c.ElectionTimeout/leaseDivisor
 }
 
-// State is what a member has on disk when it starts.
+// State is the persisted state of a member at its start.
 type State struct {
 	HardState *pb.HardState  // nil on an empty disk
-	Snapshot  *pb.Snapshot   // nil when none was taken
-	Entries   []*pb.LogEntry // those after the snapshot
+	Snapshot  *pb.Snapshot   // nil if there is none
+	Entries   []*pb.LogEntry // entries after the snapshot
 }
--- a/internal/consensus/core.go
+++ b/internal/consensus/core.go
@@ -6,7 +6,7 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// Core is one member of the group. It is not safe for concurrent use.
+// Core is the consensus state of one member. It is not safe for concurrent use.
 type Core struct {
 	config Config
 	log    replicatedLog
@@ -16,26 +16,26 @@
 	vote   string // disk ID voted for in term
 	leader string // disk ID of the leader of term, if known
 
-	savedTerm uint64 // what is persisted
-	savedVote string
+	savedTerm uint64 // persisted term
+	savedVote string // persisted vote
 
-	electionDue time.Time
-	lastLeader  time.Time       // when a leader was last heard
-	votes       map[string]bool // answers to the own candidacy
+	electionDeadline time.Time
+	leaderContact    time.Time       // last message from a leader
+	votes            map[string]bool // granted votes by disk ID
 
-	members      map[string]*progress // as leader
-	heartbeatDue time.Time
-	pending      int // bytes of the own proposals that await commit
-	lease        lease
-	reads        []read
-	receiving    *pb.Snapshot // parts of a snapshot that came so far
+	progress         map[string]*progress // by disk ID; only while leader
+	nextHeartbeat    time.Time
+	pendingBytes     int // size of this leader's uncommitted commands
+	lease            lease
+	pendingReads     []pendingRead
+	receivedSnapshot *pb.Snapshot // snapshot parts received so far
 
-	messages []*pb.ConsensusMessage
-	results  []ReadResult
+	messages    []*pb.ConsensusMessage
+	readResults []ReadResult
 }
 
-// New restores a member from what it persisted. Entries up to the snapshot
-// count as applied: the owner restores its state machine from it first.
+// New restores a member from its persisted state. Entries up to the snapshot
+// count as applied: the caller first restores its state machine from it.
 func New(config Config, state State, now time.Time) (*Core, error) {
 	config, err := config.withDefaults()
 	if err != nil {
@@ -46,59 +46,60 @@
 		c.term, c.vote = state.HardState.Term, state.HardState.VotedFor
 	}
 	c.savedTerm, c.savedVote = c.term, c.vote
-	// A member that restarts has forgotten which leader it promised not to
-	// replace; by voting at once it would break that leader's lease, and a
-	// stale read would follow. It keeps quiet as if it had just heard one.
-	c.lastLeader = now
+	// The restarted member no longer knows whether it supports a leader's
+	// lease. Voting at once could violate the lease and allow a stale read, so
+	// the member waits as if it had just heard from a leader.
+	c.leaderContact = now
 	c.becomeFollower(now, c.term, "")
 	return c, nil
 }
 
-// Tick acts on what has become due. Call it every few tens of milliseconds.
+// Tick processes expired timers. Call it every few tens of milliseconds.
 func (c *Core) Tick(now time.Time) {
 	if c.role == Leader {
 		c.tickLeader(now)
 		return
 	}
-	if now.Before(c.electionDue) || !c.mayStand() {
+	if now.Before(c.electionDeadline) || !c.canCampaign() {
 		return
 	}
-	c.standPre(now)
+	c.preCampaign(now)
 }
 
-// Step takes in a message of another member. Messages for another disk, or
-// of a kind not known here, are dropped.
+// Step processes a message from another member. Messages to another disk and
+// of an unknown kind are dropped.
 func (c *Core) Step(now time.Time, m *pb.ConsensusMessage) {
 	if m.To != c.config.ID || m.From == c.config.ID {
 		return
 	}
-	if m.Term > c.term && !c.stepNewer(now, m) {
+	if m.Term > c.term && !c.stepNewerTerm(now, m) {
 		return
 	}
 	if m.Term < c.term {
-		c.stepOlder(m)
+		c.stepOlderTerm(m)
 		return
 	}
-	c.dispatch(now, m)
+	c.stepCurrentTerm(now, m)
 }
 
-// stepNewer takes in a message of a later term; false when it is done with.
-func (c *Core) stepNewer(now time.Time, m *pb.ConsensusMessage) bool {
+// stepNewerTerm handles the later term of m. It returns false if m needs no
+// further processing.
+func (c *Core) stepNewerTerm(now time.Time, m *pb.ConsensusMessage) bool {
 	switch m.Kind {
 	case pb.MessageKind_MESSAGE_KIND_PRE_VOTE:
-		c.answerPreVote(now, m)
+		c.handlePreVote(now, m)
 		return false
 	case pb.MessageKind_MESSAGE_KIND_PRE_VOTE_REPLY:
 		if !m.Reject {
-			// A granted pre-vote names the term that would come; the term
-			// only begins with a real vote.
-			c.countPreVote(now, m)
+			// A granted pre-vote carries the prospective term; that term
+			// starts only with an actual vote.
+			c.handlePreVoteReply(now, m)
 			return false
 		}
 		c.becomeFollower(now, m.Term, "")
 		return false
 	case pb.MessageKind_MESSAGE_KIND_VOTE:
-		if c.followsLeader(now) && !m.Handover {
+		if c.hasRecentLeader(now) && !m.Handover {
 			return false
 		}
 		c.becomeFollower(now, m.Term, "")
@@ -110,10 +111,10 @@
 	return true
 }
 
-// stepOlder answers a message of an earlier term where the sender would
-// otherwise never learn of the later one: a leader whose member voted in a
-// later term, and a candidate that was cut off while terms passed.
-func (c *Core) stepOlder(m *pb.ConsensusMessage) {
+// stepOlderTerm answers a message of an earlier term if its sender might not
+// learn of the later term otherwise: a leader whose follower voted in a later
+// term, or a candidate that was partitioned while the term advanced.
+func (c *Core) stepOlderTerm(m *pb.ConsensusMessage) {
 	switch m.Kind {
 	case pb.MessageKind_MESSAGE_KIND_APPEND, pb.MessageKind_MESSAGE_KIND_HEARTBEAT, pb.MessageKind_MESSAGE_KIND_SNAPSHOT:
 		c.send(&pb.ConsensusMessage{Kind: pb.MessageKind_MESSAGE_KIND_APPEND_REPLY, To: m.From, Reject: true})
@@ -124,14 +125,14 @@
 	}
 }
 
-func (c *Core) dispatch(now time.Time, m *pb.ConsensusMessage) {
+func (c *Core) stepCurrentTerm(now time.Time, m *pb.ConsensusMessage) {
 	switch m.Kind {
 	case pb.MessageKind_MESSAGE_KIND_PRE_VOTE:
-		c.answerPreVote(now, m)
+		c.handlePreVote(now, m)
 	case pb.MessageKind_MESSAGE_KIND_VOTE:
-		c.answerVote(now, m)
+		c.handleVote(now, m)
 	case pb.MessageKind_MESSAGE_KIND_VOTE_REPLY:
-		c.countVote(now, m)
+		c.handleVoteReply(now, m)
 	case pb.MessageKind_MESSAGE_KIND_APPEND:
 		c.handleAppend(now, m)
 	case pb.MessageKind_MESSAGE_KIND_HEARTBEAT:
@@ -149,7 +150,7 @@
 	}
 }
 
-// send queues m with the own identity, and the own term unless m has one.
+// send queues m with this member's ID, and its term unless m has one.
 func (c *Core) send(m *pb.ConsensusMessage) {
 	m.From = c.config.ID
 	if m.Term == 0 {
@@ -158,9 +159,10 @@
 	c.messages = append(c.messages, m)
 }
 
-// Compact takes over a snapshot of the applied state up to s.Index, and drops
-// entries except the newest keep before it, which spare a member that lags a
-// little the whole snapshot. The snapshot must be durable.
+// Compact records a snapshot of the state applied up to s.Index and drops the
+// entries that it covers, except for the newest keep entries. These let a
+// slightly lagging member catch up without a snapshot. The snapshot must be
+// durable.
 func (c *Core) Compact(s *pb.Snapshot, keep uint64) {
 	keepFrom := uint64(1)
 	if s.Index > keep {
@@ -169,9 +171,9 @@
 	c.log.compact(s, keepFrom)
 }
 
-// SnapshotAt describes, without data, a snapshot of the state as applied up
-// to index, which must be applied and not compacted.
+// SnapshotAt returns the metadata, without data, for a snapshot of the state
+// at index. The entry at index must be applied and not compacted.
 func (c *Core) SnapshotAt(index uint64) *pb.Snapshot {
 	term, _ := c.log.termAt(index)
-	return &pb.Snapshot{Index: index, Term: term, Membership: c.log.membershipBefore(index)}
+	return &pb.Snapshot{Index: index, Term: term, Membership: c.log.membershipAtIndex(index)}
 }
--- a/internal/consensus/core_test.go
+++ b/internal/consensus/core_test.go
@@ -10,9 +10,9 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-var begin = time.Unix(1000, 0)
+var testStart = time.Unix(1000, 0)
 
-func threeMembers(t *testing.T) State {
+func threeMemberState(t *testing.T) State {
 	t.Helper()
 	state, err := Bootstrap([]*pb.Member{
 		{InstanceId: "a", DiskId: "a", RpcAddress: "a"},
@@ -25,28 +25,28 @@
 
 func newCore(t *testing.T, id string) *Core {
 	t.Helper()
-	return coreOf(t, id, threeMembers(t))
+	return newCoreWithState(t, id, threeMemberState(t))
 }
 
-func coreOf(t *testing.T, id string, state State) *Core {
+func newCoreWithState(t *testing.T, id string, state State) *Core {
 	t.Helper()
-	c, err := New(Config{ID: id, Random: rand.New(rand.NewPCG(1, 1))}, state, begin)
+	c, err := New(Config{ID: id, Random: rand.New(rand.NewPCG(1, 1))}, state, testStart)
 	assert.NilError(t, err)
 	return c
 }
 
-// answers steps m into c and gives the messages it sends.
-func answers(c *Core, now time.Time, m *pb.ConsensusMessage) []*pb.ConsensusMessage {
+// stepAndCollect steps m into c and returns the messages that c sends.
+func stepAndCollect(c *Core, now time.Time, m *pb.ConsensusMessage) []*pb.ConsensusMessage {
 	c.Step(now, m)
 	r := c.Ready()
 	c.Advance(now, r)
 	return r.Messages
 }
 
-// A member promises its leader, by each answer, not to help another for an
-// election timeout. One that breaks the promise, also because a restart made
-// it forget, elects a second leader while the first answers reads under its
-// lease: a user sees a change and then, at the first leader, the state before.
+// With each answer a member promises its leader not to vote for another within
+// an election timeout. If it voted anyway, for example after a restart, a second
+// leader could be elected while the first still serves reads under its lease:
+// a user would see a change and then, at the first leader, the earlier state.
 func TestNoVoteWithinTheLease(t *testing.T) {
 	heartbeat := &pb.ConsensusMessage{Kind: pb.MessageKind_MESSAGE_KIND_HEARTBEAT, From: "a", To: "b", Term: 1}
 	tables := []struct {
@@ -65,10 +65,10 @@
 		for _, kind := range []pb.MessageKind{pb.MessageKind_MESSAGE_KIND_VOTE, pb.MessageKind_MESSAGE_KIND_PRE_VOTE} {
 			c := newCore(t, "b")
 			if row.heard {
-				answers(c, begin.Add(100*time.Millisecond), heartbeat)
+				stepAndCollect(c, testStart.Add(100*time.Millisecond), heartbeat)
 			}
 			vote := &pb.ConsensusMessage{Kind: kind, From: "c", To: "b", Term: 2, PrevIndex: 9, PrevTerm: 1}
-			sent := answers(c, begin.Add(row.after), vote)
+			sent := stepAndCollect(c, testStart.Add(row.after), vote)
 			assert.Equal(t, len(sent) == 1 && !sent[0].Reject, row.votes, "%s, %s", row.name, kind)
 			if !row.votes {
 				assert.Equal(t, c.Status().Term, uint64(1), "%s, %s", row.name, kind)
@@ -77,26 +77,26 @@
 	}
 }
 
-// A leader that removes itself crashes with the removal on its disk only. The
-// rest needs its vote and can't have it; unless it stands itself, no user is
-// ever served again.
-func TestRemovedLeaderStandsUntilTheRemovalIsCommitted(t *testing.T) {
-	state := threeMembers(t)
+// A leader that removes itself crashes with the removal only on its own disk.
+// The others need its vote, which it can't grant to their shorter logs, so the
+// group stays without a leader unless the removed member campaigns itself.
+func TestRemovedLeaderCampaignsUntilRemovalIsCommitted(t *testing.T) {
+	state := threeMemberState(t)
 	without := &pb.Membership{}
 	without.Members = append(without.Members, newCore(t, "a").Status().Membership.Members[1:]...)
 	c := newCore(t, "a")
 	c.term, c.role, c.leader = 2, Leader, "a"
-	c.members = map[string]*progress{}
-	c.syncProgress(begin)
-	c.appendMembership(begin, without)
+	c.progress = map[string]*progress{}
+	c.syncProgress(testStart)
+	c.appendMembership(testStart, without)
 	state.Entries = c.log.entries
-	restarted := coreOf(t, "a", state)
-	restarted.Tick(begin.Add(2 * DefaultElectionTimeout))
+	restarted := newCoreWithState(t, "a", state)
+	restarted.Tick(testStart.Add(2 * DefaultElectionTimeout))
 	assert.Equal(t, restarted.Status().Role, PreCandidate)
 }
 
-// Messages that no correct member sends must do nothing.
-func TestOddMessagesAreDropped(t *testing.T) {
+// Messages that no correct member sends must have no effect.
+func TestInvalidMessagesAreDropped(t *testing.T) {
 	tables := map[string]*pb.ConsensusMessage{
 		"for another disk":   {Kind: pb.MessageKind_MESSAGE_KIND_APPEND, From: "a", To: "c", Term: 5},
 		"from itself":        {Kind: pb.MessageKind_MESSAGE_KIND_APPEND, From: "b", To: "b", Term: 5},
@@ -106,35 +106,37 @@
 	}
 	for name, m := range tables {
 		c := newCore(t, "b")
-		assert.Equal(t, len(answers(c, begin, m)), 0, name)
+		assert.Equal(t, len(stepAndCollect(c, testStart, m)), 0, name)
 		assert.Equal(t, c.Status().Last, uint64(1), name)
 	}
 }
 
-// newLeader is "a" at the start of term 4, with an entry of term 2 at index 2
-// and its own first entry at 3, neither committed.
+// newLeader returns "a" as the leader at the start of term 4, with an entry of
+// term 2 at index 2 and its own first entry at index 3, neither committed.
 func newLeader(t *testing.T) (*Core, time.Time) {
 	t.Helper()
-	state := threeMembers(t)
+	state := threeMemberState(t)
 	state.HardState = &pb.HardState{Term: 3, Commit: 1}
 	state.Entries = append(state.Entries, &pb.LogEntry{Index: 2, Term: 2, Kind: pb.EntryKind_ENTRY_KIND_NO_OP})
-	c := coreOf(t, "a", state)
-	now := begin.Add(2 * DefaultElectionTimeout)
+	c := newCoreWithState(t, "a", state)
+	now := testStart.Add(2 * DefaultElectionTimeout)
 	c.Tick(now)
-	answers(c, now, &pb.ConsensusMessage{Kind: pb.MessageKind_MESSAGE_KIND_PRE_VOTE_REPLY, From: "b", To: "a", Term: 4})
-	answers(c, now, &pb.ConsensusMessage{Kind: pb.MessageKind_MESSAGE_KIND_VOTE_REPLY, From: "b", To: "a", Term: 4})
+	stepAndCollect(c, now, &pb.ConsensusMessage{Kind: pb.MessageKind_MESSAGE_KIND_PRE_VOTE_REPLY, From: "b", To: "a", Term: 4})
+	stepAndCollect(c, now, &pb.ConsensusMessage{Kind: pb.MessageKind_MESSAGE_KIND_VOTE_REPLY, From: "b", To: "a", Term: 4})
 	assert.Equal(t, c.Status().Role, Leader)
 	return c, now
 }
 
-// acknowledge lets "b" tell the leader of term 4 that it holds all up to index.
-func acknowledge(c *Core, now time.Time, index uint64) {
-	answers(c, now, &pb.ConsensusMessage{Kind: pb.MessageKind_MESSAGE_KIND_APPEND_REPLY, From: "b", To: "a", Term: 4, PrevIndex: index})
+// acknowledgeFromB delivers an acknowledgement from "b" up to index to the
+// leader of term 4.
+func acknowledgeFromB(c *Core, now time.Time, index uint64) {
+	stepAndCollect(c, now, &pb.ConsensusMessage{Kind: pb.MessageKind_MESSAGE_KIND_APPEND_REPLY, From: "b", To: "a", Term: 4, PrevIndex: index})
 }
 
-// Two operators change the members at once, or one does when a new leader
-// doesn't know yet which earlier change holds. With both changes under way two
-// quorums without a common member exist: two leaders, and a change lost.
+// Two operators change the membership at once, or one does while a new leader
+// doesn't know yet whether an earlier change is committed. With two pending
+// changes there could be two quorums without a common member: two leaders, and
+// a lost change.
 func TestOneMembershipChangeAtATime(t *testing.T) {
 	c, now := newLeader(t)
 	add := func(id string) error {
@@ -142,42 +144,43 @@
 		return err
 	}
 	assert.ErrorIs(t, add("d"), ErrChangePending)
-	acknowledge(c, now, 3)
+	acknowledgeFromB(c, now, 3)
 	assert.NilError(t, add("d"))
 	assert.ErrorIs(t, add("e"), ErrChangePending)
 	c.Advance(now, c.Ready())
-	acknowledge(c, now, 4)
+	acknowledgeFromB(c, now, 4)
 	assert.NilError(t, add("e"))
 }
 
-// An entry of an earlier term is on a quorum, and the leader counts it as
-// committed; it crashes, and a member whose last entry is of a term between
-// the two wins and overwrites it: a confirmed change is gone.
+// If a leader committed an entry of an earlier term because a quorum holds it
+// and then crashed, a member whose last entry is of a term between the two could
+// win the election and overwrite it: a confirmed change would be lost.
 func TestEntriesOfEarlierTermsAreNotCommittedByCounting(t *testing.T) {
 	c, now := newLeader(t)
-	acknowledge(c, now, 2)
+	acknowledgeFromB(c, now, 2)
 	assert.Equal(t, c.Status().Commit, uint64(1))
-	acknowledge(c, now, 3)
+	acknowledgeFromB(c, now, 3)
 	assert.Equal(t, c.Status().Commit, uint64(3))
 }
 
-// A leader asks another to stand and goes on under its old lease: the
-// successor commits a change, and a user reads the state before it here.
-func TestNoLeaseReadAfterHandOver(t *testing.T) {
+// A leader that transfers leadership must not use its lease any more: the
+// successor may commit a change, and a read here would return the state before it.
+func TestNoLeaseReadAfterLeadershipTransfer(t *testing.T) {
 	c, now := newLeader(t)
-	acknowledge(c, now, 3)
-	answers(c, now, &pb.ConsensusMessage{Kind: pb.MessageKind_MESSAGE_KIND_HEARTBEAT_REPLY, From: "b", To: "a", Term: 4, ReadRound: 1})
+	acknowledgeFromB(c, now, 3)
+	stepAndCollect(c, now, &pb.ConsensusMessage{Kind: pb.MessageKind_MESSAGE_KIND_HEARTBEAT_REPLY, From: "b", To: "a", Term: 4, ReadRound: 1})
 	assert.NilError(t, c.Read(now, 1))
 	r := c.Ready()
 	assert.DeepEqual(t, r.Reads, []ReadResult{{ID: 1, Index: 3, OK: true}})
 	c.Advance(now, r)
-	assert.NilError(t, c.HandOver(now))
+	assert.NilError(t, c.TransferLeadership(now))
 	assert.NilError(t, c.Read(now, 2))
 	assert.Equal(t, len(c.Ready().Reads), 0)
 }
 
-// Nothing commits, since no follower answers, and clients go on proposing: the
-// leader's memory must stay bounded, and be free again after the commit.
+// While no follower answers, nothing commits, but clients continue to propose.
+// The leader's memory must stay bounded, and proposals must be accepted again
+// after a commit.
 func TestUncommittedCommandsAreBounded(t *testing.T) {
 	c, now := newLeader(t)
 	c.config.MaxPendingBytes, c.config.MaxUncommitted = 100, 12
@@ -185,11 +188,11 @@
 		_, _, err := c.Propose(now, make([]byte, size))
 		return err
 	}
-	assert.ErrorIs(t, propose(MaxCommand+1), ErrTooLarge)
+	assert.ErrorIs(t, propose(MaxCommandBytes+1), ErrTooLarge)
 	assert.NilError(t, propose(60))
 	assert.ErrorIs(t, propose(60), ErrBusy)
 	c.Advance(now, c.Ready())
-	acknowledge(c, now, 4)
+	acknowledgeFromB(c, now, 4)
 	for range 12 {
 		assert.NilError(t, propose(1))
 	}
--- a/internal/consensus/faults_test.go
+++ b/internal/consensus/faults_test.go
@@ -5,88 +5,90 @@
 	"time"
 )
 
-// injectFault makes one fault happen.
-func (w *world) injectFault() {
-	h := w.hosts[w.random.IntN(len(w.hosts))]
-	switch w.random.IntN(10) {
+// injectFault injects one random fault.
+func (sim *simulation) injectFault() {
+	h := sim.hosts[sim.random.IntN(len(sim.hosts))]
+	switch sim.random.IntN(10) {
 	case 0, 1:
 		if h.core != nil {
-			w.crash(h)
+			sim.crash(h)
 		}
 	case 2:
-		w.crashAll()
+		sim.crashAll()
 	case 3:
-		w.loseDisk(h)
+		sim.loseDisk(h)
 	case 4, 5:
-		w.freeze(h)
+		sim.freeze(h)
 	case 6:
-		w.cutOff(h)
+		sim.cutOff(h)
 	case 7, 8:
-		w.cutOneWay(h)
+		sim.cutOneWay(h)
 	case 9:
-		w.changeMember(h)
+		sim.changeMember(h)
 	}
 }
 
-func (w *world) crashAll() {
-	for _, h := range w.hosts {
+func (sim *simulation) crashAll() {
+	for _, h := range sim.hosts {
 		if h.core != nil {
-			w.crash(h)
+			sim.crash(h)
 		}
 	}
 }
 
-// pause is how long a fault lasts: mostly around the election timeout.
-func (w *world) pause() time.Duration {
-	longest := 2 * DefaultElectionTimeout
-	if w.random.IntN(4) == 0 {
-		longest *= 6
+// faultDuration returns a random duration of a fault, mostly around the election
+// timeout.
+func (sim *simulation) faultDuration() time.Duration {
+	maxDuration := 2 * DefaultElectionTimeout
+	if sim.random.IntN(4) == 0 {
+		maxDuration *= 6
 	}
-	return time.Duration(w.random.Int64N(int64(longest)))
+	return time.Duration(sim.random.Int64N(int64(maxDuration)))
 }
 
-func (w *world) freeze(h *host) {
+func (sim *simulation) freeze(h *host) {
 	if h.core == nil || h.frozen {
 		return
 	}
 	h.frozen = true
-	life := h.life
-	w.after(w.pause(), func() {
-		if h.life != life {
+	incarnation := h.incarnation
+	sim.after(sim.faultDuration(), func() {
+		if h.incarnation != incarnation {
 			return
 		}
 		h.frozen = false
-		held := h.held
-		h.held = nil
-		for _, do := range held {
+		deferred := h.deferred
+		h.deferred = nil
+		for _, do := range deferred {
 			do()
 		}
 	})
 }
 
-func (w *world) cut(from, to string, length time.Duration) {
-	w.cuts[[2]string{from, to}] = true
-	w.after(length, func() { delete(w.cuts, [2]string{from, to}) })
+func (sim *simulation) cut(from, to string, length time.Duration) {
+	sim.cuts[[2]string{from, to}] = true
+	sim.after(length, func() { delete(sim.cuts, [2]string{from, to}) })
 }
 
-func (w *world) cutOff(h *host) {
-	length := w.pause()
-	for _, other := range w.hosts {
-		w.cut(h.name, other.name, length)
-		w.cut(other.name, h.name, length)
+func (sim *simulation) cutOff(h *host) {
+	length := sim.faultDuration()
+	for _, other := range sim.hosts {
+		sim.cut(h.name, other.name, length)
+		sim.cut(other.name, h.name, length)
 	}
 }
 
-// cutOneWay cuts what h sends, or what it gets, to all or to one.
-func (w *world) cutOneWay(h *host) {
-	length := w.pause()
-	sends := w.random.IntN(2) == 0
-	only := w.random.IntN(2) == 0
-	for _, other := range w.hosts {
+// cutOneWay drops either the messages that h sends or those it receives, for all
+// hosts or for one.
+func (sim *simulation) cutOneWay(h *host) {
+	length := sim.faultDuration()
+	sends := sim.random.IntN(2) == 0
+	only := sim.random.IntN(2) == 0
+	for _, other := range sim.hosts {
 		if sends {
-			w.cut(h.name, other.name, length)
+			sim.cut(h.name, other.name, length)
 		} else {
-			w.cut(other.name, h.name, length)
+			sim.cut(other.name, h.name, length)
 		}
 		if only {
 			return
@@ -94,10 +96,10 @@
 	}
 }
 
-// newestLeader is the leader of the highest term.
-func (w *world) newestLeader() *host {
+// newestLeader returns the leader of the highest term, or nil.
+func (sim *simulation) newestLeader() *host {
 	var newest *host
-	for _, h := range w.hosts {
+	for _, h := range sim.hosts {
 		if h.core != nil && h.core.IsLeader() && (newest == nil || h.core.term > newest.core.term) {
 			newest = h
 		}
@@ -105,21 +107,22 @@
 	return newest
 }
 
-// loseDisk takes a disk within the bound: in every membership that may be in
-// force, the voters whose disk is gone stay under half.
-func (w *world) loseDisk(h *host) {
-	if w.checks.log[2] == nil || !w.mayLose(h) {
-		return // until its first leader commits, the group is on one disk only
+// loseDisk replaces a host's disk by an empty one if the fault model allows it:
+// in every membership that may be in effect, fewer than half of the voters have
+// lost their disk.
+func (sim *simulation) loseDisk(h *host) {
+	if sim.invariants.committed[2] == nil || !sim.canLoseDisk(h) {
+		return // until the first leader commits, only one disk holds the group
 	}
-	h.lost++
+	h.disksLost++
 	h.core = nil
-	h.life++
-	h.disk = &disk{id: fmt.Sprintf("%s.%d", h.name, h.lost)}
-	w.start(h)
+	h.incarnation++
+	h.disk = &disk{id: fmt.Sprintf("%s.%d", h.name, h.disksLost)}
+	sim.start(h)
 }
 
-func (w *world) mayLose(h *host) bool {
-	for _, other := range w.hosts {
+func (sim *simulation) canLoseDisk(h *host) bool {
+	for _, other := range sim.hosts {
 		var log replicatedLog
 		if other.core != nil {
 			log = other.core.log
@@ -127,7 +130,7 @@
 			log = newLog(other.disk.state)
 		}
 		for _, m := range log.memberships {
-			there := countVoters(m.membership, func(id string) bool { return id != h.disk.id && w.alive(id) })
+			there := countVoters(m.membership, func(id string) bool { return id != h.disk.id && sim.diskPresent(id) })
 			if voters(m.membership) > 0 && there < quorum(m.membership) {
 				return false
 			}
@@ -136,8 +139,8 @@
 	return true
 }
 
-func (w *world) alive(diskID string) bool {
-	for _, h := range w.hosts {
+func (sim *simulation) diskPresent(diskID string) bool {
+	for _, h := range sim.hosts {
 		if h.disk.id == diskID {
 			return true
 		}
@@ -145,40 +148,40 @@
 	return false
 }
 
-// handOver makes a leader hand over, as at a planned stop.
-func (w *world) handOver() {
-	if leader := w.newestLeader(); leader != nil {
-		w.run(leader, func(now time.Time) { _ = leader.core.HandOver(now) })
+// transferLeadership makes the leader transfer leadership, as at a planned stop.
+func (sim *simulation) transferLeadership() {
+	if leader := sim.newestLeader(); leader != nil {
+		sim.run(leader, func(now time.Time) { _ = leader.core.TransferLeadership(now) })
 	}
 }
 
-// changeMember adds h when it is no member, and removes it now and then.
-func (w *world) changeMember(h *host) {
-	leader := w.newestLeader()
+// changeMember adds h if it is no member, and otherwise removes it.
+func (sim *simulation) changeMember(h *host) {
+	leader := sim.newestLeader()
 	if leader == nil {
 		return
 	}
 	membership := leader.core.log.membership()
-	known := find(membership, h.disk.id) != nil
-	// An operator who removes a member while disks are lost leaves the bound
-	// on lost disks; the leader can't know of a disk lost just now.
-	if known && (voters(membership) <= 3 || countVoters(membership, w.alive) < voters(membership)) {
+	isMember := find(membership, h.disk.id) != nil
+	// Removing a member while disks are lost could exceed the allowed number of
+	// lost disks; the leader doesn't notice a lost disk at once.
+	if isMember && (voters(membership) <= 3 || countVoters(membership, sim.diskPresent) < voters(membership)) {
 		return
 	}
-	change := Change{Remove: known, Member: h.member()}
-	w.run(leader, func(now time.Time) { _, _ = leader.core.ProposeChange(now, change) })
+	change := Change{Remove: isMember, Member: h.member()}
+	sim.run(leader, func(now time.Time) { _, _ = leader.core.ProposeChange(now, change) })
 }
 
-// repair adds each host that is no member, as an operator would.
-func (w *world) repair() {
-	leader := w.newestLeader()
+// repair adds a host that is no member, as an operator would.
+func (sim *simulation) repair() {
+	leader := sim.newestLeader()
 	if leader == nil {
 		return
 	}
-	for _, h := range w.hosts {
+	for _, h := range sim.hosts {
 		if find(leader.core.log.membership(), h.disk.id) == nil {
 			change := Change{Member: h.member()}
-			w.run(leader, func(now time.Time) { _, _ = leader.core.ProposeChange(now, change) })
+			sim.run(leader, func(now time.Time) { _, _ = leader.core.ProposeChange(now, change) })
 			return
 		}
 	}
--- a/internal/consensus/history_test.go
+++ b/internal/consensus/history_test.go
@@ -18,12 +18,12 @@
 	read       bool
 	called     int
 	ended      int // 0 while the outcome is unknown
-	place      int // among the writes of the key; of a read, that of its value
-	// readsBefore counts the reads of the value that a write replaced.
+	position   int // index among the writes of the key; for a read, that of the value read
+	// readsBefore is the number of reads of the value that a write replaced.
 	readsBefore int
 }
 
-// history gathers the operations whose outcome matters.
+// history records the client operations for the linearizability check.
 type history struct{ operations []*operation }
 
 func (h *history) begin(op *operation, order int) {
@@ -33,13 +33,14 @@
 
 func (h *history) end(op *operation, order int) { op.ended = order }
 
-// registerState is a register after so many writes and, since the last of
-// them, so many reads.
+// registerState is the number of writes to a register and the number of reads
+// since the last write.
 type registerState struct{ writes, reads int }
 
-// register is the model of one key. An operation is allowed only at its place
-// in the log, which is the order the protocol promises: a write after all
-// reads of the value before. It spares porcupine the search over all others.
+// register is the porcupine model of one key. It allows an operation only at its
+// position in the log, which is the order that the protocol guarantees: a write
+// comes after all reads of the previous value. This avoids a search over all
+// other orders.
 var register = porcupine.Model{
 	Partition: func(all []porcupine.Operation) [][]porcupine.Operation {
 		byKey := map[string][]porcupine.Operation{}
@@ -53,17 +54,18 @@
 	Step: func(state, input, _ any) (bool, any) {
 		op, s := input.(*operation), state.(registerState)
 		if op.read {
-			return op.place == s.writes, registerState{s.writes, s.reads + 1}
+			return op.position == s.writes, registerState{s.writes, s.reads + 1}
 		}
-		return op.place == s.writes+1 && op.readsBefore == s.reads, registerState{op.place, 0}
+		return op.position == s.writes+1 && op.readsBefore == s.reads, registerState{op.position, 0}
 	},
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// check asks porcupine whether the operations, with their times, fit the log.
-// A write of unknown outcome that is not in the log never took effect.
+// check runs porcupine to check that the operations are linearizable in the
+// order of the log. A write of unknown outcome that is not in the log never took
+// effect.
 func (h *history) check(log map[uint64]*pb.LogEntry, end int) porcupine.CheckResult {
-	places := placesInLog(log)
+	places := positionsInLog(log)
 	reads := map[string]map[int]int{"k": {}, "l": {}, "m": {}}
 	var operations []porcupine.Operation
 	for _, op := range h.operations {
@@ -71,7 +73,7 @@
 		if op.ended == 0 && (op.read || !written) {
 			continue
 		}
-		op.place = place
+		op.position = place
 		if op.read {
 			reads[op.Key][place]++
 		}
@@ -84,13 +86,14 @@
 	}
 	for _, o := range operations {
 		op := o.Input.(*operation)
-		op.readsBefore = reads[op.Key][op.place-1]
+		op.readsBefore = reads[op.Key][op.position-1]
 	}
 	return porcupine.CheckOperationsTimeout(register, operations, time.Minute)
 }
 
-// placesInLog numbers the values of each key in the order of the log.
-func placesInLog(log map[uint64]*pb.LogEntry) map[string]int {
+// positionsInLog returns the position of each written value among the writes of
+// its key, in the order of the log.
+func positionsInLog(log map[uint64]*pb.LogEntry) map[string]int {
 	places, counts := map[string]int{}, map[string]int{}
 	for _, index := range slices.Sorted(maps.Keys(log)) {
 		var command operation
@@ -106,58 +109,58 @@
 	return places
 }
 
-// client sends a read or write to a host, mostly to one that leads.
-func (w *world) client() {
-	h := w.hosts[w.random.IntN(len(w.hosts))]
-	for _, candidate := range w.hosts {
-		if candidate.core != nil && candidate.core.IsLeader() && w.random.IntN(3) > 0 {
+// clientOperation starts a read or write at a random host, mostly at a leader.
+func (sim *simulation) clientOperation() {
+	h := sim.hosts[sim.random.IntN(len(sim.hosts))]
+	for _, candidate := range sim.hosts {
+		if candidate.core != nil && candidate.core.IsLeader() && sim.random.IntN(3) > 0 {
 			h = candidate
 		}
 	}
-	w.nextOp++
-	op := &operation{Key: string(rune('k' + w.random.IntN(3))), read: w.random.IntN(2) == 0}
+	sim.nextOp++
+	op := &operation{Key: string(rune('k' + sim.random.IntN(3))), read: sim.random.IntN(2) == 0}
 	if op.read {
-		w.read(h, op)
+		sim.read(h, op)
 	} else {
-		w.write(h, op)
+		sim.write(h, op)
 	}
 }
 
-func (w *world) read(h *host, op *operation) {
-	id := w.nextOp
-	w.history.begin(op, w.order)
-	w.run(h, func(now time.Time) {
+func (sim *simulation) read(h *host, op *operation) {
+	id := sim.nextOp
+	sim.history.begin(op, sim.order)
+	sim.run(h, func(now time.Time) {
 		if h.core.Read(now, id) == nil {
 			h.reads[id] = op
 		}
 	})
 }
 
-func (w *world) endRead(h *host, r ReadResult) {
+func (sim *simulation) endRead(h *host, r ReadResult) {
 	op, ok := h.reads[r.ID]
 	delete(h.reads, r.ID)
 	if ok && r.OK {
 		op.Value = h.values[op.Key]
-		w.history.end(op, w.order)
+		sim.history.end(op, sim.order)
 	}
 }
 
-func (w *world) write(h *host, op *operation) {
-	op.Value = strconv.FormatUint(w.nextOp, 10)
+func (sim *simulation) write(h *host, op *operation) {
+	op.Value = strconv.FormatUint(sim.nextOp, 10)
 	data, _ := json.Marshal(op)
-	w.run(h, func(now time.Time) {
+	sim.run(h, func(now time.Time) {
 		index, term, err := h.core.Propose(now, data)
 		if err != nil {
 			return
 		}
-		w.history.begin(op, w.order)
+		sim.history.begin(op, sim.order)
 		h.writes[index] = pendingWrite{term: term, op: op}
 	})
 }
 
-// dropWaiting forgets writes of a leadership that is over: their outcome
-// stays unknown.
-func (w *world) dropWaiting(h *host) {
+// dropPendingWrites discards the pending writes of a host that no longer leads;
+// their outcome stays unknown.
+func (sim *simulation) dropPendingWrites(h *host) {
 	if !h.core.IsLeader() {
 		clear(h.writes)
 	}
--- a/internal/consensus/log.go
+++ b/internal/consensus/log.go
@@ -8,29 +8,29 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// replicatedLog holds the entries after offset, and the newest snapshot, whose
+// replicatedLog holds the entries after offset and the latest snapshot, whose
 // index is at or after offset. Entries are immutable once appended.
 type replicatedLog struct {
-	snapshot   *pb.Snapshot // newest; nil before the first
-	incoming   *pb.Snapshot // taken over from a leader, not yet persisted
+	snapshot   *pb.Snapshot // latest; nil if there is none
+	incoming   *pb.Snapshot // received from a leader, not yet persisted
 	offset     uint64       // index before entries[0]
 	offsetTerm uint64
 	entries    []*pb.LogEntry
-	stable     uint64 // last persisted index
+	stable     uint64 // index of the last persisted entry
 	commit     uint64
 	applied    uint64
-	// memberships ascend by index; the first is that at offset.
-	memberships []membershipAt
+	// memberships are sorted by index; the first is the one at offset.
+	memberships []membershipRecord
 }
 
-// membershipAt is the membership in force from the entry at index on.
-type membershipAt struct {
+// membershipRecord is the membership in effect from the entry at index on.
+type membershipRecord struct {
 	index      uint64
 	membership *pb.Membership
 }
 
 func newLog(state State) replicatedLog {
-	l := replicatedLog{memberships: []membershipAt{{membership: &pb.Membership{}}}}
+	l := replicatedLog{memberships: []membershipRecord{{membership: &pb.Membership{}}}}
 	if state.Snapshot != nil {
 		l.reset(state.Snapshot)
 	}
@@ -39,20 +39,20 @@
 	}
 	l.stable = l.last()
 	if state.HardState != nil && state.HardState.Commit > l.commit {
-		// A commit index is saved together with later entries at most, so it
-		// never passes the log.
+		// A commit index is never saved before its entries, so it never
+		// exceeds the log.
 		l.commit = min(state.HardState.Commit, l.last())
 	}
 	return l
 }
 
-// reset empties the log and continues after s.
+// reset discards all entries and continues the log after s.
 func (l *replicatedLog) reset(s *pb.Snapshot) {
 	l.snapshot = s
 	l.offset, l.offsetTerm = s.Index, s.Term
 	l.entries = nil
 	l.stable, l.commit, l.applied = s.Index, s.Index, s.Index
-	l.memberships = []membershipAt{{index: s.Index, membership: s.Membership}}
+	l.memberships = []membershipRecord{{index: s.Index, membership: s.Membership}}
 }
 
 func (l *replicatedLog) last() uint64 { return l.offset + uint64(len(l.entries)) }
@@ -62,7 +62,8 @@
 	return term
 }
 
-// termAt gives the term of the entry at index; false when it is not held.
+// termAt returns the term of the entry at index, and false if the log doesn't
+// hold it.
 func (l *replicatedLog) termAt(index uint64) (uint64, bool) {
 	if index == l.offset {
 		return l.offsetTerm, true
@@ -74,8 +75,8 @@
 }
 
 func (l *replicatedLog) matches(index, term uint64) bool {
-	t, held := l.termAt(index)
-	return held && t == term
+	t, ok := l.termAt(index)
+	return ok && t == term
 }
 
 func (l *replicatedLog) append(e *pb.LogEntry) {
@@ -90,15 +91,16 @@
 	if err := proto.Unmarshal(e.Data, membership); err != nil {
 		panic(fmt.Sprintf("consensus: membership entry %d: %v", e.Index, err))
 	}
-	l.memberships = append(l.memberships, membershipAt{index: e.Index, membership: membership})
+	l.memberships = append(l.memberships, membershipRecord{index: e.Index, membership: membership})
 }
 
-// truncate drops the entries from index on, with their memberships.
+// truncate drops the entries from index on and their memberships.
 func (l *replicatedLog) truncate(index uint64) {
 	if index <= l.commit {
 		panic(fmt.Sprintf("consensus: committed entry %d would be dropped (commit %d)", index, l.commit))
 	}
-	// The array may be shared with messages under way, so it isn't overwritten.
+	// The capacity is limited because queued messages may share the array,
+	// which must not be overwritten.
 	l.entries = l.entries[: index-l.offset-1 : index-l.offset-1]
 	l.stable = min(l.stable, index-1)
 	for n := len(l.memberships); n > 1 && l.memberships[n-1].index >= index; n-- {
@@ -106,7 +108,7 @@
 	}
 }
 
-// slice gives the entries from index on, up to maxBytes but at least one.
+// slice returns the entries from index on, up to maxBytes but at least one.
 func (l *replicatedLog) slice(index uint64, maxBytes int) []*pb.LogEntry {
 	entries := l.entries[index-l.offset-1:]
 	size := 0
@@ -119,15 +121,16 @@
 	return entries[:len(entries):len(entries)]
 }
 
-// entryOverhead is about what an entry takes in a message besides its data.
+// entryOverhead is the approximate size in bytes of an encoded entry without
+// its data.
 const entryOverhead = 24
 
 func (l *replicatedLog) unstable() []*pb.LogEntry {
 	return l.entries[l.stable-l.offset:]
 }
 
-// unapplied gives the committed entries that await Apply. They may be part
-// of the same Ready's Entries, which is persisted first.
+// unapplied returns the committed entries that are not applied yet. They may
+// also be in Entries of the same Ready, which are persisted first.
 func (l *replicatedLog) unapplied() []*pb.LogEntry {
 	if l.applied >= l.commit {
 		return nil
@@ -143,8 +146,8 @@
 	return l.memberships[len(l.memberships)-1].index
 }
 
-// membershipBefore gives the membership in force at index.
-func (l *replicatedLog) membershipBefore(index uint64) *pb.Membership {
+// membershipAtIndex returns the membership in effect at index.
+func (l *replicatedLog) membershipAtIndex(index uint64) *pb.Membership {
 	found := l.memberships[0].membership
 	for _, m := range l.memberships {
 		if m.index <= index {
@@ -154,8 +157,8 @@
 	return found
 }
 
-// compact takes over a snapshot of the own state machine and drops the
-// entries up to keepFrom, exclusive.
+// compact records a snapshot of the local state machine and drops the entries
+// before keepFrom.
 func (l *replicatedLog) compact(s *pb.Snapshot, keepFrom uint64) {
 	l.snapshot = s
 	first := min(keepFrom, s.Index+1)
@@ -164,8 +167,8 @@
 	}
 	offset := first - 1
 	term, _ := l.termAt(offset)
-	membership := membershipAt{index: offset, membership: l.membershipBefore(offset)}
-	rest := []membershipAt{membership}
+	membership := membershipRecord{index: offset, membership: l.membershipAtIndex(offset)}
+	rest := []membershipRecord{membership}
 	for _, m := range l.memberships {
 		if m.index > offset {
 			rest = append(rest, m)
@@ -175,9 +178,9 @@
 	l.offset, l.offsetTerm, l.memberships = offset, term, rest
 }
 
-// conflict finds the last index at or before index whose term is at most
-// term: the two logs can't agree after it.
-func (l *replicatedLog) conflict(index, term uint64) uint64 {
+// conflictIndex returns the last index at or before index whose entry has at
+// most the given term. The two logs can't match after it.
+func (l *replicatedLog) conflictIndex(index, term uint64) uint64 {
 	index = min(index, l.last())
 	for index > l.offset {
 		t, _ := l.termAt(index)
--- a/internal/consensus/membership.go
+++ b/internal/consensus/membership.go
@@ -9,15 +9,16 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// Change adds a member, gives a member a new address, or removes one. A
-// removal without a disk ID goes by the instance ID.
+// Change adds a member, changes a member's address, or removes a member. A
+// removal without a disk ID selects the member by its instance ID.
 type Change struct {
 	Remove bool
 	Member *pb.Member
 }
 
-// Bootstrap is the state on the disk that begins a group: one committed
-// membership entry. Other members start empty and get the log from it.
+// Bootstrap returns the initial state of a new group, one committed membership
+// entry, to be persisted on one member's disk. The other members start empty
+// and receive the log from it.
 func Bootstrap(members []*pb.Member) (State, error) {
 	if voters(&pb.Membership{Members: members}) == 0 {
 		return State{}, fmt.Errorf("%w: no voter", ErrMembership)
@@ -30,9 +31,9 @@
 	return State{HardState: &pb.HardState{Term: 1, Commit: 1}, Entries: []*pb.LogEntry{entry}}, nil
 }
 
-// ProposeChange appends one membership change and gives its index. An added
-// member begins as a learner; the leader makes it a voter by itself once it
-// has caught up, after it removed the voter whose lost disk it replaces.
+// ProposeChange appends one membership change and returns its index. An added
+// member starts as a learner. Once it has caught up, the leader removes the
+// voter whose lost disk it replaces, if any, and then promotes it to a voter.
 func (c *Core) ProposeChange(now time.Time, change Change) (uint64, error) {
 	if c.role != Leader {
 		return 0, ErrNotLeader
@@ -49,10 +50,11 @@
 	return c.proposeAddition(now, change.Member)
 }
 
-// changeAllowed: one change at a time keeps each two consecutive memberships
-// sharing a member in all their quorums. The leader's own first entry must be
-// committed too, else an uncommitted change of an earlier leader and the new
-// one could each win a quorum that the other doesn't see.
+// changeAllowed reports whether a membership change may be proposed. With one
+// change at a time, any two quorums of consecutive memberships share a member.
+// The leader's first entry must be committed too; otherwise an uncommitted
+// change of an earlier leader and the new one could each get a quorum without a
+// common member.
 func (c *Core) changeAllowed() bool {
 	return c.committedInTerm() && c.log.membershipIndex() <= c.log.commit
 }
@@ -62,47 +64,48 @@
 		return 0, fmt.Errorf("%w: instance ID, disk ID and address are needed", ErrMembership)
 	}
 	next := c.copyMembership()
-	known := find(next, m.DiskId)
-	if known == nil {
+	existing := find(next, m.DiskId)
+	if existing == nil {
 		next.Members = append(next.Members, &pb.Member{
 			InstanceId: m.InstanceId, DiskId: m.DiskId, RpcAddress: m.RpcAddress, Learner: true,
 		})
 		return c.appendMembership(now, next), nil
 	}
-	if known.InstanceId == m.InstanceId && known.RpcAddress == m.RpcAddress {
+	if existing.InstanceId == m.InstanceId && existing.RpcAddress == m.RpcAddress {
 		return c.log.membershipIndex(), nil
 	}
-	known.InstanceId, known.RpcAddress = m.InstanceId, m.RpcAddress
+	existing.InstanceId, existing.RpcAddress = m.InstanceId, m.RpcAddress
 	return c.appendMembership(now, next), nil
 }
 
 func (c *Core) proposeRemoval(now time.Time, m *pb.Member) (uint64, error) {
 	next := &pb.Membership{}
 	for _, member := range c.log.membership().Members {
-		if !names(m, member) {
+		if !matchesMember(m, member) {
 			next.Members = append(next.Members, member)
 		}
 	}
 	if len(next.Members) == len(c.log.membership().Members) {
-		return c.log.membershipIndex(), nil // removed before: a repeat
+		return c.log.membershipIndex(), nil // a repeat: already removed
 	}
 	if len(next.Members) < len(c.log.membership().Members)-1 {
 		return 0, fmt.Errorf("%w: several members fit, name the disk ID", ErrMembership)
 	}
-	if voters(next) == 0 || !c.quorumHeard(now, next) {
+	if voters(next) == 0 || !c.quorumActive(now, next) {
 		return 0, fmt.Errorf("%w: the rest would be no quorum that answers", ErrMembership)
 	}
 	return c.appendMembership(now, next), nil
 }
 
-func names(wanted, member *pb.Member) bool {
+func matchesMember(wanted, member *pb.Member) bool {
 	if wanted.DiskId != "" {
 		return wanted.DiskId == member.DiskId
 	}
 	return wanted.InstanceId == member.InstanceId
 }
 
-// advanceLearners takes the next step for a learner that has caught up.
+// advanceLearners takes the next step toward promoting a learner that has
+// caught up.
 func (c *Core) advanceLearners(now time.Time) {
 	if !c.changeAllowed() {
 		return
@@ -115,31 +118,33 @@
 	}
 }
 
-// caughtUp: a voter that lacked committed entries would count for quorums and
-// yet hold nothing, so that the loss of one more disk would stop the group.
+// caughtUp reports whether a member holds all committed entries. A voter without
+// them would raise the quorum size but hold nothing, so that the loss of one
+// more disk would stop the group.
 func (c *Core) caughtUp(now time.Time, id string) bool {
-	p := c.members[id]
-	return p != nil && p.answered && p.match >= c.log.commit && c.heardLately(now, id)
+	p := c.progress[id]
+	return p != nil && p.answered && p.match >= c.log.commit && c.recentlyActive(now, id)
 }
 
 func (c *Core) advanceLearner(now time.Time, learner *pb.Member) {
 	if old := c.predecessor(learner); old != nil {
-		// It answers, so its disk isn't lost: two processes claim the
-		// same instance ID, and an operator must say which may stay.
-		if !c.heardLately(now, old.DiskId) {
-			// A refusal is tried again at the next tick.
+		// If the old member is reachable, its disk isn't lost: two processes
+		// use the same instance ID, and an operator must remove one of them.
+		if !c.recentlyActive(now, old.DiskId) {
+			// A rejected removal is retried at the next tick.
 			_, _ = c.proposeRemoval(now, &pb.Member{DiskId: old.DiskId})
 		}
 		return
 	}
 	next := c.copyMembership()
 	find(next, learner.DiskId).Learner = false
-	if c.quorumHeard(now, next) {
+	if c.quorumActive(now, next) {
 		c.appendMembership(now, next)
 	}
 }
 
-// predecessor is the member that the learner's instance was on another disk.
+// predecessor returns the member with the learner's instance ID on another
+// disk, or nil.
 func (c *Core) predecessor(learner *pb.Member) *pb.Member {
 	for _, member := range c.log.membership().Members {
 		if member.InstanceId == learner.InstanceId && member.DiskId != learner.DiskId {
@@ -159,8 +164,9 @@
 		panic(fmt.Sprintf("consensus: membership can't be encoded: %v", err))
 	}
 	index := c.appendEntry(pb.EntryKind_ENTRY_KIND_MEMBERSHIP, data)
-	// Answers of the old quorum say nothing about the new one.
-	c.lease.until = time.Time{}
+	// Answers from a quorum of the old membership don't support a lease under
+	// the new one.
+	c.lease.expires = time.Time{}
 	c.syncProgress(now)
 	c.broadcast(now, false)
 	return index
--- a/internal/consensus/progress.go
+++ b/internal/consensus/progress.go
@@ -6,35 +6,35 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// sendMode is how a leader sends entries to one member.
+// sendMode is the way a leader sends entries to one member.
 type sendMode int
 
 const (
-	// probing: the point where the logs agree is not known; one message at
-	// a time looks for it.
+	// probing: the last matching index is unknown, and one message at a time
+	// searches for it.
 	probing sendMode = iota
-	// replicating: entries are sent without waiting, up to MaxInflight.
+	// replicating: entries are pipelined, up to MaxInflight messages.
 	replicating
-	// sendingSnapshot: the member needs entries that were dropped.
+	// sendingSnapshot: the member needs entries that were compacted.
 	sendingSnapshot
 )
 
-// progress is a leader's knowledge of one member.
+// progress is the replication state that a leader keeps for one member.
 type progress struct {
-	match    uint64 // last index known to be persisted there
-	next     uint64 // next index to send
-	mode     sendMode
-	inflight []uint64 // last indexes of unanswered appends, ascending
-	paused   bool     // probing: one message is under way
-	sentAt   time.Time
-	told     uint64    // commit index last sent
-	contact  time.Time // last answer in this term
-	answered bool      // contact is that of an answer, not of the election
-	round    uint64    // newest heartbeat round answered
-	// snapshot is the one under way; it is kept until it arrived whole, also
-	// when a newer one is taken meanwhile.
+	match       uint64 // last index known to be persisted by the member
+	next        uint64 // next index to send
+	mode        sendMode
+	inflight    []uint64 // last index of each unacknowledged append, ascending
+	paused      bool     // probing: one message is in flight
+	sentAt      time.Time
+	sentCommit  uint64    // commit index last sent
+	lastContact time.Time // last answer; initially the time when tracking began
+	answered    bool      // lastContact is the time of an answer
+	round       uint64    // latest heartbeat round answered
+	// snapshot is the one being sent. It is kept until it has arrived
+	// completely, even if a newer one is taken meanwhile.
 	snapshot       *pb.Snapshot
-	snapshotOffset uint64 // bytes the member holds
+	snapshotOffset uint64 // bytes that the member has received
 }
 
 func (p *progress) probe() {
@@ -45,9 +45,9 @@
 	p.snapshot, p.snapshotOffset = nil, 0
 }
 
-// acknowledged takes in that all up to index is persisted at the member; it
-// tells whether this was news.
-func (p *progress) acknowledged(index uint64) bool {
+// recordAck records that the member has persisted all entries up to index. It
+// reports whether match advanced.
+func (p *progress) recordAck(index uint64) bool {
 	n := 0
 	for n < len(p.inflight) && p.inflight[n] <= index {
 		n++
@@ -61,6 +61,7 @@
 	return true
 }
 
+// blocked reports whether no append may be sent to the member now.
 func (p *progress) blocked(maxInflight int) bool {
 	switch p.mode {
 	case probing:
--- a/internal/consensus/quorum.go
+++ b/internal/consensus/quorum.go
@@ -6,8 +6,8 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// quorum is the size of a majority of voters; 1 when there are none, which no
-// count of members reaches.
+// quorum returns the size of a majority of voters. Without voters it returns 1,
+// which no count of voters reaches.
 func quorum(m *pb.Membership) int { return voters(m)/2 + 1 }
 
 func voters(m *pb.Membership) int {
@@ -20,7 +20,7 @@
 	return n
 }
 
-// find gives the member with a disk ID, nil when there is none.
+// find returns the member with a disk ID, or nil.
 func find(m *pb.Membership, diskID string) *pb.Member {
 	for _, member := range m.GetMembers() {
 		if member.DiskId == diskID {
@@ -35,7 +35,7 @@
 	return member != nil && !member.Learner
 }
 
-// countVoters counts the voters for which ok holds.
+// countVoters counts the voters for which ok returns true.
 func countVoters(m *pb.Membership, ok func(diskID string) bool) int {
 	n := 0
 	for _, member := range m.GetMembers() {
@@ -46,8 +46,8 @@
 	return n
 }
 
-// reachedByQuorum gives the highest value that a quorum of voters has reached,
-// 0 when there is no voter.
+// reachedByQuorum returns the highest value that a quorum of voters has
+// reached, or 0 if there are no voters.
 func reachedByQuorum(m *pb.Membership, valueOf func(diskID string) uint64) uint64 {
 	values := make([]uint64, 0, len(m.GetMembers()))
 	for _, member := range m.GetMembers() {
--- a/internal/consensus/ready.go
+++ b/internal/consensus/ready.go
@@ -6,59 +6,60 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// Ready is work for the owner of a Core, in the order of its fields: persist
-// and sync Snapshot, HardState and Entries; only then send Messages, for they
-// promise what was persisted; then restore Snapshot, apply Committed, answer
-// Reads, and call Advance.
+// Ready is work for the caller of a Core, in the order of its fields: persist
+// and sync Snapshot, HardState and Entries; only then send Messages, which rely
+// on the persisted state; then restore Snapshot, apply Committed, answer Reads,
+// and call Advance.
 type Ready struct {
-	// Snapshot replaces the whole state and log; nil when there is none.
+	// Snapshot replaces the whole state and log; nil if there is none.
 	Snapshot *pb.Snapshot
-	// HardState is nil when term and vote are unchanged and Entries is empty.
+	// HardState is nil if term and vote are unchanged and there are neither
+	// Entries nor a Snapshot.
 	HardState *pb.HardState
-	// Entries follow the persisted log, or overwrite it from their first index.
+	// Entries extend the persisted log, or overwrite it from their first index.
 	Entries   []*pb.LogEntry
 	Messages  []*pb.ConsensusMessage
 	Committed []*pb.LogEntry
 	Reads     []ReadResult
 }
 
-// NeedsSync tells whether anything in r must be durable before sending.
+// NeedsSync reports whether r has anything to persist before sending Messages.
 func (r Ready) NeedsSync() bool {
 	return r.Snapshot != nil || r.HardState != nil || len(r.Entries) > 0
 }
 
-// ReadResult ends a Read. When OK, the state after Index is current as of
-// some moment after the Read began; otherwise leadership was not confirmed.
+// ReadResult is the outcome of a Read. If OK, the state at Index is current as
+// of some moment after the Read began; otherwise leadership was not confirmed.
 type ReadResult struct {
 	ID    uint64
 	Index uint64
 	OK    bool
 }
 
-// HasReady tells whether Ready has work.
+// HasReady reports whether Ready would return any work.
 func (c *Core) HasReady() bool {
 	return c.log.incoming != nil || c.hardStateChanged() || c.log.stable < c.log.last() ||
-		len(c.messages) > 0 || c.log.applied < c.log.commit || len(c.results) > 0
+		len(c.messages) > 0 || c.log.applied < c.log.commit || len(c.readResults) > 0
 }
 
-// Ready takes the work that is due. No other method may be called until
-// Advance, save the read-only ones.
+// Ready returns the pending work. Until Advance, only read-only methods may be
+// called.
 func (c *Core) Ready() Ready {
 	r := Ready{
 		Snapshot:  c.log.incoming,
 		Entries:   c.log.unstable(),
 		Messages:  c.messages,
 		Committed: c.log.unapplied(),
-		Reads:     c.results,
+		Reads:     c.readResults,
 	}
 	if c.hardStateChanged() || len(r.Entries) > 0 || r.Snapshot != nil {
 		r.HardState = c.hardState()
 	}
-	c.messages, c.results = nil, nil
+	c.messages, c.readResults = nil, nil
 	return r
 }
 
-// Advance tells that all of r was carried out.
+// Advance records that r was processed completely.
 func (c *Core) Advance(now time.Time, r Ready) {
 	if r.HardState != nil {
 		c.savedTerm, c.savedVote = r.HardState.Term, r.HardState.VotedFor
--- a/internal/consensus/replicate.go
+++ b/internal/consensus/replicate.go
@@ -9,32 +9,31 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// broadcast sends every member the entries it can take; with commitToo also a
-// message without entries, to one for which only the commit index is news.
-func (c *Core) broadcast(now time.Time, commitToo bool) {
+// broadcast calls sendEntries for every other member.
+func (c *Core) broadcast(now time.Time, sendCommit bool) {
 	for _, member := range c.log.membership().Members {
 		if member.DiskId != c.config.ID {
-			c.sendNew(now, member.DiskId, commitToo)
+			c.sendEntries(now, member.DiskId, sendCommit)
 		}
 	}
 }
 
-// sendNew sends entries until the member's window is full; with commitToo it
-// sends an empty message when only the commit index is news.
-func (c *Core) sendNew(now time.Time, id string, commitToo bool) {
-	p := c.members[id]
+// sendEntries sends entries until the member's window is full. With sendCommit,
+// it sends a message without entries if only the commit index is new.
+func (c *Core) sendEntries(now time.Time, id string, sendCommit bool) {
+	p := c.progress[id]
 	for p.next <= c.log.last() && !p.blocked(c.config.MaxInflight) {
 		c.sendAppend(now, id, p)
 	}
-	if commitToo && p.told < c.log.commit && !p.blocked(c.config.MaxInflight) {
+	if sendCommit && p.sentCommit < c.log.commit && !p.blocked(c.config.MaxInflight) {
 		c.sendAppend(now, id, p)
 	}
 }
 
 func (c *Core) sendAppend(now time.Time, id string, p *progress) {
 	previous := p.next - 1
-	term, held := c.log.termAt(previous)
-	if !held {
+	term, ok := c.log.termAt(previous)
+	if !ok {
 		c.beginSnapshot(now, id, p)
 		return
 	}
@@ -46,7 +45,7 @@
 		Kind: pb.MessageKind_MESSAGE_KIND_APPEND, To: id,
 		PrevIndex: previous, PrevTerm: term, Entries: entries, Commit: c.log.commit,
 	})
-	p.sentAt, p.told = now, c.log.commit
+	p.sentAt, p.sentCommit = now, c.log.commit
 	if p.mode == probing {
 		p.paused = true
 		return
@@ -57,8 +56,8 @@
 	}
 }
 
-// resendIfLost follows a heartbeat's answer: the member is there, so what
-// went unanswered for two heartbeats was dropped on the way.
+// resendIfLost is called after a heartbeat reply. Since the member is reachable,
+// a message unanswered for two heartbeat intervals is taken as lost.
 func (c *Core) resendIfLost(now time.Time, id string, p *progress) {
 	if now.Sub(p.sentAt) < 2*c.config.HeartbeatInterval {
 		return
@@ -73,44 +72,44 @@
 	}
 }
 
-// heardLeader takes in that the leader of this term is alive.
-func (c *Core) heardLeader(now time.Time, m *pb.ConsensusMessage) {
+// recordLeaderContact records a message from the leader of this term.
+func (c *Core) recordLeaderContact(now time.Time, m *pb.ConsensusMessage) {
 	if c.role == Leader {
 		panic(fmt.Sprintf("consensus: %s and %s both lead term %d", c.config.ID, m.From, c.term))
 	}
 	if c.role != Follower {
 		c.becomeFollower(now, c.term, m.From)
 	}
-	c.leader, c.lastLeader = m.From, now
+	c.leader, c.leaderContact = m.From, now
 	c.resetElection(now)
 }
 
 func (c *Core) handleAppend(now time.Time, m *pb.ConsensusMessage) {
-	if !wellFormed(m) {
+	if !entriesValid(m) {
 		return
 	}
-	c.heardLeader(now, m)
+	c.recordLeaderContact(now, m)
 	if m.PrevIndex < c.log.commit {
 		c.acknowledge(m.From, c.log.commit)
 		return
 	}
 	if !c.log.matches(m.PrevIndex, m.PrevTerm) {
-		c.refuseAppend(m)
+		c.rejectAppend(m)
 		return
 	}
 	for _, e := range m.Entries {
-		c.takeEntry(e)
+		c.appendOrOverwrite(e)
 	}
 	last := m.PrevIndex + uint64(len(m.Entries))
-	// Entries after last may be those of a leader that was deposed, so the
-	// commit index reaches no further than what this message confirmed.
+	// Entries after last may come from a deposed leader, so the commit index
+	// advances only to the entries that this message confirmed.
 	c.log.commit = max(c.log.commit, min(m.Commit, last))
 	c.acknowledge(m.From, last)
 }
 
-// wellFormed tells whether the entries follow the previous one in the message
-// without a gap and can be appended.
-func wellFormed(m *pb.ConsensusMessage) bool {
+// entriesValid reports whether the entries continue from m.PrevIndex without a
+// gap and can be appended.
+func entriesValid(m *pb.ConsensusMessage) bool {
 	for i, e := range m.Entries {
 		if e.GetIndex() != m.PrevIndex+1+uint64(i) {
 			return false
@@ -125,9 +124,9 @@
 	return true
 }
 
-// takeEntry appends an entry of the leader; where an own one is in its place
-// with another term, that and all after it go.
-func (c *Core) takeEntry(e *pb.LogEntry) {
+// appendOrOverwrite appends an entry from the leader. A local entry at the same
+// index with another term is dropped with all entries after it.
+func (c *Core) appendOrOverwrite(e *pb.LogEntry) {
 	if c.log.matches(e.Index, e.Term) {
 		return
 	}
@@ -141,8 +140,8 @@
 	c.send(&pb.ConsensusMessage{Kind: pb.MessageKind_MESSAGE_KIND_APPEND_REPLY, To: to, PrevIndex: index})
 }
 
-func (c *Core) refuseAppend(m *pb.ConsensusMessage) {
-	hint := c.log.conflict(m.PrevIndex, m.PrevTerm)
+func (c *Core) rejectAppend(m *pb.ConsensusMessage) {
+	hint := c.log.conflictIndex(m.PrevIndex, m.PrevTerm)
 	term, _ := c.log.termAt(hint)
 	c.send(&pb.ConsensusMessage{
 		Kind: pb.MessageKind_MESSAGE_KIND_APPEND_REPLY, To: m.From, Reject: true,
@@ -151,18 +150,18 @@
 }
 
 func (c *Core) handleAppendReply(now time.Time, m *pb.ConsensusMessage) {
-	p := c.heardMember(now, m)
+	p := c.recordContact(now, m)
 	if p == nil {
 		return
 	}
 	if m.Reject {
-		c.handleRefusal(now, m, p)
+		c.handleAppendRejection(now, m, p)
 		return
 	}
 	if m.PrevIndex > c.log.last() {
 		return
 	}
-	p.acknowledged(m.PrevIndex)
+	p.recordAck(m.PrevIndex)
 	if p.mode == probing || p.mode == sendingSnapshot && p.match >= p.snapshot.Index {
 		p.probe()
 		p.mode = replicating
@@ -171,35 +170,36 @@
 	c.advanceCommit()
 	c.afterCommit(now, before)
 	if c.role == Leader {
-		c.sendNew(now, m.From, false)
+		c.sendEntries(now, m.From, false)
 	}
 }
 
-// afterCommit spreads a commit index that rose from before.
+// afterCommit sends the commit index to all members if it advanced from before.
 func (c *Core) afterCommit(now time.Time, before uint64) {
 	if c.log.commit == before {
 		return
 	}
 	c.broadcast(now, true)
-	c.leaveIfRemoved(now)
+	c.stepDownIfRemoved(now)
 }
 
-// handleRefusal looks for the point where the member's log agrees.
-func (c *Core) handleRefusal(now time.Time, m *pb.ConsensusMessage, p *progress) {
+// handleAppendRejection searches for the last index at which the member's log
+// matches.
+func (c *Core) handleAppendRejection(now time.Time, m *pb.ConsensusMessage, p *progress) {
 	switch p.mode {
 	case sendingSnapshot:
 		return
 	case replicating:
 		if m.PrevIndex <= p.match {
-			return // an old answer
+			return // outdated
 		}
 		p.probe()
 	case probing:
 		if m.PrevIndex != p.next-1 {
-			return // an old answer
+			return // outdated
 		}
-		agree := c.log.conflict(m.HintIndex, m.HintTerm)
-		p.next = max(p.match+1, min(agree+1, p.next-1))
+		candidate := c.log.conflictIndex(m.HintIndex, m.HintTerm)
+		p.next = max(p.match+1, min(candidate+1, p.next-1))
 		p.paused = false
 	}
 	c.sendAppend(now, m.From, p)
--- a/internal/consensus/role.go
+++ b/internal/consensus/role.go
@@ -1,6 +1,6 @@
 package consensus
 
-// Role is what a member does in its term.
+// Role is the role of a member in its current term.
 type Role int
 
 // The roles.
@@ -11,7 +11,7 @@
 	Leader
 )
 
-// String names the role for logs.
+// String returns the name of the role for logs.
 func (r Role) String() string {
 	switch r {
 	case Follower:
--- a/internal/consensus/snapshot.go
+++ b/internal/consensus/snapshot.go
@@ -7,11 +7,12 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// MaxSnapshot bounds the data of a snapshot that is taken over, bytes.
-const MaxSnapshot = 1 << 30
+// MaxSnapshotBytes is the maximum data size of a snapshot that a member accepts
+// from a leader.
+const MaxSnapshotBytes = 1 << 30
 
-// beginSnapshot starts to send the newest snapshot to a member that needs
-// entries which were dropped.
+// beginSnapshot starts to send the latest snapshot to a member that needs
+// compacted entries.
 func (c *Core) beginSnapshot(now time.Time, id string, p *progress) {
 	if c.log.snapshot == nil {
 		panic(fmt.Sprintf("consensus: no entry %d and no snapshot", p.next-1))
@@ -39,10 +40,10 @@
 
 func (c *Core) handleSnapshot(now time.Time, m *pb.ConsensusMessage) {
 	s := m.Snapshot
-	if s.GetMembership() == nil || m.SnapshotSize > MaxSnapshot {
+	if s.GetMembership() == nil || m.SnapshotSize > MaxSnapshotBytes {
 		return
 	}
-	c.heardLeader(now, m)
+	c.recordLeaderContact(now, m)
 	if s.Index <= c.log.commit {
 		c.acknowledge(m.From, c.log.commit)
 		return
@@ -52,50 +53,50 @@
 		c.acknowledge(m.From, s.Index)
 		return
 	}
-	whole := c.takePart(m)
-	if whole == nil {
+	complete := c.addSnapshotPart(m)
+	if complete == nil {
 		c.send(&pb.ConsensusMessage{
 			Kind: pb.MessageKind_MESSAGE_KIND_SNAPSHOT_REPLY, To: m.From,
-			PrevIndex: s.Index, SnapshotOffset: uint64(len(c.receiving.Data)),
+			PrevIndex: s.Index, SnapshotOffset: uint64(len(c.receivedSnapshot.Data)),
 		})
 		return
 	}
-	c.receiving = nil
-	c.log.reset(whole)
-	c.log.incoming = whole
-	c.acknowledge(m.From, whole.Index)
+	c.receivedSnapshot = nil
+	c.log.reset(complete)
+	c.log.incoming = complete
+	c.acknowledge(m.From, complete.Index)
 }
 
-// takePart adds a part to the snapshot being received, and gives the snapshot
-// once it is whole. A part out of order is dropped; the answer tells the
-// leader how much is held. Parts of different leaders never mix, for a change
-// of term forgets those received.
-func (c *Core) takePart(m *pb.ConsensusMessage) *pb.Snapshot {
+// addSnapshotPart adds a part to the snapshot being received. It returns the
+// snapshot once it is complete, and nil before. A part out of order is dropped;
+// the reply tells the leader how many bytes were received. Parts from different
+// leaders are never mixed, since a change of term discards received parts.
+func (c *Core) addSnapshotPart(m *pb.ConsensusMessage) *pb.Snapshot {
 	s := m.Snapshot
-	if c.receiving == nil || c.receiving.Index != s.Index || c.receiving.Term != s.Term {
-		c.receiving = &pb.Snapshot{Index: s.Index, Term: s.Term, Membership: s.Membership}
+	if c.receivedSnapshot == nil || c.receivedSnapshot.Index != s.Index || c.receivedSnapshot.Term != s.Term {
+		c.receivedSnapshot = &pb.Snapshot{Index: s.Index, Term: s.Term, Membership: s.Membership}
 	}
-	held := uint64(len(c.receiving.Data))
-	if m.SnapshotOffset != held || held+uint64(len(s.Data)) > m.SnapshotSize {
+	received := uint64(len(c.receivedSnapshot.Data))
+	if m.SnapshotOffset != received || received+uint64(len(s.Data)) > m.SnapshotSize {
 		return nil
 	}
-	c.receiving.Data = append(c.receiving.Data, s.Data...)
-	if uint64(len(c.receiving.Data)) < m.SnapshotSize {
+	c.receivedSnapshot.Data = append(c.receivedSnapshot.Data, s.Data...)
+	if uint64(len(c.receivedSnapshot.Data)) < m.SnapshotSize {
 		return nil
 	}
-	return c.receiving
+	return c.receivedSnapshot
 }
 
 func (c *Core) handleSnapshotReply(now time.Time, m *pb.ConsensusMessage) {
-	p := c.heardMember(now, m)
+	p := c.recordContact(now, m)
 	if p == nil || p.mode != sendingSnapshot || p.snapshot.Index != m.PrevIndex {
 		return
 	}
 	if m.SnapshotOffset > uint64(len(p.snapshot.Data)) {
 		return
 	}
-	// A repeated answer to an earlier part would send that part's successor
-	// once more; resendIfLost is for parts that were dropped.
+	// A duplicate reply must not send the next part again; resendIfLost handles
+	// lost parts.
 	if m.SnapshotOffset == p.snapshotOffset {
 		return
 	}
--- a/internal/consensus/step_fuzz_test.go
+++ b/internal/consensus/step_fuzz_test.go
@@ -9,8 +9,8 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// Any message may come from a peer with a fault: a follower must not panic,
-// nor touch what is committed.
+// A faulty peer may send any message. A follower must neither panic nor lower
+// its commit index.
 func FuzzStep(f *testing.F) {
 	for _, m := range []*pb.ConsensusMessage{
 		{Kind: pb.MessageKind_MESSAGE_KIND_APPEND, Term: 2, PrevIndex: 1, PrevTerm: 1, Entries: []*pb.LogEntry{{Index: 2, Term: 2, Kind: pb.EntryKind_ENTRY_KIND_MEMBERSHIP}}, Commit: 2},
@@ -26,7 +26,7 @@
 	}
 	f.Fuzz(func(t *testing.T, first, second []byte) {
 		c := newCore(t, "b")
-		now := begin
+		now := testStart
 		for _, data := range [][]byte{first, second} {
 			m := &pb.ConsensusMessage{}
 			if proto.Unmarshal(data, m) != nil {
--- a/internal/replica/events.go
+++ b/internal/replica/events.go
@@ -136,7 +136,7 @@
 func (e handoverEvent) size() int { return 0 }
 
 func (e handoverEvent) run(n *Node, now time.Time) {
-	if n.core.HandOver(now) == consensus.ErrNotLeader {
+	if n.core.TransferLeadership(now) == consensus.ErrNotLeader {
 		close(e.reply)
 		return
 	}
--- a/internal/replica/ready.go
+++ b/internal/replica/ready.go
@@ -110,7 +110,7 @@
 	if status.Applied < n.applied {
 		return nil // reopened: the core has not heard yet what is committed
 	}
-	entries := n.applied - status.Snapshot
+	entries := n.applied - status.SnapshotIndex
 	if entries < n.options.SnapshotEntries && n.newBytes < n.options.SnapshotBytes {
 		return nil
 	}
--- a/internal/replica/status.go
+++ b/internal/replica/status.go
@@ -58,7 +58,7 @@
 		case m.DiskId == own:
 			progress.LastContactMs = 0
 		case known.Answered:
-			progress.LastContactMs = time.Since(known.Contact).Milliseconds()
+			progress.LastContactMs = time.Since(known.LastContact).Milliseconds()
 		}
 	}
 	return progress
--- a/internal/replica/waiting.go
+++ b/internal/replica/waiting.go
@@ -75,7 +75,7 @@
 	switch {
 	case c.term != status.Term:
 		c.reply <- changeResult{err: ErrUncertain}
-	case status.Committed && c.done(status.Membership):
+	case status.MembershipCommitted && c.done(status.Membership):
 		c.reply <- changeResult{membership: status.Membership}
 	default:
 		return false
