--- a/internal/replica/cluster_test.go
+++ b/internal/replica/cluster_test.go
@@ -16,16 +16,16 @@
 	"github.com/hyssopsail/hyssopsail/internal/storage/faultfs"
 )
 
-// journal is a state machine that keeps all commands.
-type journal struct {
+// commandLog is a state machine that records all commands.
+type commandLog struct {
 	mu       sync.Mutex
 	commands []string
-	// freeze, when set, holds up the whole node at the command "freeze", as a
-	// stopped process is held up.
+	// freeze, if set, blocks the whole node at the command "freeze" until it is
+	// closed, like a stopped process.
 	freeze chan struct{}
 }
 
-func (j *journal) Apply(_ uint64, command []byte) []byte {
+func (j *commandLog) Apply(_ uint64, command []byte) []byte {
 	if j.freeze != nil && string(command) == "freeze" {
 		<-j.freeze
 	}
@@ -35,22 +35,22 @@
 	return binary.BigEndian.AppendUint64(nil, uint64(len(j.commands)))
 }
 
-func (j *journal) Snapshot() ([]byte, error) { return json.Marshal(j.list()) }
+func (j *commandLog) Snapshot() ([]byte, error) { return json.Marshal(j.list()) }
 
-func (j *journal) Restore(_ uint64, data []byte) error {
+func (j *commandLog) Restore(_ uint64, data []byte) error {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.commands = nil
 	return json.Unmarshal(data, &j.commands)
 }
 
-func (j *journal) list() []string {
+func (j *commandLog) list() []string {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return append([]string(nil), j.commands...)
 }
 
-// link is a transport in memory with cuts by direction.
+// link is an in-memory network whose connections can be cut per direction.
 type link struct {
 	mu    sync.Mutex
 	nodes map[string]*Node
@@ -58,12 +58,13 @@
 	watch func(from, to string, m *pb.ConsensusMessage)
 }
 
-type port struct {
+// linkTransport is the Transport of one node on a link.
+type linkTransport struct {
 	link *link
 	from string
 }
 
-func (p port) Send(address string, m *pb.ConsensusMessage) {
+func (p linkTransport) Send(address string, m *pb.ConsensusMessage) {
 	p.link.mu.Lock()
 	defer p.link.mu.Unlock()
 	if p.link.watch != nil {
@@ -74,11 +75,11 @@
 	}
 }
 
-// machineHost is one instance: its disk, and the process that runs on it.
-type machineHost struct {
+// testInstance is one instance: its disk and the process that runs on it.
+type testInstance struct {
 	name  string
 	disk  *faultfs.FS
-	state *journal
+	state *commandLog
 	node  *Node
 	stop  context.CancelFunc
 	ended chan error
@@ -88,20 +89,20 @@
 type cluster struct {
 	t       *testing.T
 	link    *link
-	hosts   map[string]*machineHost
+	hosts   map[string]*testInstance
 	options func(*Options)
 }
 
 func newCluster(t *testing.T, names ...string) *cluster {
-	c := &cluster{t: t, link: &link{nodes: map[string]*Node{}, cut: map[[2]string]bool{}}, hosts: map[string]*machineHost{}}
+	c := &cluster{t: t, link: &link{nodes: map[string]*Node{}, cut: map[[2]string]bool{}}, hosts: map[string]*testInstance{}}
 	c.add(names...)
 	t.Cleanup(c.stopAll)
 	return c
 }
 
-// inGroup runs test in a synctest bubble, with an initialised group of "a", "b"
-// and "c".
-func inGroup(t *testing.T, test func(t *testing.T, c *cluster)) {
+// withGroup runs test in a synctest bubble with an initialised group of "a",
+// "b" and "c".
+func withGroup(t *testing.T, test func(t *testing.T, c *cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, "a", "b", "c")
@@ -112,17 +113,17 @@
 
 func (c *cluster) add(names ...string) {
 	for _, name := range names {
-		c.hosts[name] = &machineHost{name: name, disk: faultfs.New()}
+		c.hosts[name] = &testInstance{name: name, disk: faultfs.New()}
 		c.start(name)
 	}
 }
 
 func (c *cluster) start(name string) *Node {
 	h := c.hosts[name]
-	h.state = &journal{}
+	h.state = &commandLog{}
 	options := Options{
 		InstanceID: name, RPCAddress: name, Dir: "/data", FS: h.disk, Machine: h.state,
-		Transport: port{c.link, name}, Seed: uint64(len(name)) + uint64(name[0]),
+		Transport: linkTransport{c.link, name}, Seed: uint64(len(name)) + uint64(name[0]),
 	}
 	if c.options != nil {
 		c.options(&options)
@@ -139,7 +140,7 @@
 	return node
 }
 
-// kill ends a process without a last word; what its disk didn't sync is lost.
+// kill ends a process without a shutdown; data that its disk didn't sync is lost.
 func (c *cluster) kill(name string) {
 	h := c.hosts[name]
 	c.link.mu.Lock()
@@ -150,7 +151,7 @@
 	synctest.Wait()
 }
 
-// loseDisk kills an instance and replaces its disk by an empty one.
+// loseDisk kills an instance and replaces its disk with an empty one.
 func (c *cluster) loseDisk(name string) {
 	c.kill(name)
 	c.hosts[name].disk = faultfs.New()
@@ -175,14 +176,14 @@
 	assert.NilError(c.t, c.hosts[names[0]].node.Init("fleet", members))
 }
 
-// leader waits for a leader among the running nodes.
-func (c *cluster) leader() *machineHost {
+// leader waits for a leader among all instances.
+func (c *cluster) leader() *testInstance {
 	c.t.Helper()
-	return c.leaderOf(c.others(nil))
+	return c.waitForLeader(c.others(nil))
 }
 
-func (c *cluster) others(than *machineHost) []*machineHost {
-	var others []*machineHost
+func (c *cluster) others(than *testInstance) []*testInstance {
+	var others []*testInstance
 	for _, name := range []string{"a", "b", "c", "d", "e"} {
 		if h := c.hosts[name]; h != nil && h != than {
 			others = append(others, h)
@@ -191,7 +192,7 @@
 	return others
 }
 
-func short(t *testing.T) context.Context {
+func shortContext(t *testing.T) context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	t.Cleanup(cancel)
 	return ctx
@@ -202,9 +203,9 @@
 	return c.proposeTo(c.leader(), command)
 }
 
-func (c *cluster) proposeTo(h *machineHost, command string) Applied {
+func (c *cluster) proposeTo(h *testInstance, command string) Applied {
 	c.t.Helper()
-	applied, err := h.node.Propose(short(c.t), []byte(command))
+	applied, err := h.node.Propose(shortContext(c.t), []byte(command))
 	assert.NilError(c.t, err)
 	return applied
 }
@@ -217,8 +218,9 @@
 	}
 }
 
-// agree waits until all named hosts have applied the same commands.
-func (c *cluster) agree(names ...string) []string {
+// waitForEqualState waits 3 s, checks that all named instances have applied the
+// same commands, and returns these.
+func (c *cluster) waitForEqualState(names ...string) []string {
 	c.t.Helper()
 	time.Sleep(3 * time.Second)
 	synctest.Wait()
@@ -232,14 +234,14 @@
 func TestThreeNodesElectCommitAndApply(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, "a", "b", "c")
-		_, err := c.hosts["a"].node.Propose(short(t), []byte("early"))
+		_, err := c.hosts["a"].node.Propose(shortContext(t), []byte("early"))
 		assert.ErrorIs(t, err, ErrNotLeader)
 		c.init("a", "b", "c")
 		for i := range 20 {
 			applied := c.propose(fmt.Sprint("x", i))
 			assert.Equal(t, binary.BigEndian.Uint64(applied.Result), uint64(i+1))
 		}
-		assert.Equal(t, len(c.agree("a", "b", "c")), 20)
+		assert.Equal(t, len(c.waitForEqualState("a", "b", "c")), 20)
 		status := c.leader().node.Status()
 		assert.Equal(t, status.FleetID, "fleet")
 		assert.Equal(t, len(status.Members), 3)
--- a/internal/replica/disks_test.go
+++ b/internal/replica/disks_test.go
@@ -11,48 +11,48 @@
 	"gotest.tools/v3/assert"
 )
 
-// A change is confirmed by the leader and one member. The member loses its
-// disk and comes back empty, and the leader dies: together with the third,
-// which never saw the change, the empty one must not elect a leader without
-// it. After the repair a second disk is lost, and still nothing is missing.
-func TestLostDiskCannotVoteAChangeAway(t *testing.T) {
-	inGroup(t, func(t *testing.T, c *cluster) {
+// A change is confirmed by the leader and one follower. Then the follower loses
+// its disk and the leader is killed. The empty member must not elect a leader
+// together with the third one, which doesn't have the change. After the empty
+// member was added again, a second disk is lost, and no change may be missing.
+func TestLostDiskKeepsConfirmedChanges(t *testing.T) {
+	withGroup(t, func(t *testing.T, c *cluster) {
 		c.propose("first")
 		leader := c.leader()
-		holder, behind := c.others(leader)[0], c.others(leader)[1]
-		c.setCut(leader.name, behind.name, true)
+		holder, lagging := c.others(leader)[0], c.others(leader)[1]
+		c.setCut(leader.name, lagging.name, true)
 		c.propose("accepted")
 		c.loseDisk(holder.name)
 		c.kill(leader.name)
 		c.start(holder.name)
-		c.setCut(leader.name, behind.name, false)
+		c.setCut(leader.name, lagging.name, false)
 		time.Sleep(time.Minute)
-		assert.Assert(t, !holder.node.Status().IsLeader && !behind.node.Status().IsLeader)
+		assert.Assert(t, !holder.node.Status().IsLeader && !lagging.node.Status().IsLeader)
 		assert.Equal(t, holder.node.Status().Initialised, false)
 
 		c.start(leader.name)
-		c.repair(holder)
-		assert.DeepEqual(t, c.agree("a", "b", "c"), []string{"first", "accepted"})
+		c.addMember(holder)
+		assert.DeepEqual(t, c.waitForEqualState("a", "b", "c"), []string{"first", "accepted"})
 
 		c.loseDisk(leader.name)
 		c.start(leader.name)
-		c.repair(leader)
+		c.addMember(leader)
 		c.propose("last")
-		assert.DeepEqual(t, c.agree("a", "b", "c"), []string{"first", "accepted", "last"})
+		assert.DeepEqual(t, c.waitForEqualState("a", "b", "c"), []string{"first", "accepted", "last"})
 	})
 }
 
-// All control instances lose power at once, in the middle of proposals, and
-// what their disks had not synced is gone. Each confirmed change is there.
-func TestAllRestartWithUnsyncedWritesDropped(t *testing.T) {
-	inGroup(t, func(t *testing.T, c *cluster) {
+// All control instances lose power at once during proposals, and unsynced data is
+// lost. Each confirmed change must still be there.
+func TestPowerLossOnAllInstances(t *testing.T) {
+	withGroup(t, func(t *testing.T, c *cluster) {
 		var confirmed []string
 		for round := range 10 {
 			leader := c.leader()
 			release := c.others(leader)[0].disk.Stall()
 			for i := range 5 {
 				command := fmt.Sprintf("%d-%d", round, i)
-				if _, err := leader.node.Propose(short(t), []byte(command)); err == nil {
+				if _, err := leader.node.Propose(shortContext(t), []byte(command)); err == nil {
 					confirmed = append(confirmed, command)
 				}
 			}
@@ -64,7 +64,7 @@
 			for _, name := range []string{"a", "b", "c"} {
 				c.start(name)
 			}
-			all := c.agreeUnder(c.leader())
+			all := c.commandsAt(c.leader())
 			for _, command := range confirmed {
 				assert.Assert(t, slices.Contains(all, command), "%s is lost", command)
 			}
@@ -73,11 +73,11 @@
 	})
 }
 
-// Both followers' disks are slow when a change comes. The change must not be
-// confirmed on the word of members that don't hold it durably: the power
-// fails, the leader's disk is lost, and a confirmed change would be gone.
+// While the disks of both followers stall, a change must not be confirmed. If
+// followers acknowledged it before a sync, a power failure with the loss of the
+// leader's disk would lose a confirmed change.
 func TestNothingIsConfirmedBeforeFollowersSync(t *testing.T) {
-	inGroup(t, func(t *testing.T, c *cluster) {
+	withGroup(t, func(t *testing.T, c *cluster) {
 		c.propose("before")
 		leader := c.leader()
 		ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
@@ -91,49 +91,48 @@
 	})
 }
 
-// A disk is full, fails a sync, or takes forever. The instance must stop at
-// once and for good, its callers must not be told that anything was done, and
-// the others go on.
-func TestBadDiskStepsDown(t *testing.T) {
+// A disk is full, fails a sync, or stalls. The member must stop at once and not
+// resume, its callers must not get a confirmation, and the other members continue.
+func TestDiskFailureStopsMember(t *testing.T) {
 	tables := []struct {
-		name  string
-		spoil func(h *machineHost) (mend func())
+		name      string
+		breakDisk func(h *testInstance) (repair func())
 	}{
-		{"full", func(h *machineHost) func() { h.disk.SetCapacity(1); return func() {} }},
-		{"fails a sync", func(h *machineHost) func() { h.disk.FailSyncs(1); return func() {} }},
-		{"stalls", func(h *machineHost) func() { return h.disk.Stall() }},
+		{"full", func(h *testInstance) func() { h.disk.SetCapacity(1); return func() {} }},
+		{"fails a sync", func(h *testInstance) func() { h.disk.FailSyncs(1); return func() {} }},
+		{"stalls", func(h *testInstance) func() { return h.disk.Stall() }},
 	}
 	for _, row := range tables {
 		t.Run(row.name, func(t *testing.T) {
-			inGroup(t, func(t *testing.T, c *cluster) {
+			withGroup(t, func(t *testing.T, c *cluster) {
 				c.propose("before")
-				bad := c.leader()
-				mend := row.spoil(bad)
-				_, err := bad.node.Propose(context.Background(), []byte("caught"))
+				failing := c.leader()
+				repairDisk := row.breakDisk(failing)
+				_, err := failing.node.Propose(context.Background(), []byte("caught"))
 				assert.ErrorIs(t, err, ErrUncertain)
-				assert.ErrorIs(t, <-bad.ended, ErrStorage)
-				mend()
-				assert.Assert(t, bad.node.Status().StorageFailed && !bad.node.Status().IsLeader)
-				_, err = bad.node.Propose(short(t), []byte("x"))
+				assert.ErrorIs(t, <-failing.ended, ErrStorage)
+				repairDisk()
+				assert.Assert(t, failing.node.Status().StorageFailed && !failing.node.Status().IsLeader)
+				_, err = failing.node.Propose(shortContext(t), []byte("x"))
 				assert.ErrorIs(t, err, ErrStorage)
-				assert.ErrorIs(t, bad.node.ReadBarrier(short(t)), ErrStorage)
-				c.proposeTo(c.leaderOf(c.others(bad)), "after")
+				assert.ErrorIs(t, failing.node.ReadBarrier(shortContext(t)), ErrStorage)
+				c.proposeTo(c.waitForLeader(c.others(failing)), "after")
 			})
 		})
 	}
 }
 
-// A disk is full, fails a sync, or hangs for some seconds, and then works again.
-// Its process goes on without a restart: it never claims to lead meanwhile, takes
-// up what it missed, applies nothing twice, and is a voter that counts.
-func TestBadDiskComesBack(t *testing.T) {
+// A disk is full, fails a sync, or stalls for some seconds, and then works again.
+// The process must continue without a restart: it doesn't claim leadership while
+// the disk fails, catches up, applies nothing twice, and counts as a voter again.
+func TestMemberRecoversFromDiskFailure(t *testing.T) {
 	tables := []struct {
-		name  string
-		spoil func(h *machineHost) (mend func())
+		name      string
+		breakDisk func(h *testInstance) (repair func())
 	}{
-		{"full", func(h *machineHost) func() { h.disk.SetCapacity(1); return func() { h.disk.SetCapacity(0) } }},
-		{"fails a sync", func(h *machineHost) func() { h.disk.FailSyncs(1); return func() {} }},
-		{"stalls", func(h *machineHost) func() { return h.disk.Stall() }},
+		{"full", func(h *testInstance) func() { h.disk.SetCapacity(1); return func() { h.disk.SetCapacity(0) } }},
+		{"fails a sync", func(h *testInstance) func() { h.disk.FailSyncs(1); return func() {} }},
+		{"stalls", func(h *testInstance) func() { return h.disk.Stall() }},
 	}
 	for _, row := range tables {
 		for _, who := range []string{"leader", "follower"} {
@@ -144,43 +143,43 @@
 					c.add("a", "b", "c")
 					c.init("a", "b", "c")
 					c.proposeMany("before", 20)
-					bad := c.leader()
+					failing := c.leader()
 					if who == "follower" {
-						bad = c.others(bad)[0]
+						failing = c.others(failing)[0]
 					}
-					mend := row.spoil(bad)
-					_, _ = bad.node.Propose(short(t), []byte("caught"))
+					repairDisk := row.breakDisk(failing)
+					_, _ = failing.node.Propose(shortContext(t), []byte("caught"))
 					c.proposeMany("after", 20)
 					time.Sleep(4 * time.Second)
-					mend()
+					repairDisk()
 					time.Sleep(2 * time.Second)
-					assert.Equal(t, len(bad.ended), 0)
-					assert.Assert(t, !bad.node.Status().StorageFailed)
-					good, third := c.others(bad)[0], c.others(bad)[1]
+					assert.Equal(t, len(failing.ended), 0)
+					assert.Assert(t, !failing.node.Status().StorageFailed)
+					healthy, third := c.others(failing)[0], c.others(failing)[1]
 					c.kill(third.name)
-					c.proposeTo(c.leaderOf([]*machineHost{bad, good}), "by two")
+					c.proposeTo(c.waitForLeader([]*testInstance{failing, healthy}), "by two")
 					time.Sleep(time.Second)
-					assert.DeepEqual(t, bad.state.list(), good.state.list())
+					assert.DeepEqual(t, failing.state.list(), healthy.state.list())
 				})
 			})
 		}
 	}
 }
 
-// A planned stop comes while a disk hangs: it ends without the disk.
-func TestStopWhileADiskHangs(t *testing.T) {
+// A planned stop must complete while a disk hangs.
+func TestStopWhileDiskHangs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
 		c.options = func(o *Options) { o.Reopen = true }
 		c.add("a", "b", "c")
 		c.init("a", "b", "c")
-		bad := c.leader()
-		release := bad.disk.Stall()
+		failing := c.leader()
+		release := failing.disk.Stall()
 		defer release()
-		_, err := bad.node.Propose(context.Background(), []byte("caught"))
+		_, err := failing.node.Propose(context.Background(), []byte("caught"))
 		assert.ErrorIs(t, err, ErrUncertain)
 		time.Sleep(5 * time.Second)
-		bad.stop()
-		assert.NilError(t, <-bad.ended)
+		failing.stop()
+		assert.NilError(t, <-failing.ended)
 	})
 }
--- a/internal/replica/doc.go
+++ b/internal/replica/doc.go
@@ -1,4 +1,4 @@
-// Package replica runs the consensus core of one control instance: it
-// persists, then sends, then applies. It is the I/O shell around packages
-// consensus and storage, and treats commands as opaque bytes.
+// Package replica runs the consensus core of one control instance. It does the
+// I/O for package consensus with package storage and a transport: it persists
+// state, then sends messages, then applies entries. Commands are opaque bytes.
 package replica
--- a/internal/replica/drpc_transport.go
+++ b/internal/replica/drpc_transport.go
@@ -10,44 +10,45 @@
 	"github.com/hyssopsail/hyssopsail/internal/rpc"
 )
 
-// The bounds of a DRPCTransport.
+// Limits of a DRPCTransport.
 const (
-	peerQueue   = 512              // messages that wait for one peer
-	peerLimit   = 64               // peers; a group has a handful
-	sendSilence = time.Second      // after which a message is given up
-	peerIdle    = 30 * time.Second // after which a peer's worker ends
+	maxQueuedMessages = 512              // queue length per peer
+	maxPeers          = 64               // a group has only a few members
+	sendIdleTimeout   = time.Second      // a send without progress for this long is abandoned
+	peerIdleTimeout   = 30 * time.Second // the worker of an idle peer ends after this time
 )
 
-// DRPCTransport sends messages over drpc, with one worker and one bounded
-// queue for each peer, so that a peer that doesn't answer holds up no other.
-// A full queue drops what comes.
+// DRPCTransport sends messages over drpc. Each peer has its own worker and
+// bounded queue, so that an unresponsive peer doesn't delay the others. Messages
+// to a full queue are dropped.
 type DRPCTransport struct {
 	dialer rpc.Dialer
 	part   logging.Part
 
-	mu    sync.Mutex // guards the fields below; nothing else is locked inside
-	ctx   context.Context
-	peers map[string]chan *pb.ConsensusMessage
-	wait  sync.WaitGroup
+	mu      sync.Mutex // guards the fields below; no other lock is taken while it is held
+	ctx     context.Context
+	peers   map[string]chan *pb.ConsensusMessage
+	workers sync.WaitGroup
 }
 
-// NewTransport makes a transport that sends once Run works.
+// NewTransport returns a transport, which sends messages only while Run is
+// running.
 func NewTransport(dialer rpc.Dialer, part logging.Part) *DRPCTransport {
 	return &DRPCTransport{dialer: dialer, part: part, peers: map[string]chan *pb.ConsensusMessage{}}
 }
 
-// Run lets messages flow until ctx ends.
+// Run enables sending until ctx ends, and then waits for the workers.
 func (t *DRPCTransport) Run(ctx context.Context) error {
 	t.mu.Lock()
 	t.ctx = ctx
 	t.mu.Unlock()
 	<-ctx.Done()
-	// A Send that saw ctx alive may be about to start a worker; after this
-	// none does, so that Wait misses nobody.
+	// A concurrent Send may still start a worker. Clearing ctx under the lock
+	// prevents this, so that Wait covers all workers.
 	t.mu.Lock()
 	t.ctx = nil
 	t.mu.Unlock()
-	t.wait.Wait()
+	t.workers.Wait()
 	return nil
 }
 
@@ -60,13 +61,13 @@
 	}
 	queue := t.peers[address]
 	if queue == nil {
-		if len(t.peers) >= peerLimit {
+		if len(t.peers) >= maxPeers {
 			return
 		}
-		queue = make(chan *pb.ConsensusMessage, peerQueue)
+		queue = make(chan *pb.ConsensusMessage, maxQueuedMessages)
 		t.peers[address] = queue
-		t.wait.Add(1)
-		go t.work(t.ctx, address, queue)
+		t.workers.Add(1)
+		go t.sendLoop(t.ctx, address, queue)
 	}
 	select {
 	case queue <- m:
@@ -74,30 +75,30 @@
 	}
 }
 
-func (t *DRPCTransport) work(ctx context.Context, address string, queue chan *pb.ConsensusMessage) {
-	defer t.wait.Done()
-	idle := time.NewTimer(peerIdle)
+func (t *DRPCTransport) sendLoop(ctx context.Context, address string, queue chan *pb.ConsensusMessage) {
+	defer t.workers.Done()
+	idle := time.NewTimer(peerIdleTimeout)
 	defer idle.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case m := <-queue:
-			idle.Reset(peerIdle)
+			idle.Reset(peerIdleTimeout)
 			if err := t.step(ctx, address, m); err != nil && ctx.Err() == nil {
 				t.part.Debug("Message was not delivered.", "address", address, "kind", m.Kind, "err", err)
 			}
 		case <-idle.C:
-			if t.retire(address, queue) {
+			if t.removeIfIdle(address, queue) {
 				return
 			}
-			idle.Reset(peerIdle)
+			idle.Reset(peerIdleTimeout)
 		}
 	}
 }
 
-// retire forgets a peer whose queue is empty.
-func (t *DRPCTransport) retire(address string, queue chan *pb.ConsensusMessage) bool {
+// removeIfIdle removes a peer if its queue is empty, and reports whether it did.
+func (t *DRPCTransport) removeIfIdle(address string, queue chan *pb.ConsensusMessage) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if len(queue) > 0 {
@@ -108,7 +109,7 @@
 }
 
 func (t *DRPCTransport) step(ctx context.Context, address string, m *pb.ConsensusMessage) error {
-	ctx, transfer := rpc.WithTransfer(ctx, sendSilence)
+	ctx, transfer := rpc.WithTransfer(ctx, sendIdleTimeout)
 	conn, err := t.dialer.Conn(ctx, address)
 	if err == nil {
 		_, err = pb.NewDRPCConsensusClient(conn).Step(ctx, m)
--- a/internal/replica/failures_test.go
+++ b/internal/replica/failures_test.go
@@ -10,11 +10,11 @@
 	"gotest.tools/v3/assert"
 )
 
-// The operator's change is synced and replicated, and the leader dies before
-// it answers. The operator sees "uncertain" and resends: the first one must be
-// there, once, for the resend to find.
+// A change is synced and replicated, and the leader is killed before it replies.
+// The operator gets ErrUncertain and repeats the change: the first one must be in
+// the log exactly once, so that the repeat finds it.
 func TestLeaderKilledBetweenSyncAndReply(t *testing.T) {
-	inGroup(t, func(t *testing.T, c *cluster) {
+	withGroup(t, func(t *testing.T, c *cluster) {
 		c.propose("first")
 		old := c.leader()
 		// The followers persist and answer, but the answers are lost.
@@ -35,14 +35,14 @@
 	})
 }
 
-// A member is cut off, both ways or one way, for a long time, silently. Asked,
-// it must not answer from its old state; the rest goes on; and when it comes
-// back nobody loses the leader over it.
-func TestCutOffMember(t *testing.T) {
+// A member is partitioned for a long time, in one or both directions, without
+// connection errors. It must not serve reads from its outdated state, the other
+// members continue, and its return must not depose the leader.
+func TestPartitionedMember(t *testing.T) {
 	tables := []struct {
 		name        string
 		leader      bool // the leader is the one cut off
-		sends, gets bool // what still works
+		sends, gets bool // direction that still works
 		pair        bool // only the link between leader and follower is cut
 	}{
 		{"leader, both ways", true, false, false, false},
@@ -56,49 +56,49 @@
 	}
 	for _, row := range tables {
 		t.Run(row.name, func(t *testing.T) {
-			inGroup(t, func(t *testing.T, c *cluster) { cutOff(t, c, row.leader, row.sends, row.gets, row.pair) })
+			withGroup(t, func(t *testing.T, c *cluster) { testPartition(t, c, row.leader, row.sends, row.gets, row.pair) })
 		})
 	}
 }
 
-func cutOff(t *testing.T, c *cluster, leader, sends, gets, pair bool) {
+func testPartition(t *testing.T, c *cluster, leader, sends, gets, pair bool) {
 	c.propose("before")
 	first := c.leader()
-	lost := first
+	partitioned := first
 	if !leader {
-		lost = c.others(first)[0]
+		partitioned = c.others(first)[0]
 	}
-	far := c.others(lost)
+	peers := c.others(partitioned)
 	if pair {
-		far = []*machineHost{first}
+		peers = []*testInstance{first}
 	}
-	for _, other := range far {
-		c.setCut(lost.name, other.name, !sends)
-		c.setCut(other.name, lost.name, !gets)
+	for _, other := range peers {
+		c.setCut(partitioned.name, other.name, !sends)
+		c.setCut(other.name, partitioned.name, !gets)
 	}
 	time.Sleep(5 * time.Second)
-	rest := c.others(lost)
-	current := c.leaderOf(rest)
+	others := c.others(partitioned)
+	current := c.waitForLeader(others)
 	assert.Assert(t, leader || current == first, "a working leader was deposed")
 	for i := range 20 {
 		c.proposeTo(current, fmt.Sprint("during-", i))
-		assert.Assert(t, lost.node.ReadBarrier(short(t)) != nil)
+		assert.Assert(t, partitioned.node.ReadBarrier(shortContext(t)) != nil)
 		time.Sleep(time.Second)
 	}
 	before := current.node.Status()
-	for _, other := range rest {
-		c.setCut(lost.name, other.name, false)
-		c.setCut(other.name, lost.name, false)
+	for _, other := range others {
+		c.setCut(partitioned.name, other.name, false)
+		c.setCut(other.name, partitioned.name, false)
 	}
-	assert.Equal(t, len(c.agree("a", "b", "c")), 21)
+	assert.Equal(t, len(c.waitForEqualState("a", "b", "c")), 21)
 	after := current.node.Status()
 	assert.Assert(t, after.IsLeader)
 	assert.Equal(t, after.Term, before.Term)
 }
 
-// An instance is down while hundreds of changes pass and the log before them
-// is dropped. On its return it must catch up, by snapshot, and nothing of its
-// own disk may be in the way.
+// An instance is down during hundreds of changes, and the entries that it needs
+// are compacted. After its restart it must catch up by a snapshot, regardless of
+// its old data on disk.
 func TestRestartAfterManyEntries(t *testing.T) {
 	for _, missed := range []int{500, 1200} {
 		synctest.Test(t, func(t *testing.T) {
@@ -107,27 +107,27 @@
 			c.add("a", "b", "c")
 			c.init("a", "b", "c")
 			c.proposeMany("early", 130)
-			lost := c.others(c.leader())[0]
-			c.kill(lost.name)
+			down := c.others(c.leader())[0]
+			c.kill(down.name)
 			c.proposeMany("missed", missed)
-			c.start(lost.name)
-			assert.Equal(t, len(c.agree("a", "b", "c")), 130+missed)
+			c.start(down.name)
+			assert.Equal(t, len(c.waitForEqualState("a", "b", "c")), 130+missed)
 			for _, name := range []string{"a", "b", "c"} {
 				c.kill(name)
 				c.start(name)
 			}
 			c.propose("late")
-			assert.Equal(t, len(c.agree("a", "b", "c")), 131+missed)
+			assert.Equal(t, len(c.waitForEqualState("a", "b", "c")), 131+missed)
 		})
 	}
 }
 
-// A leader is frozen for longer than its lease, with a read and a change in
-// hand; meanwhile another leads and commits. When the first wakes, the read
-// must not be answered from its old state, nor the change be confirmed.
-func TestFrozenLeaderAnswersNothing(t *testing.T) {
+// A leader is frozen for longer than its lease with a read and a change pending,
+// while another leader commits. When it resumes, the read must not return the
+// outdated state, and the change must not be confirmed.
+func TestFrozenLeaderConfirmsNothing(t *testing.T) {
 	for _, frozen := range []time.Duration{1500 * time.Millisecond, 20 * time.Second} {
-		inGroup(t, func(t *testing.T, c *cluster) {
+		withGroup(t, func(t *testing.T, c *cluster) {
 			c.propose("before")
 			old := c.leader()
 			thaw := make(chan struct{})
@@ -141,36 +141,36 @@
 				answers <- err
 			}()
 			time.Sleep(frozen)
-			c.proposeTo(c.leaderOf(c.others(old)), "meanwhile")
+			c.proposeTo(c.waitForLeader(c.others(old)), "meanwhile")
 			close(thaw)
 			assert.Assert(t, <-answers != nil)
 			assert.Assert(t, <-answers != nil)
-			assert.DeepEqual(t, c.agree("a", "b", "c"), []string{"before", "freeze", "meanwhile"})
+			assert.DeepEqual(t, c.waitForEqualState("a", "b", "c"), []string{"before", "freeze", "meanwhile"})
 		})
 	}
 }
 
-// A leader's process is stopped as planned. Users must not wait for an
-// election timeout, and nothing in flight is lost.
-func TestHandOverAtAPlannedStop(t *testing.T) {
-	inGroup(t, func(t *testing.T, c *cluster) {
+// At the planned stop of a leader, users must not wait for an election timeout,
+// and no change is lost.
+func TestLeadershipTransferAtPlannedStop(t *testing.T) {
+	withGroup(t, func(t *testing.T, c *cluster) {
 		c.proposeMany("x", 10)
 		old := c.leader()
 		began := time.Now()
-		assert.NilError(t, old.node.HandOver(short(t)))
-		next := c.leaderOf(c.others(old))
+		assert.NilError(t, old.node.HandOver(shortContext(t)))
+		next := c.waitForLeader(c.others(old))
 		assert.Assert(t, time.Since(began) <= 100*time.Millisecond, "%s", time.Since(began))
 		c.proposeTo(next, "last")
-		assert.Equal(t, len(c.agree("a", "b", "c")), 11)
+		assert.Equal(t, len(c.waitForEqualState("a", "b", "c")), 11)
 	})
 }
 
-// A member's disk is lost and its replacement is being added when the leader
-// is killed. The operator repeats the command at the next leader; the group
-// ends with three voters and every confirmed change.
+// The leader is killed while a member with a lost disk is being replaced. After
+// the operator repeats the command at the next leader, the group must have three
+// voters and every confirmed change.
 func TestLeaderKilledWhileAMemberIsReplaced(t *testing.T) {
 	for _, delay := range []time.Duration{0, time.Millisecond, 60 * time.Millisecond, 120 * time.Millisecond, 300 * time.Millisecond} {
-		inGroup(t, func(t *testing.T, c *cluster) {
+		withGroup(t, func(t *testing.T, c *cluster) {
 			c.proposeMany("x", 50)
 			leader := c.leader()
 			replaced := c.others(leader)[0]
@@ -181,9 +181,9 @@
 			c.kill(leader.name)
 			time.Sleep(3 * time.Second)
 			c.start(leader.name)
-			c.repair(replaced)
+			c.addMember(replaced)
 			c.propose("last")
-			assert.Equal(t, len(c.agree("a", "b", "c")), 51)
+			assert.Equal(t, len(c.waitForEqualState("a", "b", "c")), 51)
 			members := c.leader().node.Status().Members
 			assert.Equal(t, len(members), 3)
 			for _, m := range members {
@@ -200,9 +200,9 @@
 	c.link.cut[[2]string{from, to}] = cut
 }
 
-// repair adds a host's new disk, as an operator who repeats the command until
-// it is confirmed.
-func (c *cluster) repair(h *machineHost) {
+// addMember adds an instance's new disk and, like an operator, repeats the command
+// until it is confirmed.
+func (c *cluster) addMember(h *testInstance) {
 	c.t.Helper()
 	for range 20 {
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
@@ -216,11 +216,11 @@
 	c.t.Fatal("the member was not added")
 }
 
-func (c *cluster) leaderOf(hosts []*machineHost) *machineHost {
+func (c *cluster) waitForLeader(hosts []*testInstance) *testInstance {
 	c.t.Helper()
 	for range 200 {
 		for _, h := range hosts {
-			if h.node.Status().IsLeader && h.node.ReadBarrier(short(c.t)) == nil {
+			if h.node.Status().IsLeader && h.node.ReadBarrier(shortContext(c.t)) == nil {
 				return h
 			}
 		}
@@ -230,9 +230,9 @@
 	return nil
 }
 
-func (c *cluster) agreeUnder(leader *machineHost) []string {
+func (c *cluster) commandsAt(leader *testInstance) []string {
 	c.t.Helper()
-	if err := leader.node.ReadBarrier(short(c.t)); err != nil {
+	if err := leader.node.ReadBarrier(shortContext(c.t)); err != nil {
 		c.t.Fatal(err)
 	}
 	return leader.state.list()
--- a/internal/replica/group.go
+++ b/internal/replica/group.go
@@ -12,10 +12,11 @@
 
 var _ Group = (*Node)(nil)
 
-// Propose implements Group. When ctx ends first the outcome is ErrUncertain.
+// Propose implements Group. It returns ErrUncertain if ctx ends before the
+// outcome is known.
 func (n *Node) Propose(ctx context.Context, command []byte) (Applied, error) {
 	e := proposeEvent{command: command, reply: make(chan proposeResult, 1)}
-	if err := n.hand(ctx, e); err != nil {
+	if err := n.enqueue(ctx, e); err != nil {
 		return Applied{}, err
 	}
 	select {
@@ -24,7 +25,7 @@
 	case <-ctx.Done():
 		return Applied{}, trace.Wrap(ErrUncertain, "%v", ctx.Err())
 	case <-n.done:
-		return lastReply(e.reply, proposeResult{err: ErrUncertain}).unpack()
+		return replyOr(e.reply, proposeResult{err: ErrUncertain}).unpack()
 	}
 }
 
@@ -33,7 +34,7 @@
 // ReadBarrier implements Group.
 func (n *Node) ReadBarrier(ctx context.Context) error {
 	e := readEvent{reply: make(chan error, 1)}
-	if err := n.hand(ctx, e); err != nil {
+	if err := n.enqueue(ctx, e); err != nil {
 		return err
 	}
 	select {
@@ -42,17 +43,17 @@
 	case <-ctx.Done():
 		return trace.Wrap(ctx.Err())
 	case <-n.done:
-		return lastReply(e.reply, n.ended())
+		return replyOr(e.reply, n.endedError())
 	}
 }
 
-// ProposeMember implements Group. It returns once the change is committed: an
-// added member is then a voter that holds all committed entries, and the
-// member of its instance's lost disk is gone.
+// ProposeMember implements Group. It returns once the change is committed. An
+// added member is then a voter that holds all committed entries, and a member
+// on its instance's lost disk has been removed.
 func (n *Node) ProposeMember(ctx context.Context, remove bool, member *pb.Member) (*pb.Membership, error) {
 	change := consensus.Change{Remove: remove, Member: member}
 	e := changeEvent{change: change, reply: make(chan changeResult, 1)}
-	if err := n.hand(ctx, e); err != nil {
+	if err := n.enqueue(ctx, e); err != nil {
 		return nil, err
 	}
 	select {
@@ -61,20 +62,20 @@
 	case <-ctx.Done():
 		return nil, trace.Wrap(ErrUncertain, "%v", ctx.Err())
 	case <-n.done:
-		r := lastReply(e.reply, changeResult{err: ErrUncertain})
+		r := replyOr(e.reply, changeResult{err: ErrUncertain})
 		return r.membership, r.err
 	}
 }
 
-// HandOver gives up leadership at a planned stop: it returns nil once this
-// member doesn't lead, also when it did not before, and the error of ctx when
-// no other member took over in time. Run and the transport must be working.
+// HandOver transfers leadership before a planned stop. It returns nil once this
+// member is not the leader, also if it was not before, and the error of ctx if
+// no other member took over in time. Run and the transport must be running.
 func (n *Node) HandOver(ctx context.Context) error {
 	retry := time.NewTicker(n.options.ElectionTimeout)
 	defer retry.Stop()
 	for n.Status().IsLeader {
-		e := handoverEvent{reply: make(chan struct{})}
-		if err := n.hand(ctx, e); err != nil {
+		e := transferEvent{reply: make(chan struct{})}
+		if err := n.enqueue(ctx, e); err != nil {
 			return err
 		}
 		select {
@@ -89,15 +90,15 @@
 	return nil
 }
 
-// Step implements Group. It returns when the message is queued; a full queue
-// drops it.
+// Step implements Group. It returns when the message is queued, or an error if
+// the queue is full.
 func (n *Node) Step(_ context.Context, message *pb.ConsensusMessage) error {
 	if message == nil {
 		return trace.BadParameter("no message")
 	}
 	select {
 	case <-n.done:
-		return n.ended()
+		return n.endedError()
 	default:
 	}
 	select {
@@ -108,30 +109,30 @@
 	}
 }
 
-// Init implements Group. Run must be working. members must name this disk as
-// a voter, and every other disk by the ID that its instance shows; those join
-// when they hear from this one.
+// Init implements Group. Run must be running. members must contain this disk as
+// a voter, and each other disk with the ID that its instance reports. The other
+// disks join the group with the first message from this one.
 func (n *Node) Init(fleetID string, members []*pb.Member) error {
 	group, err := groupName(fleetID, members)
 	if err != nil {
 		return err
 	}
-	if err := checkFirstMembers(n.DiskID(), members); err != nil {
+	if err := validateInitialMembers(n.DiskID(), members); err != nil {
 		return err
 	}
 	e := initEvent{group: group, members: members, reply: make(chan error, 1)}
-	if err := n.hand(context.Background(), e); err != nil {
+	if err := n.enqueue(context.Background(), e); err != nil {
 		return err
 	}
 	select {
 	case err := <-e.reply:
 		return err
 	case <-n.done:
-		return lastReply(e.reply, n.ended())
+		return replyOr(e.reply, n.endedError())
 	}
 }
 
-func checkFirstMembers(own string, members []*pb.Member) error {
+func validateInitialMembers(own string, members []*pb.Member) error {
 	seen := map[string]bool{}
 	voter := false
 	for _, m := range members {
@@ -150,11 +151,11 @@
 	return nil
 }
 
-// hand queues an event; the error means it was not run.
-func (n *Node) hand(ctx context.Context, e event) error {
+// enqueue queues an event. After an error the event will not be run.
+func (n *Node) enqueue(ctx context.Context, e event) error {
 	select {
 	case <-n.done:
-		return n.ended()
+		return n.endedError()
 	default:
 	}
 	select {
@@ -163,24 +164,25 @@
 	case <-ctx.Done():
 		return trace.Wrap(ctx.Err())
 	case <-n.done:
-		return n.ended()
+		return n.endedError()
 	}
 }
 
-// ended is the error of a Node whose Run has ended.
-func (n *Node) ended() error {
+// endedError returns the error for calls after Run has ended.
+func (n *Node) endedError() error {
 	if n.failed.Load() {
 		return ErrStorage
 	}
 	return ErrNotLeader
 }
 
-// lastReply prefers an answer that came just before Run ended.
-func lastReply[T any](reply chan T, otherwise T) T {
+// replyOr returns the reply if one was sent before Run ended, and otherwise
+// fallback.
+func replyOr[T any](reply chan T, fallback T) T {
 	select {
 	case r := <-reply:
 		return r
 	default:
-		return otherwise
+		return fallback
 	}
 }
--- a/internal/replica/group_name.go
+++ b/internal/replica/group_name.go
@@ -11,13 +11,13 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// groupSeparator stands between the fleet ID and the digest of the first
+// groupSeparator separates the fleet ID from the digest of the initial
 // membership in a group's name.
 const groupSeparator = "#"
 
-// groupName names the group that Init begins. The digest keeps apart two
-// groups that were begun with one fleet ID but different members, which
-// would otherwise take each other's messages with different first entries.
+// groupName returns the name of a new group. The digest distinguishes groups
+// with the same fleet ID but different initial members, which otherwise would
+// accept each other's messages although their first entries differ.
 func groupName(fleetID string, members []*pb.Member) (string, error) {
 	if fleetID == "" || strings.Contains(fleetID, groupSeparator) {
 		return "", trace.BadParameter("fleet ID %q is empty or contains %q", fleetID, groupSeparator)
@@ -30,7 +30,7 @@
 	return fmt.Sprintf("%s%s%016x", fleetID, groupSeparator, xxhash.Sum64String(strings.Join(lines, "\n"))), nil
 }
 
-func fleetOf(group string) string {
+func fleetIDOf(group string) string {
 	fleet, _, _ := strings.Cut(group, groupSeparator)
 	return fleet
 }
--- a/internal/replica/loopback_test.go
+++ b/internal/replica/loopback_test.go
@@ -17,8 +17,8 @@
 	"github.com/hyssopsail/hyssopsail/internal/timeline"
 )
 
-// serve runs a node with its folder on real files, over drpc on listener,
-// until ctx ends; then it closes ended.
+// serve runs a node with real files and drpc on listener until ctx ends; then it
+// closes ended.
 func serve(ctx context.Context, config *tls.Config, listener net.Listener, dir, name string, state StateMachine) (node *Node, ended <-chan struct{}, err error) {
 	pool := rpc.NewPool(config, timeline.NewClock(time.Now))
 	transport := NewTransport(pool, logging.Part{})
@@ -44,7 +44,7 @@
 	return node, done, nil
 }
 
-// process is one node over drpc on the loopback, with real files.
+// process is one node with real files and drpc over the loopback interface.
 type process struct {
 	name, dir, address string
 	node               *Node
@@ -61,7 +61,7 @@
 	p.address = listener.Addr().String()
 	ctx, cancel := context.WithCancel(context.Background())
 	p.stop = cancel
-	p.node, p.ended, err = serve(ctx, config, listener, p.dir, p.name, &journal{})
+	p.node, p.ended, err = serve(ctx, config, listener, p.dir, p.name, &commandLog{})
 	assert.NilError(t, err)
 }
 
@@ -78,27 +78,27 @@
 		members = append(members, &pb.Member{InstanceId: p.name, DiskId: p.node.DiskID(), RpcAddress: p.address})
 	}
 	assert.NilError(t, all[0].node.Init("fleet", members))
-	leaderProcess(t, all)
+	waitForLeaderProcess(t, all)
 	return config, all
 }
 
-func leaderProcess(t testing.TB, all []*process) *process {
+func waitForLeaderProcess(t testing.TB, all []*process) *process {
 	return waitForOne(t, 20*time.Second, all, func(p *process) bool {
 		return p.node.Status().IsLeader && p.node.ReadBarrier(context.Background()) == nil
 	})
 }
 
-// Three processes with real files and sockets elect, commit, and go on when
-// the leader is gone and comes back at another address.
+// Three nodes with real files and sockets must elect a leader and commit, and
+// continue when the leader stops and returns at another address.
 func TestOverLoopback(t *testing.T) {
 	config, all := startProcesses(t, 3)
-	leader := leaderProcess(t, all)
+	leader := waitForLeaderProcess(t, all)
 	_, err := leader.node.Propose(context.Background(), []byte("x"))
 	assert.NilError(t, err)
 	leader.stop()
 	<-leader.ended
 	rest := without(all, leader)
-	applied, err := leaderProcess(t, rest).node.Propose(context.Background(), []byte("y"))
+	applied, err := waitForLeaderProcess(t, rest).node.Propose(context.Background(), []byte("y"))
 	assert.NilError(t, err)
 	leader.address = ""
 	startProcess(t, config, leader)
--- a/internal/replica/metrics.go
+++ b/internal/replica/metrics.go
@@ -7,7 +7,7 @@
 	"github.com/hyssopsail/hyssopsail/internal/consensus"
 )
 
-// metrics are those of one Node.
+// metrics holds the metrics of one Node.
 type metrics struct {
 	term          prometheus.Gauge
 	leader        prometheus.Gauge
--- a/internal/replica/node.go
+++ b/internal/replica/node.go
@@ -13,43 +13,42 @@
 	"github.com/hyssopsail/hyssopsail/internal/storage"
 )
 
-// The bounds of one turn of the loop and of what waits for it.
 const (
-	inboxLength = 4096
-	turnEvents  = 512
-	turnBytes   = 16 << 20
-	knownLimit  = 64
+	inboxCapacity     = 4096     // events that wait for the loop
+	maxBatchEvents    = 512      // queued events in one iteration of the loop
+	maxBatchBytes     = 16 << 20 // approximate bytes to write in one iteration
+	maxKnownAddresses = 64
 )
 
-// Node is one member of the group. One goroutine, that of Run, owns the core,
-// the store and the state machine; all others hand it events, so there are no
-// locks to order.
+// Node is one member of the group. The goroutine of Run owns the core, the store
+// and the state machine. Other goroutines send it events, so no lock order is
+// needed.
 type Node struct {
-	options Options
-	diskID  string
-	store   *storage.Store
-	core    *consensus.Core
-	group   string
-	known   map[string]string // disk ID to address, as messages tell
-
-	inbox     chan event
-	done      chan struct{} // closed when Run ends
-	published atomic.Pointer[published]
-	failed    atomic.Bool   // storage failed
-	written   chan struct{} // closed when the newest write has ended
-	metrics   *metrics
-
-	applied   uint64
-	newBytes  uint64 // of the entries applied since the newest snapshot
-	nextRead  uint64
-	proposals map[uint64]proposal // by index
-	reads     map[uint64]chan error
-	changes   []memberChange
-	handovers []handoverEvent
+	options        Options
+	diskID         string
+	store          *storage.Store
+	core           *consensus.Core
+	group          string
+	knownAddresses map[string]string // addresses from received messages, by disk ID
+
+	inbox          chan event
+	done           chan struct{} // closed when Run ends
+	published      atomic.Pointer[publishedStatus]
+	failed         atomic.Bool   // storage failed
+	lastWriteEnded chan struct{} // closed when the latest write has ended
+	metrics        *metrics
+
+	applied            uint64
+	bytesSinceSnapshot uint64 // size of the entries applied since the latest snapshot
+	nextRead           uint64
+	proposals          map[uint64]proposal // by index
+	reads              map[uint64]chan error
+	changes            []memberChange
+	transfers          []transferEvent
 }
 
-// New opens the data folder and restores the state machine. An error that is
-// *storage.ErrCorrupt means that the folder can't be trusted any more.
+// New opens the data folder and restores the state machine. It returns
+// *storage.ErrCorrupt if the folder can no longer be trusted.
 func New(options Options) (*Node, error) {
 	options, err := options.withDefaults()
 	if err != nil {
@@ -61,8 +60,8 @@
 	}
 	n := &Node{
 		options: options, diskID: store.DiskID(), store: store, group: store.Group(),
-		known: map[string]string{},
-		inbox: make(chan event, inboxLength), done: make(chan struct{}),
+		knownAddresses: map[string]string{},
+		inbox:          make(chan event, inboxCapacity), done: make(chan struct{}),
 		metrics:   newMetrics(options.Registerer),
 		proposals: map[uint64]proposal{}, reads: map[uint64]chan error{},
 	}
@@ -96,31 +95,31 @@
 // DiskID implements Group.
 func (n *Node) DiskID() string { return n.diskID }
 
-// Run works until ctx ends, which gives nil, or the storage fails for good,
-// which gives ErrStorage. It may be called once.
+// Run runs the member until ctx ends or the storage fails permanently, which
+// returns ErrStorage. It must be called at most once.
 func (n *Node) Run(ctx context.Context) error {
 	defer close(n.done)
 	n.options.Part.Info("Started.", "disk", n.DiskID(), "group", n.group)
 	for {
-		err := n.work(ctx)
+		err := n.loop(ctx)
 		if err == nil {
-			n.stop(ErrNotLeader)
+			n.failAll(ErrNotLeader)
 			return trace.Wrap(n.store.Close())
 		}
-		n.failStorage(err)
+		n.handleStorageFailure(err)
 		if !n.options.Reopen {
 			return trace.Wrap(ErrStorage, "%v", err)
 		}
 		if err := n.reopen(ctx); err != nil || ctx.Err() != nil {
-			n.stop(ErrStorage)
+			n.failAll(ErrStorage)
 			return err
 		}
 	}
 }
 
-// work takes in events and carries out what is due until ctx ends, which gives
-// nil, or the storage fails.
-func (n *Node) work(ctx context.Context) error {
+// loop processes events and timers. It returns nil when ctx ends, and an error
+// when the storage fails.
+func (n *Node) loop(ctx context.Context) error {
 	ticker := time.NewTicker(n.options.Tick)
 	defer ticker.Stop()
 	for {
@@ -130,17 +129,18 @@
 		case <-ticker.C:
 		case e := <-n.inbox:
 			e.run(n, time.Now())
-			n.drain(e.size())
+			n.runQueuedEvents(e.size())
 		}
-		if err := n.turn(); err != nil {
+		if err := n.processDue(); err != nil {
 			return err
 		}
 	}
 }
 
-// drain takes in the events that wait, so that one sync serves all of them.
-func (n *Node) drain(size int) {
-	for count := 0; count < turnEvents && size < turnBytes; count++ {
+// runQueuedEvents runs the events in the queue, so that one sync covers all of
+// them.
+func (n *Node) runQueuedEvents(size int) {
+	for count := 0; count < maxBatchEvents && size < maxBatchBytes; count++ {
 		select {
 		case e := <-n.inbox:
 			e.run(n, time.Now())
@@ -151,8 +151,8 @@
 	}
 }
 
-// turn lets time pass and carries out what is due.
-func (n *Node) turn() error {
+// processDue advances the core's timers and processes its pending work.
+func (n *Node) processDue() error {
 	if n.failed.Load() {
 		return ErrStorage
 	}
@@ -160,7 +160,7 @@
 	n.core.Tick(now)
 	n.core.Flush(now)
 	for n.core.HasReady() {
-		if err := n.carryOut(n.core.Ready()); err != nil {
+		if err := n.processReady(n.core.Ready()); err != nil {
 			return err
 		}
 	}
@@ -168,37 +168,39 @@
 		return err
 	}
 	n.publish()
-	n.settle()
+	n.completePending()
 	return nil
 }
 
-// failStorage ends this member's work on its open files. They may not hold what
-// it would promise next, and what it was asked last may or may not be on them,
-// so it sends nothing more and leaves proposals uncertain.
-func (n *Node) failStorage(cause error) {
+// handleStorageFailure stops this member after a storage error. Its files may
+// lack state that later messages would rely on, and may or may not hold the
+// latest proposals. So no messages are sent, and pending proposals fail with
+// ErrUncertain.
+func (n *Node) handleStorageFailure(cause error) {
 	n.failed.Store(true)
 	n.options.Part.Error("Storage failed.", "reopens", n.options.Reopen, "err", cause)
 	n.metrics.storageFailed.Set(1)
-	n.stop(ErrStorage)
+	n.failAll(ErrStorage)
 }
 
-// stop answers all who wait.
-func (n *Node) stop(reads error) {
-	n.failWaiting(reads)
+// failAll fails all pending calls and all queued events. Reads and queued events
+// fail with cause.
+func (n *Node) failAll(cause error) {
+	n.failPending(cause)
 	for {
 		select {
 		case e := <-n.inbox:
-			e.refuse(reads)
+			e.reject(cause)
 		default:
 			return
 		}
 	}
 }
 
-// address gives where a disk's member takes messages; what it said itself is
-// newer than the membership.
+// address returns the RPC address of a disk's member. The address in the
+// member's own messages is newer than the one in the membership.
 func (n *Node) address(diskID string) string {
-	if address := n.known[diskID]; address != "" {
+	if address := n.knownAddresses[diskID]; address != "" {
 		return address
 	}
 	for _, m := range n.core.Status().Membership.GetMembers() {
@@ -210,11 +212,11 @@
 }
 
 func (n *Node) learnAddress(m *pb.ConsensusMessage) {
-	if m.FromAddress == "" || n.known[m.From] == m.FromAddress {
+	if m.FromAddress == "" || n.knownAddresses[m.From] == m.FromAddress {
 		return
 	}
-	if len(n.known) >= knownLimit {
-		clear(n.known)
+	if len(n.knownAddresses) >= maxKnownAddresses {
+		clear(n.knownAddresses)
 	}
-	n.known[m.From] = m.FromAddress
+	n.knownAddresses[m.From] = m.FromAddress
 }
--- a/internal/replica/node_benchmark_test.go
+++ b/internal/replica/node_benchmark_test.go
@@ -17,8 +17,8 @@
 	b.ReportMetric(float64(took[len(took)*99/100].Microseconds())/1000, "p99-ms")
 }
 
-// One proposer after another, and many at once: 256 bytes each, three nodes,
-// real syncs, drpc over TLS on the loopback.
+// Measures proposals of 256 bytes by one and by many concurrent proposers, on
+// three nodes with real syncs and drpc over TLS on the loopback interface.
 func BenchmarkPropose(b *testing.B) {
 	for _, size := range []struct {
 		name      string
@@ -30,7 +30,7 @@
 
 func benchmarkPropose(b *testing.B, proposers int) {
 	_, all := startProcesses(b, 3)
-	node := leaderProcess(b, all).node
+	node := waitForLeaderProcess(b, all).node
 	command := make([]byte, 256)
 	took := make([][]time.Duration, proposers)
 	var wait sync.WaitGroup
@@ -53,18 +53,18 @@
 	quantiles(b, slices.Concat(took...))
 }
 
-// From the end of the leader's process until another leader has confirmed
-// that it leads.
+// Measures the time from the stop of the leader until another leader has
+// confirmed its leadership.
 func BenchmarkLeaderKilled(b *testing.B) {
 	config, all := startProcesses(b, 3)
 	var took []time.Duration
 	for b.Loop() {
-		leader := leaderProcess(b, all)
+		leader := waitForLeaderProcess(b, all)
 		rest := without(all, leader)
 		began := time.Now()
 		leader.stop()
 		<-leader.ended
-		next := leaderProcess(b, rest)
+		next := waitForLeaderProcess(b, rest)
 		took = append(took, time.Since(began))
 		startProcess(b, config, leader)
 		_, err := next.node.Propose(context.Background(), []byte("x"))
--- a/internal/replica/node_test.go
+++ b/internal/replica/node_test.go
@@ -34,27 +34,27 @@
 			assert.Assert(t, node.Init(row.fleet, row.members) != nil, name)
 		}
 		assert.Assert(t, !node.Status().Initialised)
-		assert.ErrorIs(t, node.ReadBarrier(short(t)), ErrNotLeader)
+		assert.ErrorIs(t, node.ReadBarrier(shortContext(t)), ErrNotLeader)
 	})
 }
 
-// An operator removes a member, repeats it, and must not be able to remove
-// what keeps the group working.
+// Removing a member can be repeated, but must be rejected if it would leave the
+// group without a reachable quorum.
 func TestRemoval(t *testing.T) {
-	inGroup(t, func(t *testing.T, c *cluster) {
+	withGroup(t, func(t *testing.T, c *cluster) {
 		leader := c.leader()
 		dead, alive := c.others(leader)[0], c.others(leader)[1]
 		c.kill(dead.name)
 		time.Sleep(2 * time.Second)
-		_, err := leader.node.ProposeMember(short(t), true, &pb.Member{InstanceId: alive.name})
+		_, err := leader.node.ProposeMember(shortContext(t), true, &pb.Member{InstanceId: alive.name})
 		assert.ErrorContains(t, err, "no quorum")
 		for range 2 {
-			membership, err := leader.node.ProposeMember(short(t), true, &pb.Member{InstanceId: dead.name})
+			membership, err := leader.node.ProposeMember(shortContext(t), true, &pb.Member{InstanceId: dead.name})
 			assert.NilError(t, err)
 			assert.Equal(t, len(membership.Members), 2)
 		}
-		// The leader may remove itself; the last voter goes on alone.
-		_, err = c.leader().node.ProposeMember(short(t), true, &pb.Member{InstanceId: c.leader().name})
+		// The leader may remove itself; the last voter continues alone.
+		_, err = c.leader().node.ProposeMember(shortContext(t), true, &pb.Member{InstanceId: c.leader().name})
 		assert.Assert(t, err == nil || errors.Is(err, ErrUncertain), "%v", err)
 		c.propose("alone")
 		assert.Equal(t, len(c.leader().node.Status().Members), 1)
@@ -64,8 +64,8 @@
 func TestCorruptFolderIsRefused(t *testing.T) {
 	disk := faultfs.New()
 	options := Options{
-		InstanceID: "a", RPCAddress: "a", Dir: "/data", FS: disk, Machine: &journal{},
-		Transport: port{&link{}, "a"},
+		InstanceID: "a", RPCAddress: "a", Dir: "/data", FS: disk, Machine: &commandLog{},
+		Transport: linkTransport{&link{}, "a"},
 	}
 	synctest.Test(t, func(t *testing.T) {
 		node, err := New(options)
--- a/internal/replica/options.go
+++ b/internal/replica/options.go
@@ -11,7 +11,7 @@
 	"github.com/hyssopsail/hyssopsail/internal/storage"
 )
 
-// The defaults of Options.
+// Defaults of Options.
 const (
 	DefaultTick            = 50 * time.Millisecond
 	DefaultStorageTimeout  = 3 * time.Second
@@ -20,39 +20,40 @@
 	DefaultKeepEntries     = 1024
 )
 
-// Heartbeats and elections are counted in ticks by default.
+// Default heartbeat interval and election timeout in ticks.
 const (
 	heartbeatTicks = 2
 	electionTicks  = 10
 )
 
-// Options tell a Node who it is and what it works with.
+// Options configures a Node.
 type Options struct {
 	InstanceID string
-	RPCAddress string // host:port where the other members reach this one
+	RPCAddress string // host:port at which the other members reach this one
 	Dir        string // data folder
 	FS         storage.FS
 	Machine    StateMachine
 	Transport  Transport
 	Part       logging.Part
-	Registerer prometheus.Registerer // nil for no metrics
-	Seed       uint64                // of the election timeouts
+	Registerer prometheus.Registerer // nil disables the registration of metrics
+	Seed       uint64                // for the randomized election timeouts
 
-	// Tick is how often timers are looked at. HeartbeatInterval and
-	// ElectionTimeout are 2 and 10 ticks when 0; a member stands after one
-	// to two election timeouts.
+	// Tick is the interval at which timers are checked. HeartbeatInterval and
+	// ElectionTimeout default to 2 and 10 ticks. A member starts an election
+	// after one to two election timeouts without a leader.
 	Tick              time.Duration
 	HeartbeatInterval time.Duration
 	ElectionTimeout   time.Duration
-	// StorageTimeout is the longest a write and its sync may take before
-	// the disk counts as failed, besides a second for each 10 MiB.
+	// StorageTimeout is the maximum time of a write with its sync before the
+	// disk counts as failed, plus one second for each 10 MiB.
 	StorageTimeout time.Duration
-	// Reopen has the member read its data folder anew after a failed write, and
-	// go on when it can be written again, as a restarted process would. Without
-	// it Run ends.
+	// Reopen makes the member reopen its data folder after a failed write and
+	// continue once it can be written again, as a restarted process would.
+	// Otherwise Run ends.
 	Reopen bool
-	// SnapshotEntries or SnapshotBytes of applied entries make a new snapshot
-	// due; KeepEntries of them stay in memory for members that lag a little.
+	// A snapshot is taken after SnapshotEntries applied entries or SnapshotBytes
+	// of their data. KeepEntries entries stay in memory, so that slightly lagging
+	// members can catch up without a snapshot.
 	SnapshotEntries uint64
 	SnapshotBytes   uint64
 	KeepEntries     uint64
--- a/internal/replica/process_test.go
+++ b/internal/replica/process_test.go
@@ -27,7 +27,7 @@
 // childConfig in JSON.
 const childVariable = "HYSSOPSAIL_TEST_NODE"
 
-// childConfig is what a child process needs to know.
+// childConfig is the configuration of a child process.
 type childConfig struct {
 	Dir, Address string
 	Keys         rpc.Files
@@ -36,36 +36,37 @@
 func TestMain(m *testing.M) {
 	if text := os.Getenv(childVariable); text != "" {
 		var config childConfig
-		must(json.Unmarshal([]byte(text), &config))
+		panicOnError(json.Unmarshal([]byte(text), &config))
 		runChild(config)
 		return
 	}
 	os.Exit(m.Run())
 }
 
-// runChild answers requests, one a line, until its input ends.
+// runChild runs a node and answers requests, one per line, until the end of
+// standard input.
 func runChild(c childConfig) {
 	listener, err := net.Listen("tcp", c.Address)
-	must(err)
+	panicOnError(err)
 	config, err := rpc.LoadTLS(c.Keys)
-	must(err)
-	state := &journal{}
+	panicOnError(err)
+	state := &commandLog{}
 	node, _, err := serve(context.Background(), config, listener, c.Dir, filepath.Base(c.Dir), state)
-	must(err)
+	panicOnError(err)
 	fmt.Println(node.DiskID(), listener.Addr())
 	lines := bufio.NewScanner(os.Stdin)
 	for lines.Scan() {
-		fmt.Println(answerLine(node, state, lines.Text()))
+		fmt.Println(handleRequest(node, state, lines.Text()))
 	}
 }
 
-func must(err error) {
+func panicOnError(err error) {
 	if err != nil {
 		panic(err)
 	}
 }
 
-func answerLine(node *Node, state *journal, line string) string {
+func handleRequest(node *Node, state *commandLog, line string) string {
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
 	verb, rest, _ := strings.Cut(line, " ")
@@ -73,7 +74,7 @@
 	switch verb {
 	case "init":
 		var members []*pb.Member
-		must(json.Unmarshal([]byte(rest), &members))
+		panicOnError(json.Unmarshal([]byte(rest), &members))
 		err = node.Init("fleet", members)
 	case "propose":
 		_, err = node.Propose(ctx, []byte(rest))
@@ -88,7 +89,7 @@
 	return "ok"
 }
 
-// child is a node in a process of its own.
+// child is a node in its own process.
 type child struct {
 	t       *testing.T
 	config  childConfig
@@ -125,7 +126,7 @@
 	assert.NilError(c.t, err)
 }
 
-// ask gives the answer, empty when the process died first.
+// ask sends a request and returns the answer, or "" if the process ended first.
 func (c *child) ask(line string) string {
 	c.send(line)
 	return c.answer()
@@ -155,8 +156,9 @@
 	return children
 }
 
-// leadingChild waits until one of children answers a read.
-func leadingChild(t *testing.T, children []*child) (leader *child, state string) {
+// waitForLeadingChild waits until one of children answers a read, and returns it
+// with the state that it read.
+func waitForLeadingChild(t *testing.T, children []*child) (leader *child, state string) {
 	leader = waitForOne(t, 30*time.Second, children, func(c *child) bool {
 		answer := c.ask("read")
 		state = strings.TrimPrefix(answer, "ok ")
@@ -165,7 +167,7 @@
 	return leader, state
 }
 
-// waitForOne polls until ok holds for one of all.
+// waitForOne polls until ok returns true for one of all, and returns that one.
 func waitForOne[T any](t testing.TB, limit time.Duration, all []T, ok func(T) bool) T {
 	t.Helper()
 	poll := time.NewTicker(time.Millisecond)
@@ -179,39 +181,40 @@
 	panic("unreachable")
 }
 
-// without gives all but one.
-func without[T comparable](all []T, gone T) []T {
-	return slices.DeleteFunc(slices.Clone(all), func(one T) bool { return one == gone })
+// without returns all elements except excluded.
+func without[T comparable](all []T, excluded T) []T {
+	return slices.DeleteFunc(slices.Clone(all), func(one T) bool { return one == excluded })
 }
 
-// The leader's process is stopped (SIGSTOP) for longer than its lease, with a
-// read and a change on its way to it; others lead and commit. When it goes on,
-// the read must not show the state from before, nor the change be confirmed.
+// The leader's process is suspended (SIGSTOP) for longer than its lease with a
+// read and a change in its input, while another leader commits. When it resumes,
+// the read must not return the outdated state, and the change must not be
+// confirmed.
 func TestStoppedProcess(t *testing.T) {
 	children := startChildren(t)
-	old, _ := leadingChild(t, children)
+	old, _ := waitForLeadingChild(t, children)
 	assert.Equal(t, old.ask("propose before"), "ok")
 	testkit.Freeze(t, old.command.Process)
 	old.send("read")
 	old.send("propose late")
-	next, _ := leadingChild(t, without(children, old))
+	next, _ := waitForLeadingChild(t, without(children, old))
 	assert.Equal(t, next.ask("propose meanwhile"), "ok")
 	assert.NilError(t, old.command.Process.Signal(syscall.SIGCONT))
 	for _, request := range []string{"read", "change"} {
 		answer := old.answer()
 		assert.Assert(t, strings.HasPrefix(answer, "error"), "%s: %q", request, answer)
 	}
-	_, state := leadingChild(t, children)
+	_, state := waitForLeadingChild(t, children)
 	assert.Equal(t, state, "before,meanwhile")
 }
 
-// Leaders are killed (kill -9) with a change on its way, again and again, and
-// come back. Each confirmed change is there once, in order.
+// Leaders are repeatedly killed (SIGKILL) with a change in flight, and restarted.
+// Each confirmed change must be there once and in order.
 func TestKilledProcesses(t *testing.T) {
 	children := startChildren(t)
 	var confirmed []string
 	for round := range 4 {
-		leader, _ := leadingChild(t, children)
+		leader, _ := waitForLeadingChild(t, children)
 		for i := range 20 {
 			command := fmt.Sprintf("%d-%d", round, i)
 			assert.Equal(t, leader.ask("propose "+command), "ok")
@@ -221,7 +224,7 @@
 		leader.kill()
 		startChild(t, leader)
 	}
-	_, state := leadingChild(t, children)
+	_, state := waitForLeadingChild(t, children)
 	var found []string
 	for command := range strings.SplitSeq(state, ",") {
 		if command != "lost" {
--- a/internal/replica/ready.go
+++ b/internal/replica/ready.go
@@ -9,10 +9,11 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// carryOut persists, then sends, then applies.
-func (n *Node) carryOut(r consensus.Ready) error {
+// processReady persists the changes of r, then sends its messages, then applies
+// its entries.
+func (n *Node) processReady(r consensus.Ready) error {
 	if r.NeedsSync() {
-		if err := n.guarded(sizeOf(r), func() error { return n.save(r) }); err != nil {
+		if err := n.writeWithTimeout(readySize(r), func() error { return n.save(r) }); err != nil {
 			return err
 		}
 	}
@@ -22,7 +23,7 @@
 	if err := n.apply(r); err != nil {
 		return err
 	}
-	n.answerReads(r.Reads)
+	n.completeReads(r.Reads)
 	n.core.Advance(time.Now(), r)
 	return nil
 }
@@ -34,8 +35,8 @@
 	return n.store.Save(r.HardState, r.Entries)
 }
 
-// sizeOf is about what r writes, bytes.
-func sizeOf(r consensus.Ready) int {
+// readySize returns the approximate number of bytes that r writes.
+func readySize(r consensus.Ready) int {
 	size := len(r.Snapshot.GetData())
 	for _, e := range r.Entries {
 		size += len(e.Data)
@@ -43,19 +44,19 @@
 	return size
 }
 
-// slowestDisk is the least rate, bytes a second, of a disk that is not bad.
-const slowestDisk = 10 << 20
+// minDiskBytesPerSecond is the minimum write rate of a working disk.
+const minDiskBytesPerSecond = 10 << 20
 
-// guarded runs a write of size bytes to the disk, and gives up on a disk that
-// takes too long. A stalled disk would otherwise block the loop: the member
-// neither leads nor steps down, and its callers wait. The write may still end
-// later; nothing is built on it, since the caller stops this member or reads the
-// folder anew.
-func (n *Node) guarded(size int, write func() error) error {
+// writeWithTimeout runs a write of size bytes and returns an error if it takes
+// too long. Otherwise a stalled disk would block the loop: the member would
+// neither lead nor step down, and its callers would hang. The write may still
+// complete later, but nothing relies on it, since the caller stops this member
+// or reopens the folder.
+func (n *Node) writeWithTimeout(size int, write func() error) error {
 	began := time.Now()
-	limit := n.options.StorageTimeout + time.Duration(size)*time.Second/slowestDisk
+	limit := n.options.StorageTimeout + time.Duration(size)*time.Second/minDiskBytesPerSecond
 	result, ended := make(chan error, 1), make(chan struct{})
-	n.written = ended
+	n.lastWriteEnded = ended
 	go func() {
 		defer close(ended)
 		result <- write()
@@ -87,7 +88,7 @@
 			return trace.Wrap(err, "snapshot %d can't be restored", s.Index)
 		}
 		n.applied = s.Index
-		n.options.Part.Info("Took over a snapshot.", "index", s.Index)
+		n.options.Part.Info("Restored a snapshot from the leader.", "index", s.Index)
 	}
 	for _, e := range r.Committed {
 		if e.Index <= n.applied {
@@ -98,23 +99,24 @@
 			result = n.options.Machine.Apply(e.Index, e.Data)
 		}
 		n.applied = e.Index
-		n.newBytes += uint64(len(e.Data))
-		n.answerProposal(e, result)
+		n.bytesSinceSnapshot += uint64(len(e.Data))
+		n.completeProposal(e, result)
 	}
 	return nil
 }
 
-// snapshotIfDue bounds the log on disk and in memory.
+// snapshotIfDue takes a snapshot when it is due, which limits the size of the log
+// on disk and in memory.
 func (n *Node) snapshotIfDue() error {
 	status := n.core.Status()
 	if status.Applied < n.applied {
-		return nil // reopened: the core has not heard yet what is committed
+		return nil // after a reopen the core doesn't know the commit index yet
 	}
 	entries := n.applied - status.SnapshotIndex
-	if entries < n.options.SnapshotEntries && n.newBytes < n.options.SnapshotBytes {
+	if entries < n.options.SnapshotEntries && n.bytesSinceSnapshot < n.options.SnapshotBytes {
 		return nil
 	}
-	n.newBytes = 0
+	n.bytesSinceSnapshot = 0
 	s := n.core.SnapshotAt(n.applied)
 	data, err := n.options.Machine.Snapshot()
 	if err != nil {
@@ -122,7 +124,7 @@
 		return nil
 	}
 	s.Data = data
-	if err := n.guarded(len(data), func() error { return n.store.SaveSnapshot(s) }); err != nil {
+	if err := n.writeWithTimeout(len(data), func() error { return n.store.SaveSnapshot(s) }); err != nil {
 		return err
 	}
 	n.core.Compact(s, n.options.KeepEntries)
--- a/internal/replica/reopen.go
+++ b/internal/replica/reopen.go
@@ -10,29 +10,28 @@
 	"github.com/hyssopsail/hyssopsail/internal/storage"
 )
 
-// reopened is a data folder that was opened anew, or why it never will be.
-type reopened struct {
+// reopenResult is the reopened store, or the error that prevents reopening.
+type reopenResult struct {
 	store *storage.Store
 	err   error
 }
 
-// reopen reads the data folder anew until it can be written again, and gives
-// nil then and when ctx ends. Whoever asks meanwhile is told that the storage
-// failed.
+// reopen retries opening the data folder. It returns nil once the folder can be
+// written again or ctx ends. Events that arrive meanwhile fail with ErrStorage.
 //
-// Failure: a disk is full or stalls for some seconds. A process that ended then
-// was started anew and waited for the same disk; its callers were cut off and
-// its supervisor counted one more crash. Reopening is as safe as a restart: the
-// store trusts none of its open files, and copies what it reads into fresh ones.
-// What the state machine has applied was committed, so it stays.
+// When a disk is full or stalls for some seconds, a process that ended would be
+// restarted and wait for the same disk; its callers would be disconnected and
+// its supervisor would count a crash. Reopening is as safe as a restart: the
+// store trusts none of its open files and copies what it reads into new ones.
+// The state machine has applied only committed entries, so it is kept.
 func (n *Node) reopen(ctx context.Context) error {
-	result := make(chan reopened, 1)
-	written := n.written
-	go func() { result <- n.openAgain(ctx, written) }()
+	result := make(chan reopenResult, 1)
+	writeEnded := n.lastWriteEnded
+	go func() { result <- n.openStoreWithRetry(ctx, writeEnded) }()
 	for {
 		select {
 		case e := <-n.inbox:
-			e.refuse(ErrStorage)
+			e.reject(ErrStorage)
 		case r := <-result:
 			if ctx.Err() != nil {
 				return nil
@@ -40,36 +39,37 @@
 			if r.err != nil {
 				return trace.Wrap(ErrStorage, "%v", r.err)
 			}
-			return n.goOn(r.store)
+			return n.resume(r.store)
 		case <-ctx.Done():
-			return nil // a write that hangs must not hold up a stop
+			return nil // a hanging write must not delay the shutdown
 		}
 	}
 }
 
-// openAgain waits for a write that hangs, closes the store and opens its folder.
-func (n *Node) openAgain(ctx context.Context, written <-chan struct{}) reopened {
+// openStoreWithRetry waits for a hanging write to end, closes the store and opens
+// its folder.
+func (n *Node) openStoreWithRetry(ctx context.Context, writeEnded <-chan struct{}) reopenResult {
 	select {
-	case <-written:
+	case <-writeEnded:
 	case <-ctx.Done():
-		return reopened{err: ctx.Err()}
+		return reopenResult{err: ctx.Err()}
 	}
-	_ = n.store.Close() // its files are not used again, whatever it says
+	_ = n.store.Close() // the files are not used again, so the error doesn't matter
 	for {
 		store, err := storage.Open(n.options.Dir, n.options.FS)
 		var corrupt *storage.ErrCorrupt
 		if err == nil || errors.As(err, &corrupt) {
-			return reopened{store, err}
+			return reopenResult{store, err}
 		}
-		n.options.Part.Warn("The data folder can't be reopened; trying again.", "err", err)
-		if !sleep.For(ctx, reopenPause) {
-			return reopened{err: ctx.Err()}
+		n.options.Part.Warn("Can't reopen the data folder; retrying.", "err", err)
+		if !sleep.For(ctx, reopenRetryInterval) {
+			return reopenResult{err: ctx.Err()}
 		}
 	}
 }
 
-// goOn works with what a reopened folder holds.
-func (n *Node) goOn(store *storage.Store) error {
+// resume continues with the state of the reopened folder.
+func (n *Node) resume(store *storage.Store) error {
 	if store.DiskID() != n.diskID {
 		return trace.NewAggregate(trace.Wrap(ErrStorage, "the disk was replaced by %s", store.DiskID()), store.Close())
 	}
--- a/internal/replica/patient_test.go
+++ b/internal/replica/retry_test.go
@@ -12,13 +12,13 @@
 	"github.com/hyssopsail/hyssopsail/internal/storage/faultfs"
 )
 
-// A disk is full when its instance starts, and has room again seconds later.
-// The process waits for it; ending each time would cost a start each.
-func TestStartOnAFullDisk(t *testing.T) {
+// A disk is full when its instance starts, and has space again seconds later. The
+// process must wait for it instead of exiting, which would cause restarts.
+func TestStartOnFullDisk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		disk := faultfs.New()
 		disk.SetCapacity(1)
-		options := Options{InstanceID: "a", RPCAddress: "a", Dir: "data", FS: disk, Machine: &journal{}, Transport: port{&link{}, "a"}}
+		options := Options{InstanceID: "a", RPCAddress: "a", Dir: "data", FS: disk, Machine: &commandLog{}, Transport: linkTransport{&link{}, "a"}}
 		go func() {
 			time.Sleep(4 * time.Second)
 			disk.SetCapacity(0)
@@ -37,18 +37,18 @@
 		_, err = NewPatient(ctx, options)
 		assert.ErrorIs(t, err, context.DeadlineExceeded)
 		_, err = NewPatient(t.Context(), Options{})
-		assert.Assert(t, err != nil, "settings that can't be right are no disk's fault")
+		assert.Assert(t, err != nil, "invalid options must not be retried")
 	})
 }
 
-// A disk becomes full while its instance works alone, and has room again seconds
-// later. What was asked meanwhile is not confirmed; the same process takes the
-// next change.
-func TestPatientNodeOutlivesAFullDisk(t *testing.T) {
+// The disk of the only member becomes full, and has space again seconds later.
+// Changes proposed meanwhile must not be confirmed, and the same process must
+// accept the next change.
+func TestRunningNodeRecoversFromFullDisk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		disk := faultfs.New()
 		node, err := NewPatient(t.Context(), Options{
-			InstanceID: "a", RPCAddress: "a", Dir: "data", FS: disk, Machine: &journal{}, Transport: port{&link{}, "a"},
+			InstanceID: "a", RPCAddress: "a", Dir: "data", FS: disk, Machine: &commandLog{}, Transport: linkTransport{&link{}, "a"},
 		})
 		assert.NilError(t, err)
 		ctx, stop := context.WithCancel(context.Background())
@@ -57,17 +57,17 @@
 		member := &pb.Member{InstanceId: "a", DiskId: node.DiskID(), RpcAddress: "a"}
 		assert.NilError(t, node.Init("fleet", []*pb.Member{member}))
 		time.Sleep(3 * time.Second)
-		_, err = node.Propose(short(t), []byte("before"))
+		_, err = node.Propose(shortContext(t), []byte("before"))
 		assert.NilError(t, err)
 
 		disk.SetCapacity(1)
-		_, err = node.Propose(short(t), []byte("caught"))
+		_, err = node.Propose(shortContext(t), []byte("caught"))
 		assert.ErrorIs(t, err, ErrUncertain)
-		_, err = node.Propose(short(t), []byte("refused"))
+		_, err = node.Propose(shortContext(t), []byte("refused"))
 		assert.ErrorIs(t, err, ErrStorage)
 		disk.SetCapacity(0)
 		time.Sleep(3 * time.Second)
-		_, err = node.Propose(short(t), []byte("after"))
+		_, err = node.Propose(shortContext(t), []byte("after"))
 		assert.NilError(t, err)
 		stop()
 		assert.NilError(t, <-ended)
--- a/internal/replica/server_test.go
+++ b/internal/replica/server_test.go
@@ -6,7 +6,7 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// stepServer hands messages that come over drpc to a Group.
+// stepServer passes messages received over drpc to a Group.
 type stepServer struct{ Group Group }
 
 var _ pb.DRPCConsensusServer = stepServer{}
--- a/internal/replica/status.go
+++ b/internal/replica/status.go
@@ -7,8 +7,9 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// published is the loop's newest status, for readers on other goroutines.
-type published struct {
+// publishedStatus is the status that the loop published last, for other
+// goroutines.
+type publishedStatus struct {
 	status consensus.Status
 	group  string
 }
@@ -16,21 +17,21 @@
 func (n *Node) publish() {
 	status := n.core.Status()
 	n.metrics.observe(status)
-	n.published.Store(&published{status: status, group: n.group})
+	n.published.Store(&publishedStatus{status: status, group: n.group})
 }
 
 // Status implements Group.
 func (n *Node) Status() Status {
 	p := n.published.Load()
 	s := Status{
-		FleetID: fleetOf(p.group), DiskID: n.DiskID(),
+		FleetID: fleetIDOf(p.group), DiskID: n.DiskID(),
 		Term: p.status.Term, Commit: p.status.Commit, Applied: p.status.Applied,
 		StorageFailed: n.failed.Load(), Initialised: p.group != "",
 	}
-	works := !n.hasEnded() && !s.StorageFailed
-	s.IsLeader = p.status.Role == consensus.Leader && works
+	running := !n.hasEnded() && !s.StorageFailed
+	s.IsLeader = p.status.Role == consensus.Leader && running
 	for _, m := range p.status.Membership.GetMembers() {
-		if m.DiskId == p.status.Leader && works {
+		if m.DiskId == p.status.Leader && running {
 			s.Leader = m
 		}
 		s.Members = append(s.Members, progressOf(m, p.status, n.DiskID()))
@@ -47,7 +48,7 @@
 	}
 }
 
-func progressOf(m *pb.Member, status consensus.Status, own string) MemberProgress {
+func progressOf(m *pb.Member, status consensus.Status, ownID string) MemberProgress {
 	progress := MemberProgress{Member: m, LastContactMs: -1}
 	for _, known := range status.Members {
 		if known.DiskID != m.DiskId {
@@ -55,7 +56,7 @@
 		}
 		progress.Match = known.Match
 		switch {
-		case m.DiskId == own:
+		case m.DiskId == ownID:
 			progress.LastContactMs = 0
 		case known.Answered:
 			progress.LastContactMs = time.Since(known.LastContact).Milliseconds()
--- a/internal/replica/transport.go
+++ b/internal/replica/transport.go
@@ -2,9 +2,9 @@
 
 import "github.com/hyssopsail/hyssopsail/internal/pb"
 
-// Transport sends messages to other members. Send doesn't wait and may drop:
-// the protocol sends again what matters. The message must not be changed
-// after the call by either side.
+// Transport sends messages to other members. Send doesn't block and may drop a
+// message, since the protocol retransmits. Neither side may modify the message
+// after the call.
 type Transport interface {
 	Send(address string, m *pb.ConsensusMessage)
 }
