--- a/internal/storage/whole.go
+++ b/internal/storage/atomic_file.go
@@ -7,36 +7,36 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// writeWhole makes a file of one record durable.
-func writeWhole(fs FS, path, salt string, number uint64, m proto.Message) error {
+// writeFile durably writes a file with one record.
+func writeFile(fs FS, path, salt string, number uint64, m proto.Message) error {
 	payload, err := proto.Marshal(m)
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	f, err := createWhole(fs, path, appendRecord(nil, salt, number, payload))
+	f, err := createFile(fs, path, appendRecord(nil, salt, number, payload))
 	if err != nil {
 		return err
 	}
 	return trace.ConvertSystemError(f.Close())
 }
 
-// createWhole makes a file durable and leaves it open for more. It gets its
-// name only once its content is synced: a crash leaves the old file, or the
-// new one, never a part.
-func createWhole(fs FS, path string, content []byte) (File, error) {
+// createFile durably writes a file and leaves it open for appending. The file
+// gets its name only after its content was synced, so that a crash leaves either
+// the old or the new file.
+func createFile(fs FS, path string, content []byte) (File, error) {
 	f, err := fs.Create(path + temporarySuffix)
 	if err != nil {
 		return nil, trace.ConvertSystemError(err)
 	}
-	if err := nameSynced(fs, f, path, content); err != nil {
+	if err := writeAndRename(fs, f, path, content); err != nil {
 		_ = f.Close()
 		return nil, err
 	}
 	return f, nil
 }
 
-// nameSynced writes content to path's temporary file, and renames that.
-func nameSynced(fs FS, f File, path string, content []byte) error {
+// writeAndRename writes content to the temporary file for path and renames it.
+func writeAndRename(fs FS, f File, path string, content []byte) error {
 	if err := writeAndSync(f, content); err != nil {
 		return err
 	}
@@ -53,8 +53,8 @@
 	return trace.ConvertSystemError(f.Sync())
 }
 
-// readWhole reads a file written by writeWhole.
-func readWhole(fs FS, path, salt string, m proto.Message) error {
+// readFile reads a file that writeFile wrote.
+func readFile(fs FS, path, salt string, m proto.Message) error {
 	content, err := fs.ReadFile(path)
 	if err != nil {
 		return err
@@ -64,7 +64,7 @@
 		return &ErrCorrupt{File: path, Reason: err.Error()}
 	}
 	if err := proto.Unmarshal(r.payload, m); err != nil {
-		return &ErrCorrupt{File: path, Offset: recordHeader, Reason: err.Error()}
+		return &ErrCorrupt{File: path, Offset: recordHeaderBytes, Reason: err.Error()}
 	}
 	return nil
 }
--- a/internal/storage/errors.go
+++ b/internal/storage/errors.go
@@ -5,11 +5,12 @@
 	"fmt"
 )
 
-// ErrFailed says that a write or sync failed earlier, so that what the files
-// hold is not known; the Store takes nothing more. Compare with errors.Is.
+// ErrFailed means that an earlier write or sync failed, so that the content of
+// the files is unknown, or that the Store is closed. The Store accepts no more
+// writes. Compare with errors.Is.
 var ErrFailed = errors.New("storage failed earlier")
 
-// ErrCorrupt says that synced content can't be read back. The instance must
+// ErrCorrupt means that synced content is damaged or missing. The instance must
 // not start from it; its disk counts as lost.
 type ErrCorrupt struct {
 	File   string
--- a/internal/storage/faultfs/doc.go
+++ b/internal/storage/faultfs/doc.go
@@ -1,5 +1,4 @@
-// Package faultfs is a file system in memory that fails like a real disk, for
-// the tests of what is built on storage.FS: it loses what was not synced at a
-// crash, tears the last write, damages bytes, fills up, refuses a sync, and
-// stalls.
+// Package faultfs is an in-memory storage.FS for tests that injects disk faults:
+// loss of unsynced data and torn writes at a crash, damaged bytes, a full disk,
+// failing syncs, and stalls.
 package faultfs
--- a/internal/storage/faultfs/faults.go
+++ b/internal/storage/faultfs/faults.go
@@ -6,28 +6,28 @@
 	"strings"
 )
 
-// FailSyncs makes the next n syncs fail; all from now on when n is negative.
+// FailSyncs makes the next n syncs fail, or all further ones if n is negative.
 func (f *FS) FailSyncs(n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.failSync = n
+	f.failingSyncs = n
 }
 
-// SetCapacity bounds the bytes on the disk; 0 lifts the bound.
+// SetCapacity limits the number of bytes on the disk; 0 means no limit.
 func (f *FS) SetCapacity(bytes int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.capacity = bytes
 }
 
-// Used is the number of bytes on the disk.
+// Used returns the number of bytes on the disk.
 func (f *FS) Used() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.used()
 }
 
-// Stall makes each sync wait until the returned function is called.
+// Stall blocks syncs until the returned function is called.
 func (f *FS) Stall() (release func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -41,7 +41,7 @@
 	}
 }
 
-// Files gives the paths that begin with prefix, ascending.
+// Files returns the paths that begin with prefix, in ascending order.
 func (f *FS) Files(prefix string) []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -55,7 +55,7 @@
 	return paths
 }
 
-// Damage inverts the byte at offset, in the file and on the disk.
+// Damage inverts the byte at offset, in the cached and in the durable content.
 func (f *FS) Damage(path string, offset int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -66,10 +66,10 @@
 	}
 }
 
-// tear leaves a random part of the bytes that were not synced.
-func (n *node) tear(random *rand.Rand) {
-	waiting := len(n.data) - len(n.durable)
-	if waiting > 0 {
-		n.persist(len(n.durable) + random.IntN(waiting+1))
+// persistRandomPart persists a random part of the unsynced bytes.
+func (n *node) persistRandomPart(random *rand.Rand) {
+	unsynced := len(n.data) - len(n.durable)
+	if unsynced > 0 {
+		n.persist(len(n.durable) + random.IntN(unsynced+1))
 	}
 }
--- a/internal/storage/faultfs/file.go
+++ b/internal/storage/faultfs/file.go
@@ -4,34 +4,34 @@
 
 // file is an open file.
 type file struct {
-	fs   *FS
-	node *node
-	life int
+	fs          *FS
+	node        *node
+	incarnation int
 }
 
-// Write implements io.Writer. On a full disk it writes what fits.
+// Write implements io.Writer. On a full disk it writes as much as fits.
 func (f *file) Write(p []byte) (int, error) {
 	f.fs.mu.Lock()
 	defer f.fs.mu.Unlock()
-	if f.life != f.fs.life {
-		return 0, errGone
+	if f.incarnation != f.fs.incarnation {
+		return 0, errStaleHandle
 	}
-	n, err := f.fs.room(len(p))
+	n, err := f.fs.freeSpace(len(p))
 	f.node.data = append(f.node.data, p[:n]...)
 	return n, err
 }
 
-// Sync implements storage.File. A failed one gives up the pages that were
-// waiting: readers go on to see them, and the next sync passes over them.
+// Sync implements storage.File. A failed sync drops the unsynced pages: readers
+// still see them, but later syncs skip them.
 func (f *file) Sync() error {
 	err := f.fs.beginSync()
 	f.fs.mu.Lock()
 	defer f.fs.mu.Unlock()
-	if f.life != f.fs.life {
-		return errGone
+	if f.incarnation != f.fs.incarnation {
+		return errStaleHandle
 	}
 	if err != nil {
-		f.node.dropped = len(f.node.data)
+		f.node.lostBytes = len(f.node.data)
 		return err
 	}
 	f.node.persist(len(f.node.data))
@@ -41,30 +41,31 @@
 // Close implements io.Closer.
 func (f *file) Close() error { return nil }
 
-// persist makes data up to end durable, with zeros for what was given up.
+// persist makes data up to end durable. Bytes that a failed sync dropped become
+// zeros.
 func (n *node) persist(end int) {
 	from := len(n.durable)
 	if end <= from {
 		return
 	}
 	n.durable = append(n.durable, n.data[from:end]...)
-	if n.dropped > from {
-		clear(n.durable[from:min(n.dropped, end)])
+	if n.lostBytes > from {
+		clear(n.durable[from:min(n.lostBytes, end)])
 	}
 }
 
 // lock is a held lock file.
 type lock struct {
-	fs   *FS
-	path string
-	life int
+	fs          *FS
+	path        string
+	incarnation int
 }
 
 // Close implements io.Closer.
 func (l *lock) Close() error {
 	l.fs.mu.Lock()
 	defer l.fs.mu.Unlock()
-	if l.life != l.fs.life {
+	if l.incarnation != l.fs.incarnation {
 		return errors.New("lock from before the crash")
 	}
 	delete(l.fs.locked, l.path)
--- a/internal/storage/faultfs/fs.go
+++ b/internal/storage/faultfs/fs.go
@@ -14,37 +14,37 @@
 	"github.com/hyssopsail/hyssopsail/internal/storage"
 )
 
-// ErrSync is the answer of a sync that was made to fail.
+// ErrSync is the error of a sync that FailSyncs made fail.
 var ErrSync = errors.New("input/output error on sync")
 
-// errGone is the answer to a process that a crash ended.
-var errGone = errors.New("file handle from before the crash")
+// errStaleHandle is the error for a file opened before a crash.
+var errStaleHandle = errors.New("file handle from before the crash")
 
-// FS implements storage.FS. The zero value is not usable; see New.
+// FS implements storage.FS. Use New; the zero value is not usable.
 type FS struct {
-	mu       sync.Mutex // guards all below; never held while stalled
-	names    map[string]*node
-	durable  map[string]*node // names as of the last SyncDir
-	locked   map[string]bool
-	life     int   // counts crashes
-	capacity int64 // bytes, 0 for no bound
-	failSync int   // syncs still to fail; negative for all
-	stall    chan struct{}
+	mu           sync.Mutex // guards the fields below; not held during a stall
+	names        map[string]*node
+	durableNames map[string]*node // names as of the last SyncDir
+	locked       map[string]bool
+	incarnation  int   // number of crashes
+	capacity     int64 // bytes; 0 means no limit
+	failingSyncs int   // number of syncs still to fail; negative for all
+	stall        chan struct{}
 }
 
 // node is a file's content.
 type node struct {
-	data    []byte // as a reader sees it
-	durable []byte // as a crash would leave it
-	dropped int    // bytes of data up to here were given up by a failed sync
+	data      []byte // content that readers see
+	durable   []byte // content after a crash
+	lostBytes int    // a failed sync dropped the unsynced bytes before this offset
 }
 
-// New makes an empty disk.
+// New returns an empty disk.
 func New() *FS {
-	return &FS{names: map[string]*node{}, durable: map[string]*node{}, locked: map[string]bool{}}
+	return &FS{names: map[string]*node{}, durableNames: map[string]*node{}, locked: map[string]bool{}}
 }
 
-// MkdirAll implements storage.FS; folders need not be made here.
+// MkdirAll implements storage.FS. It does nothing, since folders exist implicitly.
 func (f *FS) MkdirAll(string) error { return nil }
 
 // Create implements storage.FS.
@@ -53,7 +53,7 @@
 	defer f.mu.Unlock()
 	n := &node{}
 	f.names[path] = n
-	return &file{fs: f, node: n, life: f.life}, nil
+	return &file{fs: f, node: n, incarnation: f.incarnation}, nil
 }
 
 // ReadFile implements storage.FS.
@@ -112,14 +112,14 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	inDir := func(path string, _ *node) bool { return filepath.Dir(path) == filepath.Clean(dir) }
-	for path, n := range f.durable {
+	for path, n := range f.durableNames {
 		if inDir(path, n) {
-			delete(f.durable, path)
+			delete(f.durableNames, path)
 		}
 	}
 	for path, n := range f.names {
 		if inDir(path, n) {
-			f.durable[path] = n
+			f.durableNames[path] = n
 		}
 	}
 	return nil
@@ -133,10 +133,11 @@
 		return nil, errors.New("locked")
 	}
 	f.locked[path] = true
-	return &lock{fs: f, path: path, life: f.life}, nil
+	return &lock{fs: f, path: path, incarnation: f.incarnation}, nil
 }
 
-// beginSync waits out a stall and gives the error, if one is due.
+// beginSync waits for the end of a stall and returns ErrSync if the sync is to
+// fail.
 func (f *FS) beginSync() error {
 	f.mu.Lock()
 	stall := f.stall
@@ -146,11 +147,11 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.failSync == 0 {
+	if f.failingSyncs == 0 {
 		return nil
 	}
-	if f.failSync > 0 {
-		f.failSync--
+	if f.failingSyncs > 0 {
+		f.failingSyncs--
 	}
 	return ErrSync
 }
@@ -163,34 +164,34 @@
 	return sum
 }
 
-// room gives how many of wanted bytes still fit.
-func (f *FS) room(wanted int) (int, error) {
+// freeSpace returns how many of the wanted bytes fit, and ENOSPC if not all do.
+func (f *FS) freeSpace(wanted int) (int, error) {
 	if f.capacity == 0 {
 		return wanted, nil
 	}
-	left := int(max(0, f.capacity-f.used()))
-	if left < wanted {
-		return left, syscall.ENOSPC
+	free := int(max(0, f.capacity-f.used()))
+	if free < wanted {
+		return free, syscall.ENOSPC
 	}
 	return wanted, nil
 }
 
-// Crash ends the process that uses the disk: names and bytes that were not
-// synced are lost, locks and open files are gone. With a random source, a
-// part of what was not synced survives, as it may on a real disk.
+// Crash simulates a crash: unsynced names and bytes are lost, locks are released
+// and open files become unusable. With a random source, a random part of the
+// unsynced bytes survives, as on a real disk.
 func (f *FS) Crash(random *rand.Rand) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.life++
+	f.incarnation++
 	f.locked = map[string]bool{}
 	f.names = map[string]*node{}
-	for _, path := range slices.Sorted(maps.Keys(f.durable)) {
-		n := f.durable[path]
+	for _, path := range slices.Sorted(maps.Keys(f.durableNames)) {
+		n := f.durableNames[path]
 		if random != nil {
-			n.tear(random)
+			n.persistRandomPart(random)
 		}
 		n.data = append([]byte(nil), n.durable...)
-		n.dropped = 0
+		n.lostBytes = 0
 		f.names[path] = n
 	}
 }
--- a/internal/storage/fs.go
+++ b/internal/storage/fs.go
@@ -2,25 +2,25 @@
 
 import "io"
 
-// FS is what a Store needs of a file system. Paths are those of the host.
-// A file's content is durable after File.Sync; its name after SyncDir.
+// FS is the file system interface that a Store needs. Paths are host paths. A
+// file's content is durable after File.Sync, and its name after SyncDir.
 type FS interface {
 	MkdirAll(dir string) error
-	// Create makes an empty file, replacing an existing one.
+	// Create creates an empty file, replacing an existing one.
 	Create(path string) (File, error)
-	// ReadFile fails with fs.ErrNotExist when there is no such file.
+	// ReadFile returns fs.ErrNotExist if there is no such file.
 	ReadFile(path string) ([]byte, error)
-	// ReadDir gives the names in dir in any order.
+	// ReadDir returns the names in dir in any order.
 	ReadDir(dir string) ([]string, error)
 	Rename(from, to string) error
 	Remove(path string) error
 	SyncDir(dir string) error
-	// Lock takes path for this process until Close; it fails at once when
-	// another process has it.
+	// Lock locks path for this process until Close. It fails at once if another
+	// process holds the lock.
 	Lock(path string) (io.Closer, error)
 }
 
-// File is a file that is written from its start to its end.
+// File is a file that is written sequentially.
 type File interface {
 	io.Writer
 	io.Closer
--- a/internal/storage/log_benchmark_test.go
+++ b/internal/storage/log_benchmark_test.go
@@ -13,8 +13,9 @@
 	"github.com/hyssopsail/hyssopsail/internal/storage"
 )
 
-// The benchmarks weigh the own log against an embedded store: one batch of n
-// entries of 256 bytes, made durable by real syncs.
+// batchSizes are the batch sizes of the benchmarks, which compare a Store with
+// the embedded database bbolt: each saves batches of 256-byte entries with real
+// syncs.
 var batchSizes = []struct {
 	name string
 	n    uint64
@@ -28,7 +29,7 @@
 	return list
 }
 
-func BenchmarkSaveOwnLog(b *testing.B) {
+func BenchmarkSaveStore(b *testing.B) {
 	for _, size := range batchSizes {
 		b.Run(size.name, func(b *testing.B) {
 			s, err := storage.Open(b.TempDir(), storage.OSFS{})
--- a/internal/storage/names.go
+++ b/internal/storage/names.go
@@ -18,8 +18,8 @@
 
 func snapshotName(index uint64) string { return fmt.Sprintf("%s%016x", snapshotPrefix, index) }
 
-// numbered gives the numbers of the names with prefix, ascending.
-func numbered(names []string, prefix string) []uint64 {
+// parseNumbers returns the numbers in the names with prefix, ascending.
+func parseNumbers(names []string, prefix string) []uint64 {
 	var found []uint64
 	for _, name := range names {
 		digits, ok := strings.CutPrefix(name, prefix)
--- a/internal/storage/osfs.go
+++ b/internal/storage/osfs.go
@@ -11,7 +11,7 @@
 // OSFS is the host's file system.
 type OSFS struct{}
 
-// The modes of what a Store makes: readable by its own user only.
+// Modes of the files and folders of a Store: accessible to its own user only.
 const (
 	dirMode  = 0o700
 	fileMode = 0o600
@@ -57,8 +57,8 @@
 	return d.Sync()
 }
 
-// Lock implements FS by flock(2), which the kernel releases when the process
-// ends in whatever way.
+// Lock implements FS with flock(2). The kernel releases the lock however the
+// process ends.
 func (OSFS) Lock(path string) (io.Closer, error) {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, fileMode)
 	if err != nil {
--- a/internal/storage/record.go
+++ b/internal/storage/record.go
@@ -15,11 +15,11 @@
 //	checksum 4 bytes, CRC-32C of salt, length, number and payload
 //	payload
 //
-// The salt is the disk ID, so that a record of another disk, or one that was
-// stored as somebody's data, never passes as a record here.
+// The salt is the disk ID, so that a record of another disk, or one inside
+// stored data, is not accepted as a valid record.
 const (
-	recordHeader = 20
-	maxPayload   = 1<<30 + 1<<20 // the largest snapshot and its names
+	recordHeaderBytes = 20
+	maxPayloadBytes   = 1<<30 + 1<<20 // the largest snapshot and its metadata
 )
 
 var (
@@ -42,9 +42,9 @@
 	return crc32.Update(sum, castagnoli, payload)
 }
 
-// appendRecord adds a record to buffer.
+// appendRecord appends an encoded record to buffer.
 func appendRecord(buffer []byte, salt string, number uint64, payload []byte) []byte {
-	var header [recordHeader]byte
+	var header [recordHeaderBytes]byte
 	copy(header[:], recordMagic[:])
 	binary.LittleEndian.PutUint32(header[4:], uint32(len(payload)))
 	binary.LittleEndian.PutUint64(header[8:], number)
@@ -53,26 +53,26 @@
 	return append(buffer, payload...)
 }
 
-// decodeRecord reads the record at the start of data. The payload shares
-// data's memory.
+// decodeRecord decodes the record at the start of data. The payload shares the
+// memory of data.
 func decodeRecord(data []byte, salt string) (record, error) {
-	if len(data) < recordHeader || !bytes.Equal(data[:4], recordMagic[:]) {
+	if len(data) < recordHeaderBytes || !bytes.Equal(data[:4], recordMagic[:]) {
 		return record{}, errBadRecord
 	}
 	length := binary.LittleEndian.Uint32(data[4:])
-	if length > maxPayload || int(length) > len(data)-recordHeader {
+	if length > maxPayloadBytes || int(length) > len(data)-recordHeaderBytes {
 		return record{}, errBadRecord
 	}
-	payload := data[recordHeader : recordHeader+int(length)]
-	if checksum(salt, data[:recordHeader], payload) != binary.LittleEndian.Uint32(data[16:]) {
+	payload := data[recordHeaderBytes : recordHeaderBytes+int(length)]
+	if checksum(salt, data[:recordHeaderBytes], payload) != binary.LittleEndian.Uint32(data[16:]) {
 		return record{}, errBadRecord
 	}
 	number := binary.LittleEndian.Uint64(data[8:])
-	return record{number: number, payload: payload, size: recordHeader + int(length)}, nil
+	return record{number: number, payload: payload, size: recordHeaderBytes + int(length)}, nil
 }
 
-// findRecord looks for a valid record anywhere in data and gives its offset,
-// -1 when there is none.
+// findRecord returns the offset of the first valid record anywhere in data, or
+// -1.
 func findRecord(data []byte, salt string) int {
 	for from := 0; ; {
 		i := bytes.Index(data[from:], recordMagic[:])
--- a/internal/storage/record_fuzz_test.go
+++ b/internal/storage/record_fuzz_test.go
@@ -9,8 +9,8 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// Any bytes may stand where a record should: the decoder must neither panic
-// nor accept what it would not write.
+// The decoder must neither panic on arbitrary bytes nor accept a record that the
+// encoder would not produce.
 func FuzzDecodeRecord(f *testing.F) {
 	payload, err := proto.Marshal(&pb.LogBatch{HardState: &pb.HardState{Term: 3}, Entries: []*pb.LogEntry{{Index: 1, Term: 1}}})
 	if err != nil {
@@ -29,8 +29,8 @@
 			t.Fatalf("record %x reads as %x", data[:r.size], again)
 		}
 		log := replay{}
-		if log.takePayload(r.payload) == nil && log.check() == nil {
-			log.live()
+		if log.applyPayload(r.payload) == nil && log.checkComplete() == nil {
+			log.entriesAfterSnapshot()
 		}
 	})
 }
--- a/internal/storage/replay.go
+++ b/internal/storage/replay.go
@@ -9,18 +9,18 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// loadLog reads all segments, then writes what is live into a fresh one. What
-// was read may never have reached the disk: after a failed sync the kernel can
-// keep pages in its cache, marked clean, that a later sync passes over. Only
-// the fresh copy, written and synced anew, is built upon.
+// loadLog reads all segments and writes the current entries to a new segment.
+// The content read may never have reached the disk: after a failed sync the
+// kernel can keep pages in its cache, marked clean, that a later sync skips.
+// Therefore the Store continues only from the newly written and synced copy.
 func (s *Store) loadLog(names []string) error {
-	s.number = 1
+	s.nextRecord = 1
 	replayed := replay{snapshot: s.state.Snapshot}
-	all := numbered(names, segmentPrefix)
+	all := parseNumbers(names, segmentPrefix)
 	if len(all) == 0 && s.identity.Group != "" {
 		return &ErrCorrupt{File: s.dir, Reason: "the disk belongs to a group, but its log is missing"}
 	}
-	numbers, err := s.fromNewestCopy(all)
+	numbers, err := s.skipCopiedSegments(all)
 	if err != nil {
 		return err
 	}
@@ -30,18 +30,18 @@
 		}
 	}
 	if s.identity.Group == "" {
-		// Init saves its first entry before the disk joins the group. A crash
-		// between the two leaves an entry of a group that never began.
+		// A group's first entry is saved before the disk joins the group. A
+		// crash between the two leaves an entry of a group that was not created.
 		replayed = replay{}
 		s.state.Snapshot = nil
 	}
-	if err := replayed.check(); err != nil {
+	if err := replayed.checkComplete(); err != nil {
 		return &ErrCorrupt{File: s.dir, Reason: err.Error()}
 	}
-	s.hard = replayed.hard
-	s.state.HardState = replayed.hard
-	s.state.Entries = replayed.live()
-	if err := s.beginSegment(s.compacted()); err != nil {
+	s.hardState = replayed.hardState
+	s.state.HardState = replayed.hardState
+	s.state.Entries = replayed.entriesAfterSnapshot()
+	if err := s.beginSegment(s.compactedBatches()); err != nil {
 		return err
 	}
 	for _, number := range all {
@@ -52,9 +52,10 @@
 	return nil
 }
 
-// fromNewestCopy drops the numbers of segments that a later one replaces: a
-// crash can bring back what an earlier Open removed.
-func (s *Store) fromNewestCopy(numbers []uint64) ([]uint64, error) {
+// skipCopiedSegments returns the numbers without those of segments that a later
+// compacted segment replaces. A crash can restore segments that an earlier Open
+// removed.
+func (s *Store) skipCopiedSegments(numbers []uint64) ([]uint64, error) {
 	for i := len(numbers) - 1; i >= 0; i-- {
 		first, err := s.firstBatch(numbers[i])
 		if err != nil {
@@ -67,8 +68,8 @@
 	return numbers, nil
 }
 
-// firstBatch reads a segment's first record. It was durable before the
-// segment got its name, so it is never one that was cut short.
+// firstBatch reads a segment's first record. It was durable before the segment
+// got its name, so it can't be a torn write.
 func (s *Store) firstBatch(number uint64) (*pb.LogBatch, error) {
 	path := s.path(segmentName(number))
 	content, err := s.fs.ReadFile(path)
@@ -86,18 +87,18 @@
 	return batch, nil
 }
 
-// replaySegment reads the segment at place i of numbers.
+// replaySegment reads the segment numbers[i] into r.
 func (s *Store) replaySegment(r *replay, numbers []uint64, i int) error {
 	path := s.path(segmentName(numbers[i]))
-	if i > 0 && numbers[i] != s.number {
-		return &ErrCorrupt{File: path, Reason: fmt.Sprintf("record %d expected, a file is missing", s.number)}
+	if i > 0 && numbers[i] != s.nextRecord {
+		return &ErrCorrupt{File: path, Reason: fmt.Sprintf("record %d expected, a file is missing", s.nextRecord)}
 	}
-	s.number = numbers[i]
-	first, err := s.firstBatch(s.number)
+	s.nextRecord = numbers[i]
+	first, err := s.firstBatch(s.nextRecord)
 	if err != nil {
 		return err
 	}
-	copied := s.number + uint64(first.Copied)
+	copiedEnd := s.nextRecord + uint64(first.Copied)
 	content, err := s.fs.ReadFile(path)
 	if err != nil {
 		return trace.ConvertSystemError(err)
@@ -105,51 +106,51 @@
 	offset := 0
 	for offset < len(content) {
 		record, err := decodeRecord(content[offset:], s.identity.DiskId)
-		if (err != nil || record.number != s.number) && s.number < copied {
-			return &ErrCorrupt{File: path, Offset: int64(offset), Reason: fmt.Sprintf("bad record %d in a copy", s.number)}
+		if (err != nil || record.number != s.nextRecord) && s.nextRecord < copiedEnd {
+			return &ErrCorrupt{File: path, Offset: int64(offset), Reason: fmt.Sprintf("bad record %d in a copy", s.nextRecord)}
 		}
-		if err != nil || record.number != s.number {
+		if err != nil || record.number != s.nextRecord {
 			return s.checkTail(path, content, offset, numbers, i)
 		}
-		if err := r.takePayload(record.payload); err != nil {
+		if err := r.applyPayload(record.payload); err != nil {
 			return &ErrCorrupt{File: path, Offset: int64(offset), Reason: err.Error()}
 		}
 		offset += record.size
-		s.number++
+		s.nextRecord++
 	}
-	if s.number < copied {
+	if s.nextRecord < copiedEnd {
 		return &ErrCorrupt{File: path, Offset: int64(offset), Reason: "the copy ends early"}
 	}
 	return nil
 }
 
-// checkTail tells a write that was cut short, whose record may go, from
-// synced content that has been damaged. Each record is written after its
-// predecessor was synced, so a good record behind the bad one, or a segment
-// that counts on from it, proves that the bad one was synced once.
+// checkTail distinguishes a torn write at the end of the log, which may be
+// dropped, from damaged synced content, for which it returns an error. Each
+// record is written after its predecessor was synced, so a valid record or a
+// segment after the invalid record proves that it had been synced.
 func (s *Store) checkTail(path string, content []byte, offset int, numbers []uint64, i int) error {
 	if later := findRecord(content[offset+1:], s.identity.DiskId); later >= 0 {
-		reason := fmt.Sprintf("bad record %d before a good one at byte %d", s.number, offset+1+later)
+		reason := fmt.Sprintf("bad record %d before a good one at byte %d", s.nextRecord, offset+1+later)
 		return &ErrCorrupt{File: path, Offset: int64(offset), Reason: reason}
 	}
 	if i+1 < len(numbers) {
-		// The next segment was begun because this one was full and synced.
-		reason := fmt.Sprintf("bad record %d before segment %d", s.number, numbers[i+1])
+		// The next segment was started only after this one was full and synced.
+		reason := fmt.Sprintf("bad record %d before segment %d", s.nextRecord, numbers[i+1])
 		return &ErrCorrupt{File: path, Offset: int64(offset), Reason: reason}
 	}
 	return nil
 }
 
-// compactBytes is about the size of the records of a fresh segment.
-const compactBytes = 4 << 20
+// compactBatchBytes is the approximate record size in a compacted segment.
+const compactBatchBytes = 4 << 20
 
-// compacted gives the live state as batches of a fresh segment.
-func (s *Store) compacted() []*pb.LogBatch {
+// compactedBatches returns the current state as the batches of a new segment.
+func (s *Store) compactedBatches() []*pb.LogBatch {
 	first := &pb.LogBatch{HardState: s.state.HardState, ResetIndex: s.state.Snapshot.GetIndex()}
 	batches := []*pb.LogBatch{first}
 	size := 0
 	for _, e := range s.state.Entries {
-		if size > compactBytes {
+		if size > compactBatchBytes {
 			batches = append(batches, &pb.LogBatch{})
 			size = 0
 		}
@@ -161,57 +162,57 @@
 	return batches
 }
 
-// replay gathers the state that a sequence of batches amounts to.
+// replay is the state after replaying a sequence of batches.
 type replay struct {
-	snapshot *pb.Snapshot
-	hard     *pb.HardState
-	entries  []*pb.LogEntry // without gaps
-	reset    uint64         // newest reset index
+	snapshot   *pb.Snapshot
+	hardState  *pb.HardState
+	entries    []*pb.LogEntry // without gaps
+	resetIndex uint64         // latest reset index
 }
 
-// check finds out whether a whole file is missing: the log goes on after a
-// snapshot that isn't there, or ends before what is known to be committed.
-func (r *replay) check() error {
-	held := r.snapshot.GetIndex()
-	if r.reset > held {
-		return trace.BadParameter("log continues after snapshot %d, newest is %d", r.reset, held)
+// checkComplete returns an error if a file is missing: the log continues after a
+// missing snapshot, or ends before the known commit index.
+func (r *replay) checkComplete() error {
+	last := r.snapshot.GetIndex()
+	if r.resetIndex > last {
+		return trace.BadParameter("log continues after snapshot %d, newest is %d", r.resetIndex, last)
 	}
 	if n := len(r.entries); n > 0 {
-		if first := r.entries[0].Index; first > held+1 {
-			return trace.BadParameter("log begins at entry %d, newest snapshot is %d", first, held)
+		if first := r.entries[0].Index; first > last+1 {
+			return trace.BadParameter("log begins at entry %d, newest snapshot is %d", first, last)
 		}
-		held = max(held, r.entries[n-1].Index)
+		last = max(last, r.entries[n-1].Index)
 	}
-	if commit := r.hard.GetCommit(); commit > held {
-		return trace.BadParameter("log ends at entry %d, committed is %d", held, commit)
+	if commit := r.hardState.GetCommit(); commit > last {
+		return trace.BadParameter("log ends at entry %d, committed is %d", last, commit)
 	}
 	return nil
 }
 
-func (r *replay) takePayload(payload []byte) error {
+func (r *replay) applyPayload(payload []byte) error {
 	batch := &pb.LogBatch{}
 	if err := proto.Unmarshal(payload, batch); err != nil {
 		return err
 	}
-	return r.take(batch)
+	return r.applyBatch(batch)
 }
 
-func (r *replay) take(batch *pb.LogBatch) error {
+func (r *replay) applyBatch(batch *pb.LogBatch) error {
 	if batch.HardState != nil {
-		r.hard = batch.HardState
+		r.hardState = batch.HardState
 	}
 	if batch.ResetIndex > 0 {
-		r.entries, r.reset = nil, batch.ResetIndex
+		r.entries, r.resetIndex = nil, batch.ResetIndex
 	}
 	for _, e := range batch.Entries {
-		if err := r.takeEntry(e); err != nil {
+		if err := r.applyEntry(e); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (r *replay) takeEntry(e *pb.LogEntry) error {
+func (r *replay) applyEntry(e *pb.LogEntry) error {
 	if len(r.entries) > 0 {
 		first, last := r.entries[0].Index, r.entries[len(r.entries)-1].Index
 		if e.Index > last+1 {
@@ -223,10 +224,10 @@
 	return nil
 }
 
-// live gives the entries after the snapshot. When a crash came between a
-// leader's snapshot and the record that resets the log, the old entries differ
-// from the snapshot in their term at its index, or end before it: none counts.
-func (r *replay) live() []*pb.LogEntry {
+// entriesAfterSnapshot returns the entries after the snapshot. A crash between a
+// leader's snapshot and the record that resets the log leaves old entries. These
+// end before the snapshot or have another term at its index, and are dropped.
+func (r *replay) entriesAfterSnapshot() []*pb.LogEntry {
 	index := r.snapshot.GetIndex()
 	if len(r.entries) == 0 || index == 0 {
 		return r.entries
--- a/internal/storage/segments.go
+++ b/internal/storage/segments.go
@@ -21,25 +21,25 @@
 		return s.failed
 	}
 	if err := s.appendSynced(payload); err != nil {
-		return s.fail(err)
+		return s.setFailed(err)
 	}
-	s.note(batch)
+	s.recordBatch(batch)
 	return s.rotateIfFull()
 }
 
 func (s *Store) appendSynced(payload []byte) error {
-	content := appendRecord(nil, s.identity.DiskId, s.number, payload)
+	content := appendRecord(nil, s.identity.DiskId, s.nextRecord, payload)
 	if err := writeAndSync(s.file, content); err != nil {
 		return err
 	}
-	s.number++
-	s.size += int64(len(content))
+	s.nextRecord++
+	s.segmentSize += int64(len(content))
 	return nil
 }
 
-func (s *Store) note(batch *pb.LogBatch) {
+func (s *Store) recordBatch(batch *pb.LogBatch) {
 	if batch.HardState != nil {
-		s.hard = batch.HardState
+		s.hardState = batch.HardState
 	}
 	last := &s.segments[len(s.segments)-1]
 	for _, e := range batch.Entries {
@@ -47,42 +47,43 @@
 	}
 }
 
-// rotateIfFull begins a new segment, whose first record repeats the newest
-// hard state, so that earlier segments can go.
+// rotateIfFull starts a new segment if the current one is full. Its first record
+// repeats the latest hard state, so that earlier segments can be removed.
 func (s *Store) rotateIfFull() error {
-	if s.size < segmentBytes {
+	if s.segmentSize < maxSegmentBytes {
 		return nil
 	}
 	if err := s.file.Close(); err != nil {
-		return s.fail(trace.ConvertSystemError(err))
+		return s.setFailed(trace.ConvertSystemError(err))
 	}
 	s.file = nil
-	if err := s.beginSegment([]*pb.LogBatch{{HardState: s.hard}}); err != nil {
-		return s.fail(err)
+	if err := s.beginSegment([]*pb.LogBatch{{HardState: s.hardState}}); err != nil {
+		return s.setFailed(err)
 	}
 	return nil
 }
 
-// beginSegment makes a segment with batches durable and keeps it open for more.
+// beginSegment durably creates a segment with batches and leaves it open for
+// appending.
 func (s *Store) beginSegment(batches []*pb.LogBatch) error {
-	first := s.number
+	first := s.nextRecord
 	content, err := s.encode(batches)
 	if err != nil {
 		return err
 	}
-	f, err := createWhole(s.fs, s.path(segmentName(first)), content)
+	f, err := createFile(s.fs, s.path(segmentName(first)), content)
 	if err != nil {
 		return err
 	}
-	s.file, s.size = f, int64(len(content))
-	s.segments = append(s.segments, segment{number: first})
+	s.file, s.segmentSize = f, int64(len(content))
+	s.segments = append(s.segments, segment{firstRecord: first})
 	for _, b := range batches {
-		s.note(b)
+		s.recordBatch(b)
 	}
 	return nil
 }
 
-// encode numbers batches as the next records.
+// encode encodes batches as the next records.
 func (s *Store) encode(batches []*pb.LogBatch) ([]byte, error) {
 	var content []byte
 	for _, b := range batches {
@@ -90,16 +91,16 @@
 		if err != nil {
 			return nil, trace.Wrap(err)
 		}
-		content = appendRecord(content, s.identity.DiskId, s.number, payload)
-		s.number++
+		content = appendRecord(content, s.identity.DiskId, s.nextRecord, payload)
+		s.nextRecord++
 	}
 	return content, nil
 }
 
-// trim removes what a durable snapshot up to index makes needless: earlier
-// snapshots, and segments that hold no later entry, in order, so that a crash
-// never leaves a gap.
-func (s *Store) trim(index uint64) error {
+// removeObsolete removes the files that a durable snapshot at index replaces:
+// earlier snapshots, and segments without later entries. Segments are removed in
+// order, so that a crash never leaves a gap.
+func (s *Store) removeObsolete(index uint64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.failed != nil {
@@ -107,23 +108,23 @@
 	}
 	names, err := s.fs.ReadDir(s.dir)
 	if err != nil {
-		return s.fail(trace.ConvertSystemError(err))
+		return s.setFailed(trace.ConvertSystemError(err))
 	}
-	for _, old := range numbered(names, snapshotPrefix) {
+	for _, old := range parseNumbers(names, snapshotPrefix) {
 		if old >= index {
 			continue
 		}
 		if err := s.remove(snapshotName(old)); err != nil {
-			return s.fail(err)
+			return s.setFailed(err)
 		}
 	}
 	for len(s.segments) > 1 && s.segments[0].lastIndex <= index {
-		if err := s.remove(segmentName(s.segments[0].number)); err != nil {
-			return s.fail(err)
+		if err := s.remove(segmentName(s.segments[0].firstRecord)); err != nil {
+			return s.setFailed(err)
 		}
-		// A crash must not undo this removal and keep the next.
+		// A crash must not undo this removal but not the next one.
 		if err := s.fs.SyncDir(s.dir); err != nil {
-			return s.fail(trace.ConvertSystemError(err))
+			return s.setFailed(trace.ConvertSystemError(err))
 		}
 		s.segments = s.segments[1:]
 	}
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -15,37 +15,37 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// segmentBytes is the size after which a new segment is begun.
-const segmentBytes = 8 << 20
+// maxSegmentBytes is the size from which on a segment counts as full.
+const maxSegmentBytes = 8 << 20
 
-// Store is an open data folder. Its methods may be called by one goroutine at
-// a time; they hold no lock during I/O but their own.
+// Store is an open data folder. Only one goroutine at a time may call its
+// methods. During I/O they hold only the Store's own lock.
 type Store struct {
 	dir    string
 	fs     FS
 	diskID string
 
-	mu       sync.Mutex // guards all below, and is held during I/O
-	lock     io.Closer
-	identity *pb.DiskIdentity
-	state    consensus.State
-	segments []segment // ascending; the last is open for writing
-	file     File
-	size     int64         // of the last segment
-	number   uint64        // of the next record
-	hard     *pb.HardState // newest saved
-	failed   error
+	mu          sync.Mutex // guards the fields below; held during I/O
+	lock        io.Closer
+	identity    *pb.DiskIdentity
+	state       consensus.State
+	segments    []segment // ascending; the last is open for writing
+	file        File
+	segmentSize int64         // of the last segment
+	nextRecord  uint64        // of the next record
+	hardState   *pb.HardState // latest saved
+	failed      error
 }
 
 // segment is one file of the log.
 type segment struct {
-	number    uint64 // of its first record, also in its name
-	lastIndex uint64 // highest entry index in it
+	firstRecord uint64 // of its first record, also in its name
+	lastIndex   uint64 // highest entry index in the segment
 }
 
-// Open takes the folder, makes it when missing, and reads what it holds. An
-// empty folder gets a new disk ID. The error is *ErrCorrupt when synced
-// content can't be read.
+// Open locks the folder, creates it if it is missing, and reads its content. An
+// empty folder gets a new disk ID. Open returns *ErrCorrupt if synced content
+// can't be read.
 func Open(dir string, fs FS) (*Store, error) {
 	if err := fs.MkdirAll(dir); err != nil {
 		return nil, trace.ConvertSystemError(err)
@@ -80,31 +80,31 @@
 	return s.removeTemporary(names)
 }
 
-// loadIdentity reads the disk ID, or makes one for an empty folder. A folder
-// that has a log but no identity is not empty: a new ID there would let an
-// instance that lost part of its disk vote as a new one.
+// loadIdentity reads the disk ID, or creates one for an empty folder. A folder
+// with a log but no identity is not empty: with a new ID, an instance that lost
+// part of its disk could vote as a new one.
 func (s *Store) loadIdentity(names []string) error {
 	path := filepath.Join(s.dir, identityName)
 	s.identity = &pb.DiskIdentity{}
-	err := readWhole(s.fs, path, "", s.identity)
+	err := readFile(s.fs, path, "", s.identity)
 	if !errors.Is(err, iofs.ErrNotExist) {
 		return err
 	}
-	if len(numbered(names, segmentPrefix))+len(numbered(names, snapshotPrefix)) > 0 {
+	if len(parseNumbers(names, segmentPrefix))+len(parseNumbers(names, snapshotPrefix)) > 0 {
 		return &ErrCorrupt{File: path, Reason: "missing beside a log"}
 	}
 	s.identity = &pb.DiskIdentity{DiskId: uuid.NewString()}
-	return writeWhole(s.fs, path, "", 0, s.identity)
+	return writeFile(s.fs, path, "", 0, s.identity)
 }
 
 func (s *Store) loadSnapshot(names []string) error {
-	indexes := numbered(names, snapshotPrefix)
+	indexes := parseNumbers(names, snapshotPrefix)
 	if len(indexes) == 0 {
 		return nil
 	}
-	newest := indexes[len(indexes)-1]
+	latest := indexes[len(indexes)-1]
 	s.state.Snapshot = &pb.Snapshot{}
-	return readWhole(s.fs, s.path(snapshotName(newest)), s.identity.DiskId, s.state.Snapshot)
+	return readFile(s.fs, s.path(snapshotName(latest)), s.identity.DiskId, s.state.Snapshot)
 }
 
 func (s *Store) removeTemporary(names []string) error {
@@ -121,21 +121,22 @@
 
 func (s *Store) path(name string) string { return filepath.Join(s.dir, name) }
 
-// DiskID names this disk.
+// DiskID returns the ID of this disk.
 func (s *Store) DiskID() string { return s.diskID }
 
-// Group names the group that the disk belongs to, empty for none.
+// Group returns the name of the group that the disk belongs to, or "".
 func (s *Store) Group() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.identity.Group
 }
 
-// State is what Open read. The entries are those after the snapshot.
+// State returns the state that Open read. The entries are those after the
+// snapshot.
 func (s *Store) State() consensus.State { return s.state }
 
-// JoinGroup makes durable that the disk belongs to group; it fails when it
-// belongs to another.
+// JoinGroup persists that the disk belongs to group. It fails if the disk already
+// belongs to a group.
 func (s *Store) JoinGroup(group string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -146,21 +147,22 @@
 		return trace.AlreadyExists("disk belongs to group %s", s.identity.Group)
 	}
 	joined := &pb.DiskIdentity{DiskId: s.identity.DiskId, Group: group}
-	if err := writeWhole(s.fs, s.path(identityName), "", 0, joined); err != nil {
-		return s.fail(err)
+	if err := writeFile(s.fs, s.path(identityName), "", 0, joined); err != nil {
+		return s.setFailed(err)
 	}
 	s.identity = joined
 	return nil
 }
 
-// Save makes a batch durable: it returns nil only after a sync.
+// Save persists a hard state and entries. It returns nil only after a sync.
 func (s *Store) Save(hard *pb.HardState, entries []*pb.LogEntry) error {
 	for {
-		part := batchOf(entries)
+		part := nextBatch(entries)
 		entries = entries[len(part):]
 		batch := &pb.LogBatch{Entries: part}
 		if len(entries) == 0 {
-			// The commit index may name the last entry, so it comes last.
+			// The commit index may be that of the last entry, so the hard
+			// state is saved with the last batch.
 			batch.HardState = hard
 			return s.append(batch)
 		}
@@ -170,23 +172,23 @@
 	}
 }
 
-// batchBytes is about the largest record of the log.
-const batchBytes = 8 << 20
+// maxBatchBytes is the approximate maximum size of a log record.
+const maxBatchBytes = 8 << 20
 
-// batchOf gives as many of entries as go into one record, at least one.
-func batchOf(entries []*pb.LogEntry) []*pb.LogEntry {
+// nextBatch returns the first entries that fit into one record, but at least one.
+func nextBatch(entries []*pb.LogEntry) []*pb.LogEntry {
 	size := 0
 	for i, e := range entries {
 		size += len(e.Data)
-		if size > batchBytes && i > 0 {
+		if size > maxBatchBytes && i > 0 {
 			return entries[:i]
 		}
 	}
 	return entries
 }
 
-// Install makes a snapshot of a leader durable in place of the whole log,
-// then the batch that follows it.
+// Install persists a snapshot from the leader, which replaces the whole log, and
+// then the given hard state and entries.
 func (s *Store) Install(snapshot *pb.Snapshot, hard *pb.HardState, entries []*pb.LogEntry) error {
 	if err := s.writeSnapshot(snapshot); err != nil {
 		return err
@@ -197,17 +199,17 @@
 	if err := s.Save(hard, entries); err != nil {
 		return err
 	}
-	return s.trim(snapshot.Index)
+	return s.removeObsolete(snapshot.Index)
 }
 
-// SaveSnapshot makes a snapshot of the own state durable and drops the
-// segments that it covers. The entries before it stay where they share a
-// segment with later ones.
+// SaveSnapshot persists a snapshot of the local state and removes the segments
+// that it covers. Covered entries remain where they share a segment with later
+// ones.
 func (s *Store) SaveSnapshot(snapshot *pb.Snapshot) error {
 	if err := s.writeSnapshot(snapshot); err != nil {
 		return err
 	}
-	return s.trim(snapshot.Index)
+	return s.removeObsolete(snapshot.Index)
 }
 
 func (s *Store) writeSnapshot(snapshot *pb.Snapshot) error {
@@ -217,23 +219,23 @@
 		return s.failed
 	}
 	path := s.path(snapshotName(snapshot.Index))
-	if err := writeWhole(s.fs, path, s.identity.DiskId, snapshot.Index, snapshot); err != nil {
-		return s.fail(err)
+	if err := writeFile(s.fs, path, s.identity.DiskId, snapshot.Index, snapshot); err != nil {
+		return s.setFailed(err)
 	}
 	return nil
 }
 
-// fail remembers that a write or sync went wrong. After a failed sync the
-// kernel may have dropped the pages and yet report success for the next sync,
-// so that a retry would confirm what isn't there: nothing is tried again.
-func (s *Store) fail(err error) error {
+// setFailed records that a write or sync failed, and returns err. After a failed
+// sync the kernel may have dropped the pages and still report success for the
+// next sync. A retry could confirm lost data, so the Store never retries.
+func (s *Store) setFailed(err error) error {
 	if s.failed == nil {
 		s.failed = trace.Wrap(ErrFailed, "%v", err)
 	}
 	return err
 }
 
-// Close releases the folder.
+// Close closes the files and unlocks the folder.
 func (s *Store) Close() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/storage/store_test.go
+++ b/internal/storage/store_test.go
@@ -24,8 +24,8 @@
 	return s
 }
 
-// opened is a store of a disk that belongs to a group.
-func opened(t testing.TB, fs storage.FS) *storage.Store {
+// openInGroup opens the store and lets its disk join a group if it is in none.
+func openInGroup(t testing.TB, fs storage.FS) *storage.Store {
 	t.Helper()
 	s := open(t, fs)
 	if s.Group() == "" {
@@ -42,8 +42,8 @@
 	return list
 }
 
-// shape writes a state as "snapshot|first-last:terms".
-func shape(s consensus.State) string {
+// formatState formats a state as "snapshot|index.term index.term ...".
+func formatState(s consensus.State) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%d|", s.Snapshot.GetIndex())
 	for _, e := range s.Entries {
@@ -52,9 +52,9 @@
 	return strings.TrimSpace(b.String())
 }
 
-func TestSavedStateComesBack(t *testing.T) {
+func TestSavedStateIsRestored(t *testing.T) {
 	fs := faultfs.New()
-	s := opened(t, fs)
+	s := openInGroup(t, fs)
 	id := s.DiskID()
 	assert.NilError(t, s.Save(&pb.HardState{Term: 1, VotedFor: "x"}, entries(1, 4, 1)))
 	assert.NilError(t, s.Save(&pb.HardState{Term: 2, Commit: 2}, entries(3, 5, 2)))
@@ -66,7 +66,7 @@
 		s = open(t, fs)
 		assert.Equal(t, s.DiskID(), id)
 		assert.Equal(t, s.Group(), "fleet")
-		assert.Equal(t, shape(s.State()), "0|1.1 2.1 3.2 4.2 5.2")
+		assert.Equal(t, formatState(s.State()), "0|1.1 2.1 3.2 4.2 5.2")
 		assert.Equal(t, s.State().HardState.Term, uint64(2))
 		assert.NilError(t, s.Close())
 	}
@@ -76,7 +76,7 @@
 	tables := []struct {
 		name  string
 		do    func(t *testing.T, s *storage.Store)
-		shape string
+		state string
 	}{
 		{"own snapshot keeps what follows", func(t *testing.T, s *storage.Store) {
 			assert.NilError(t, s.SaveSnapshot(&pb.Snapshot{Index: 6, Term: 1}))
@@ -92,46 +92,47 @@
 	for _, row := range tables {
 		t.Run(row.name, func(t *testing.T) {
 			fs := faultfs.New()
-			s := opened(t, fs)
+			s := openInGroup(t, fs)
 			assert.NilError(t, s.Save(&pb.HardState{Term: 1}, entries(1, 10, 1)))
 			row.do(t, s)
 			fs.Crash(nil)
-			assert.Equal(t, shape(open(t, fs).State()), row.shape)
+			assert.Equal(t, formatState(open(t, fs).State()), row.state)
 		})
 	}
 }
 
-// A crash tears the record that was being written. Nobody was told that it
-// is safe, so the instance must start, without it and with all before it.
-func TestTornTailIsCut(t *testing.T) {
+// A crash leaves a torn record at the end of the log. Since it was never
+// confirmed, the store must open without it and with all entries before it.
+func TestTornTailIsDropped(t *testing.T) {
 	for seed := range uint64(200) {
 		fs := faultfs.New()
-		s := opened(t, fs)
+		s := openInGroup(t, fs)
 		assert.NilError(t, s.Save(&pb.HardState{Term: 1}, entries(1, 3, 1)))
 		fs.FailSyncs(1)
 		assert.ErrorIs(t, s.Save(nil, entries(4, 9, 1)), faultfs.ErrSync)
 		fs.Crash(rand.New(rand.NewPCG(seed, 1)))
 		s = open(t, fs)
-		got := shape(s.State())
+		got := formatState(s.State())
 		assert.Assert(t, strings.HasPrefix(got, "0|1.1 2.1 3.1"), "seed %d: %s", seed, got)
 		assert.NilError(t, s.Save(nil, entries(4, 4, 2)))
 		fs.Crash(nil)
-		assert.Equal(t, shape(open(t, fs).State()), "0|1.1 2.1 3.1 4.2")
+		assert.Equal(t, formatState(open(t, fs).State()), "0|1.1 2.1 3.1 4.2")
 	}
 }
 
-// A byte of a synced record rots. An instance that went on without it would
-// vote away what it once confirmed: it must refuse, and name file and place.
-func TestCorruptMiddleStops(t *testing.T) {
+// A byte of a synced record is damaged. An instance that continued without the
+// record could vote for a candidate that lacks confirmed entries. So Open must
+// fail, with the file and offset of the damage.
+func TestCorruptRecordIsRejected(t *testing.T) {
 	fs := faultfs.New()
-	s := opened(t, fs)
+	s := openInGroup(t, fs)
 	for i := range uint64(20) {
 		assert.NilError(t, s.Save(nil, entries(i+1, i+1, 1)))
 	}
 	path := fs.Files(folder + "/log-")[0]
 	content, err := fs.ReadFile(path)
 	assert.NilError(t, err)
-	last := len(content) - 60 // within the last record, which can't be told from a torn one
+	last := len(content) - 60 // damage in the last record can't be distinguished from a torn write
 	for offset := 0; offset < last; offset += 7 {
 		damaged := faultfs.New()
 		copyFiles(t, fs, damaged)
@@ -159,17 +160,17 @@
 	assert.NilError(t, to.SyncDir(folder))
 }
 
-// A file of the folder is gone. An instance that took this for an empty disk
-// or a short log would vote away confirmed entries.
-func TestMissingFileStops(t *testing.T) {
+// A file of the folder is missing. An instance that continued with an empty disk
+// or a short log could vote for a candidate that lacks confirmed entries.
+func TestMissingFileIsRejected(t *testing.T) {
 	for _, missing := range []string{"identity", "snapshot-", "log-"} {
 		t.Run(missing, func(t *testing.T) {
 			fs := faultfs.New()
-			s := opened(t, fs)
+			s := openInGroup(t, fs)
 			assert.NilError(t, s.Save(&pb.HardState{Term: 1, Commit: 10}, entries(1, 10, 1)))
 			assert.NilError(t, s.SaveSnapshot(&pb.Snapshot{Index: 6, Term: 1}))
 			assert.NilError(t, s.Close())
-			assert.NilError(t, open(t, fs).Close()) // the log begins after the snapshot now
+			assert.NilError(t, open(t, fs).Close()) // now the log begins after the snapshot
 			assert.NilError(t, fs.Remove(fs.Files(folder + "/" + missing)[0]))
 			_, err := storage.Open(folder, fs)
 			var corrupt *storage.ErrCorrupt
@@ -181,43 +182,43 @@
 	}
 }
 
-// A sync fails and the kernel forgets the pages; the next sync would succeed
-// without them. What was refused must not be confirmed later, neither by the
-// same process nor by one that reads the cache after a restart.
+// After a failed sync the kernel drops the pages, and the next sync succeeds
+// without them. The failed write must not be confirmed later, neither by the same
+// process nor by one that reads the page cache after a restart.
 func TestFailedSyncIsNeverTrusted(t *testing.T) {
 	fs := faultfs.New()
-	s := opened(t, fs)
+	s := openInGroup(t, fs)
 	assert.NilError(t, s.Save(&pb.HardState{Term: 1}, entries(1, 3, 1)))
 	fs.FailSyncs(1)
 	assert.ErrorIs(t, s.Save(nil, entries(4, 4, 1)), faultfs.ErrSync)
 	assert.ErrorIs(t, s.Save(nil, entries(5, 5, 1)), storage.ErrFailed)
 	assert.NilError(t, s.Close())
 	s = open(t, fs) // reads entry 4 from the cache
-	promised := shape(s.State())
+	before := formatState(s.State())
 	assert.NilError(t, s.Save(nil, entries(5, 5, 1)))
 	fs.Crash(nil)
-	assert.Equal(t, shape(open(t, fs).State()), promised+" 5.1")
+	assert.Equal(t, formatState(open(t, fs).State()), before+" 5.1")
 }
 
 func TestFullDisk(t *testing.T) {
 	fs := faultfs.New()
-	s := opened(t, fs)
+	s := openInGroup(t, fs)
 	assert.NilError(t, s.Save(&pb.HardState{Term: 1}, entries(1, 3, 1)))
 	fs.SetCapacity(fs.Used() + 40)
 	assert.ErrorContains(t, s.Save(nil, entries(4, 30, 1)), "no space left")
 	assert.ErrorIs(t, s.Save(nil, entries(4, 4, 1)), storage.ErrFailed)
 	fs.SetCapacity(0)
 	fs.Crash(rand.New(rand.NewPCG(1, 1)))
-	assert.Equal(t, shape(open(t, fs).State()), "0|1.1 2.1 3.1")
+	assert.Equal(t, formatState(open(t, fs).State()), "0|1.1 2.1 3.1")
 }
 
-// Random saves, snapshots, failed syncs and crashes: all that was confirmed
-// is there after each crash.
-func TestNothingSyncedIsLost(t *testing.T) {
+// With random saves, snapshots, failed syncs and crashes, all confirmed data must
+// be there after each crash.
+func TestSyncedDataSurvivesCrashes(t *testing.T) {
 	for seed := range uint64(4) {
 		random := rand.New(rand.NewPCG(seed, 3))
 		fs := faultfs.New()
-		s := opened(t, fs)
+		s := openInGroup(t, fs)
 		last, snapshot := uint64(0), uint64(0)
 		for range 150 {
 			switch random.IntN(12) {
@@ -234,18 +235,19 @@
 				}
 				fs.Crash(random)
 				s = open(t, fs)
-				last = confirmed(t, s.State(), snapshot, last)
+				last = checkConfirmed(t, s.State(), snapshot, last)
 			default:
 				next := last + 1 + random.Uint64N(4)
-				assert.NilError(t, s.Save(&pb.HardState{Term: 1, Commit: last}, bulky(last+1, next)))
+				assert.NilError(t, s.Save(&pb.HardState{Term: 1, Commit: last}, largeEntries(last+1, next)))
 				last = next
 			}
 		}
 	}
 }
 
-// bulky entries make segments rotate within a few hundred saves.
-func bulky(from, to uint64) []*pb.LogEntry {
+// largeEntries returns entries large enough to rotate segments within a few
+// hundred saves.
+func largeEntries(from, to uint64) []*pb.LogEntry {
 	list := entries(from, to, 1)
 	for _, e := range list {
 		e.Data = make([]byte, 64<<10)
@@ -253,9 +255,10 @@
 	return list
 }
 
-// confirmed checks a state and gives its last index, which may include an
-// entry that was written but never confirmed.
-func confirmed(t *testing.T, s consensus.State, snapshot, last uint64) uint64 {
+// checkConfirmed checks that a state contains all confirmed entries. It returns
+// the state's last index, which may include entries that were written but never
+// confirmed.
+func checkConfirmed(t *testing.T, s consensus.State, snapshot, last uint64) uint64 {
 	t.Helper()
 	assert.Equal(t, s.Snapshot.GetIndex(), snapshot)
 	assert.Assert(t, uint64(len(s.Entries)) >= last-snapshot)
