--- a/internal/membership/agent.go
+++ b/internal/membership/agent.go
@@ -12,18 +12,18 @@
 	"github.com/hyssopsail/hyssopsail/internal/timeline"
 )
 
-// Agent keeps this daemon's place in the fleet. It implements Source. Lock
-// order: renewing before mu.
+// Agent maintains this daemon's membership in the fleet. It implements Source
+// and is safe for concurrent use. Lock order: renewalMu before mu.
 type Agent struct {
 	client   Control
 	part     logging.Part
 	metrics  *metrics
 	recorder timeline.Recorder
 	now      func() time.Time
-	kick     chan struct{} // asks for a renewal at once
-	follower *follower     // used by the pulling goroutine alone
+	renewNow chan struct{} // triggers a renewal at once
+	follower *follower     // used only by the goroutine of pullLoop
 
-	renewing sync.Mutex // held during a renewal, so that none follows a leave
+	renewalMu sync.Mutex // held during a renewal, so that none happens after Leave
 
 	mu         sync.Mutex
 	self       fleet.Instance
@@ -32,12 +32,12 @@
 	changed    chan struct{}
 	cancelPull context.CancelFunc
 	wasCurrent bool
-	joined     bool // a renewal was granted: others may know this instance
+	joined     bool // a renewal was granted, so other instances may know this one
 }
 
 var _ Source = (*Agent)(nil)
 
-// NewAgent makes an agent; nothing is current before Run.
+// NewAgent returns an agent, which is not current before Run.
 func NewAgent(o Options) *Agent {
 	now := o.Now
 	if now == nil {
@@ -50,17 +50,17 @@
 		metrics:  newMetrics(o.Registerer),
 		recorder: o.Recorder,
 		now:      now,
-		kick:     make(chan struct{}, 1),
+		renewNow: make(chan struct{}, 1),
 		follower: f,
 		self:     o.Self,
-		lease:    lease{length: defaultInstanceLease, settingsLease: defaultSettingsLease},
+		lease:    lease{duration: defaultInstanceLease, settingsLease: defaultSettingsLease},
 		state:    f.state,
 		changed:  make(chan struct{}),
 	}
 }
 
-// Run renews the lease and follows the state until ctx ends, which gives nil,
-// or the process has lost its place for good, which gives ErrFenced.
+// Run renews the lease and follows the state. It returns nil when ctx ends, and
+// ErrFenced when the process has lost its membership permanently.
 func (a *Agent) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return a.renewLoop(ctx) })
@@ -82,11 +82,9 @@
 	return a.changed
 }
 
-// Current implements Source.
-//
-// Failure guarded: a process frozen for longer than its lease wakes between
-// reading the clock and asking. The agent reads its own clock too, so the
-// later of both counts.
+// Current implements Source. It uses the later of now and the agent's own clock,
+// since the process may have been frozen for longer than its lease after the
+// caller read the clock.
 func (a *Agent) Current(now time.Time) bool {
 	if own := a.now(); own.After(now) {
 		now = own
@@ -96,8 +94,8 @@
 	return a.lease.current(now)
 }
 
-// Self implements Source. It is draining when this daemon or an operator has
-// said so.
+// Self implements Source. The instance is draining if this daemon or an operator
+// has requested it.
 func (a *Agent) Self() fleet.Instance {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/membership/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -17,8 +17,8 @@
   - {name: root, key_hash: "sha256:0000000000000000000000000000000000000000000000000000000000000001", subtrees: ["*"]}
 `
 
-// largeState is a follower of 2,100 teams and 1,300 instances.
-func largeState(b *testing.B) *follower {
+// newLargeFollower returns a follower with 2,100 teams and 1,300 instances.
+func newLargeFollower(b *testing.B) *follower {
 	b.Helper()
 	s := &pb.FleetState{Index: 1, ViewNumber: 1, Subtrees: []*pb.SubtreeDocument{{Name: "fleet", Version: 1, Yaml: []byte(benchFleet)}}}
 	for n := range 2100 {
@@ -28,7 +28,7 @@
 		s.Instances = append(s.Instances, &pb.InstanceRecord{Id: fmt.Sprint("e", n), Incarnation: 1, AvailabilityZone: "howrah", Entry: true})
 	}
 	f := newFollower(Options{Build: settings.Build, Change: settings.CheckChange})
-	f.takes(b, 0, &pb.PullReply{Snapshot: s, ThroughIndex: 1})
+	f.mustApply(b, 0, &pb.PullReply{Snapshot: s, ThroughIndex: 1})
 	return f
 }
 
@@ -38,27 +38,27 @@
 	return &pb.SubtreeDocument{Name: "teams/" + name, Version: version, Yaml: yaml}
 }
 
-func follow(b *testing.B, delta func(n int) *pb.Delta) {
-	f := largeState(b)
+func benchmarkFollow(b *testing.B, delta func(n int) *pb.Delta) {
+	f := newLargeFollower(b)
 	b.ReportAllocs()
 	b.ResetTimer()
 	for n := range b.N {
 		d := delta(n)
 		d.Index = f.state.Index + 1
-		f.takes(b, f.state.Index, pulled(d))
+		f.mustApply(b, f.state.Index, replyWithDelta(d))
 	}
 }
 
-// BenchmarkFollowChange is a daemon's cost of one changed team.
+// BenchmarkFollowChange measures the cost of one changed team for a daemon.
 func BenchmarkFollowChange(b *testing.B) {
-	follow(b, func(n int) *pb.Delta {
+	benchmarkFollow(b, func(n int) *pb.Delta {
 		return &pb.Delta{Subtrees: []*pb.SubtreeDocument{teamDocument(n%2100, uint64(n/2100+2))}}
 	})
 }
 
-// BenchmarkFollowRestart is a daemon's cost of one restarted instance.
+// BenchmarkFollowRestart measures the cost of one restarted instance for a daemon.
 func BenchmarkFollowRestart(b *testing.B) {
-	follow(b, func(n int) *pb.Delta {
+	benchmarkFollow(b, func(n int) *pb.Delta {
 		restarted := &pb.InstanceRecord{Id: "e0", Incarnation: uint64(n + 2), AvailabilityZone: "howrah", Entry: true}
 		return &pb.Delta{ViewNumber: uint64(n + 2), Joined: []*pb.InstanceRecord{restarted}}
 	})
--- a/internal/membership/clock.go
+++ b/internal/membership/clock.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// elapsed gives the time from start to now: the larger of what the monotonic
-// and the wall clock tell.
+// elapsed returns the time from start to now, by the monotonic or the wall clock,
+// whichever shows more.
 //
-// Failure guarded: a machine that is suspended keeps its monotonic clock
-// still, so a process that wakes would believe in a lease that ran out long
-// ago. The wall clock has moved on. A wall clock set forward costs one renewal.
+// The monotonic clock stops while a machine is suspended, so that a resumed
+// process would consider an expired lease valid. The wall clock covers this case.
+// Setting the wall clock forward costs one renewal.
 func elapsed(start, now time.Time) time.Duration {
 	monotonic := now.Sub(start)
 	wall := now.Round(0).Sub(start.Round(0))
--- a/internal/membership/follow.go
+++ b/internal/membership/follow.go
@@ -13,12 +13,12 @@
 	"github.com/hyssopsail/hyssopsail/internal/settings"
 )
 
-// errGap: deltas are missing between the state and a reply; the whole state
-// must be taken.
-var errGap = errors.New("deltas are missing")
+// errMissingDeltas means that deltas are missing between the state and a reply,
+// so that the whole state must be pulled.
+var errMissingDeltas = errors.New("deltas are missing")
 
-// follower makes states of pulled replies. It is pure but for build and
-// change, which are. Not safe for concurrent use.
+// follower builds states from pull replies. It does no I/O and reads no clock. It
+// is not safe for concurrent use.
 type follower struct {
 	build     func([]*pb.SubtreeDocument, uint64) (*settings.Tree, error)
 	change    func(*settings.Tree, string, []byte) (*settings.Tree, error)
@@ -41,21 +41,18 @@
 	}
 }
 
-// take applies the reply to a pull after index after. It never goes back: a
-// reply that ends at or before the state's index changes nothing.
-//
-// Failure guarded: an answer of a lagging member, or one long on its way,
-// arrives after newer ones. Applied, it would put an older version of a
-// subtree in force again.
-func (f *follower) take(after uint64, r *pb.PullReply) (changed bool, err error) {
+// applyReply applies the reply to a pull with AfterIndex after. It ignores a
+// reply that ends at or before the state's index. Otherwise a delayed reply, or
+// one from a lagging member, could restore an older version of a subtree.
+func (f *follower) applyReply(after uint64, r *pb.PullReply) (changed bool, err error) {
 	if s := r.GetSnapshot(); s != nil {
-		return f.takeSnapshot(s)
+		return f.applySnapshot(s)
 	}
 	if r.GetThroughIndex() <= f.state.Index {
 		return false, nil
 	}
 	if after > f.state.Index || f.state.Index == 0 {
-		return false, errGap
+		return false, errMissingDeltas
 	}
 	next := *f.state
 	for _, d := range r.GetDeltas() {
@@ -73,13 +70,13 @@
 	return true, nil
 }
 
-// publish makes next the state; what follows works on a copy.
+// publish sets the state to a copy of next, so that next can be changed further.
 func (f *follower) publish(next *State) {
 	copied := *next
 	f.state = &copied
 }
 
-func (f *follower) takeSnapshot(s *pb.FleetState) (changed bool, err error) {
+func (f *follower) applySnapshot(s *pb.FleetState) (changed bool, err error) {
 	if s.Index <= f.state.Index {
 		return false, nil
 	}
@@ -102,13 +99,13 @@
 	for _, d := range s.Subtrees {
 		f.documents[d.Name] = d
 	}
-	next.Tree = f.stamped(tree, s.Index)
+	next.Tree = f.withVersions(tree, s.Index)
 	for _, i := range s.Instances {
 		next.View.Instances[fleet.InstanceID(i.Id)] = fleet.InstanceFromProto(i)
 	}
-	putGroups(next.Groups, s.LedgerGroups)
-	putSuspects(next.Suspects, s.Suspects)
-	putFormer(next.Former, s.FormerClasses)
+	updateGroups(next.Groups, s.LedgerGroups)
+	updateSuspects(next.Suspects, s.Suspects)
+	updateFormerClasses(next.Former, s.FormerClasses)
 	f.state = next
 	return true, nil
 }
@@ -122,15 +119,15 @@
 	}
 	if len(d.LedgerGroups) > 0 {
 		next.Groups = maps.Clone(next.Groups)
-		putGroups(next.Groups, d.LedgerGroups)
+		updateGroups(next.Groups, d.LedgerGroups)
 	}
 	if len(d.Suspects) > 0 {
 		next.Suspects = maps.Clone(next.Suspects)
-		putSuspects(next.Suspects, d.Suspects)
+		updateSuspects(next.Suspects, d.Suspects)
 	}
 	if len(d.FormerClasses) > 0 {
 		next.Former = maps.Clone(next.Former)
-		putFormer(next.Former, d.FormerClasses)
+		updateFormerClasses(next.Former, d.FormerClasses)
 	}
 	return nil
 }
@@ -140,7 +137,7 @@
 		return nil
 	}
 	if d.ViewNumber != next.View.Number+1 {
-		return errGap
+		return errMissingDeltas
 	}
 	instances := maps.Clone(next.View.Instances)
 	for _, i := range d.Left {
@@ -161,21 +158,21 @@
 	tree := next.Tree
 	for _, s := range d.Subtrees {
 		if s.Version != documents[s.Name].GetVersion()+1 && documents[s.Name] != nil {
-			return errGap
+			return errMissingDeltas
 		}
 		documents[s.Name] = s
 		var err error
-		tree, err = f.replace(tree, s, documents, d.Index)
+		tree, err = f.replaceSubtree(tree, s, documents, d.Index)
 		if err != nil {
 			return trace.Wrap(err, "subtree %s version %d", s.Name, s.Version)
 		}
 	}
 	f.documents = documents
-	next.Tree = f.stamped(tree, d.Index)
+	next.Tree = f.withVersions(tree, d.Index)
 	return nil
 }
 
-func (f *follower) replace(tree *settings.Tree, s *pb.SubtreeDocument, all map[string]*pb.SubtreeDocument, index uint64) (*settings.Tree, error) {
+func (f *follower) replaceSubtree(tree *settings.Tree, s *pb.SubtreeDocument, all map[string]*pb.SubtreeDocument, index uint64) (*settings.Tree, error) {
 	if f.change != nil {
 		return f.change(tree, s.Name, s.Yaml)
 	}
@@ -188,8 +185,8 @@
 	return f.build(present, index)
 }
 
-// stamped gives the tree with its index and the documents' versions.
-func (f *follower) stamped(tree *settings.Tree, index uint64) *settings.Tree {
+// withVersions returns a copy of the tree with index and the documents' versions.
+func (f *follower) withVersions(tree *settings.Tree, index uint64) *settings.Tree {
 	next := *tree
 	next.Index = index
 	next.Versions = make(map[string]uint64, len(f.documents))
@@ -201,7 +198,7 @@
 	return &next
 }
 
-func putGroups(groups map[fleet.LedgerShard]fleet.LedgerGroup, from []*pb.LedgerGroup) {
+func updateGroups(groups map[fleet.LedgerShard]fleet.LedgerGroup, from []*pb.LedgerGroup) {
 	for _, g := range from {
 		shard := fleet.LedgerShard{ZoneClass: g.ZoneClass, Shard: g.Shard}
 		if g.Removed {
@@ -211,14 +208,14 @@
 		groups[shard] = fleet.LedgerGroup{
 			Shard:         shard,
 			Epoch:         g.Epoch,
-			Replicas:      replicas(g.Replicas),
-			Sources:       replicas(g.Sources),
+			Replicas:      replicasFromProto(g.Replicas),
+			Sources:       replicasFromProto(g.Sources),
 			HistoryLostMs: g.HistoryLostUnixMs,
 		}
 	}
 }
 
-func replicas(from []*pb.LedgerReplica) []fleet.LedgerReplica {
+func replicasFromProto(from []*pb.LedgerReplica) []fleet.LedgerReplica {
 	out := make([]fleet.LedgerReplica, len(from))
 	for n, r := range from {
 		out[n] = fleet.LedgerReplica{
@@ -229,8 +226,9 @@
 	return out
 }
 
-// putFormer changes no list in place: older states share them.
-func putFormer(former map[fleet.Team][]string, from []*pb.FormerClass) {
+// updateFormerClasses doesn't modify lists in place, since older states share
+// them.
+func updateFormerClasses(former map[fleet.Team][]string, from []*pb.FormerClass) {
 	for _, f := range from {
 		team := fleet.Team(f.Team)
 		classes := slices.DeleteFunc(slices.Clone(former[team]), func(c string) bool { return c == f.ZoneClass })
@@ -246,7 +244,7 @@
 	}
 }
 
-func putSuspects(suspects map[fleet.Fingerprint]fleet.Suspect, from []*pb.SuspectRecord) {
+func updateSuspects(suspects map[fleet.Fingerprint]fleet.Suspect, from []*pb.SuspectRecord) {
 	for _, s := range from {
 		f, ok := fleet.FingerprintFromBytes(s.Fingerprint)
 		if !ok {
--- a/internal/membership/follow_test.go
+++ b/internal/membership/follow_test.go
@@ -13,30 +13,30 @@
 	"github.com/hyssopsail/hyssopsail/internal/settings"
 )
 
-// fakeBuild puts the documents' versions into the tree's Versions alone.
+// fakeBuild returns a tree without the documents' content.
 func fakeBuild(_ []*pb.SubtreeDocument, index uint64) (*settings.Tree, error) {
 	return &settings.Tree{Index: index}, nil
 }
 
 func newTestFollower() *follower { return newFollower(Options{Build: fakeBuild}) }
 
-// takes takes an answer that must be taken.
-func (f *follower) takes(t testing.TB, after uint64, reply *pb.PullReply) {
+// mustApply applies a reply and fails the test on an error.
+func (f *follower) mustApply(t testing.TB, after uint64, reply *pb.PullReply) {
 	t.Helper()
-	_, err := f.take(after, reply)
+	_, err := f.applyReply(after, reply)
 	assert.NilError(t, err)
 }
 
-// pulled is an answer of one delta.
-func pulled(d *pb.Delta) *pb.PullReply {
+// replyWithDelta returns a reply with one delta.
+func replyWithDelta(d *pb.Delta) *pb.PullReply {
 	return &pb.PullReply{Deltas: []*pb.Delta{d}, ThroughIndex: d.Index}
 }
 
-// history makes n deltas: at index i the subtree has version i.
-func history(n int) []*pb.Delta {
+// deltaHistory returns n deltas. The one at index i sets the subtree to version i.
+func deltaHistory(n int) []*pb.Delta {
 	var all []*pb.Delta
 	for i := 1; i <= n; i++ {
-		d := &pb.Delta{Index: uint64(i), ViewNumber: uint64(i / 10), Subtrees: []*pb.SubtreeDocument{document(i)}}
+		d := &pb.Delta{Index: uint64(i), ViewNumber: uint64(i / 10), Subtrees: []*pb.SubtreeDocument{testDocument(i)}}
 		if i%10 == 0 {
 			d.Joined = []*pb.InstanceRecord{{Id: fmt.Sprint("e", i), Incarnation: 1}}
 		}
@@ -45,24 +45,24 @@
 	return all
 }
 
-func document(version int) *pb.SubtreeDocument {
+func testDocument(version int) *pb.SubtreeDocument {
 	return &pb.SubtreeDocument{Name: "teams/a", Version: uint64(version), Yaml: []byte("x")}
 }
 
 func snapshotAt(index int) *pb.PullReply {
-	s := &pb.FleetState{Index: uint64(index), ViewNumber: uint64(index / 10), FleetId: "trust", Subtrees: []*pb.SubtreeDocument{document(index)}}
+	s := &pb.FleetState{Index: uint64(index), ViewNumber: uint64(index / 10), FleetId: "trust", Subtrees: []*pb.SubtreeDocument{testDocument(index)}}
 	for i := 10; i <= index; i += 10 {
 		s.Instances = append(s.Instances, &pb.InstanceRecord{Id: fmt.Sprint("e", i), Incarnation: 1})
 	}
 	return &pb.PullReply{Snapshot: s, ThroughIndex: uint64(index)}
 }
 
-// Answers to pulls arrive late, twice and in any order: old deltas and old
-// snapshots from members that lag. The entry's settings must never go back,
-// whatever comes, and end at the newest.
+// Pull replies with old deltas and snapshots arrive late, repeatedly and in any
+// order, as from lagging control instances. The settings of an entry must never
+// revert to an older version, and must end at the latest.
 func TestAcceptedSettingsNeverRevert(t *testing.T) {
 	const length = 200
-	deltas := history(length)
+	deltas := deltaHistory(length)
 	for seed := range uint64(50) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		f := newTestFollower()
@@ -74,20 +74,20 @@
 				through := min(length, after+1+random.IntN(20))
 				reply = &pb.PullReply{Deltas: deltas[after:through], ThroughIndex: uint64(through)}
 			}
-			_, err := f.take(uint64(after), reply)
-			assert.Assert(t, err == nil || errors.Is(err, errGap))
+			_, err := f.applyReply(uint64(after), reply)
+			assert.Assert(t, err == nil || errors.Is(err, errMissingDeltas))
 			version := f.state.Tree.Versions["teams/a"]
 			assert.Assert(t, version >= highest, "seed %d: version %d after %d", seed, version, highest)
 			assert.Equal(t, version, f.state.Index)
 			assert.Equal(t, len(f.state.View.Instances), int(f.state.Index/10))
 			highest = version
 		}
-		f.takes(t, 0, snapshotAt(length))
+		f.mustApply(t, 0, snapshotAt(length))
 		assert.Equal(t, f.state.Tree.Versions["teams/a"], uint64(length))
 	}
 }
 
-func TestTakeTable(t *testing.T) {
+func TestApplyReply(t *testing.T) {
 	other := snapshotAt(30)
 	other.Snapshot.FleetId = "another"
 	cases := []struct {
@@ -98,52 +98,52 @@
 		fails bool
 		index uint64
 	}{
-		{"next", 20, pulled(&pb.Delta{Index: 21, Subtrees: []*pb.SubtreeDocument{document(21)}}), false, false, 21},
-		{"overlapping", 18, &pb.PullReply{Deltas: history(22)[18:], ThroughIndex: 22}, false, false, 22},
+		{"next", 20, replyWithDelta(&pb.Delta{Index: 21, Subtrees: []*pb.SubtreeDocument{testDocument(21)}}), false, false, 21},
+		{"overlapping", 18, &pb.PullReply{Deltas: deltaHistory(22)[18:], ThroughIndex: 22}, false, false, 22},
 		{"nothing new", 20, &pb.PullReply{ThroughIndex: 20}, false, false, 20},
 		{"entries without effect", 20, &pb.PullReply{ThroughIndex: 25}, false, false, 25},
-		{"starts after the state", 22, pulled(&pb.Delta{Index: 23}), true, true, 20},
-		{"subtree version skipped", 20, pulled(&pb.Delta{Index: 22, Subtrees: []*pb.SubtreeDocument{document(22)}}), true, true, 20},
-		{"view skipped", 20, pulled(&pb.Delta{Index: 22, ViewNumber: 4, Joined: []*pb.InstanceRecord{{Id: "x"}}}), true, true, 20},
+		{"starts after the state", 22, replyWithDelta(&pb.Delta{Index: 23}), true, true, 20},
+		{"subtree version skipped", 20, replyWithDelta(&pb.Delta{Index: 22, Subtrees: []*pb.SubtreeDocument{testDocument(22)}}), true, true, 20},
+		{"view skipped", 20, replyWithDelta(&pb.Delta{Index: 22, ViewNumber: 4, Joined: []*pb.InstanceRecord{{Id: "x"}}}), true, true, 20},
 		{"another fleet", 0, other, false, true, 20},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			f := newTestFollower()
-			f.takes(t, 0, snapshotAt(20))
-			_, err := f.take(c.after, c.reply)
+			f.mustApply(t, 0, snapshotAt(20))
+			_, err := f.applyReply(c.after, c.reply)
 			assert.Equal(t, err != nil, c.fails)
-			assert.Equal(t, errors.Is(err, errGap), c.gap)
+			assert.Equal(t, errors.Is(err, errMissingDeltas), c.gap)
 			assert.Equal(t, f.state.Index, c.index)
 		})
 	}
 }
 
-func TestStatesNeverChangeOnceGiven(t *testing.T) {
+func TestPublishedStatesAreImmutable(t *testing.T) {
 	f := newTestFollower()
-	f.takes(t, 0, snapshotAt(9))
-	given := f.state
+	f.mustApply(t, 0, snapshotAt(9))
+	before := f.state
 	fingerprint := fleet.Fingerprint{1}
-	f.takes(t, 9, pulled(&pb.Delta{
+	f.mustApply(t, 9, replyWithDelta(&pb.Delta{
 		Index: 10, ViewNumber: 1, Joined: []*pb.InstanceRecord{{Id: "x", Incarnation: 1}},
-		Subtrees:      []*pb.SubtreeDocument{document(10)},
+		Subtrees:      []*pb.SubtreeDocument{testDocument(10)},
 		LedgerGroups:  []*pb.LedgerGroup{{ZoneClass: "z", Epoch: 1}},
 		Suspects:      []*pb.SuspectRecord{{Fingerprint: fingerprint[:], Crashes: 1}},
 		FormerClasses: []*pb.FormerClass{{Team: "a", ZoneClass: "y"}, {Team: "a", ZoneClass: "x"}},
 	}))
-	assert.Equal(t, len(given.View.Instances)+len(given.Groups)+len(given.Suspects)+len(given.Former), 0)
-	assert.Equal(t, given.Tree.Versions["teams/a"], uint64(9))
+	assert.Equal(t, len(before.View.Instances)+len(before.Groups)+len(before.Suspects)+len(before.Former), 0)
+	assert.Equal(t, before.Tree.Versions["teams/a"], uint64(9))
 	assert.Equal(t, len(f.state.View.Instances)+len(f.state.Groups)+len(f.state.Suspects), 3)
 	middle := f.state
-	f.takes(t, 10, pulled(&pb.Delta{
+	f.mustApply(t, 10, replyWithDelta(&pb.Delta{
 		Index: 11, LedgerGroups: []*pb.LedgerGroup{{ZoneClass: "z", Removed: true}},
 		Suspects:      []*pb.SuspectRecord{{Fingerprint: fingerprint[:]}},
 		FormerClasses: []*pb.FormerClass{{Team: "a", ZoneClass: "y", Removed: true}, {Team: "a", ZoneClass: "x", ChangedUnixMs: 2}},
 	}))
 	assert.DeepEqual(t, middle.Former["a"], []string{"x", "y"})
 	assert.DeepEqual(t, f.state.Former["a"], []string{"x"})
-	whole := &pb.FleetState{Index: 12, FleetId: "trust", FormerClasses: []*pb.FormerClass{{Team: "b", ZoneClass: "z"}}}
-	f.takes(t, 0, &pb.PullReply{ThroughIndex: 12, Snapshot: whole})
+	snapshot := &pb.FleetState{Index: 12, FleetId: "trust", FormerClasses: []*pb.FormerClass{{Team: "b", ZoneClass: "z"}}}
+	f.mustApply(t, 0, &pb.PullReply{ThroughIndex: 12, Snapshot: snapshot})
 	assert.DeepEqual(t, f.state.Former, map[fleet.Team][]string{"b": {"z"}})
 	assert.Equal(t, len(f.state.Groups)+len(f.state.Suspects), 0)
 }
--- a/internal/membership/lease_test.go
+++ b/internal/membership/lease_test.go
@@ -13,7 +13,7 @@
 
 func at(d time.Duration) time.Time { return start.Add(d) }
 
-func TestLeaseTable(t *testing.T) {
+func TestLeaseCurrent(t *testing.T) {
 	const second = time.Second
 	fresh := func() *lease { return &lease{settingsLease: 3 * second} }
 	cases := []struct {
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestUnconfirmedIsBounded(t *testing.T) {
+func TestUnconfirmedRenewalsAreBounded(t *testing.T) {
 	l := &lease{settingsLease: time.Hour}
 	for n := range 10 * maxUnconfirmed {
 		l.grant(at(time.Duration(n)), at(0), time.Second, uint64(n+1))
@@ -68,10 +68,10 @@
 	assert.Assert(t, !l.lagging(at(2*time.Hour)))
 }
 
-// A process is stopped by SIGSTOP, or its machine suspended, for longer than
-// its lease, between two renewals. Whatever it asks first when it wakes, it is
-// told that it is not current, though the caller read the clock before.
-func TestFrozenAgentWakesNotCurrent(t *testing.T) {
+// A process is stopped by SIGSTOP, or its machine is suspended, for longer than
+// its lease. When it resumes, Current must return false at once, even if the
+// caller read the clock before the stop.
+func TestFrozenAgentIsNotCurrent(t *testing.T) {
 	now := at(0)
 	a := NewAgent(Options{Now: func() time.Time { return now }})
 	a.lease.grant(now, now, 2*time.Second, 0)
@@ -82,15 +82,15 @@
 	assert.Assert(t, !a.Current(now))
 }
 
-// An instance is stopped a moment after it joined. Other entries may already
-// have named it to callers, while its own state doesn't show it yet; were the
-// state asked, the stop would skip the drain and those callers be refused.
-func TestJoinedFromTheFirstGrantOn(t *testing.T) {
+// An instance is stopped right after it joined. Other entries may already include
+// it in their address lists, while its own state doesn't contain it yet. If Joined
+// used the state, the stop would skip the drain and refuse those callers.
+func TestJoinedAfterFirstGrant(t *testing.T) {
 	a := NewAgent(Options{Build: fakeBuild})
 	assert.Assert(t, !a.Joined())
-	assert.NilError(t, a.renewed(time.Now(), &pb.RenewLeaseReply{Refusal: "not-leader"}))
+	assert.NilError(t, a.handleRenewalReply(time.Now(), &pb.RenewLeaseReply{Refusal: "not-leader"}))
 	assert.Assert(t, !a.Joined())
-	assert.NilError(t, a.renewed(time.Now(), &pb.RenewLeaseReply{Granted: true, LeaseMs: 1000, CommitIndex: 9}))
+	assert.NilError(t, a.handleRenewalReply(time.Now(), &pb.RenewLeaseReply{Granted: true, LeaseMs: 1000, CommitIndex: 9}))
 	assert.Assert(t, a.Joined())
 	assert.Equal(t, len(a.State().View.Instances), 0)
 }
--- a/internal/membership/leave.go
+++ b/internal/membership/leave.go
@@ -9,45 +9,45 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// SetDraining makes this instance draining for good and tells the control
-// group at once.
+// SetDraining marks this instance as draining permanently and reports it to the
+// control group at once.
 func (a *Agent) SetDraining() {
 	a.mu.Lock()
 	a.self.Draining = true
 	a.mu.Unlock()
 	select {
-	case a.kick <- struct{}{}:
+	case a.renewNow <- struct{}{}:
 	default:
 	}
 }
 
-// Joined tells whether the control group has ever granted this process a
-// lease. From then on other entries may name it to callers, though its own
-// state may not show it yet.
+// Joined reports whether the control group has ever granted this process a lease.
+// From then on other entries may include it in the address lists for callers,
+// even if its own state doesn't contain it yet.
 func (a *Agent) Joined() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.joined
 }
 
-// HandedOver tells whether no ledger group counts on this process: neither as
-// a replica nor as a source of one that still copies. A group that has no
-// entry left to take its place doesn't count: waiting would help nobody.
+// HandedOver reports whether no ledger group depends on this process, neither as
+// a replica nor as a source for a replica that is still copying. A group without
+// another entry as a replacement is ignored, since waiting for it is useless.
 func (a *Agent) HandedOver() bool {
 	self := a.Self().Owner()
 	state := a.State()
 	for _, g := range state.Groups {
-		whole := true
+		othersReady := true
 		for _, r := range g.Replicas {
 			if r.Owner == self {
-				if hasSpare(state.View, g) {
+				if hasReplacement(state.View, g) {
 					return false
 				}
 				continue
 			}
-			whole = whole && r.Ready
+			othersReady = othersReady && r.Ready
 		}
-		if whole {
+		if othersReady {
 			continue
 		}
 		for _, r := range g.Sources {
@@ -59,8 +59,9 @@
 	return true
 }
 
-// hasSpare tells whether an entry in the group's zones is not yet a replica.
-func hasSpare(view fleet.View, g fleet.LedgerGroup) bool {
+// hasReplacement reports whether an entry in the group's zones is not yet a
+// replica.
+func hasReplacement(view fleet.View, g fleet.LedgerGroup) bool {
 	members := make(map[fleet.Owner]struct{}, len(g.Replicas))
 	for _, r := range g.Replicas {
 		members[r.Owner] = struct{}{}
@@ -73,9 +74,8 @@
 	return false
 }
 
-// AwaitHandover waits until the ledger groups of a draining instance are whole
-// without it. It gives ctx's error when that comes first, as it must when no
-// other entry is there to take over.
+// AwaitHandover waits until HandedOver returns true for a draining instance. It
+// returns the error of ctx if that ends first.
 func (a *Agent) AwaitHandover(ctx context.Context) error {
 	for {
 		changed := a.Changed()
@@ -90,11 +90,11 @@
 	}
 }
 
-// Leave ends the lease of a planned stop. Current is false from now on, and
-// nothing renews any more. Without an answer the lease ends by itself.
+// Leave ends the lease at a planned stop. From then on Current returns false and
+// the lease is not renewed. If the control group doesn't answer, the lease expires.
 func (a *Agent) Leave(ctx context.Context) error {
-	a.renewing.Lock()
-	defer a.renewing.Unlock()
+	a.renewalMu.Lock()
+	defer a.renewalMu.Unlock()
 	a.mu.Lock()
 	a.lease.leaving = true
 	request := &pb.RenewLeaseRequest{Instance: a.self.Proto(), AppliedIndex: a.state.Index, Leaving: true}
--- a/internal/membership/metrics.go
+++ b/internal/membership/metrics.go
@@ -37,7 +37,7 @@
 	return m
 }
 
-func (m *metrics) count(call string, request, reply proto.Message) {
+func (m *metrics) countBytes(call string, request, reply proto.Message) {
 	m.bytes.WithLabelValues(call, "out").Add(float64(proto.Size(request)))
 	m.bytes.WithLabelValues(call, "in").Add(float64(proto.Size(reply)))
 }
--- a/internal/membership/options.go
+++ b/internal/membership/options.go
@@ -14,50 +14,51 @@
 	"github.com/hyssopsail/hyssopsail/internal/timeline"
 )
 
-// Control is what an Agent asks of the control group; control.Client has it.
+// Control is the interface of an Agent to the control group. control.Client
+// implements it.
 type Control interface {
-	// RenewLease repeats the call until it is answered or ctx ends.
+	// RenewLease retries the call until it is answered or ctx ends.
 	RenewLease(ctx context.Context, r *pb.RenewLeaseRequest) (*pb.RenewLeaseReply, error)
-	// Pull makes one try.
+	// Pull makes one attempt.
 	Pull(ctx context.Context, r *pb.PullRequest) (*pb.PullReply, error)
-	// Elsewhere makes the next Pull go to another member.
+	// Elsewhere makes the next Pull use another control instance.
 	Elsewhere()
 }
 
-// Options are an Agent's parts. Client, Self and Build are required.
+// Options configures an Agent. Client, Self and Build are required.
 type Options struct {
 	Client     Control
 	Self       fleet.Instance
 	Part       logging.Part
-	Registerer prometheus.Registerer // nil: no metrics
-	Recorder   timeline.Recorder     // nil: no events
-	// Build makes a tree of all documents; see settings.Build.
+	Registerer prometheus.Registerer // nil disables the registration of metrics
+	Recorder   timeline.Recorder     // nil disables events
+	// Build builds a tree from all documents; see settings.Build.
 	Build func(documents []*pb.SubtreeDocument, index uint64) (*settings.Tree, error)
-	// Change makes a tree with one subtree replaced; see settings.CheckChange.
-	// It saves parsing all others. Nil: Build is used.
+	// Change returns a copy of the tree with one subtree replaced, without
+	// parsing the others; see settings.CheckChange. If nil, Build is used.
 	Change func(tree *settings.Tree, name string, yaml []byte) (*settings.Tree, error)
-	Now    func() time.Time // nil: time.Now
+	Now    func() time.Time // nil means time.Now
 }
 
-// ErrFenced is why Run ends when the control group has given this process's
-// place up: its lease was ended, or a later incarnation has joined. The
-// process must not go on under its incarnation.
-var ErrFenced = errors.New("this incarnation has lost its place in the fleet for good")
+// ErrFenced is the error of Run when the control group has ended this process's
+// membership: its lease was ended, or a later incarnation has joined. The process
+// must not continue under its incarnation.
+var ErrFenced = errors.New("the control group has fenced this incarnation")
 
-// The defaults that hold before the fleet subtree is known.
+// Defaults before the fleet subtree is known.
 const (
 	defaultInstanceLease = 2 * time.Second
 	defaultSettingsLease = 3 * time.Second
 )
 
-// The pace of an Agent.
+// Timing and limits of an Agent.
 const (
-	renewalsPerLease    = 4
-	retriesPerLease     = 20 // pace after a failed renewal
-	pullWait            = 20 * time.Second
-	pullSpacing         = 200 * time.Millisecond // after news, so that a burst comes in one answer
-	shortestPullBackoff = 50 * time.Millisecond
-	longestPullBackoff  = 2 * time.Second
-	shortestRenewal     = 500 * time.Millisecond // least time given to one renewal
-	maxUnconfirmed      = 64                     // renewals whose index is not yet applied
+	renewalsPerLease       = 4
+	failedRenewalsPerLease = 20 // renewal rate after a failed renewal
+	longPollWait           = 20 * time.Second
+	pullDelayAfterChange   = 200 * time.Millisecond // batches a burst of changes into one reply
+	minPullBackoff         = 50 * time.Millisecond
+	maxPullBackoff         = 2 * time.Second
+	minRenewalTimeout      = 500 * time.Millisecond // minimum timeout of one renewal
+	maxUnconfirmed         = 64                     // granted renewals whose index is not applied yet
 )
--- a/internal/membership/pull.go
+++ b/internal/membership/pull.go
@@ -12,24 +12,24 @@
 
 func (a *Agent) pullLoop(ctx context.Context) error {
 	after := uint64(0)
-	backoff := shortestPullBackoff
+	backoff := minPullBackoff
 	for ctx.Err() == nil {
 		before := a.follower.state
 		err := a.pull(ctx, after)
 		after = a.follower.state.Index
 		if err == nil {
-			backoff = shortestPullBackoff
+			backoff = minPullBackoff
 			if a.follower.state != before {
-				sleep.For(ctx, pullSpacing)
+				sleep.For(ctx, pullDelayAfterChange)
 			}
 			continue
 		}
-		if errors.Is(err, errGap) {
-			after = 0 // the whole state
+		if errors.Is(err, errMissingDeltas) {
+			after = 0 // pull the whole state
 		}
 		a.part.Debug("Pull failed.", "err", err)
 		sleep.For(ctx, backoff)
-		backoff = min(2*backoff, longestPullBackoff)
+		backoff = min(2*backoff, maxPullBackoff)
 	}
 	return nil
 }
@@ -43,20 +43,20 @@
 		InstanceId:  string(a.self.ID),
 		Incarnation: uint64(a.self.Incarnation),
 		AfterIndex:  after,
-		WaitMs:      uint64(pullWait.Milliseconds()),
+		WaitMs:      uint64(longPollWait.Milliseconds()),
 	}
 	reply, err := a.client.Pull(ctx, request)
 	if err != nil {
 		return err
 	}
-	a.metrics.count("pull", request, reply)
+	a.metrics.countBytes("pull", request, reply)
 	before := a.follower.state
-	changed, err := a.follower.take(after, reply)
+	changed, err := a.follower.applyReply(after, reply)
 	if a.follower.state != before {
 		a.publish(before, a.follower.state)
 	}
 	if err == nil && !changed && len(reply.Deltas) > 0 {
-		return errGap
+		return errMissingDeltas
 	}
 	return err
 }
@@ -79,10 +79,10 @@
 	close(a.changed)
 	a.changed = make(chan struct{})
 	a.mu.Unlock()
-	a.tell(before, state)
+	a.reportChanges(before, state)
 }
 
-func (a *Agent) tell(before, state *State) {
+func (a *Agent) reportChanges(before, state *State) {
 	a.metrics.index.Set(float64(state.Index))
 	a.metrics.view.Set(float64(state.View.Number))
 	if state.View.Number != before.View.Number {
--- a/internal/membership/renew.go
+++ b/internal/membership/renew.go
@@ -10,7 +10,7 @@
 	"github.com/hyssopsail/hyssopsail/internal/timeline"
 )
 
-// The refusals that end a process's membership; see pb.RenewLeaseReply.
+// Refusals that end a process's membership; see pb.RenewLeaseReply.
 const (
 	refusalIncarnation = "incarnation"
 	refusalMalformed   = "malformed"
@@ -22,40 +22,40 @@
 		if err != nil {
 			return err
 		}
-		a.noteLease()
-		timer := time.NewTimer(a.renewEvery(granted))
+		a.reportLease()
+		timer := time.NewTimer(a.renewalInterval(granted))
 		select {
 		case <-ctx.Done():
 			timer.Stop()
 			return nil
-		case <-a.kick:
+		case <-a.renewNow:
 			timer.Stop()
 		case <-timer.C:
 		}
 	}
 }
 
-func (a *Agent) renewEvery(granted bool) time.Duration {
+func (a *Agent) renewalInterval(granted bool) time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if !granted {
-		return a.lease.length / retriesPerLease
+		return a.lease.duration / failedRenewalsPerLease
 	}
-	return a.lease.length / renewalsPerLease
+	return a.lease.duration / renewalsPerLease
 }
 
-// renew sends one renewal. Its error is final.
+// renew sends one renewal. An error is permanent; failed renewals return false.
 func (a *Agent) renew(ctx context.Context) (granted bool, err error) {
-	a.renewing.Lock()
-	defer a.renewing.Unlock()
-	request, timeout := a.renewal()
+	a.renewalMu.Lock()
+	defer a.renewalMu.Unlock()
+	request, timeout := a.renewalRequest()
 	if request == nil {
 		return true, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	// The lease counts from before the first try: the leader's own count
-	// begins when the renewal arrives, so it always ends later.
+	// The lease starts before the first attempt. The leader's lease starts when
+	// the renewal arrives, so it always ends later.
 	sent := a.now()
 	reply, err := a.client.RenewLease(ctx, request)
 	if err != nil {
@@ -63,29 +63,29 @@
 		a.part.Debug("Renewal failed.", "err", err)
 		return false, nil
 	}
-	a.metrics.count("renew", request, reply)
-	return reply.Granted, a.renewed(sent, reply)
+	a.metrics.countBytes("renew", request, reply)
+	return reply.Granted, a.handleRenewalReply(sent, reply)
 }
 
-// renewal gives the request; nil when leaving.
-func (a *Agent) renewal() (*pb.RenewLeaseRequest, time.Duration) {
+// renewalRequest returns the request and its timeout, or nil after Leave.
+func (a *Agent) renewalRequest() (*pb.RenewLeaseRequest, time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.lease.leaving {
 		return nil, 0
 	}
-	timeout := max(a.lease.length/2, shortestRenewal)
+	timeout := max(a.lease.duration/2, minRenewalTimeout)
 	return &pb.RenewLeaseRequest{Instance: a.self.Proto(), AppliedIndex: a.state.Index}, timeout
 }
 
-func (a *Agent) renewed(sent time.Time, reply *pb.RenewLeaseReply) error {
+func (a *Agent) handleRenewalReply(sent time.Time, reply *pb.RenewLeaseReply) error {
 	switch {
 	case reply.Refusal == refusalIncarnation:
-		a.fence()
+		a.setFenced()
 		a.metrics.renewals.WithLabelValues("fenced").Inc()
 		return trace.Wrap(ErrFenced)
 	case reply.Refusal == refusalMalformed:
-		a.fence()
+		a.setFenced()
 		return trace.BadParameter("the control group can't take this instance's description")
 	case !reply.Granted:
 		a.metrics.renewals.WithLabelValues("refused").Inc()
@@ -93,23 +93,23 @@
 		return nil
 	}
 	a.metrics.renewals.WithLabelValues("granted").Inc()
-	cancelPull := a.granted(sent, reply)
+	cancelPull := a.recordGrant(sent, reply)
 	if cancelPull != nil {
-		// The member that answers pulls is cut off from the leader: it would
-		// hold the poll open while this daemon falls behind.
+		// The control instance that answers pulls seems partitioned from the
+		// leader: it would hold the long poll open while this daemon lags behind.
 		//
-		// The client is called without the lock: it asks for the control
-		// addresses, which are read from State. Called with it, the daemon hung
-		// for good in the moment that its poll fell behind.
+		// The client must be called without holding mu: it reads the control
+		// addresses from State. With mu held, the daemon deadlocked as soon as its
+		// state lagged.
 		a.client.Elsewhere()
 		cancelPull()
 	}
 	return nil
 }
 
-// granted takes a granted renewal and gives the pull to cancel when the state
-// lags behind it.
-func (a *Agent) granted(sent time.Time, reply *pb.RenewLeaseReply) context.CancelFunc {
+// recordGrant records a granted renewal. If the state lags behind, it returns the
+// function that cancels the current pull, and otherwise nil.
+func (a *Agent) recordGrant(sent time.Time, reply *pb.RenewLeaseReply) context.CancelFunc {
 	now := a.now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -118,20 +118,21 @@
 	if !a.lease.lagging(now) || a.cancelPull == nil {
 		return nil
 	}
-	a.lease.behindSince = now
+	a.lease.laggingSince = now
 	return a.cancelPull
 }
 
-func (a *Agent) fence() {
+func (a *Agent) setFenced() {
 	a.mu.Lock()
 	a.lease.fenced = true
 	a.mu.Unlock()
-	a.part.Error("This incarnation has lost its place in the fleet.")
+	a.part.Error("The control group has fenced this incarnation.")
 	a.record(timeline.Event{Kind: timeline.KindLeaseLost, Detail: "fenced"})
 }
 
-// noteLease tells of a lease that was lost or won since the last renewal.
-func (a *Agent) noteLease() {
+// reportLease logs and records whether the lease was lost or gained since the
+// last renewal.
+func (a *Agent) reportLease() {
 	now := a.now()
 	a.mu.Lock()
 	current := a.lease.current(now)
--- a/internal/membership/source.go
+++ b/internal/membership/source.go
@@ -6,16 +6,17 @@
 	"github.com/hyssopsail/hyssopsail/internal/fleet"
 )
 
-// Source is how the parts of a daemon see the shared state.
+// Source gives the parts of a daemon access to the shared state.
 type Source interface {
-	// State gives the newest applied state; never nil.
+	// State returns the latest applied state, which is never nil.
 	State() *State
-	// Current tells whether, at now, this daemon holds its instance lease and
-	// has confirmed within the settings lease that State is up to date. When
-	// false no request may be taken and no bytes may leave for an endpoint.
+	// Current reports whether, at now, this daemon holds its instance lease and
+	// has confirmed within the settings lease that State is up to date. If it
+	// returns false, the daemon must not accept a request or send bytes to an
+	// endpoint.
 	Current(now time.Time) bool
-	// Self is this process as the view should hold it.
+	// Self returns this process as it should appear in the view.
 	Self() fleet.Instance
-	// Changed gives a channel that is closed when State next changes.
+	// Changed returns a channel that is closed at the next change of State.
 	Changed() <-chan struct{}
 }
--- a/internal/membership/state.go
+++ b/internal/membership/state.go
@@ -5,7 +5,7 @@
 	"github.com/hyssopsail/hyssopsail/internal/settings"
 )
 
-// State is the shared state at a log index. It never changes once published.
+// State is the shared state at a log index. It is immutable once published.
 type State struct {
 	Index    uint64
 	FleetID  string
@@ -13,8 +13,8 @@
 	View     fleet.View
 	Groups   map[fleet.LedgerShard]fleet.LedgerGroup
 	Suspects map[fleet.Fingerprint]fleet.Suspect
-	// Former are the zone classes that each team left of late, sorted; one may
-	// be the team's present class again. An outcome record of the team may be
-	// in any of them.
+	// Former holds the zone classes that each team left recently, sorted. One of
+	// them may be the team's current class again. An outcome record of the team
+	// may be in any of them.
 	Former map[fleet.Team][]string
 }
--- a/internal/membership/static.go
+++ b/internal/membership/static.go
@@ -6,11 +6,11 @@
 	"github.com/hyssopsail/hyssopsail/internal/fleet"
 )
 
-// Static is a Source that never changes, for parts run on their own.
+// Static is a Source that never changes, for parts that run without an Agent.
 type Static struct {
 	Fixed    *State
 	Instance fleet.Instance
-	Lapsed   bool // Current answers false
+	Lapsed   bool // Current returns false
 }
 
 // State implements Source.
