--- a/internal/consensus/faults_test.go
+++ b/internal/consensus/faults_test.go
@@ -98,13 +98,13 @@
 
 // newestLeader returns the leader of the highest term, or nil.
 func (sim *simulation) newestLeader() *host {
-	var newest *host
+	var latest *host
 	for _, h := range sim.hosts {
-		if h.core != nil && h.core.IsLeader() && (newest == nil || h.core.term > newest.core.term) {
-			newest = h
+		if h.core != nil && h.core.IsLeader() && (latest == nil || h.core.term > latest.core.term) {
+			latest = h
 		}
 	}
-	return newest
+	return latest
 }
 
 // loseDisk replaces a host's disk by an empty one if the fault model allows it:
--- a/internal/consensus/invariants_test.go
+++ b/internal/consensus/invariants_test.go
@@ -13,7 +13,7 @@
 	seed          uint64
 	leaders       map[uint64]string       // leader's disk ID by term
 	committed     map[uint64]*pb.LogEntry // committed entries by index
-	committedTerm map[uint64]uint64       // term of the first member that applied the entry, by index
+	committedTerm map[uint64]uint64       // by index: a term by whose end the entry was committed
 	checkCount    int
 }
 
