--- a/internal/provision/planner.go
+++ b/internal/provision/planner.go
@@ -37,7 +37,7 @@
 type Planner struct {
 	settings settings.Provision
 	loads    int // at once
-	plan     *schedule.ModelPlan
+	plan     *schedule.ModelPlanner
 	pending  map[fleet.EndpointID]*pending
 }
 
@@ -60,7 +60,7 @@
 	return &Planner{
 		settings: p,
 		loads:    max(loads, 1),
-		plan:     schedule.NewModelPlan(schedule.PlanOptions{Hold: p.Hold, CoolDown: p.CoolDown, Interval: p.Poll}),
+		plan:     schedule.NewModelPlanner(schedule.PlanOptions{Hold: p.Hold, CoolDown: p.CoolDown, Interval: p.Poll}),
 		pending:  map[fleet.EndpointID]*pending{},
 	}
 }
@@ -141,12 +141,12 @@
 			continue // going away: it serves nobody soon, and gets no order
 		}
 		row := schedule.PlanEngine{
-			ID:     e.Target.ID,
-			Zone:   e.Target.Zone,
-			Role:   e.Role,
-			Models: e.Models,
-			Busy:   e.busy(),
-			Room:   p.settings.ModelsPerEngine - len(e.Models),
+			ID:             e.Target.ID,
+			Zone:           e.Target.Zone,
+			Role:           e.Role,
+			Models:         e.Models,
+			Busy:           e.busy(),
+			FreeModelSlots: p.settings.ModelsPerEngine - len(e.Models),
 		}
 		if busy {
 			row.Busy = pendingPrice
--- a/internal/schedule/choice_test.go
+++ b/internal/schedule/choice_test.go
@@ -89,9 +89,9 @@
 	assert.ErrorContains(t, err, `no start policy "now"`)
 }
 
-// Nine entries see the same digest and each sends a burst at the same moment.
-// If all picked the first of equal endpoints, that one would get everything
-// and its callers would miss their targets while the others idle.
+// Several entries see the same digest and each sends a burst at the same time.
+// If all picked the first of equal endpoints, it would receive everything and
+// its callers would miss their targets while other endpoints idle.
 func TestEqualCandidatesShareABurst(t *testing.T) {
 	candidates := subset(12, nil)
 	for _, name := range []string{NameLeastWait, NameTwoChoices} {
@@ -127,7 +127,7 @@
 	}
 }
 
-// subset makes n endpoints over two zones; every eighth has the cache.
+// subset returns n endpoints in two zones; every eighth has the prefixes cached.
 func subset(n int, prefixes []uint64) []endpoint.Candidate {
 	zones := []fleet.AvailabilityZone{"howrah", "barasat"}
 	cached := cacheOf(prefixes)
--- a/internal/schedule/contract.go
+++ b/internal/schedule/contract.go
@@ -8,41 +8,43 @@
 	"github.com/hyssopsail/hyssopsail/internal/fleet"
 )
 
-// Request is what the choice of endpoints needs to know.
+// Request holds the properties of a request that the choice of an endpoint
+// depends on.
 type Request struct {
 	Team           fleet.Team
 	EntryZone      fleet.AvailabilityZone
 	PromptTokens   int
 	ExpectedTokens int
-	Prefixes       []uint64 // hashes of the prompt's blocks, shortest first
+	Prefixes       []uint64 // hashes of the prompt's block prefixes, shortest first
 	KVBytes        int64
-	Avoid          map[fleet.EndpointID]struct{} // just failed this request
+	Avoid          map[fleet.EndpointID]struct{} // endpoints that already failed this request
 }
 
-// Choice picks one endpoint. ok is false when none will do.
+// Choice is a policy that picks one endpoint from the candidates. ok is false
+// when no candidate is eligible.
 type Choice interface {
 	Choose(r Request, candidates []endpoint.Candidate, random *rand.Rand) (chosen endpoint.Candidate, ok bool)
 }
 
-// StartInput is what is known when a prefill could start.
+// StartInput holds the predictions for a request whose prefill could start now.
 type StartInput struct {
 	DecodeReadyIn time.Duration // predicted wait for the decode slot
-	PrefillTime   time.Duration // predicted, queue at the prefill engine included
-	TransferTime  time.Duration // predicted on the link, its queue included
+	PrefillTime   time.Duration // predicted, including the queue at the prefill engine
+	TransferTime  time.Duration // predicted for the link, including its queue
 	KVLife        time.Duration
-	WasteWeight   float64       // the team's weight of wasted prefill, 0 to 1
-	Spread        time.Duration // predictor's error, one standard deviation
+	WasteWeight   float64       // the team's weight of wasted prefill work, 0 to 1
+	Spread        time.Duration // standard deviation of the prediction error
 }
 
-// Start decides how long to wait before a prefill starts, and whether the
-// decode slot is taken before or after it.
+// Start is a policy that decides how long to delay a prefill, and whether the
+// decode slot is reserved before or after it.
 type Start interface {
 	Plan(in StartInput) StartPlan
 }
 
-// StartPlan is the outcome of Start.
+// StartPlan is the decision of a Start policy.
 type StartPlan struct {
-	Delay        time.Duration // wait before the prefill
-	ReserveFirst bool          // hold the decode grant before prefill starts
-	Lead         time.Duration // ask the home for a grant so long before a slot is free
+	Delay        time.Duration // delay before the prefill starts
+	ReserveFirst bool          // hold the decode grant before the prefill starts
+	Lead         time.Duration // request the grant from the home this long before a slot is free
 }
--- a/internal/schedule/leastload.go
+++ b/internal/schedule/leastload.go
@@ -6,9 +6,8 @@
 	"github.com/hyssopsail/hyssopsail/internal/endpoint"
 )
 
-// leastReportedLoad takes the candidate with the fewest requests for each
-// slot, and looks at neither cache, link nor time. It is a baseline to measure
-// against.
+// leastReportedLoad picks the candidate with the fewest requests per slot and
+// ignores caches, links and predicted times. It is a baseline for comparison.
 type leastReportedLoad struct{}
 
 // Choose implements Choice.
--- a/internal/schedule/leastwait.go
+++ b/internal/schedule/leastwait.go
@@ -9,49 +9,50 @@
 	"github.com/hyssopsail/hyssopsail/internal/fleet"
 )
 
-// maxWalk and maxCacheProbes bound the candidates and the cache lookups of one
-// choice, so that its time doesn't grow with the subset. The best of so many
-// at random is hardly worse than the best of all.
+// maxScan and maxCacheProbes bound the candidates and the cache lookups of one
+// choice, so that its cost doesn't grow with the number of candidates. The best
+// of a random sample of this size is hardly worse than the best of all.
 const (
-	maxWalk        = 256
+	maxScan        = 256
 	maxCacheProbes = 64
 )
 
-// sampledWalk is how many candidates the sampled policy looks at. The entries'
-// digests are some hundred milliseconds old; were each entry to take the best
-// of all, they would send what comes meanwhile to the same endpoint.
-const sampledWalk = 3
+// sampleSize is how many candidates the sampled-wait policy considers. An
+// entry's digests are some hundred milliseconds old: if every entry picked the
+// best of all candidates, they would all send their requests to the same
+// endpoint until the next digest.
+const sampleSize = 3
 
-// tieWindow is the difference in predicted wait below which two endpoints are
-// taken as equal, so that entries with the same view don't all pick one.
-const tieWindow = 500 * time.Microsecond
+// tieThreshold is the difference in predicted wait up to which two endpoints
+// are treated as equal, so that entries with the same view don't all pick one.
+const tieThreshold = 500 * time.Microsecond
 
-// leastWait picks the endpoint with the least predicted time until the work is
-// done: wait, work ahead, the link, and for prefill its own time less what the
-// prefix cache saves.
+// leastWait picks the endpoint with the least predicted completion time: the
+// wait for a slot, the queued work, the transfer over the link, and for prefill
+// the prefill time less what the prefix cache saves.
 type leastWait struct {
 	kind    fleet.EndpointRole
-	walk    int // candidates looked at
+	maxScan int // maximum number of candidates considered
 	prefill *PrefillPredictor
 	links   LinkCost
 }
 
-func newLeastWait(kind fleet.EndpointRole, walk int, o ChoiceOptions) leastWait {
-	return leastWait{kind: kind, walk: walk, prefill: o.Prefill, links: o.Links}
+func newLeastWait(kind fleet.EndpointRole, maxScan int, o ChoiceOptions) leastWait {
+	return leastWait{kind: kind, maxScan: maxScan, prefill: o.Prefill, links: o.Links}
 }
 
-// Choose implements Choice. It walks the candidates from a random place, and
-// looks into a cache only where even a full hit could win.
+// Choose implements Choice. It scans the candidates from a random position and
+// probes a cache only where a full cache hit could beat the best so far.
 func (p leastWait) Choose(r Request, candidates []endpoint.Candidate, random *rand.Rand) (endpoint.Candidate, bool) {
 	if len(candidates) == 0 {
 		return endpoint.Candidate{}, false
 	}
-	whole := p.prefillTime(r.PromptTokens)
-	s := search{best: -1, score: math.MaxInt64 - tieWindow, state: random.Uint64() | 1}
+	fullPrefill := p.prefillTime(r.PromptTokens)
+	s := search{best: -1, bestScore: math.MaxInt64 - tieThreshold, random: random.Uint64() | 1}
 	links := zoneCosts{from: r.EntryZone, bytes: r.KVBytes, links: p.links}
 	start := random.IntN(len(candidates))
 	for n := range len(candidates) {
-		if s.seen >= p.walk {
+		if s.considered >= p.maxScan {
 			break
 		}
 		at := start + n
@@ -62,16 +63,16 @@
 		if avoided(&r, c) {
 			continue
 		}
-		s.seen++
+		s.considered++
 		wait := c.NextFree + c.QueuedWork
-		if wait > s.score+tieWindow {
+		if wait > s.bestScore+tieThreshold {
 			continue
 		}
 		wait += links.cost(c.Zone)
-		if wait > s.score+tieWindow {
+		if wait > s.bestScore+tieThreshold {
 			continue
 		}
-		s.offer(at, wait+whole-p.saving(&r, c, whole, &s))
+		s.consider(at, wait+fullPrefill-p.saving(&r, c, fullPrefill, &s))
 	}
 	if s.best < 0 {
 		return endpoint.Candidate{}, false
@@ -86,9 +87,9 @@
 	return p.prefill.Predict(tokens)
 }
 
-// saving gives the prefill time that the candidate's cache would save.
-func (p leastWait) saving(r *Request, c *endpoint.Candidate, whole time.Duration, s *search) time.Duration {
-	if whole == 0 || len(r.Prefixes) == 0 || len(c.CachedPrefixes) == 0 || s.probes >= maxCacheProbes {
+// saving returns the prefill time that the candidate's prefix cache would save.
+func (p leastWait) saving(r *Request, c *endpoint.Candidate, fullPrefill time.Duration, s *search) time.Duration {
+	if fullPrefill == 0 || len(r.Prefixes) == 0 || len(c.CachedPrefixes) == 0 || s.probes >= maxCacheProbes {
 		return 0
 	}
 	s.probes++
@@ -97,66 +98,67 @@
 		return 0
 	}
 	s.blocks = blocks
-	return whole - p.prefill.Predict(max(0, r.PromptTokens-blocks*PrefixBlockTokens))
+	return fullPrefill - p.prefill.Predict(max(0, r.PromptTokens-blocks*PrefixBlockTokens))
 }
 
-// search is the state of one walk over the candidates.
+// search is the state of one scan over the candidates.
 type search struct {
-	best   int // -1: none yet
-	score  time.Duration
-	ties   uint64 // candidates taken as equal to the best so far
-	seen   int    // candidates that may be chosen
-	probes int    // cache lookups
-	blocks int    // cached at the last candidate that had any
-	state  uint64 // of the generator that breaks ties
+	best       int // index of the best candidate, -1 for none yet
+	bestScore  time.Duration
+	ties       uint64 // candidates that tie with the best so far
+	considered int    // eligible candidates considered
+	probes     int    // cache lookups
+	blocks     int    // cached blocks at the last candidate that had any
+	random     uint64 // state of the generator that breaks ties
 }
 
-// offer takes a candidate that is better than the best so far. Among equals
-// each is taken with the same probability.
-func (s *search) offer(at int, score time.Duration) {
-	if score < s.score-tieWindow {
-		s.best, s.score, s.ties = at, score, 1
+// consider makes a candidate the best one if its score is lower. Among tied
+// candidates each is chosen with the same probability.
+func (s *search) consider(at int, score time.Duration) {
+	if score < s.bestScore-tieThreshold {
+		s.best, s.bestScore, s.ties = at, score, 1
 		return
 	}
-	if score > s.score+tieWindow {
+	if score > s.bestScore+tieThreshold {
 		return
 	}
 	s.ties++
-	if s.below(s.ties) == 0 {
+	if s.randomBelow(s.ties) == 0 {
 		s.best = at
 	}
-	s.score = min(s.score, score)
+	s.bestScore = min(s.bestScore, score)
 }
 
-// below gives a number from 0 to n-1 by an xorshift generator, which costs a
-// fraction of rand.Rand's time; hundreds of ties are usual in an idle fleet.
-func (s *search) below(n uint64) uint64 {
-	s.state ^= s.state << 13
-	s.state ^= s.state >> 7
-	s.state ^= s.state << 17
-	return (s.state >> 32) * n >> 32
+// randomBelow returns a pseudo-random number in [0, n) from an xorshift
+// generator, which is much cheaper than rand.Rand; hundreds of ties are usual in
+// an idle fleet.
+func (s *search) randomBelow(n uint64) uint64 {
+	s.random ^= s.random << 13
+	s.random ^= s.random >> 7
+	s.random ^= s.random << 17
+	return (s.random >> 32) * n >> 32
 }
 
-// zoneCosts remembers the link costs of the few zones that one walk meets.
+// zoneCosts caches the link costs of the few zones seen in one scan.
 type zoneCosts struct {
 	from  fleet.AvailabilityZone
 	bytes int64
 	links LinkCost
 	zones [8]fleet.AvailabilityZone
 	costs [8]time.Duration
-	known int
+	count int
 }
 
 func (z *zoneCosts) cost(zone fleet.AvailabilityZone) time.Duration {
-	for n := range z.known {
+	for n := range z.count {
 		if z.zones[n] == zone {
 			return z.costs[n]
 		}
 	}
 	cost := z.links.Cost(z.from, zone, z.bytes)
-	if z.known < len(z.zones) {
-		z.zones[z.known], z.costs[z.known] = zone, cost
-		z.known++
+	if z.count < len(z.zones) {
+		z.zones[z.count], z.costs[z.count] = zone, cost
+		z.count++
 	}
 	return cost
 }
--- a/internal/schedule/linkcost.go
+++ b/internal/schedule/linkcost.go
@@ -6,20 +6,20 @@
 	"github.com/hyssopsail/hyssopsail/internal/fleet"
 )
 
-// LinkCost predicts the time that a KV cache takes from zone to zone.
+// LinkCost predicts the transfer time of a KV cache between two zones.
 // Implementations are safe for concurrent use.
 type LinkCost interface {
 	Cost(from, to fleet.AvailabilityZone, bytes int64) time.Duration
 }
 
-// The rate and delay that FlatLinkCost takes for a link between zones.
+// Rate and delay that FlatLinkCost assumes for a link between zones.
 const (
 	flatRate  = 5e9 // bytes a second
 	flatDelay = time.Millisecond
 )
 
-// FlatLinkCost knows no links: within a zone a transfer is free, between zones
-// it has one rate.
+// FlatLinkCost is a LinkCost without link data: a transfer within a zone is
+// free, and all links between zones have the same rate and delay.
 type FlatLinkCost struct{}
 
 // Cost implements LinkCost.
--- a/internal/schedule/linktable.go
+++ b/internal/schedule/linktable.go
@@ -8,8 +8,8 @@
 	"github.com/hyssopsail/hyssopsail/internal/settings"
 )
 
-// LinkTable holds the schedules of all declared links. It implements
-// LinkCost. Safe for concurrent use.
+// LinkTable holds the schedules of all declared links. It implements LinkCost
+// and is safe for concurrent use.
 type LinkTable struct {
 	mu    sync.Mutex
 	links map[linkKey]*LinkSchedule
@@ -20,16 +20,16 @@
 	from, to fleet.AvailabilityZone
 }
 
-// NewLinkTable makes a table of the declared links. now gives the present to
-// Cost, which has no time of its own.
+// NewLinkTable returns a table of the declared links. now is the clock for
+// Cost, which has no time parameter.
 func NewLinkTable(links []settings.Link, now func() time.Time) *LinkTable {
 	t := &LinkTable{links: make(map[linkKey]*LinkSchedule, len(links)), now: now}
 	t.Apply(links)
 	return t
 }
 
-// Apply takes over changed settings. Links whose rate and delay are as before
-// keep their bookings.
+// Apply applies changed settings. Links whose rate and delay are unchanged keep
+// their bookings.
 func (t *LinkTable) Apply(links []settings.Link) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -46,14 +46,14 @@
 	t.links = next
 }
 
-// Cost implements LinkCost with what is booked now.
+// Cost implements LinkCost with the present bookings.
 func (t *LinkTable) Cost(from, to fleet.AvailabilityZone, bytes int64) time.Duration {
 	now := t.now()
 	return t.Predict(now, now, from, to, bytes)
 }
 
-// Predict is LinkSchedule.Predict for the link between two zones. A link that
-// isn't declared is predicted by FlatLinkCost.
+// Predict is LinkSchedule.Predict for the link between two zones. FlatLinkCost
+// predicts a link that isn't declared.
 func (t *LinkTable) Predict(now, readyAt time.Time, from, to fleet.AvailabilityZone, bytes int64) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -75,8 +75,8 @@
 	return l.Book(now, readyAt, attempt, bytes)
 }
 
-// Finish releases an attempt's room and learns from the time it took; took 0
-// means that nothing was transferred.
+// Finish releases an attempt's booking and corrects the link's rate by the
+// observed transfer time; took 0 means that nothing was transferred.
 func (t *LinkTable) Finish(from, to fleet.AvailabilityZone, attempt fleet.AttemptID, bytes int64, took time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/schedule/modelplan.go
+++ b/internal/schedule/modelplan.go
@@ -10,13 +10,13 @@
 	"github.com/hyssopsail/hyssopsail/internal/fleet"
 )
 
-// PlanOptions damps ModelPlan. Zero fields get defaults.
+// PlanOptions sets the damping of ModelPlanner. Zero fields get defaults.
 type PlanOptions struct {
-	Hold      time.Duration // a need must last so long before an order, default 5s
-	CoolDown  time.Duration // an engine gets no second order for so long, default 60s
-	Interval  time.Duration // between two orders in the fleet, default 2s
-	Threshold float64       // share of an engine by which need must exceed supply, default 0.6
-	MaxOrders int           // orders of one Step, default 1
+	Hold      time.Duration // a shortage must last this long before an order, default 5s
+	CoolDown  time.Duration // minimum time between two orders to an engine, default 60s
+	Interval  time.Duration // minimum time between two orders in the fleet, default 2s
+	Threshold float64       // minimum shortage in engines, default 0.6
+	MaxOrders int           // orders per Step, default 1; all orders for one engine come together
 }
 
 func (o PlanOptions) withDefaults() PlanOptions {
@@ -28,18 +28,18 @@
 	return o
 }
 
-// PlanEngine is an engine as the planner sees it.
+// PlanEngine is the planner's view of an engine.
 type PlanEngine struct {
-	ID     fleet.EndpointID
-	Zone   fleet.AvailabilityZone
-	Role   fleet.EndpointRole
-	Models []engineapi.ModelRef
-	Busy   float64 // share of its time or slots in use, 0 to 1
-	Room   int     // models that it can hold besides those loaded
+	ID             fleet.EndpointID
+	Zone           fleet.AvailabilityZone
+	Role           fleet.EndpointRole
+	Models         []engineapi.ModelRef
+	Busy           float64 // fraction of its slots in use, 0 to 1
+	FreeModelSlots int     // models that it can hold besides those loaded
 }
 
-// PlanDemand is the work wanted of one model in a set of zones, in engines:
-// 2.5 keeps two and a half engines busy.
+// PlanDemand is the work requested of one model in a set of zones, measured in
+// engines: 2.5 keeps two and a half engines busy.
 type PlanDemand struct {
 	Model     engineapi.ModelRef
 	Kind      fleet.EndpointRole // RolePrefill or RoleDecode
@@ -47,8 +47,8 @@
 	Engines   float64
 }
 
-// PlanOrder is one order that the planner wants given. Unload and Load of a
-// swap come as two, the Unload first.
+// PlanOrder is one order that the planner wants issued. A swap of models is two
+// orders, the unload first.
 type PlanOrder struct {
 	Endpoint fleet.EndpointID
 	Kind     engineapi.OrderKind
@@ -56,119 +56,120 @@
 	Role     fleet.EndpointRole
 }
 
-// ModelPlan decides which engines load which models and take which role. It is
-// damped three ways, since an order costs a load of weights and the demand
-// swings faster than a load takes: a need must exceed the threshold for a
-// while, an engine rests after an order, and orders have a bounded rate. Pure;
-// not safe for concurrent use.
-type ModelPlan struct {
-	options PlanOptions
-	since   map[planNeed]time.Time
-	rest    map[fleet.EndpointID]time.Time
-	last    time.Time
+// ModelPlanner decides which engines load which models and take which role. An
+// order costs a load of weights, and demand changes faster than a load takes, so
+// orders are damped in three ways: a shortage must exceed the threshold for some
+// time, an engine has a cooldown after an order, and the rate of orders is
+// bounded. It reads no clock and is not safe for concurrent use.
+type ModelPlanner struct {
+	options       PlanOptions
+	shortSince    map[demandKey]time.Time
+	cooldownUntil map[fleet.EndpointID]time.Time
+	lastOrder     time.Time
 }
 
-type planNeed struct {
-	model engineapi.ModelRef
-	kind  fleet.EndpointRole
-	class string
+type demandKey struct {
+	model     engineapi.ModelRef
+	kind      fleet.EndpointRole
+	zoneClass string
 }
 
-// NewModelPlan makes a planner that has ordered nothing.
-func NewModelPlan(options PlanOptions) *ModelPlan {
-	return &ModelPlan{
-		options: options.withDefaults(),
-		since:   map[planNeed]time.Time{},
-		rest:    map[fleet.EndpointID]time.Time{},
+// NewModelPlanner returns a planner that has issued no orders.
+func NewModelPlanner(options PlanOptions) *ModelPlanner {
+	return &ModelPlanner{
+		options:       options.withDefaults(),
+		shortSince:    map[demandKey]time.Time{},
+		cooldownUntil: map[fleet.EndpointID]time.Time{},
 	}
 }
 
-// Step gives the orders that are due. The caller gives them and calls Step
-// again with the engines as they then are; a lost order is thus asked for anew
-// once the engine has rested.
-func (p *ModelPlan) Step(now time.Time, engines []PlanEngine, demands []PlanDemand) []PlanOrder {
-	p.forget(now, demands)
+// Step returns the orders that are due. The caller issues them and calls Step
+// again with the engines' new state, so a lost order is planned again after the
+// engine's cooldown.
+func (p *ModelPlanner) Step(now time.Time, engines []PlanEngine, demands []PlanDemand) []PlanOrder {
+	p.prune(now, demands)
 	state := newPlanState(engines, demands)
-	lasting := p.lasting(now, state)
-	if !p.last.IsZero() && now.Sub(p.last) < p.options.Interval {
+	sustained := p.sustained(now, state)
+	if !p.lastOrder.IsZero() && now.Sub(p.lastOrder) < p.options.Interval {
 		return nil
 	}
 	var orders []PlanOrder
-	for _, need := range lasting {
+	for _, need := range sustained {
 		if len(orders) >= p.options.MaxOrders {
 			break
 		}
-		engine, change := p.cheapest(now, state, need)
+		engine, change := p.cheapestChange(now, state, need)
 		if engine == nil {
 			continue
 		}
 		orders = append(orders, change...)
-		p.rest[engine.ID] = now.Add(p.options.CoolDown)
-		p.last = now
+		p.cooldownUntil[engine.ID] = now.Add(p.options.CoolDown)
+		p.lastOrder = now
 	}
 	return orders
 }
 
-// lasting gives the demands, largest lack first, that have lacked more than
-// the threshold for Hold.
-func (p *ModelPlan) lasting(now time.Time, s planState) []PlanDemand {
+// sustained returns the demands, largest shortage first, whose shortage has
+// exceeded the threshold for Hold.
+func (p *ModelPlanner) sustained(now time.Time, s planState) []PlanDemand {
 	var out []PlanDemand
-	lacks := map[planNeed]float64{}
+	shortages := map[demandKey]float64{}
 	for _, d := range s.demands {
-		key := needOf(d)
-		lack := d.Engines - s.supply(d)
-		if lack < p.options.Threshold {
-			delete(p.since, key)
+		key := keyOf(d)
+		shortage := d.Engines - s.supply(d)
+		if shortage < p.options.Threshold {
+			delete(p.shortSince, key)
 			continue
 		}
-		lacks[key] = lack
-		if _, ok := p.since[key]; !ok {
-			p.since[key] = now
+		shortages[key] = shortage
+		if _, ok := p.shortSince[key]; !ok {
+			p.shortSince[key] = now
 		}
-		if now.Sub(p.since[key]) >= p.options.Hold {
+		if now.Sub(p.shortSince[key]) >= p.options.Hold {
 			out = append(out, d)
 		}
 	}
 	slices.SortStableFunc(out, func(a, b PlanDemand) int {
-		return cmp.Compare(lacks[needOf(b)], lacks[needOf(a)])
+		return cmp.Compare(shortages[keyOf(b)], shortages[keyOf(a)])
 	})
 	return out
 }
 
-// cheapest finds the engine whose change costs least: one with the model and
-// the other role, then one with room, then one whose models are wanted least.
-// An engine that its own models need is left alone.
-func (p *ModelPlan) cheapest(now time.Time, s planState, need PlanDemand) (*PlanEngine, []PlanOrder) {
+// cheapestChange returns the engine whose change costs least and the orders for
+// it. Cheapest is an engine that has the model and another role, then one that
+// can hold one more model, then one whose loaded models are least in demand. An
+// engine is not taken from demands that need it.
+func (p *ModelPlanner) cheapestChange(now time.Time, s planState, need PlanDemand) (*PlanEngine, []PlanOrder) {
 	var best *PlanEngine
 	var orders []PlanOrder
 	cost := math.Inf(1)
 	for n := range s.engines {
 		e := &s.engines[n]
-		if !need.Permitted.Permits(e.Zone) || now.Before(p.rest[e.ID]) || e.Role == fleet.RolePlain {
+		if !need.Permitted.Permits(e.Zone) || now.Before(p.cooldownUntil[e.ID]) || e.Role == fleet.RolePlain {
 			continue
 		}
-		change, price, ok := s.change(e, need, p.options.Threshold)
-		if ok && price < cost {
-			best, orders, cost = e, change, price
+		change, changeCost, ok := s.changeFor(e, need, p.options.Threshold)
+		if ok && changeCost < cost {
+			best, orders, cost = e, change, changeCost
 		}
 	}
 	return best, orders
 }
 
-// forget drops what is kept of engines and needs that are no more.
-func (p *ModelPlan) forget(now time.Time, demands []PlanDemand) {
-	for id, until := range p.rest {
+// prune removes expired cooldowns and demands that no longer exist.
+func (p *ModelPlanner) prune(now time.Time, demands []PlanDemand) {
+	for id, until := range p.cooldownUntil {
 		if !now.Before(until) {
-			delete(p.rest, id)
+			delete(p.cooldownUntil, id)
 		}
 	}
-	for key := range p.since {
-		if !slices.ContainsFunc(demands, func(d PlanDemand) bool { return needOf(d) == key }) {
-			delete(p.since, key)
+	for key := range p.shortSince {
+		if !slices.ContainsFunc(demands, func(d PlanDemand) bool { return keyOf(d) == key }) {
+			delete(p.shortSince, key)
 		}
 	}
 }
 
-func needOf(d PlanDemand) planNeed {
-	return planNeed{model: d.Model, kind: d.Kind, class: d.Permitted.Class()}
+func keyOf(d PlanDemand) demandKey {
+	return demandKey{model: d.Model, kind: d.Kind, zoneClass: d.Permitted.Class()}
 }
--- a/internal/schedule/modelplan_test.go
+++ b/internal/schedule/modelplan_test.go
@@ -12,9 +12,9 @@
 )
 
 var (
-	fibre   = engineapi.ModelRef{Model: "fibre", Version: "1"}
-	lyric   = engineapi.ModelRef{Model: "lyric", Version: "1"}
-	allOver = fleet.NewZoneSet("howrah")
+	fibre      = engineapi.ModelRef{Model: "fibre", Version: "1"}
+	lyric      = engineapi.ModelRef{Model: "lyric", Version: "1"}
+	howrahOnly = fleet.NewZoneSet("howrah")
 )
 
 func engines(decodeFibre, prefillFibre, decodeLyric int) []PlanEngine {
@@ -32,10 +32,10 @@
 }
 
 func demand(m engineapi.ModelRef, kind fleet.EndpointRole, engines float64) PlanDemand {
-	return PlanDemand{Model: m, Kind: kind, Permitted: allOver, Engines: engines}
+	return PlanDemand{Model: m, Kind: kind, Permitted: howrahOnly, Engines: engines}
 }
 
-func TestModelPlan(t *testing.T) {
+func TestModelPlanner(t *testing.T) {
 	for _, row := range []struct {
 		name    string
 		engines []PlanEngine
@@ -49,9 +49,9 @@
 		{"none to spare", engines(4, 2, 2), []PlanDemand{demand(fibre, fleet.RoleDecode, 8), demand(fibre, fleet.RolePrefill, 2), demand(lyric, fleet.RoleDecode, 2)}, nil},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			p := NewModelPlan(PlanOptions{})
+			p := NewModelPlanner(PlanOptions{})
 			now := time.Unix(100, 0)
-			assert.Equal(t, len(p.Step(now, row.engines, row.demands)), 0) // not held yet
+			assert.Equal(t, len(p.Step(now, row.engines, row.demands)), 0) // the shortage hasn't lasted for Hold
 			var kinds []engineapi.OrderKind
 			for _, o := range p.Step(now.Add(6*time.Second), row.engines, row.demands) {
 				kinds = append(kinds, o.Kind)
@@ -62,10 +62,10 @@
 }
 
 // Demand swings between prefill and decode every two seconds. Without damping
-// each swing would change a role, engines would spend their time changing, and
-// callers would wait for engines that are always about to be ready.
-func TestModelPlanStandsStillInASwing(t *testing.T) {
-	p := NewModelPlan(PlanOptions{})
+// each swing would change roles, and engines would spend their time changing
+// instead of serving.
+func TestModelPlannerIgnoresShortSwings(t *testing.T) {
+	p := NewModelPlanner(PlanOptions{})
 	now := time.Unix(100, 0)
 	for n := range 120 {
 		decode, prefill := 5.0, 2.0
@@ -78,10 +78,10 @@
 	}
 }
 
-// A lost order leaves the engine as it was. It is asked again, but only after
-// the engine has rested, and no more than one order leaves in an interval.
-func TestModelPlanBoundsItsOrders(t *testing.T) {
-	p := NewModelPlan(PlanOptions{})
+// A lost order leaves the engine unchanged. It is issued again, but only after
+// the engine's cooldown, and no more than one order is issued per interval.
+func TestModelPlannerBoundsOrderRate(t *testing.T) {
+	p := NewModelPlanner(PlanOptions{})
 	start := time.Unix(100, 0)
 	demands := []PlanDemand{demand(fibre, fleet.RoleDecode, 9), demand(fibre, fleet.RolePrefill, 1)}
 	ordered := map[fleet.EndpointID]time.Time{}
--- a/internal/schedule/names.go
+++ b/internal/schedule/names.go
@@ -6,8 +6,8 @@
 	"github.com/hyssopsail/hyssopsail/internal/fleet"
 )
 
-// The names of the policies in settings.Decisions. NameDefault picks the
-// default of the kind.
+// Names of the policies in settings.Decisions. NameDefault selects the default
+// policy of the decision.
 const (
 	NameDefault           = ""
 	NameLeastWait         = "least-wait"
@@ -20,8 +20,8 @@
 	NameReserveFirst      = "reserve-first"
 )
 
-// ChoiceOptions is what a policy may draw on besides the candidates. Zero
-// fields get defaults.
+// ChoiceOptions holds the predictors that a policy may use besides the
+// candidates. Zero fields get defaults.
 type ChoiceOptions struct {
 	Prefill *PrefillPredictor
 	Links   LinkCost
@@ -37,14 +37,14 @@
 	return o
 }
 
-// ChoiceByName gives the policy called name for work of a kind (RolePrefill,
+// ChoiceByName returns the policy called name for work of a kind (RolePrefill,
 // RoleDecode or RolePlain) with default options. The error is a BadParameter.
 func ChoiceByName(kind fleet.EndpointRole, name string) (Choice, error) {
 	return NewChoice(kind, name, ChoiceOptions{})
 }
 
-// NewChoice is ChoiceByName with options. A Choice is safe for concurrent use
-// as long as each caller passes its own random source.
+// NewChoice is ChoiceByName with options. The policy is safe for concurrent use
+// if each caller passes its own random source.
 func NewChoice(kind fleet.EndpointRole, name string, options ChoiceOptions) (Choice, error) {
 	options = options.withDefaults()
 	if name == NameDefault {
@@ -52,9 +52,9 @@
 	}
 	switch name {
 	case NameLeastWait:
-		return newLeastWait(kind, maxWalk, options), nil
+		return newLeastWait(kind, maxScan, options), nil
 	case NameSampledWait:
-		return newLeastWait(kind, sampledWalk, options), nil
+		return newLeastWait(kind, sampleSize, options), nil
 	case NameTwoChoices:
 		return twoChoices{kind: kind, links: options.Links}, nil
 	case NameRoundRobin:
@@ -72,7 +72,7 @@
 	return NameTwoChoices
 }
 
-// StartByName gives the Start policy called name. The error is a
+// StartByName returns the Start policy called name. The error is a
 // BadParameter.
 func StartByName(name string) (Start, error) {
 	switch name {
--- a/internal/schedule/outputpredictor.go
+++ b/internal/schedule/outputpredictor.go
@@ -8,57 +8,57 @@
 	"github.com/hyssopsail/hyssopsail/internal/fleet"
 )
 
-// OutputKey names a stream of requests whose outputs are alike in length.
+// OutputKey identifies a stream of requests whose outputs have similar lengths.
 type OutputKey struct {
 	Team  fleet.Team
 	Model string
 }
 
-// The bounds of OutputPredictor.
+// Parameters of OutputPredictor.
 const (
-	maxOutputKeys     = 4096
-	outputBuckets     = 64
-	bucketsPerOctave  = 4
-	outputMemory      = 500.0 // observations that weigh, about
-	outputUnknown     = 128   // tokens, for a key never seen
-	outputQuantileMin = 0.01
+	maxOutputKeys       = 4096
+	outputBuckets       = 64
+	bucketsPerOctave    = 4
+	maxOutputWeight     = 500.0 // weight of a histogram at which its counts are halved
+	defaultOutputTokens = 128   // prediction in tokens for a key without observations
+	minOutputQuantile   = 0.01
 )
 
 // OutputPredictor learns quantiles of output lengths by team and model. It
-// keeps the maxOutputKeys keys used last. Safe for concurrent use.
+// keeps the maxOutputKeys most recently observed keys. Safe for concurrent use.
 type OutputPredictor struct {
 	mu     sync.Mutex
 	byKey  map[OutputKey]*list.Element
-	recent *list.List // of *outputLengths, used last first
+	recent *list.List // of *lengthHistogram, most recently observed first
 }
 
-type outputLengths struct {
+type lengthHistogram struct {
 	key    OutputKey
 	counts [outputBuckets]float64
 	total  float64
 }
 
-// NewOutputPredictor makes one that has seen nothing.
+// NewOutputPredictor returns a predictor without observations.
 func NewOutputPredictor() *OutputPredictor {
 	return &OutputPredictor{byKey: map[OutputKey]*list.Element{}, recent: list.New()}
 }
 
-// Observe learns from a finished answer of so many tokens.
+// Observe records the length in tokens of a finished output.
 func (p *OutputPredictor) Observe(key OutputKey, tokens int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	lengths := p.touch(key)
-	lengths.add(bucketOf(tokens))
+	h := p.histogram(key)
+	h.add(bucketOf(tokens))
 }
 
-// Quantile gives the length that a share q of answers doesn't exceed, at most
-// limit when limit is above 0.
+// Quantile returns the length in tokens that a fraction q of outputs doesn't
+// exceed, capped at limit if limit is above 0.
 func (p *OutputPredictor) Quantile(key OutputKey, q float64, limit int) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	tokens := outputUnknown
+	tokens := defaultOutputTokens
 	if at, ok := p.byKey[key]; ok {
-		tokens = at.Value.(*outputLengths).quantile(q)
+		tokens = at.Value.(*lengthHistogram).quantile(q)
 	}
 	if limit > 0 {
 		tokens = min(tokens, limit)
@@ -66,45 +66,45 @@
 	return tokens
 }
 
-func (p *OutputPredictor) touch(key OutputKey) *outputLengths {
+func (p *OutputPredictor) histogram(key OutputKey) *lengthHistogram {
 	if at, ok := p.byKey[key]; ok {
 		p.recent.MoveToFront(at)
-		return at.Value.(*outputLengths)
+		return at.Value.(*lengthHistogram)
 	}
 	if p.recent.Len() >= maxOutputKeys {
 		oldest := p.recent.Back()
-		delete(p.byKey, oldest.Value.(*outputLengths).key)
+		delete(p.byKey, oldest.Value.(*lengthHistogram).key)
 		p.recent.Remove(oldest)
 	}
-	lengths := &outputLengths{key: key}
-	p.byKey[key] = p.recent.PushFront(lengths)
-	return lengths
+	h := &lengthHistogram{key: key}
+	p.byKey[key] = p.recent.PushFront(h)
+	return h
 }
 
-func (l *outputLengths) add(bucket int) {
-	if l.total >= outputMemory {
+func (l *lengthHistogram) add(bucket int) {
+	if l.total >= maxOutputWeight {
 		l.halve()
 	}
 	l.counts[bucket]++
 	l.total++
 }
 
-func (l *outputLengths) halve() {
+func (l *lengthHistogram) halve() {
 	for n := range l.counts {
 		l.counts[n] /= 2
 	}
 	l.total /= 2
 }
 
-func (l *outputLengths) quantile(q float64) int {
-	rest := max(q, outputQuantileMin) * l.total
+func (l *lengthHistogram) quantile(q float64) int {
+	remaining := max(q, minOutputQuantile) * l.total
 	for n, count := range l.counts {
-		rest -= count
-		if rest <= 0 {
-			return bucketTop(n)
+		remaining -= count
+		if remaining <= 0 {
+			return bucketUpperBound(n)
 		}
 	}
-	return bucketTop(outputBuckets - 1)
+	return bucketUpperBound(outputBuckets - 1)
 }
 
 func bucketOf(tokens int) int {
@@ -115,6 +115,6 @@
 	return min(bucket, outputBuckets-1)
 }
 
-func bucketTop(bucket int) int {
+func bucketUpperBound(bucket int) int {
 	return int(math.Ceil(math.Exp2(float64(bucket) / bucketsPerOctave)))
 }
--- a/internal/schedule/planstate.go
+++ b/internal/schedule/planstate.go
@@ -6,15 +6,15 @@
 	"github.com/hyssopsail/hyssopsail/internal/engineapi"
 )
 
-// The prices by which ModelPlan compares changes. The engine's busy share is
-// added, so that of equal changes the idlest engine's is taken.
+// Relative costs by which ModelPlanner compares changes. The engine's busy fraction
+// is added, so that among equal changes the idlest engine is chosen.
 const (
-	priceRole   = 1.0
-	priceLoad   = 2.0
-	priceUnload = 3.0
+	costChangeRole = 1.0
+	costLoad       = 2.0
+	costUnload     = 3.0
 )
 
-// planState is the fleet of one Step with supply and demand worked out.
+// planState holds the engines and demands of one Step.
 type planState struct {
 	engines []PlanEngine
 	demands []PlanDemand
@@ -24,17 +24,17 @@
 	return planState{engines: engines, demands: demands}
 }
 
-// supply gives the engines that serve a demand. One that serves several
-// divides itself by what they ask for.
+// supply returns how many engines serve a demand. An engine that serves several
+// demands is divided among them in proportion to the engines they request.
 func (s planState) supply(d PlanDemand) float64 {
 	total := 0.0
 	for n := range s.engines {
-		total += s.part(&s.engines[n], d)
+		total += s.share(&s.engines[n], d)
 	}
 	return total
 }
 
-func (s planState) part(e *PlanEngine, d PlanDemand) float64 {
+func (s planState) share(e *PlanEngine, d PlanDemand) float64 {
 	if !serves(e, d) {
 		return 0
 	}
@@ -50,49 +50,49 @@
 	return d.Engines / wanted
 }
 
-// spare tells whether e can be taken from all that it serves without leaving
-// any of them with less than it asks for.
-func (s planState) spare(e *PlanEngine, threshold float64) bool {
+// canSpare reports whether e can be taken from all the demands that it serves
+// without leaving any of them less than it requests plus half the threshold.
+func (s planState) canSpare(e *PlanEngine, threshold float64) bool {
 	for _, d := range s.demands {
-		part := s.part(e, d)
-		if part > 0 && s.supply(d)-part < d.Engines+threshold/2 {
+		share := s.share(e, d)
+		if share > 0 && s.supply(d)-share < d.Engines+threshold/2 {
 			return false
 		}
 	}
 	return true
 }
 
-// change gives the orders by which e would serve need, and their price.
-func (s planState) change(e *PlanEngine, need PlanDemand, threshold float64) ([]PlanOrder, float64, bool) {
+// changeFor returns the orders that make e serve need, and their cost. ok is
+// false if e already serves it or is needed by others.
+func (s planState) changeFor(e *PlanEngine, need PlanDemand, threshold float64) (orders []PlanOrder, cost float64, ok bool) {
 	if serves(e, need) {
 		return nil, 0, false
 	}
-	var orders []PlanOrder
-	price := e.Busy
+	cost = e.Busy
 	loaded := slices.Contains(e.Models, need.Model)
-	if !loaded && e.Room <= 0 {
-		victim, ok := s.leastWanted(e)
-		if !ok || !s.spare(e, threshold) {
+	if !loaded && e.FreeModelSlots <= 0 {
+		unneeded, found := s.leastDemanded(e)
+		if !found || !s.canSpare(e, threshold) {
 			return nil, 0, false
 		}
-		orders = append(orders, PlanOrder{Endpoint: e.ID, Kind: engineapi.OrderUnload, Model: victim})
-		price += priceUnload
+		orders = append(orders, PlanOrder{Endpoint: e.ID, Kind: engineapi.OrderUnload, Model: unneeded})
+		cost += costUnload
 	}
 	if !e.Role.Takes(need.Kind) {
-		if !s.spare(e, threshold) {
+		if !s.canSpare(e, threshold) {
 			return nil, 0, false
 		}
 		orders = append(orders, PlanOrder{Endpoint: e.ID, Kind: engineapi.OrderChangeRole, Role: need.Kind})
-		price += priceRole
+		cost += costChangeRole
 	}
 	if !loaded {
 		orders = append(orders, PlanOrder{Endpoint: e.ID, Kind: engineapi.OrderLoad, Model: need.Model})
-		price += priceLoad
+		cost += costLoad
 	}
-	return orders, price, true
+	return orders, cost, true
 }
 
-func (s planState) leastWanted(e *PlanEngine) (engineapi.ModelRef, bool) {
+func (s planState) leastDemanded(e *PlanEngine) (engineapi.ModelRef, bool) {
 	var least engineapi.ModelRef
 	lowest, found := 0.0, false
 	for _, m := range e.Models {
--- a/internal/schedule/start_test.go
+++ b/internal/schedule/start_test.go
@@ -27,15 +27,15 @@
 	assert.Assert(t, predictedRoom{}.Plan(stalled).Lead < stalled.PrefillTime)
 }
 
-// A team that counts waste alone must not lose a prefill because the slot was
-// late by twice the predictor's error: the KV cache would have expired before
-// the slot came free, and its prefill would be thrown away.
-func TestLeadSurvivesALateSlot(t *testing.T) {
+// A team that weighs only waste must not lose a prefill because the slot became
+// free late by twice the prediction's standard deviation: the KV cache would
+// expire before that and the prefill work would be wasted.
+func TestKVCacheOutlivesALateSlot(t *testing.T) {
 	for _, spread := range []time.Duration{10 * ms, 50 * ms, 100 * ms, 200 * ms, 300 * ms, 900 * ms} {
 		in := StartInput{PrefillTime: 200 * ms, TransferTime: 50 * ms, KVLife: 800 * ms, WasteWeight: 1, Spread: spread}
 		lead := predictedRoom{}.Plan(in).Lead
 		if lead == 0 {
-			continue // held before the prefill: nothing can be late
+			continue // held before the prefill: the slot can't be late
 		}
 		wait := lead - in.PrefillTime + 2*spread + in.TransferTime
 		assert.Assert(t, wait <= in.KVLife, "spread %v: KV cache waits %v", spread, wait)
--- a/internal/schedule/twochoices.go
+++ b/internal/schedule/twochoices.go
@@ -7,13 +7,14 @@
 	"github.com/hyssopsail/hyssopsail/internal/fleet"
 )
 
-// drawRounds bounds the pairs that twoChoices draws before it settles for an
-// endpoint with no free slot.
-const drawRounds = 3
+// maxDrawRounds bounds the pairs that twoChoices draws before it accepts an
+// endpoint without a free slot.
+const maxDrawRounds = 3
 
-// twoChoices draws two endpoints at random and takes the better: the one with
-// a free slot, then the shorter predicted wait, then the larger free share.
-// While neither has a free slot it draws again, a few times.
+// twoChoices draws two endpoints at random and picks the better one: first by a
+// free slot, then by the shorter predicted wait, then by the shorter queue, then
+// by the larger fraction of free slots. If neither has a free slot it draws
+// again, up to maxDrawRounds pairs.
 type twoChoices struct {
 	kind  fleet.EndpointRole
 	links LinkCost
@@ -22,7 +23,7 @@
 // Choose implements Choice.
 func (p twoChoices) Choose(r Request, candidates []endpoint.Candidate, random *rand.Rand) (endpoint.Candidate, bool) {
 	var best *endpoint.Candidate
-	for range drawRounds {
+	for range maxDrawRounds {
 		a := draw(&r, candidates, nil, random)
 		if a == nil {
 			return endpoint.Candidate{}, false
@@ -33,15 +34,15 @@
 		if best == nil || p.better(r, a, best) {
 			best = a
 		}
-		if free(best) > 0 {
+		if freeSlots(best) > 0 {
 			break
 		}
 	}
 	return *best, true
 }
 
-// draw gives a random candidate that is not other and need not be avoided;
-// nil when there is none.
+// draw returns a random eligible candidate other than other, or nil if there is
+// none.
 func draw(r *Request, candidates []endpoint.Candidate, other *endpoint.Candidate, random *rand.Rand) *endpoint.Candidate {
 	if len(candidates) == 0 {
 		return nil
@@ -57,13 +58,13 @@
 }
 
 func (p twoChoices) better(r Request, a, b *endpoint.Candidate) bool {
-	freeA, freeB := free(a), free(b)
+	freeA, freeB := freeSlots(a), freeSlots(b)
 	if (freeA > 0) != (freeB > 0) {
 		return freeA > 0
 	}
 	waitA := a.NextFree + a.QueuedWork + p.links.Cost(r.EntryZone, a.Zone, r.KVBytes)
 	waitB := b.NextFree + b.QueuedWork + p.links.Cost(r.EntryZone, b.Zone, r.KVBytes)
-	if difference := waitA - waitB; difference > tieWindow || difference < -tieWindow {
+	if difference := waitA - waitB; difference > tieThreshold || difference < -tieThreshold {
 		return difference < 0
 	}
 	if a.Queued != b.Queued {
@@ -73,4 +74,4 @@
 	return freeA*b.Slots > freeB*a.Slots
 }
 
-func free(c *endpoint.Candidate) int { return c.Slots - c.Granted - c.Queued }
+func freeSlots(c *endpoint.Candidate) int { return c.Slots - c.Granted - c.Queued }
