--- a/internal/placement/check.go
+++ b/internal/placement/check.go
@@ -6,8 +6,9 @@
 	"github.com/hyssopsail/hyssopsail/internal/settings"
 )
 
-// Check decides whether team's data may go to target from an entry in self,
-// by the given settings tree; a nil tree permits nothing. Pure.
+// Check returns a refusal unless the settings tree permits team's data to go to
+// target from an entry in zone self. A nil tree permits nothing. It does no I/O
+// and reads no clock.
 func Check(tree *settings.Tree, team fleet.Team, self fleet.AvailabilityZone, target engine.Target) *Refusal {
 	if target.Zone == "" || target.Address == "" {
 		return &Refusal{Cause: CauseMisaddressed, Team: team, Zone: target.Zone}
@@ -25,8 +26,8 @@
 	return nil
 }
 
-// CheckEntry decides whether an entry in zone self may take team's requests.
-// Pure.
+// CheckEntry returns a refusal unless the settings tree permits an entry in zone
+// self to accept team's requests. A nil tree permits nothing.
 func CheckEntry(tree *settings.Tree, team fleet.Team, self fleet.AvailabilityZone) *Refusal {
 	if tree == nil {
 		return &Refusal{Cause: CauseNotCurrent, Team: team, Zone: self}
@@ -41,7 +42,7 @@
 	return nil
 }
 
-// Declared tells whether the settings know zone.
+// Declared reports whether the settings declare zone.
 func Declared(tree *settings.Tree, zone fleet.AvailabilityZone) bool {
 	if tree == nil {
 		return false
@@ -54,7 +55,7 @@
 	return false
 }
 
-// permits scans the list, which is short: no set is built on the send path.
+// permits scans the list, which is short; the send path builds no set.
 func permits(team settings.Team, zone fleet.AvailabilityZone) bool {
 	for _, z := range team.PermittedZones {
 		if z == zone {
--- a/internal/placement/check_test.go
+++ b/internal/placement/check_test.go
@@ -54,20 +54,21 @@
 	}
 }
 
-// counter is a recorder that counts.
+// counter is a recorder that counts events.
 type counter int
 
 func (c *counter) Record(timeline.Event) { *c++ }
 
-// sourceOf is a daemon in the first hall whose settings are tree.
+// sourceOf returns the membership source of a daemon in anping-hall whose
+// settings are tree.
 func sourceOf(tree *settings.Tree) *testkit.Source {
 	return testkit.NewSource(fleet.Instance{ID: "e1", Zone: "anping-hall"}, &membership.State{Tree: tree})
 }
 
-// One gate serves a request for all its sends. Between two of them the team's
-// settings change or the daemon loses its lease: what held a moment ago must
-// not be trusted, or bytes leave for a place that is forbidden by now.
-func TestGateAsksAfresh(t *testing.T) {
+// One gate checks all sends of a request. If the team's settings change or the
+// daemon loses its lease between two sends, the gate must not reuse its earlier
+// result, or data would go to a zone that is now forbidden.
+func TestGateChecksEachSend(t *testing.T) {
 	s, events := sourceOf(tree("anping-hall", "rende-hall")), new(counter)
 	gate := Gate(s, "archive", events)
 	target := engine.Target{ID: "d2", Zone: "rende-hall", Address: "127.0.0.1:2"}
--- a/internal/placement/gate.go
+++ b/internal/placement/gate.go
@@ -9,18 +9,18 @@
 	"github.com/hyssopsail/hyssopsail/internal/timeline"
 )
 
-// Gate makes the last check for team's sends. Each call reads the clock, the
-// lease and the newest settings afresh.
+// Gate returns the last check before each of team's sends. Each call reads the
+// clock, the lease and the latest settings.
 //
-// It guards against an entry that was frozen between its claim and its send,
-// and against settings that changed while a request waited: both show as
-// bytes at an endpoint that the team's settings forbid, or a call that runs
-// after its repeat was answered elsewhere. It holds because nothing but the
-// write itself comes after it, and a daemon that can't confirm its lease is
-// refused whatever its settings say.
+// It guards against an entry that was frozen between claiming a request and
+// sending it, and against settings that changed while a request waited. Either
+// could send bytes to an endpoint that the team's settings forbid, or run a call
+// whose repeat has already been answered elsewhere. The check holds because only
+// the write itself follows it, and because a daemon that can't confirm its lease
+// is refused whatever its settings say.
 func Gate(source membership.Source, team fleet.Team, recorder timeline.Recorder) engine.Gate {
 	return func(target engine.Target) error {
-		refusal := ask(source, team, target)
+		refusal := checkLatest(source, team, target)
 		if refusal == nil {
 			return nil
 		}
@@ -34,7 +34,7 @@
 	}
 }
 
-func ask(source membership.Source, team fleet.Team, target engine.Target) *Refusal {
+func checkLatest(source membership.Source, team fleet.Team, target engine.Target) *Refusal {
 	if !source.Current(time.Now()) {
 		return &Refusal{Cause: CauseNotCurrent, Team: team, Zone: target.Zone}
 	}
--- a/internal/placement/refusal.go
+++ b/internal/placement/refusal.go
@@ -6,20 +6,20 @@
 	"github.com/hyssopsail/hyssopsail/internal/fleet"
 )
 
-// Cause tells why a place was refused.
+// Cause is the reason for a refusal.
 type Cause string
 
-// The causes of a Refusal.
+// Causes of a Refusal.
 const (
 	CauseNotCurrent     Cause = "not-current"     // this daemon can't confirm its lease or settings
-	CauseNoTeam         Cause = "no-team"         // the team left the settings
+	CauseNoTeam         Cause = "no-team"         // the settings no longer contain the team
 	CauseEntryZone      Cause = "entry-zone"      // this entry's zone is not permitted
 	CauseTargetZone     Cause = "target-zone"     // the target's zone is not permitted
-	CauseUndeclaredZone Cause = "undeclared-zone" // the target names a zone that settings don't
+	CauseUndeclaredZone Cause = "undeclared-zone" // the settings don't declare the target's zone
 	CauseMisaddressed   Cause = "misaddressed"    // the target has no zone or address
 )
 
-// Refusal is the error of a place where data may not go. No byte has left.
+// Refusal is the error of a send that placement forbids. No byte has been sent.
 type Refusal struct {
 	Cause Cause
 	Team  fleet.Team
@@ -31,7 +31,7 @@
 	return "placement refused: " + string(r.Cause) + " team=" + string(r.Team) + " zone=" + string(r.Zone)
 }
 
-// IsRefusal tells whether err comes from a placement check, and its cause.
+// IsRefusal reports whether err is a placement refusal, and returns its cause.
 func IsRefusal(err error) (Cause, bool) {
 	var r *Refusal
 	if errors.As(err, &r) {
