--- a/internal/admission/bias.go
+++ b/internal/admission/bias.go
@@ -5,41 +5,41 @@
 	"time"
 )
 
-// The learning of how far predicted waits fall short.
+// Parameters of the correction of predicted waits.
 const (
-	biasMemory    = 32.0             // waits that weigh, about
-	biasSpread    = 0.5              // mean errors that are added as a margin
-	biasMostShare = 0.5              // of the patience, at most so much is added
-	biasLife      = 10 * time.Second // a lesson fades by e in this time
+	biasWindow       = 32.0             // approximate number of waits in the moving averages
+	biasMarginErrors = 0.5              // mean absolute errors added as a margin
+	maxBiasFraction  = 0.5              // maximum correction as a fraction of the patience
+	biasDecayTime    = 10 * time.Second // the correction decays by e in this time
 )
 
-// bias is what one team's waits exceed their predictions by. Predictions are
-// made from reports that are some hundred milliseconds old and from the best
-// candidate, which isn't always the one that is got; without the correction
-// requests are admitted that can't meet their target, and show as late answers.
+// bias is how far one team's waits exceed their predictions. Predictions are
+// made from reports that are some hundred milliseconds old, and for the best
+// candidate, which a request doesn't always get. Without the correction,
+// requests would be admitted that can't meet their target and are answered late.
 type bias struct {
-	mean    float64 // ms
-	spread  float64 // ms, mean absolute error around mean
-	learned time.Time
+	meanMs     float64
+	absErrorMs float64 // mean absolute error around meanMs
+	updatedAt  time.Time
 }
 
-// learn takes one wait of an admitted request.
-func (b *bias) learn(now time.Time, predicted, waited time.Duration) {
-	missed := float64(waited-predicted) / float64(time.Millisecond)
-	b.spread += (math.Abs(missed-b.mean) - b.spread) / biasMemory
-	b.mean += (missed - b.mean) / biasMemory
-	b.learned = now
+// observe records the actual wait of an admitted request.
+func (b *bias) observe(now time.Time, predicted, waited time.Duration) {
+	errorMs := float64(waited-predicted) / float64(time.Millisecond)
+	b.absErrorMs += (math.Abs(errorMs-b.meanMs) - b.absErrorMs) / biasWindow
+	b.meanMs += (errorMs - b.meanMs) / biasWindow
+	b.updatedAt = now
 }
 
-// correction gives what to add to a prediction. It is bounded and fades: were
-// it not, a time of bad predictions could refuse everyone, so that nothing
-// admitted could ever teach better.
+// correction returns the time to add to a prediction. It is bounded and decays:
+// otherwise a period of bad predictions could refuse every request, and without
+// admitted requests the bias could never be corrected.
 func (b *bias) correction(now time.Time, patience time.Duration) time.Duration {
-	if b.learned.IsZero() {
+	if b.updatedAt.IsZero() {
 		return 0
 	}
-	fade := math.Exp(-float64(now.Sub(b.learned)) / float64(biasLife))
-	ms := (b.mean + biasSpread*b.spread) * fade
-	most := biasMostShare * float64(patience) / float64(time.Millisecond)
-	return time.Duration(min(max(ms, 0), most) * float64(time.Millisecond))
+	decay := math.Exp(-float64(now.Sub(b.updatedAt)) / float64(biasDecayTime))
+	ms := (b.meanMs + biasMarginErrors*b.absErrorMs) * decay
+	maxMs := maxBiasFraction * float64(patience) / float64(time.Millisecond)
+	return time.Duration(min(max(ms, 0), maxMs) * float64(time.Millisecond))
 }
--- a/internal/admission/bucket.go
+++ b/internal/admission/bucket.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// bucket is a token bucket that also takes tokens given by hand.
+// bucket is a token bucket. Callers may also add tokens directly.
 type bucket struct {
-	tokens float64
-	filled time.Time
+	tokens     float64
+	refilledAt time.Time // last refill
 }
 
-// fill adds what the time since the last fill has earned, up to burst.
-func (b *bucket) fill(now time.Time, perSec, burst float64) {
-	if b.filled.IsZero() {
-		b.tokens, b.filled = burst, now
+// refill adds the tokens for the time since the last refill, up to burst.
+func (b *bucket) refill(now time.Time, perSec, burst float64) {
+	if b.refilledAt.IsZero() {
+		b.tokens, b.refilledAt = burst, now
 		return
 	}
-	if passed := now.Sub(b.filled); passed > 0 {
-		b.tokens += passed.Seconds() * perSec
-		b.filled = now
+	if elapsed := now.Sub(b.refilledAt); elapsed > 0 {
+		b.tokens += elapsed.Seconds() * perSec
+		b.refilledAt = now
 	}
 	b.tokens = min(b.tokens, burst)
 }
 
-// until gives the time until one token is there.
-func (b *bucket) until(perSec float64) time.Duration {
+// timeToToken returns the time until one token is available.
+func (b *bucket) timeToToken(perSec float64) time.Duration {
 	if b.tokens >= 1 {
 		return 0
 	}
--- a/internal/admission/budget.go
+++ b/internal/admission/budget.go
@@ -2,38 +2,38 @@
 
 import "time"
 
-// budgets holds one retry budget for each key, at most max of them: the one
-// unused for longest makes room.
-type budgets[K comparable] struct {
+// retryBudgets holds one retry budget per key, for at most max keys. When it is
+// full, the least recently used budget is removed.
+type retryBudgets[K comparable] struct {
 	options Options
 	max     int
 	byKey   map[K]*bucket
 }
 
-func newBudgets[K comparable](o Options, most int) budgets[K] {
-	return budgets[K]{options: o, max: most, byKey: map[K]*bucket{}}
+func newRetryBudgets[K comparable](o Options, maxKeys int) retryBudgets[K] {
+	return retryBudgets[K]{options: o, max: maxKeys, byKey: map[K]*bucket{}}
 }
 
-func (b *budgets[K]) get(now time.Time, key K) *bucket {
+func (b *retryBudgets[K]) get(now time.Time, key K) *bucket {
 	budget, ok := b.byKey[key]
 	if !ok {
-		b.makeRoom()
+		b.evict()
 		budget = &bucket{}
 		b.byKey[key] = budget
 	}
-	budget.fill(now, b.options.RetryPerSec, b.options.RetryBurst)
+	budget.refill(now, b.options.RetryPerSec, b.options.RetryBurst)
 	return budget
 }
 
-func (b *budgets[K]) makeRoom() {
+func (b *retryBudgets[K]) evict() {
 	if len(b.byKey) < b.max {
 		return
 	}
 	var oldest K
-	var filled time.Time
+	var oldestRefill time.Time
 	for key, budget := range b.byKey {
-		if filled.IsZero() || budget.filled.Before(filled) {
-			oldest, filled = key, budget.filled
+		if oldestRefill.IsZero() || budget.refilledAt.Before(oldestRefill) {
+			oldest, oldestRefill = key, budget.refilledAt
 		}
 	}
 	delete(b.byKey, oldest)
--- a/internal/admission/contract.go
+++ b/internal/admission/contract.go
@@ -8,39 +8,40 @@
 	"github.com/hyssopsail/hyssopsail/internal/settings"
 )
 
-// Request is what admission needs to know.
+// Request holds what admission needs to know of a request.
 type Request struct {
 	Team          fleet.Team
 	Limits        settings.Limits
-	Share         float64
-	Work          float64       // predicted engine work, ms
-	Patience      time.Duration // arrival to first token
-	PredictedWait time.Duration // until the first token, from the candidates
-	DrainPerSec   float64       // requests the candidates finish a second; 0: not known
-	Queued        int           // requests waiting ahead at the candidates
+	Share         float64       // the team's weight in fair sharing
+	Work          float64       // predicted engine time, ms
+	Patience      time.Duration // maximum time from arrival to the first token
+	PredictedWait time.Duration // until the first token, predicted from the candidates
+	DrainPerSec   float64       // requests per second that the candidates finish; 0: unknown
+	Queued        int           // requests queued ahead at the candidates
 	PromptTokens  int
 	RequestID     fleet.RequestID
 }
 
-// Decision is the outcome of admission. When not Admitted, the rest says why
-// and when to come back.
+// Decision is the outcome of admission. Unless the request is Admitted, the
+// other fields give the reason and when to retry.
 type Decision struct {
 	Admitted   bool
 	Code       callerapi.Code
-	Final      bool // never worth a retry: oversized
+	Final      bool // a retry can't succeed: the request is oversized
 	RetryAfter time.Duration
 }
 
-// Controller is the stateful decision of one entry. Safe for one goroutine;
-// the shell serialises.
+// Controller makes the admission decisions of one entry. It is stateful and not
+// safe for concurrent use; callers must serialise the calls.
 type Controller interface {
 	Admit(now time.Time, r Request) Decision
-	// Done gives back what Admit counted.
+	// Done ends a request that Admit counted as running.
 	Done(now time.Time, r Request)
-	// FirstToken tells how long an admitted request really waited.
+	// FirstToken records how long an admitted request actually waited.
 	FirstToken(now time.Time, r Request, waited time.Duration)
-	// MayRetry spends from the retry budgets of team and endpoint.
+	// MayRetry takes one retry from the budgets of both team and endpoint. It
+	// reports false if either budget is exhausted.
 	MayRetry(now time.Time, team fleet.Team, endpoint fleet.EndpointID) bool
-	// Succeeded refills the retry budgets.
+	// Succeeded adds to the retry budgets of team and endpoint.
 	Succeeded(now time.Time, team fleet.Team, endpoint fleet.EndpointID)
 }
--- a/internal/admission/control.go
+++ b/internal/admission/control.go
@@ -7,31 +7,31 @@
 	"github.com/hyssopsail/hyssopsail/internal/fleet"
 )
 
-// Control implements Controller. Its memory is bounded by Options. Not safe
-// for concurrent use.
+// Control implements Controller. Its memory is bounded by Options. Not safe for
+// concurrent use.
 type Control struct {
-	options   Options
-	teams     map[fleet.Team]*team
-	taken     decaying // work of all teams admitted
-	back      comebacks
-	byTeam    budgets[fleet.Team]
-	byTarget  budgets[fleet.EndpointID]
-	level     float64       // work for a unit of share
-	patience  time.Duration // least of the teams at work; 0: none
-	leveledAt time.Time
-	demands   []teamDemand // reused
+	options         Options
+	teams           map[fleet.Team]*team
+	admittedWork    decayingSum // admitted work of all teams
+	callerRepeats   retrySpreader
+	teamBudgets     retryBudgets[fleet.Team]
+	endpointBudgets retryBudgets[fleet.EndpointID]
+	level           float64       // fair work per unit of share
+	minPatience     time.Duration // least patience of the active teams; 0: no active team
+	levelAt         time.Time     // when level was computed
+	demands         []teamDemand  // reused by updateLevel
 }
 
 var _ Controller = (*Control)(nil)
 
-// New makes a Control that has seen nothing.
+// New returns a Control without history.
 func New(options Options) *Control {
 	options = options.withDefaults()
 	return &Control{
-		options:  options,
-		teams:    map[fleet.Team]*team{},
-		byTeam:   newBudgets[fleet.Team](options, options.MaxTeams),
-		byTarget: newBudgets[fleet.EndpointID](options, options.MaxEndpoints),
+		options:         options,
+		teams:           map[fleet.Team]*team{},
+		teamBudgets:     newRetryBudgets[fleet.Team](options, options.MaxTeams),
+		endpointBudgets: newRetryBudgets[fleet.EndpointID](options, options.MaxEndpoints),
 	}
 }
 
@@ -55,7 +55,7 @@
 	if c.overShare(now, r, t) {
 		return c.refuse(now, r, callerapi.CodeOverloaded, r.PredictedWait/2)
 	}
-	c.take(now, r, t)
+	c.recordAdmission(now, r, t)
 	return Decision{Admitted: true}
 }
 
@@ -69,26 +69,27 @@
 // FirstToken implements Controller.
 func (c *Control) FirstToken(now time.Time, r Request, waited time.Duration) {
 	if t, ok := c.teams[r.Team]; ok {
-		t.bias.learn(now, r.PredictedWait, waited)
+		t.bias.observe(now, r.PredictedWait, waited)
 	}
 }
 
-// MayRetry implements Controller. Nothing is spent unless both have it.
+// MayRetry implements Controller. It takes nothing unless both budgets have a
+// token.
 func (c *Control) MayRetry(now time.Time, team fleet.Team, endpoint fleet.EndpointID) bool {
-	ofTeam := c.byTeam.get(now, team)
-	ofTarget := c.byTarget.get(now, endpoint)
-	if ofTeam.tokens < 1 || ofTarget.tokens < 1 {
+	ofTeam := c.teamBudgets.get(now, team)
+	ofEndpoint := c.endpointBudgets.get(now, endpoint)
+	if ofTeam.tokens < 1 || ofEndpoint.tokens < 1 {
 		return false
 	}
 	ofTeam.tokens--
-	ofTarget.tokens--
+	ofEndpoint.tokens--
 	return true
 }
 
 // Succeeded implements Controller.
 func (c *Control) Succeeded(now time.Time, team fleet.Team, endpoint fleet.EndpointID) {
-	c.byTeam.get(now, team).tokens += c.options.RetryRatio
-	c.byTarget.get(now, endpoint).tokens += c.options.RetryRatio
+	c.teamBudgets.get(now, team).tokens += c.options.RetryRatio
+	c.endpointBudgets.get(now, endpoint).tokens += c.options.RetryRatio
 }
 
 func (c *Control) checkLimits(now time.Time, r Request, t *team) (Decision, bool) {
@@ -99,73 +100,73 @@
 	if perSec <= 0 {
 		return Decision{}, false
 	}
-	t.rate.fill(now, perSec, max(1, perSec))
-	if wait := t.rate.until(perSec); wait > 0 {
+	t.rate.refill(now, perSec, max(1, perSec))
+	if wait := t.rate.timeToToken(perSec); wait > 0 {
 		return c.refuse(now, r, callerapi.CodeLimit, wait), true
 	}
 	return Decision{}, false
 }
 
-func (c *Control) take(now time.Time, r Request, t *team) {
+func (c *Control) recordAdmission(now time.Time, r Request, t *team) {
 	t.running++
 	if r.Limits.RequestsPerSecond > 0 {
 		t.rate.tokens--
 	}
 	t.admitted.add(now, r.Work, c.options.Window)
-	c.taken.add(now, r.Work, c.options.Window)
+	c.admittedWork.add(now, r.Work, c.options.Window)
 }
 
 func (c *Control) refuse(now time.Time, r Request, code callerapi.Code, wait time.Duration) Decision {
-	return Decision{Code: code, RetryAfter: c.back.after(now, wait, r.DrainPerSec, c.options)}
+	return Decision{Code: code, RetryAfter: c.callerRepeats.retryAfter(now, wait, r.DrainPerSec, c.options)}
 }
 
-// overShare tells whether the team has had its fair share while others wait.
-// It guards against one team's flood pushing the wait over the patience of
-// the others, who would be refused though they ask for little: the team over
-// its share is refused while the wait is still within everyone's patience.
+// overShare reports whether the team exceeds its fair share under load. Without
+// it, one team's flood could push the wait over the patience of other teams, and
+// their few requests would be refused. The team over its share is refused while
+// the wait is still within every team's patience.
 func (c *Control) overShare(now time.Time, r Request, t *team) bool {
-	c.relevel(now)
+	c.updateLevel(now)
 	patience := r.Patience
-	if c.patience > 0 {
-		patience = min(patience, c.patience)
+	if c.minPatience > 0 {
+		patience = min(patience, c.minPatience)
 	}
 	if patience <= 0 || len(c.demands) < 2 {
 		return false
 	}
 	pressure := float64(r.PredictedWait) / float64(patience)
-	if pressure < fairnessFrom {
+	if pressure < fairStartPressure {
 		return false
 	}
-	had := t.admitted.value(now, c.options.Window)
-	return had+r.Work > allowed(c.level, t.share, pressure)
+	admitted := t.admitted.value(now, c.options.Window)
+	return admitted+r.Work > allowedWork(c.level, t.share, pressure)
 }
 
-// relevel computes the fair level anew when it is old.
-func (c *Control) relevel(now time.Time) {
-	if !c.leveledAt.IsZero() && now.Sub(c.leveledAt) < levelLife {
+// updateLevel recomputes the fair level if it is older than levelTTL.
+func (c *Control) updateLevel(now time.Time) {
+	if !c.levelAt.IsZero() && now.Sub(c.levelAt) < levelTTL {
 		return
 	}
-	c.leveledAt = now
-	c.patience = 0
+	c.levelAt = now
+	c.minPatience = 0
 	c.demands = c.demands[:0]
 	for _, t := range c.teams {
-		if now.Sub(t.seen) > c.options.Window {
+		if now.Sub(t.lastSeen) > c.options.Window {
 			continue
 		}
 		work := t.offered.value(now, c.options.Window)
 		c.demands = append(c.demands, teamDemand{share: t.share, work: work})
-		if c.patience == 0 || t.patience < c.patience {
-			c.patience = t.patience
+		if c.minPatience == 0 || t.patience < c.minPatience {
+			c.minPatience = t.patience
 		}
 	}
-	c.level = fairLevel(c.demands, c.taken.value(now, c.options.Window))
+	c.level = fairLevel(c.demands, c.admittedWork.value(now, c.options.Window))
 }
 
-// team gives the team's record; nil when there is no room for one more.
+// team returns the team's record, or nil if there is no capacity for a new one.
 func (c *Control) team(now time.Time, r Request) *team {
 	t, ok := c.teams[r.Team]
 	if !ok {
-		if !c.makeRoom(now) {
+		if !c.evictIdleTeams(now) {
 			return nil
 		}
 		t = &team{}
@@ -176,17 +177,18 @@
 		t.share = 1
 	}
 	t.patience = r.Patience
-	t.seen = now
+	t.lastSeen = now
 	return t
 }
 
-// makeRoom forgets teams that run nothing and asked for nothing lately.
-func (c *Control) makeRoom(now time.Time) bool {
+// evictIdleTeams removes teams without running or recent requests if the limit
+// is reached, and reports whether a new team fits.
+func (c *Control) evictIdleTeams(now time.Time) bool {
 	if len(c.teams) < c.options.MaxTeams {
 		return true
 	}
 	for name, t := range c.teams {
-		if t.running == 0 && now.Sub(t.seen) > c.options.Window {
+		if t.running == 0 && now.Sub(t.lastSeen) > c.options.Window {
 			delete(c.teams, name)
 		}
 	}
--- a/internal/admission/control_test.go
+++ b/internal/admission/control_test.go
@@ -70,9 +70,9 @@
 	assert.Assert(t, admitted >= 100 && admitted <= 111, "%d in ten seconds", admitted)
 }
 
-// A hundred callers are refused within a moment. If all were told the same
-// time they would come back together, fill the queue at once, and most would
-// be refused again. Their times must lie as far apart as the queue drains.
+// A hundred callers are refused within a moment. If all got the same RetryAfter
+// they would return together and fill the queue, and most would be refused again.
+// Their times must be spread at the rate at which the queue drains.
 func TestRetryAfterSpreadsTheRefused(t *testing.T) {
 	c := New(Options{})
 	r := plain()
@@ -91,9 +91,9 @@
 	assert.Assert(t, last > 4*time.Second && last < 9*time.Second, "%v", last)
 }
 
-// An endpoint fails all it is given and callers' requests are tried again
-// elsewhere. Without a budget each failure makes another request, and a small
-// fault doubles the load of the fleet.
+// An endpoint fails all its requests, and these are retried elsewhere. Without a
+// budget each failure adds a request, so that a small fault doubles the load of
+// the fleet.
 func TestRetryBudget(t *testing.T) {
 	c := New(Options{})
 	retries := 0
@@ -114,9 +114,9 @@
 		}
 	}
 	assert.Assert(t, earned >= 9 && earned <= 11, "%d", earned)
-	assert.Assert(t, !c.MayRetry(start.Add(1100*ms), "a", "e2")) // the team's is spent
+	assert.Assert(t, !c.MayRetry(start.Add(1100*ms), "a", "e2")) // the team's budget is exhausted
 	assert.Assert(t, c.MayRetry(start.Add(1100*ms), "b", "e2"))
-	assert.Assert(t, !c.MayRetry(start.Add(1100*ms), "b", "e1")) // the endpoint's is
+	assert.Assert(t, !c.MayRetry(start.Add(1100*ms), "b", "e1")) // the endpoint's budget is exhausted
 }
 
 func TestControlIsBounded(t *testing.T) {
@@ -130,8 +130,8 @@
 		c.MayRetry(now, r.Team, fleet.EndpointID(fmt.Sprint(n)))
 	}
 	assert.Assert(t, len(c.teams) <= 10)
-	assert.Assert(t, len(c.byTeam.byKey) <= 10)
-	assert.Assert(t, len(c.byTarget.byKey) <= 10)
+	assert.Assert(t, len(c.teamBudgets.byKey) <= 10)
+	assert.Assert(t, len(c.endpointBudgets.byKey) <= 10)
 }
 
 func TestFairLevel(t *testing.T) {
@@ -140,11 +140,11 @@
 		capacity float64
 		want     float64
 	}{
-		{[]teamDemand{{1, 10}, {1, 100}}, 30, 20},        // what the small one leaves goes to the other
+		{[]teamDemand{{1, 10}, {1, 100}}, 30, 20},        // the first team's unused share goes to the second
 		{[]teamDemand{{1, 100}, {3, 100}}, 40, 10},       // by weight
-		{[]teamDemand{{1, 50}, {1, 50}, {2, 2}}, 42, 20}, // two share what is left
-		{[]teamDemand{{1, 100}}, 40, 40},                 // alone
-		{[]teamDemand{{1, 5}, {1, 6}}, 100, 0},           // more than enough
+		{[]teamDemand{{1, 50}, {1, 50}, {2, 2}}, 42, 20}, // two teams divide what the third leaves
+		{[]teamDemand{{1, 100}}, 40, 40},                 // one team
+		{[]teamDemand{{1, 5}, {1, 6}}, 100, 0},           // more capacity than demand
 	} {
 		got := fairLevel(row.demands, row.capacity)
 		if row.capacity >= 100 {
--- a/internal/admission/fairness.go
+++ b/internal/admission/fairness.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// Fair shares hold from a pressure (predicted wait over the least patience of
-// the teams at work) of fairnessFrom on. There a team may have fairnessSlack
-// times its fair level, at fairnessFull exactly the level, and at pressure 1
-// fairnessLeast of it. So an overload settles near fairnessFull, and the rest
-// of the patience takes the swings of arrivals.
+// Fair shares apply from a pressure (predicted wait over the least patience of
+// the active teams) of fairStartPressure. There a team may have fairStartFactor
+// times its fair level, at fairTargetPressure exactly the level, and at pressure
+// 1 fairMinFactor times the level. An overload thus settles near
+// fairTargetPressure, and the rest of the patience absorbs bursts of arrivals.
 const (
-	fairnessFrom  = 0.4
-	fairnessFull  = 0.75
-	fairnessSlack = 3.0
-	fairnessLeast = 0.9
-	levelLife     = 20 * time.Millisecond // how long a computed level is used
+	fairStartPressure  = 0.4
+	fairTargetPressure = 0.75
+	fairStartFactor    = 3.0
+	fairMinFactor      = 0.9
+	levelTTL           = 20 * time.Millisecond // how long a computed level is reused
 )
 
-// teamDemand is one team's part in the division of the capacity.
+// teamDemand is one team's demand in the division of the capacity.
 type teamDemand struct {
 	share float64
-	work  float64 // offered in the window
+	work  float64 // requested within the window
 }
 
-// fairLevel gives the work for each unit of share at which the teams together
-// take capacity: no team gets more than it asks for, and what one leaves is
+// fairLevel returns the work per unit of share at which the teams together use
+// the capacity: no team gets more than it requests, and what one leaves unused is
 // divided among the others (max-min fairness).
 func fairLevel(demands []teamDemand, capacity float64) float64 {
 	sort.Slice(demands, func(a, b int) bool {
@@ -47,16 +47,17 @@
 	return level + capacity
 }
 
-// allowed gives the work in the window that a team may have at a pressure.
-func allowed(level, share, pressure float64) float64 {
-	return level * share * easing(min(pressure, 1))
+// allowedWork returns the work within the window that a team may have at a
+// pressure.
+func allowedWork(level, share, pressure float64) float64 {
+	return level * share * levelFactor(min(pressure, 1))
 }
 
-func easing(pressure float64) float64 {
-	if pressure < fairnessFull {
-		part := (fairnessFull - pressure) / (fairnessFull - fairnessFrom)
-		return 1 + (fairnessSlack-1)*part
+func levelFactor(pressure float64) float64 {
+	if pressure < fairTargetPressure {
+		part := (fairTargetPressure - pressure) / (fairTargetPressure - fairStartPressure)
+		return 1 + (fairStartFactor-1)*part
 	}
-	part := (pressure - fairnessFull) / (1 - fairnessFull)
-	return 1 - (1-fairnessLeast)*part
+	part := (pressure - fairTargetPressure) / (1 - fairTargetPressure)
+	return 1 - (1-fairMinFactor)*part
 }
--- a/internal/admission/options.go
+++ b/internal/admission/options.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// Options tunes a Control. Zero fields get defaults.
+// Options configures a Control. Zero fields get defaults.
 type Options struct {
-	Random        *rand.Rand    // spreads Retry-After; default: a fixed seed
-	MaxTeams      int           // teams remembered, default 4096
-	MaxEndpoints  int           // endpoints with a retry budget, default 4096
-	Window        time.Duration // over which shares are measured, default 5s
-	RetryRatio    float64       // retries earned by a success, default 0.1
-	RetryPerSec   float64       // retries earned by time alone, default 0.2
-	RetryBurst    float64       // most retries saved up, default 10
+	Random        *rand.Rand    // for the jitter of RetryAfter; default: a fixed seed
+	MaxTeams      int           // maximum number of teams tracked, default 4096
+	MaxEndpoints  int           // maximum number of endpoints with a retry budget, default 4096
+	Window        time.Duration // decay time of the measured shares, default 5s
+	RetryRatio    float64       // retries earned per success, default 0.1
+	RetryPerSec   float64       // retries earned per second, default 0.2
+	RetryBurst    float64       // maximum retries saved up, default 10
 	RetryAfterMin time.Duration // default 100ms
 	RetryAfterMax time.Duration // default 30s
 }
--- a/internal/admission/overload_test.go
+++ b/internal/admission/overload_test.go
@@ -11,7 +11,7 @@
 	"github.com/hyssopsail/hyssopsail/internal/fleet"
 )
 
-// simTeam is one team of the simulation.
+// simTeam is a team in the simulation.
 type simTeam struct {
 	name     fleet.Team
 	share    float64
@@ -19,12 +19,12 @@
 	perSec   float64 // offered
 }
 
-// simResult counts one team's requests.
+// simResult counts the requests of one team.
 type simResult struct {
 	offered, admitted, good int
 }
 
-// finishTimes is a heap of the slots' times of becoming free.
+// finishTimes is a heap of the times at which slots become free.
 type finishTimes []time.Time
 
 func (f finishTimes) Len() int           { return len(f) }
@@ -44,9 +44,9 @@
 	simSeconds = 60
 )
 
-// simulate runs teams against simSlots slots, served first come first served.
-// When guard is false everything is admitted.
-func simulate(teams []simTeam, guard bool) map[fleet.Team]simResult {
+// simulate runs the teams' requests through simSlots slots in order of arrival.
+// If admissionControl is false every request is admitted.
+func simulate(teams []simTeam, admissionControl bool) map[fleet.Team]simResult {
 	random := rand.New(rand.NewPCG(3, 5))
 	c := New(Options{Random: random})
 	slots := make(finishTimes, simSlots)
@@ -67,7 +67,7 @@
 		result := results[t.name]
 		result.offered++
 		r := Request{Team: t.name, Share: t.share, Patience: t.patience, PredictedWait: wait, DrainPerSec: simSlots, Work: 1000}
-		if !guard || c.Admit(now, r).Admitted {
+		if !admissionControl || c.Admit(now, r).Admitted {
 			result.admitted++
 			if wait <= t.patience {
 				result.good++
@@ -90,15 +90,15 @@
 	return teams[len(teams)-1]
 }
 
-// Ten times the capacity arrives for a minute. Without admission the queue
-// grows beyond all patience: after the first seconds each answer comes too late
-// and the engines work for nothing. With it the engines stay full, each
-// admitted request is in time, and the rest are told to come back.
+// Ten times the capacity arrives for a minute. Without admission control the
+// queue grows beyond every patience, and after the first seconds each answer is
+// late. With it the engines stay busy, each admitted request is in time, and the
+// others are refused.
 func TestTenfoldOverloadDoesNotCollapse(t *testing.T) {
 	teams := []simTeam{{"a", 1, 1600 * ms, 500}, {"b", 1, 1600 * ms, 500}}
 	good := 0
 	for name, r := range simulate(teams, true) {
-		assert.Equal(t, r.good, r.admitted, "%s admitted what can't be in time", name)
+		assert.Equal(t, r.good, r.admitted, "%s: late requests were admitted", name)
 		good += r.good
 	}
 	assert.Assert(t, good >= simSlots*simSeconds*95/100, "%d good of %d", good, simSlots*simSeconds)
@@ -107,14 +107,14 @@
 	for _, r := range simulate(teams, false) {
 		collapsed += r.good
 	}
-	assert.Assert(t, collapsed < simSlots*simSeconds/10, "without the guard %d are still good", collapsed)
+	assert.Assert(t, collapsed < simSlots*simSeconds/10, "without admission control %d are still in time", collapsed)
 }
 
-// One team sends ten times its share, and another stays below its own. The
-// first fills the queue up to its patience, so that the other's requests are
-// refused or late though they ask for little. The fair share must hold the
-// first back while the wait is still within the other's patience.
-func TestTenTimesItsShareCostsAnotherLittle(t *testing.T) {
+// One team sends ten times its share and another less than its own. Without fair
+// shares the first fills the queue up to its patience, and the other's few
+// requests are refused or late. The first must be held back while the wait is
+// still within the other's patience.
+func TestFloodOfOneTeamCostsAnotherLittle(t *testing.T) {
 	for _, row := range []struct {
 		name  string
 		teams []simTeam
--- a/internal/admission/team.go
+++ b/internal/admission/team.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// team is what Control remembers of one team.
+// team is the state that Control keeps of one team.
 type team struct {
 	running  int
 	rate     bucket
 	share    float64
 	patience time.Duration // of its last request
-	offered  decaying      // work asked for
-	admitted decaying      // work taken
-	seen     time.Time
+	offered  decayingSum   // requested work
+	admitted decayingSum   // admitted work
+	lastSeen time.Time     // last request
 	bias     bias
 }
