--- a/internal/orders/doc.go
+++ b/internal/orders/doc.go
@@ -1,7 +1,7 @@
 // Package orders carries out orders to endpoints: load, unload, change role.
-// Each has a fencing token from the replicated log. Endpoints that check
-// tokens refuse an older order by themselves; for those that ignore them the
-// issuer waits out every earlier one, reads the endpoint's state back, and
-// issues again when another order has slipped in. Process decides, Issuer
-// does the calls.
+// Each order has a fencing token from the replicated log. An endpoint that
+// checks tokens refuses an older order by itself. For an endpoint that ignores
+// them the issuer waits until every earlier order must have ended, reads the
+// endpoint's state back, and reissues the order if another one overwrote it.
+// Process makes the decisions without I/O; Issuer makes the calls.
 package orders
--- a/internal/orders/issuer.go
+++ b/internal/orders/issuer.go
@@ -17,27 +17,30 @@
 	"github.com/hyssopsail/hyssopsail/internal/timeline"
 )
 
-// The issuer's bounds.
+// Limits of an Issuer.
 const (
-	maxRunning      = 16               // orders at once in one daemon
-	callTimeout     = 5 * time.Second  // of reads and confirmations
-	shortestLongest = 30 * time.Second // least value of Bounds.Longest
-	defaultLease    = 2 * time.Second
-	maxRepairs      = 3 // orders issued again after slipping in
+	maxRunning       = 16               // concurrent orders of one daemon
+	callTimeout      = 5 * time.Second  // for reads of state and calls to the control group
+	maxDurationFloor = 30 * time.Second // lower bound of Bounds.MaxDuration
+	defaultLease     = 2 * time.Second
+	maxRepairs       = 3 // reissues of a newer order that a late send may have overwritten
 )
 
-// Control is what an Issuer asks of the control group; control.Client has it.
+// Control is the part of the control group's API that an Issuer uses;
+// control.Client implements it.
 type Control interface {
 	Order(ctx context.Context, o *pb.IssueOrder) (*pb.OrderReply, error)
 }
 
-// Endpoints is what an Issuer asks of endpoints; engine.Client has it.
+// Endpoints is the part of the endpoints' API that an Issuer uses; engine.Client
+// implements it.
 type Endpoints interface {
 	State(ctx context.Context, t engine.Target) (engineapi.Announcement, error)
 	Order(ctx context.Context, t engine.Target, o engineapi.Order) (engineapi.OrderReply, error)
 }
 
-// Options are an Issuer's parts; all but Part, Recorder and Now are required.
+// Options holds an Issuer's dependencies; all but Part, Recorder and Now are
+// required.
 type Options struct {
 	Control   Control
 	Endpoints Endpoints
@@ -47,7 +50,7 @@
 	Now       func() time.Time  // nil: time.Now
 }
 
-// Issuer carries out orders. Safe for use by many goroutines.
+// Issuer carries out orders. Safe for concurrent use.
 type Issuer struct {
 	control   Control
 	endpoints Endpoints
@@ -56,11 +59,12 @@
 	recorder  timeline.Recorder
 	now       func() time.Time
 	running   chan struct{}
-	ended     endedTokens
-	watch     watch
+	ownTokens ownTokens
+	watch     watchList
 }
 
-// NewIssuer makes an issuer.
+// NewIssuer returns an issuer. Its completed orders are only re-checked while
+// Watch runs.
 func NewIssuer(o Options) *Issuer {
 	now := o.Now
 	if now == nil {
@@ -77,75 +81,76 @@
 	}
 }
 
-// BoundsOf gives the bounds under the settings: an order may take as long as
+// BoundsOf returns the bounds under the settings. An order may take as long as
 // the slowest load of any model.
 func BoundsOf(t *settings.Tree) Bounds {
-	b := Bounds{Lease: t.Fleet.Timeouts.InstanceLease, Longest: shortestLongest}
+	b := Bounds{Lease: t.Fleet.Timeouts.InstanceLease, MaxDuration: maxDurationFloor}
 	if b.Lease <= 0 {
 		b.Lease = defaultLease
 	}
 	for _, m := range t.Fleet.Models {
-		b.Longest = max(b.Longest, m.LoadTime)
+		b.MaxDuration = max(b.MaxDuration, m.LoadTime)
 	}
 	return b
 }
 
-// Run carries out one order at an endpoint and gives how it ended. It fails
-// with a LimitExceeded error when too many are running, and with ctx's error
-// when that ends first; the order may then still be carried out, and running
-// it again with the same ID goes on with it. When this order slipped in after
-// a newer one, the newer one is issued again.
-func (i *Issuer) Run(ctx context.Context, target engine.Target, want Want) (Outcome, error) {
+// Run carries out one order at an endpoint and returns its outcome. The error is
+// a LimitExceeded when too many orders are running, or ctx's error when ctx ends
+// first; the order may then still take effect, and running it again with the
+// same ID continues it. If this order may have overwritten a newer one, Run
+// reissues the newer one.
+func (i *Issuer) Run(ctx context.Context, target engine.Target, spec Spec) (Outcome, error) {
 	select {
 	case i.running <- struct{}{}:
 		defer func() { <-i.running }()
 	default:
 		return OutcomeUnset, trace.LimitExceeded("%d orders are running", maxRunning)
 	}
-	outcome, newest, err := i.run(ctx, target, want)
-	for n := 1; err == nil && outcome == OutcomeSlippedIn && n <= maxRepairs; n++ {
-		repair := wantOf(newest.GetOrder(), fmt.Sprintf("%s/repair-%d", want.ID, newest.GetToken()))
-		var again Outcome
-		again, newest, err = i.run(ctx, target, repair)
-		if again != OutcomeSlippedIn {
-			i.part.Warn("Issued a newer order again.", "endpoint", target.ID, "order", repair.ID, "outcome", again)
+	outcome, newest, err := i.run(ctx, target, spec)
+	for n := 1; err == nil && outcome == OutcomeOutOfOrder && n <= maxRepairs; n++ {
+		repair := specOf(newest.GetOrder(), fmt.Sprintf("%s/repair-%d", spec.ID, newest.GetToken()))
+		var repaired Outcome
+		repaired, newest, err = i.run(ctx, target, repair)
+		if repaired != OutcomeOutOfOrder {
+			i.part.Warn("Reissued a newer order that a late send may have overwritten.", "endpoint", target.ID, "order", repair.ID, "outcome", repaired)
 			return OutcomeSuperseded, err
 		}
 	}
 	return outcome, err
 }
 
-func (i *Issuer) run(ctx context.Context, target engine.Target, want Want) (Outcome, *pb.OrderRecord, error) {
-	p := NewProcess(want, BoundsOf(i.source.State().Tree), i.now())
-	p.own = i.ended.of(target.ID)
+func (i *Issuer) run(ctx context.Context, target engine.Target, spec Spec) (Outcome, *pb.OrderRecord, error) {
+	p := NewProcess(spec, BoundsOf(i.source.State().Tree), i.now())
+	p.ownPrevious = i.ownTokens.get(target.ID)
 	for {
 		step, at := p.Next()
 		if err := i.waitUntil(ctx, at); err != nil {
 			return OutcomeUnset, nil, err
 		}
 		switch step {
-		case StepLook:
-			i.look(ctx, p, target)
+		case StepRead:
+			i.readState(ctx, p, target)
 		case StepConfirm:
-			i.confirm(ctx, p, target, want)
+			i.confirm(ctx, p, target, spec)
 		case StepSend:
-			i.send(ctx, p, target, want)
+			i.send(ctx, p, target, spec)
 		case StepEnd:
 			i.part.Info("Order ended.", "order", p.OrderID(), "endpoint", target.ID, "token", p.Token(), "outcome", p.Outcome())
-			i.noteEnd(p, target, want)
+			i.recordDone(p, target, spec)
 			return p.Outcome(), p.Newest(), nil
 		}
 	}
 }
 
-// noteEnd remembers an order that was done.
-func (i *Issuer) noteEnd(p *Process, target engine.Target, want Want) {
+// recordDone records a completed order, and adds it to the watch list if the
+// endpoint ignores tokens.
+func (i *Issuer) recordDone(p *Process, target engine.Target, spec Spec) {
 	if p.Outcome() != OutcomeDone {
 		return
 	}
-	i.ended.note(target.ID, p.Token())
-	if !p.checks {
-		i.watch.note(watched{target: target, want: want, order: p.OrderID(), until: i.now().Add(watchFor)})
+	i.ownTokens.set(target.ID, p.Token())
+	if !p.checksTokens {
+		i.watch.add(watchedOrder{target: target, spec: spec, order: p.OrderID(), until: i.now().Add(watchDuration)})
 	}
 }
 
@@ -160,32 +165,32 @@
 	}
 }
 
-func (i *Issuer) look(ctx context.Context, p *Process, target engine.Target) {
+func (i *Issuer) readState(ctx context.Context, p *Process, target engine.Target) {
 	a, err := i.stateOf(ctx, target)
-	p.Looked(i.now(), a, err)
+	p.StateRead(i.now(), a, err)
 }
 
-func (i *Issuer) confirm(ctx context.Context, p *Process, target engine.Target, want Want) {
+func (i *Issuer) confirm(ctx context.Context, p *Process, target engine.Target, spec Spec) {
 	asked := i.now()
-	reply, err := i.ask(ctx, target, want, p.OrderID())
+	reply, err := i.commit(ctx, target, spec, p.OrderID())
 	p.Confirmed(asked, i.now(), reply, err)
 }
 
-func (i *Issuer) send(ctx context.Context, p *Process, target engine.Target, want Want) {
+func (i *Issuer) send(ctx context.Context, p *Process, target engine.Target, spec Spec) {
 	bounds := BoundsOf(i.source.State().Tree)
-	ctx, cancel := context.WithTimeout(ctx, bounds.Longest)
+	ctx, cancel := context.WithTimeout(ctx, bounds.MaxDuration)
 	defer cancel()
-	order := engineapi.Order{ID: p.OrderID(), Token: p.Token(), Kind: want.Kind, Model: want.Model, Role: want.Role}
+	order := engineapi.Order{ID: p.OrderID(), Token: p.Token(), Kind: spec.Kind, Model: spec.Model, Role: spec.Role}
 	if now := i.now(); !p.MaySend(now) || !i.source.Current(now) {
 		p.NotSent(now)
 		return
 	}
 	reply, err := i.endpoints.Order(ctx, target, order)
-	i.record(p, target)
+	i.recordEvent(p, target)
 	p.Sent(i.now(), err == nil && reply.Done, codeOf(err))
 }
 
-func (i *Issuer) record(p *Process, target engine.Target) {
+func (i *Issuer) recordEvent(p *Process, target engine.Target) {
 	if i.recorder == nil {
 		return
 	}
--- a/internal/orders/issuer_test.go
+++ b/internal/orders/issuer_test.go
@@ -22,18 +22,18 @@
 	"github.com/hyssopsail/hyssopsail/internal/settings"
 )
 
-// world is one endpoint, a log, and issuers.
+// world is a test environment: one endpoint, the replicated log, and issuers.
 type world struct {
 	mu      sync.Mutex
 	machine *control.Machine
 	index   uint64
 	state   engineapi.Announcement
-	taken   []string // orders in the order that the endpoint took them
-	// atEndpoint is called when an order arrives, before it is taken.
+	taken   []string // IDs of the orders that the endpoint executed, in sequence
+	// atEndpoint is called when an order arrives, before it is executed.
 	atEndpoint func(o engineapi.Order)
-	// afterOrder is called when an order was taken, before it is answered.
-	afterOrder func(o engineapi.Order)
-	lose       int // answers to lose
+	// afterOrder is called when an order was executed, before it is answered.
+	afterOrder    func(o engineapi.Order)
+	answersToLose int // number of answers that get lost
 }
 
 func newWorld(checks bool) *world {
@@ -60,8 +60,8 @@
 	return &result
 }
 
-// older starts issuer a's order "old", which is on its way until hold returns.
-func (w *world) older(t *testing.T, hold func()) <-chan Outcome {
+// startOlder starts issuer a's order "old", which reaches the endpoint when hold returns.
+func (w *world) startOlder(t *testing.T, hold func()) <-chan Outcome {
 	w.atEndpoint = func(o engineapi.Order) {
 		if o.ID == "old" {
 			hold()
@@ -81,7 +81,7 @@
 	}})
 }
 
-// settings applies a fleet subtree with these lines more.
+// settings applies a fleet subtree with additional lines.
 func (w *world) settings(t *testing.T, lines string) {
 	yaml := fmt.Sprintf("availability_zones: [{name: howrah, region: r}]\noperators: [{name: o, key_hash: %q, subtrees: [\"*\"]}]\n%s",
 		keyhash.Of("key"), lines)
@@ -116,8 +116,8 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.lose > 0 {
-		e.lose--
+	if e.answersToLose > 0 {
+		e.answersToLose--
 		return engineapi.OrderReply{}, &engine.Error{Target: t, Err: errors.New("connection reset")}
 	}
 	return engineapi.OrderReply{Done: true, LastToken: e.state.LastToken}, nil
@@ -135,13 +135,14 @@
 	return nil
 }
 
-func role(id string, r fleet.EndpointRole) Want {
-	return Want{ID: id, Kind: engineapi.OrderChangeRole, Role: r}
+func role(id string, r fleet.EndpointRole) Spec {
+	return Spec{ID: id, Kind: engineapi.OrderChangeRole, Role: r}
 }
 
 var target = engine.Target{ID: "x"}
 
-func both(t *testing.T, f func(t *testing.T, w *world)) {
+// forBothEndpoints runs f with an endpoint that checks tokens and with one that ignores them.
+func forBothEndpoints(t *testing.T, f func(t *testing.T, w *world)) {
 	for name, checks := range map[string]bool{"checks tokens": true, "ignores tokens": false} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) { f(t, newWorld(checks)) })
@@ -149,22 +150,22 @@
 	}
 }
 
-func run(t *testing.T, i *Issuer, w Want) Outcome {
+func run(t *testing.T, i *Issuer, w Spec) Outcome {
 	outcome, err := i.Run(context.Background(), target, w)
 	assert.Check(t, err == nil, "%v", err)
 	return outcome
 }
 
 func TestOrderIsCarriedOut(t *testing.T) {
-	both(t, func(t *testing.T, w *world) {
+	forBothEndpoints(t, func(t *testing.T, w *world) {
 		assert.Equal(t, run(t, w.issuer("a"), role("o1", fleet.RoleDecode)), OutcomeDone)
 		assert.Equal(t, w.state.Role, fleet.RoleDecode)
 	})
 }
 
 func TestLostAnswerIsReadBack(t *testing.T) {
-	both(t, func(t *testing.T, w *world) {
-		w.lose = 1
+	forBothEndpoints(t, func(t *testing.T, w *world) {
+		w.answersToLose = 1
 		assert.Equal(t, run(t, w.issuer("a"), role("o1", fleet.RoleDecode)), OutcomeDone)
 		assert.Equal(t, len(w.taken), 1)
 	})
@@ -175,9 +176,9 @@
 		w := newWorld(true)
 		assert.Equal(t, run(t, w.issuer("gone"), role("o1", fleet.RoleDecode)), OutcomeRefused)
 		assert.Equal(t, run(t, w.issuer("a"), role("o2", "nothing")), OutcomeRefused)
-		w.afterOrder = func(engineapi.Order) { w.setRole(fleet.RolePlain) } // undone each time
+		w.afterOrder = func(engineapi.Order) { w.setRole(fleet.RolePlain) } // overwritten each time
 		assert.Equal(t, run(t, w.issuer("a"), role("o3", fleet.RoleDecode)), OutcomeFailed)
-		assert.Equal(t, len(w.taken), maxIssues)
+		assert.Equal(t, len(w.taken), maxTokens)
 	})
 }
 
@@ -187,14 +188,14 @@
 	w.state.Role = r
 }
 
-// Issuer a is frozen right before its send; b issues a newer order, which is
-// done; a wakes and its order reaches the endpoint. One that checks tokens
-// refuses it. One that ignores them obeys, and a, which finds out afterwards
-// that it was superseded, issues b's order again.
-func TestFrozenIssuerWakesAfterANewerOrder(t *testing.T) {
-	both(t, func(t *testing.T, w *world) {
+// Issuer a freezes directly before its send, b issues and completes a newer
+// order, then a resumes and its order reaches the endpoint. An endpoint that
+// checks tokens refuses it. One that ignores them executes it, and a, which then
+// learns that it was superseded, reissues b's order.
+func TestFrozenIssuerResumesAfterANewerOrder(t *testing.T) {
+	forBothEndpoints(t, func(t *testing.T, w *world) {
 		frozen := make(chan struct{})
-		old := w.older(t, func() { <-frozen })
+		old := w.startOlder(t, func() { <-frozen })
 		synctest.Wait()
 		assert.Equal(t, run(t, w.issuer("b"), role("new", fleet.RoleDecode)), OutcomeDone)
 		close(frozen)
@@ -204,14 +205,14 @@
 	})
 }
 
-// An older order slips in between the newer one and the reading back. The
-// newer issuer sees that its order doesn't show and issues it again.
-func TestOrderSlipsInBeforeTheReadBack(t *testing.T) {
-	both(t, func(t *testing.T, w *world) {
-		slipped := false
+// An older order is executed between the newer one and its read-back. The newer
+// issuer sees that the state doesn't show its order and reissues it.
+func TestOverwrittenOrderIsReissued(t *testing.T) {
+	forBothEndpoints(t, func(t *testing.T, w *world) {
+		overwritten := false
 		w.afterOrder = func(engineapi.Order) {
-			if !slipped {
-				slipped = true
+			if !overwritten {
+				overwritten = true
 				w.setRole(fleet.RoleBoth)
 			}
 		}
@@ -221,13 +222,13 @@
 	})
 }
 
-// Issuer a is still at work on a long load when b's newer order comes. At an
-// endpoint that ignores tokens, b waits until a must have ended, so that a's
-// late end doesn't undo b's order.
+// Issuer a is still busy with a long order when b's newer order comes. At an
+// endpoint that ignores tokens, b waits until a's order must have ended, so that
+// it can't overwrite b's.
 func TestNewerOrderWaitsOutTheOlderOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(false)
-		old := w.older(t, func() { time.Sleep(shortestLongest - time.Second) })
+		old := w.startOlder(t, func() { time.Sleep(maxDurationFloor - time.Second) })
 		time.Sleep(time.Second)
 		assert.Equal(t, run(t, w.issuer("b"), role("new", fleet.RoleDecode)), OutcomeDone)
 		assert.DeepEqual(t, w.taken, []string{"old", "new"})
@@ -236,12 +237,12 @@
 	})
 }
 
-// An issuer frozen between its confirmation and the check before the send
-// doesn't send on the old confirmation: it asks again and is superseded.
+// An issuer that freezes between its confirmation and the check before the send
+// doesn't use the expired confirmation: it confirms again and is superseded.
 func TestOldConfirmationIsNotUsed(t *testing.T) {
-	p := NewProcess(role("o", fleet.RoleDecode), Bounds{Lease: time.Second, Longest: time.Minute}, time.Time{})
+	p := NewProcess(role("o", fleet.RoleDecode), Bounds{Lease: time.Second, MaxDuration: time.Minute}, time.Time{})
 	now := time.Unix(100, 0)
-	p.Looked(now, engineapi.Announcement{}, nil)
+	p.StateRead(now, engineapi.Announcement{}, nil)
 	p.Confirmed(now, now, &pb.OrderReply{Record: &pb.OrderRecord{Token: 5}, Newest: &pb.OrderRecord{Token: 5}}, nil)
 	step, _ := p.Next()
 	assert.Equal(t, step, StepSend)
@@ -255,8 +256,8 @@
 
 func TestUnreadableEndpointFails(t *testing.T) {
 	p := NewProcess(role("o", fleet.RoleDecode), Bounds{Lease: time.Second}, time.Time{})
-	for range maxTries {
-		p.Looked(time.Time{}, engineapi.Announcement{}, errors.New("unreachable"))
+	for range maxFailedCalls {
+		p.StateRead(time.Time{}, engineapi.Announcement{}, errors.New("unreachable"))
 	}
 	assert.Equal(t, p.Outcome(), OutcomeFailed)
 }
--- a/internal/orders/outcome.go
+++ b/internal/orders/outcome.go
@@ -1,26 +1,26 @@
 package orders
 
-// Outcome is how an order ended.
+// Outcome is the result of an order.
 type Outcome int
 
-// The outcomes.
+// Outcomes of an order.
 const (
 	OutcomeUnset      Outcome = iota
-	OutcomeDone               // the endpoint's state shows it
+	OutcomeDone               // the endpoint's state shows the order
 	OutcomeSuperseded         // a newer order to the endpoint was issued; this one has no effect
-	OutcomeSlippedIn          // a newer order was issued, and this one may have undone it
-	OutcomeRefused            // the control group or the endpoint refused it for good
-	OutcomeFailed             // issued again too often, or the endpoint can't be read
+	OutcomeOutOfOrder         // a newer order was issued, and this one may have overwritten it
+	OutcomeRefused            // the control group or the endpoint refused it permanently
+	OutcomeFailed             // reissued too often, or the endpoint's state can't be read
 )
 
-// String gives the outcome's name.
+// String returns the name that logs and stored data use.
 func (o Outcome) String() string {
 	switch o {
 	case OutcomeDone:
 		return "done"
 	case OutcomeSuperseded:
 		return "superseded"
-	case OutcomeSlippedIn:
+	case OutcomeOutOfOrder:
 		return "slipped-in"
 	case OutcomeRefused:
 		return "refused"
--- a/internal/orders/process.go
+++ b/internal/orders/process.go
@@ -8,137 +8,138 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// Step is what a Process wants done next.
+// Step is the next action that a Process requires.
 type Step int
 
-// The steps.
+// Steps of a Process.
 const (
-	StepEnd     Step = iota // Outcome is set
-	StepLook                // read the endpoint's state, then Looked
-	StepConfirm             // commit the order, or confirm it, then Confirmed
-	StepSend                // send it to the endpoint, then Sent
+	StepEnd     Step = iota // finished: Outcome is set
+	StepRead                // read the endpoint's state, then call StateRead
+	StepConfirm             // commit or confirm the order at the control group, then call Confirmed
+	StepSend                // send the order to the endpoint, then call Sent or NotSent
 )
 
-// The bounds of a Process.
+// Limits of a Process.
 const (
-	maxIssues    = 5 // tokens for one order
-	maxTries     = 6 // failed calls in a row
-	firstBackoff = 200 * time.Millisecond
+	maxTokens      = 5 // tokens for one order
+	maxFailedCalls = 6 // consecutive failed calls
+	baseBackoff    = 200 * time.Millisecond
 )
 
-// Bounds are the times that a Process relies on.
+// Bounds holds the times that a Process relies on.
 type Bounds struct {
-	// Lease is how long a confirmation may be used: an order is sent only
-	// within it, counted from when the confirmation was asked for.
+	// Lease is how long a confirmation is valid. An order is sent only within
+	// it, counted from when the confirmation was requested.
 	Lease time.Duration
-	// Longest is the longest time that an endpoint takes for an order, from
-	// its sending.
-	Longest time.Duration
+	// MaxDuration is the maximum time that an endpoint takes for an order,
+	// counted from its sending.
+	MaxDuration time.Duration
 }
 
-// Process decides the course of one order to one endpoint. It is pure; all
-// times come in.
+// Process decides the steps of one order to one endpoint. It does no I/O and
+// reads no clock; the caller passes all times.
 //
-// Failure guarded: an issuer is frozen with an order in hand, another one
-// issues a newer order, and the first wakes and sends its own. An endpoint
-// that checks tokens refuses it. For one that doesn't, three things hold. An
-// issuer sends only within the lease of a confirmation that its token is the
-// newest, so once a newer token is committed, all older sends have begun
-// within a lease and ended within the longest time after that: the newer
-// issuer waits so long. It reads the state back and issues again if the order
-// doesn't show. And an issuer frozen right before the send, which no check can
-// prevent, confirms again afterwards; if it was superseded, its outcome says
-// that the newer order must be issued again.
+// It guards against this failure: an issuer freezes before sending its order,
+// another issues a newer order, and then the first resumes and sends the older
+// one. An endpoint that checks tokens refuses it. For an endpoint that ignores
+// them, three rules apply. First, an issuer sends only within the lease of a
+// confirmation that its token is the newest. So once a newer token is committed,
+// all older sends begin within a lease and end within the maximum duration after
+// that, and the newer issuer waits for both. Second, the newer issuer reads the
+// state back and reissues its order if the state doesn't show it. Third, an
+// issuer that froze directly before the send, which no check can prevent,
+// confirms again afterwards; if it was superseded, its outcome says that the
+// newer order must be reissued.
 type Process struct {
-	want   Want
+	spec   Spec
 	bounds Bounds
 
 	step    Step
-	at      time.Time // not before
+	at      time.Time // earliest time for step
 	outcome Outcome
 
-	checks    bool // the endpoint checks tokens
-	issue     int
-	tries     int
-	own       uint64 // this issuer's token before the present one, known to have ended
-	record    *pb.OrderRecord
-	newest    *pb.OrderRecord
-	confirmed time.Time // when the last good confirmation was asked for
-	sent      bool      // this token was sent, or may have been
-	late      bool      // the send may have ended after a newer issuer had waited
+	checksTokens bool   // the endpoint checks tokens
+	tokenNumber  int    // number of the current token, from 1
+	failedCalls  int    // consecutive failed calls
+	ownPrevious  uint64 // this issuer's previous token for the endpoint, whose order has ended
+	record       *pb.OrderRecord
+	newest       *pb.OrderRecord
+	confirmed    time.Time // when the last successful confirmation was requested
+	sent         bool      // the current token was or may have been sent
+	lateSend     bool      // the send may have ended after a newer issuer's wait
 }
 
-// NewProcess starts an order at now.
-func NewProcess(w Want, b Bounds, now time.Time) *Process {
-	return &Process{want: w, bounds: b, step: StepLook, at: now, issue: 1}
+// NewProcess returns the Process of an order that starts at now.
+func NewProcess(spec Spec, b Bounds, now time.Time) *Process {
+	return &Process{spec: spec, bounds: b, step: StepRead, at: now, tokenNumber: 1}
 }
 
-// Next gives the next step and the earliest time for it.
+// Next returns the next step and the earliest time for it.
 func (p *Process) Next() (Step, time.Time) { return p.step, p.at }
 
-// Outcome is set once Next gives StepEnd.
+// Outcome is set once Next returns StepEnd.
 func (p *Process) Outcome() Outcome { return p.outcome }
 
-// Newest is the order that superseded this one.
+// Newest returns the order that superseded this one.
 func (p *Process) Newest() *pb.OrderRecord { return p.newest }
 
-// OrderID is the idempotency key of the present token.
+// OrderID returns the idempotency key of the current token.
 func (p *Process) OrderID() string {
-	if p.issue == 1 {
-		return p.want.ID
+	if p.tokenNumber == 1 {
+		return p.spec.ID
 	}
-	return fmt.Sprintf("%s#%d", p.want.ID, p.issue)
+	return fmt.Sprintf("%s#%d", p.spec.ID, p.tokenNumber)
 }
 
-// Token is the present fencing token.
+// Token returns the current fencing token.
 func (p *Process) Token() uint64 { return p.record.GetToken() }
 
-// MaySend tells whether the order may still be sent at now.
+// MaySend reports whether the order may still be sent at now.
 func (p *Process) MaySend(now time.Time) bool {
 	return !p.confirmed.IsZero() && now.Sub(p.confirmed) < p.bounds.Lease
 }
 
-// Looked takes a reading of the endpoint's state.
-func (p *Process) Looked(now time.Time, a engineapi.Announcement, err error) {
+// StateRead handles a reading of the endpoint's state.
+func (p *Process) StateRead(now time.Time, a engineapi.Announcement, err error) {
 	if err != nil {
 		p.retry(now)
 		return
 	}
-	p.tries = 0
-	p.checks = a.ChecksTokens
+	p.failedCalls = 0
+	p.checksTokens = a.ChecksTokens
 	switch {
 	case !p.sent:
-		p.do(StepConfirm, now)
-	case p.want.metBy(a):
-		p.end(OutcomeDone)
+		p.setNext(StepConfirm, now)
+	case p.spec.shownBy(a):
+		p.finish(OutcomeDone)
 	default:
 		p.reissue(now)
 	}
 }
 
-// reissue takes a new token: another order has slipped in, or this one was
-// lost on the way.
+// reissue takes a new token because another order overwrote this one, or it was
+// lost in transit.
 func (p *Process) reissue(now time.Time) {
-	if p.issue == maxIssues {
-		p.end(OutcomeFailed)
+	if p.tokenNumber == maxTokens {
+		p.finish(OutcomeFailed)
 		return
 	}
-	p.issue++
-	p.own = p.record.GetToken()
+	p.tokenNumber++
+	p.ownPrevious = p.record.GetToken()
 	p.record, p.confirmed = nil, time.Time{}
-	p.sent, p.late = false, false
-	p.do(StepConfirm, now)
+	p.sent, p.lateSend = false, false
+	p.setNext(StepConfirm, now)
 }
 
-// Confirmed takes the control group's answer to the request sent at asked.
+// Confirmed handles the control group's reply to the request sent at asked.
 func (p *Process) Confirmed(asked, now time.Time, r *pb.OrderReply, err error) {
 	if err != nil {
 		p.retry(now)
 		return
 	}
-	p.tries = 0
+	p.failedCalls = 0
 	if r.GetRecord() == nil {
-		p.end(OutcomeRefused)
+		p.finish(OutcomeRefused)
 		return
 	}
 	first := p.record == nil
@@ -150,81 +151,81 @@
 	p.confirmed = asked
 	switch {
 	case p.sent:
-		p.do(StepLook, now)
-	case first && p.pause() > 0:
-		p.do(StepConfirm, now.Add(p.pause()))
+		p.setNext(StepRead, now)
+	case first && p.sendDelay() > 0:
+		p.setNext(StepConfirm, now.Add(p.sendDelay()))
 	default:
-		p.do(StepSend, now)
+		p.setNext(StepSend, now)
 	}
 }
 
-// pause is the wait between the token and the send: a load's turn at the
-// weight store, and for endpoints that ignore tokens the end of all earlier
-// orders.
-func (p *Process) pause() time.Duration {
+// sendDelay returns the wait between receiving the token and sending the order:
+// a load's turn at the weight store, and for an endpoint that ignores tokens the
+// time until all earlier orders must have ended.
+func (p *Process) sendDelay() time.Duration {
 	turn := time.Duration(p.record.GetDelayMs()) * time.Millisecond
 	previous := p.record.GetPreviousToken()
-	if p.checks || previous == 0 || previous == p.own {
+	if p.checksTokens || previous == 0 || previous == p.ownPrevious {
 		return turn
 	}
-	return max(turn, p.bounds.Lease+p.bounds.Longest)
+	return max(turn, p.bounds.Lease+p.bounds.MaxDuration)
 }
 
-// endedInTime tells whether a newer issuer has waited this send out: it began
-// its wait after the confirmation.
+// endedInTime reports whether a send that ended at now falls within the wait of
+// a newer issuer, which began its wait after the confirmation.
 func (p *Process) endedInTime(now time.Time, done bool) bool {
 	since := now.Sub(p.confirmed)
 	if done {
-		return since < p.bounds.Lease+p.bounds.Longest
+		return since < p.bounds.Lease+p.bounds.MaxDuration
 	}
 	return since < p.bounds.Lease
 }
 
 func (p *Process) superseded() {
-	if p.sent && p.late && !p.checks {
-		p.end(OutcomeSlippedIn)
+	if p.sent && p.lateSend && !p.checksTokens {
+		p.finish(OutcomeOutOfOrder)
 		return
 	}
-	p.end(OutcomeSuperseded)
+	p.finish(OutcomeSuperseded)
 }
 
-// NotSent tells that the confirmation was too old at the send, or the issuer
-// not current.
-func (p *Process) NotSent(now time.Time) { p.do(StepConfirm, now.Add(firstBackoff)) }
+// NotSent handles a send that was withheld because the confirmation was too old
+// or the issuer's own view not current.
+func (p *Process) NotSent(now time.Time) { p.setNext(StepConfirm, now.Add(baseBackoff)) }
 
-// Sent takes the endpoint's answer: done when it has carried the order out,
-// else its error code, empty when there was no answer.
+// Sent handles the endpoint's answer: done if it carried out the order, else its
+// error code, which is empty if there was no answer.
 func (p *Process) Sent(now time.Time, done bool, code engineapi.Code) {
 	p.sent = true
-	p.late = p.late || !p.endedInTime(now, done)
+	p.lateSend = p.lateSend || !p.endedInTime(now, done)
 	switch code {
 	case engineapi.CodeOldToken:
-		p.end(OutcomeSuperseded)
+		p.finish(OutcomeSuperseded)
 		return
 	case engineapi.CodeBadRequest, engineapi.CodeNoModel, engineapi.CodeWrongRole:
-		p.end(OutcomeRefused)
+		p.finish(OutcomeRefused)
 		return
 	}
 	if !done && code == "" {
-		// It may still run: its state tells once it must have ended.
-		p.do(StepConfirm, now.Add(p.bounds.Longest))
+		// The order may still be running: read the state once it must have ended.
+		p.setNext(StepConfirm, now.Add(p.bounds.MaxDuration))
 		return
 	}
-	p.do(StepConfirm, now)
+	p.setNext(StepConfirm, now)
 }
 
 func (p *Process) retry(now time.Time) {
-	p.tries++
-	if p.tries == maxTries {
-		p.end(OutcomeFailed)
+	p.failedCalls++
+	if p.failedCalls == maxFailedCalls {
+		p.finish(OutcomeFailed)
 		return
 	}
-	p.at = now.Add(firstBackoff << p.tries)
+	p.at = now.Add(baseBackoff << p.failedCalls)
 }
 
-func (p *Process) do(s Step, at time.Time) { p.step, p.at = s, at }
+func (p *Process) setNext(s Step, at time.Time) { p.step, p.at = s, at }
 
-func (p *Process) end(o Outcome) {
+func (p *Process) finish(o Outcome) {
 	p.step = StepEnd
 	p.outcome = o
 }
--- a/internal/orders/want.go
+++ b/internal/orders/spec.go
@@ -8,16 +8,16 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// Want is what an endpoint is to become.
-type Want struct {
-	ID    string // idempotency key, chosen by who asks
+// Spec is the change requested of an endpoint.
+type Spec struct {
+	ID    string // idempotency key, chosen by the caller
 	Kind  engineapi.OrderKind
-	Model engineapi.ModelRef // load and unload
-	Role  fleet.EndpointRole // change role
+	Model engineapi.ModelRef // for load and unload
+	Role  fleet.EndpointRole // for change role
 }
 
-// metBy tells whether the endpoint's own description shows the order done.
-func (w Want) metBy(a engineapi.Announcement) bool {
+// shownBy reports whether the endpoint's announcement shows the order done.
+func (w Spec) shownBy(a engineapi.Announcement) bool {
 	loaded := slices.Contains(a.Models, w.Model)
 	switch w.Kind {
 	case engineapi.OrderLoad:
@@ -30,7 +30,7 @@
 	return false
 }
 
-func (w Want) kind() pb.OrderKind {
+func (w Spec) kind() pb.OrderKind {
 	switch w.Kind {
 	case engineapi.OrderLoad:
 		return pb.OrderKind_ORDER_KIND_LOAD
@@ -42,9 +42,9 @@
 	return pb.OrderKind_ORDER_KIND_UNSPECIFIED
 }
 
-// wantOf gives what a recorded order asks for.
-func wantOf(o *pb.IssueOrder, id string) Want {
-	w := Want{
+// specOf returns the change that a recorded order requests.
+func specOf(o *pb.IssueOrder, id string) Spec {
+	w := Spec{
 		ID:    id,
 		Model: engineapi.ModelRef{Model: o.GetModel(), Version: o.GetVersion(), Adapter: o.GetAdapter()},
 		Role:  fleet.EndpointRole(o.GetRole()),
--- a/internal/orders/watch.go
+++ b/internal/orders/watch.go
@@ -14,148 +14,151 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// The bounds of the watch over done orders.
+// Limits of the watch over completed orders.
 const (
-	watchEvery  = 2 * time.Second
-	watchFor    = 10 * time.Minute
-	maxWatched  = 1024
-	maxWatchers = 8
-	maxAgain    = 5 // times that an order is issued again
+	watchInterval = 2 * time.Second
+	watchDuration = 10 * time.Minute
+	maxWatched    = 1024 // endpoints
+	maxWatchers   = 8    // concurrent checks
+	maxReissues   = 5    // reissues of one order
 )
 
-// watch keeps an issuer's done orders at endpoints that ignore tokens in sight.
+// watchList holds an issuer's completed orders at endpoints that ignore tokens,
+// so that they are re-checked. Safe for concurrent use.
 //
-// Failure: an issuer is frozen right before its send, a newer order is waited
-// out, given and read back, and then the frozen one wakes and its order is
-// obeyed. Its own process can't mend that, since the fleet has given it up and
-// it gets no token. It shows as an endpoint that does something else than the
-// newest order says, for good. The guard holds because the newer issuer reads
-// the endpoint again and again for watchFor, and while its token is still the
-// newest, issues its order anew.
-type watch struct {
+// It guards against this failure: an issuer freezes directly before its send; a
+// newer order waits, is sent and read back; then the frozen issuer resumes and
+// the endpoint obeys the older order. The older issuer can't repair that: it has
+// lost its membership and gets no token. The endpoint would permanently differ
+// from its newest order. Therefore the newer issuer reads the endpoint's state
+// repeatedly for watchDuration, and reissues its order while its token is still
+// the newest.
+type watchList struct {
 	mu   sync.Mutex
-	done map[fleet.EndpointID]watched
+	done map[fleet.EndpointID]watchedOrder
 }
 
-type watched struct {
-	target engine.Target
-	want   Want
-	order  string // the idempotency key of the newest token
-	until  time.Time
-	again  int
+type watchedOrder struct {
+	target   engine.Target
+	spec     Spec
+	order    string // idempotency key of the newest token
+	until    time.Time
+	reissues int
 }
 
-// note begins the watch over an endpoint's newest order.
-func (w *watch) note(one watched) {
+// add adds an order, which replaces the endpoint's previous one. At maxWatched
+// endpoints a further endpoint is not watched.
+func (w *watchList) add(item watchedOrder) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.done == nil {
-		w.done = make(map[fleet.EndpointID]watched)
+		w.done = make(map[fleet.EndpointID]watchedOrder)
 	}
-	if _, known := w.done[one.target.ID]; known || len(w.done) < maxWatched {
-		w.done[one.target.ID] = one
+	if _, known := w.done[item.target.ID]; known || len(w.done) < maxWatched {
+		w.done[item.target.ID] = item
 	}
 }
 
-func (w *watch) drop(one watched) {
+func (w *watchList) remove(item watchedOrder) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.done[one.target.ID].order == one.order {
-		delete(w.done, one.target.ID)
+	if w.done[item.target.ID].order == item.order {
+		delete(w.done, item.target.ID)
 	}
 }
 
-// due lists what is watched, without what has been so for long enough.
-func (w *watch) due(now time.Time) []watched {
+// active returns the watched orders, after removing the expired ones.
+func (w *watchList) active(now time.Time) []watchedOrder {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	var due []watched
-	for id, one := range w.done {
-		if !now.Before(one.until) {
+	var active []watchedOrder
+	for id, item := range w.done {
+		if !now.Before(item.until) {
 			delete(w.done, id)
 			continue
 		}
-		due = append(due, one)
+		active = append(active, item)
 	}
-	return due
+	return active
 }
 
-// Watch issues done orders again that an older one has undone, until ctx ends.
+// Watch re-checks completed orders until ctx ends, and reissues those that an
+// older order has overwritten. It returns nil.
 func (i *Issuer) Watch(ctx context.Context) error {
-	timer := time.NewTicker(watchEvery)
-	defer timer.Stop()
+	ticker := time.NewTicker(watchInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-timer.C:
-			i.watchOnce(ctx)
+		case <-ticker.C:
+			i.recheckAll(ctx)
 		}
 	}
 }
 
-func (i *Issuer) watchOnce(ctx context.Context) {
-	due := make(chan watched)
+func (i *Issuer) recheckAll(ctx context.Context) {
+	items := make(chan watchedOrder)
 	var workers sync.WaitGroup
 	for range maxWatchers {
 		workers.Go(func() {
-			for one := range due {
-				if err := i.mend(ctx, one); err != nil {
-					i.part.Debug("Order not watched.", "order", one.order, "endpoint", one.target.ID, "err", err)
+			for item := range items {
+				if err := i.recheck(ctx, item); err != nil {
+					i.part.Debug("Cannot re-check a completed order.", "order", item.order, "endpoint", item.target.ID, "err", err)
 				}
 			}
 		})
 	}
-	for _, one := range i.watch.due(i.now()) {
-		due <- one
+	for _, item := range i.watch.active(i.now()) {
+		items <- item
 	}
-	close(due)
+	close(items)
 	workers.Wait()
 }
 
-// mend issues one order again if the endpoint doesn't show it and no newer one
-// was issued.
-func (i *Issuer) mend(ctx context.Context, one watched) error {
-	state, err := i.stateOf(ctx, one.target)
+// recheck reissues an order if the endpoint's state doesn't show it and no newer
+// order was issued.
+func (i *Issuer) recheck(ctx context.Context, item watchedOrder) error {
+	state, err := i.stateOf(ctx, item.target)
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	if state.Incarnation != one.target.Incarnation {
-		i.watch.drop(one) // a new process has what its own settings give it
+	if state.Incarnation != item.target.Incarnation {
+		i.watch.remove(item) // a new process starts from its own settings
 		return nil
 	}
-	if one.want.metBy(state) {
+	if item.spec.shownBy(state) {
 		return nil
 	}
-	reply, err := i.ask(ctx, one.target, one.want, one.order)
+	reply, err := i.commit(ctx, item.target, item.spec, item.order)
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	if reply.GetRecord() == nil || reply.GetNewest().GetToken() != reply.GetRecord().GetToken() || one.again >= maxAgain {
-		i.watch.drop(one)
+	if reply.GetRecord() == nil || reply.GetNewest().GetToken() != reply.GetRecord().GetToken() || item.reissues >= maxReissues {
+		i.watch.remove(item)
 		return nil
 	}
-	again := one.want
-	again.ID = fmt.Sprintf("%s/again-%d", one.want.ID, reply.GetRecord().GetToken())
-	i.part.Warn("An older order has undone a newer one; issuing that again.", "endpoint", one.target.ID, "order", again.ID)
-	outcome, err := i.Run(ctx, one.target, again)
+	repeated := item.spec
+	repeated.ID = fmt.Sprintf("%s/again-%d", item.spec.ID, reply.GetRecord().GetToken())
+	i.part.Warn("An older order overwrote a newer one; reissuing the newer one.", "endpoint", item.target.ID, "order", repeated.ID)
+	outcome, err := i.Run(ctx, item.target, repeated)
 	if err == nil && outcome == OutcomeDone {
-		i.watch.again(one)
+		i.watch.countReissue(item)
 	}
 	return err
 }
 
-// again counts a repeat in the watch that it has begun.
-func (w *watch) again(before watched) {
+// countReissue counts a reissue and restores the order's original ID.
+func (w *watchList) countReissue(before watchedOrder) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	one, ok := w.done[before.target.ID]
+	item, ok := w.done[before.target.ID]
 	if !ok {
 		return
 	}
-	one.again = before.again + 1
-	one.want.ID = before.want.ID // else the key grows with each repeat
-	w.done[before.target.ID] = one
+	item.reissues = before.reissues + 1
+	item.spec.ID = before.spec.ID // otherwise the ID would grow with each reissue
+	w.done[before.target.ID] = item
 }
 
 func (i *Issuer) stateOf(ctx context.Context, target engine.Target) (engineapi.Announcement, error) {
@@ -164,19 +167,20 @@
 	return i.endpoints.State(ctx, target)
 }
 
-// ask commits an order under a key, or asks for it again.
-func (i *Issuer) ask(ctx context.Context, target engine.Target, want Want, order string) (*pb.OrderReply, error) {
+// commit commits an order under an idempotency key, or fetches it if it is
+// already committed.
+func (i *Issuer) commit(ctx context.Context, target engine.Target, spec Spec, order string) (*pb.OrderReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	self := i.source.Self()
 	return i.control.Order(ctx, &pb.IssueOrder{
 		OrderId:           order,
 		EndpointId:        string(target.ID),
-		Kind:              want.kind(),
-		Model:             want.Model.Model,
-		Version:           want.Model.Version,
-		Adapter:           want.Model.Adapter,
-		Role:              string(want.Role),
+		Kind:              spec.kind(),
+		Model:             spec.Model.Model,
+		Version:           spec.Model.Version,
+		Adapter:           spec.Model.Adapter,
+		Role:              string(spec.Role),
 		IssuerInstance:    string(self.ID),
 		IssuerIncarnation: uint64(self.Incarnation),
 	})
--- a/internal/orders/watch_test.go
+++ b/internal/orders/watch_test.go
@@ -18,9 +18,9 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// obeyed tells whether the endpoint took an order. What it is now doesn't tell:
-// the watch may have mended it at the same instant.
-func (w *world) obeyed(id string) bool {
+// executed reports whether the endpoint executed an order. The endpoint's present
+// state doesn't show that, since the watch may have repaired it since.
+func (w *world) executed(id string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return slices.Contains(w.taken, id)
@@ -32,14 +32,14 @@
 	return w.state.Role
 }
 
-// Issuer a's order is on its way when a is frozen for so long that the fleet
-// gives it up. Issuer b gives a newer order, waits, reads it back: done. Then
-// a's order arrives at an endpoint that ignores tokens and is obeyed. a gets no
-// token any more and can't mend it; b, which still watches, must.
-func TestOrderOfADeadIssuerArrivesAfterTheNewerOne(t *testing.T) {
-	both(t, func(t *testing.T, w *world) {
+// Issuer a's order is in transit when a freezes for so long that it is expired
+// from the fleet. Issuer b issues a newer order, waits, and reads it back as done.
+// Then a's order reaches an endpoint that ignores tokens and is executed. a gets
+// no token any more and can't repair that, so b's watch must.
+func TestOrderOfAnExpiredIssuerArrivesAfterTheNewerOne(t *testing.T) {
+	forBothEndpoints(t, func(t *testing.T, w *world) {
 		frozen := make(chan struct{})
-		old := w.older(t, func() { <-frozen })
+		old := w.startOlder(t, func() { <-frozen })
 		synctest.Wait()
 		b := w.issuer("b")
 		go func() { _ = b.Watch(t.Context()) }()
@@ -48,13 +48,13 @@
 		close(frozen)
 		assert.Equal(t, <-old, OutcomeSuperseded)
 		time.Sleep(time.Minute)
-		assert.Equal(t, w.obeyed("old"), !w.state.ChecksTokens)
+		assert.Equal(t, w.executed("old"), !w.state.ChecksTokens)
 		assert.Equal(t, w.currentRole(), fleet.RoleDecode)
 	})
 }
 
-// What is watched is no longer the newest: a newer order was given elsewhere.
-// The watch must end instead of undoing it.
+// A newer order was issued elsewhere, so the watched order is no longer the
+// newest. The watch must end instead of undoing the newer order.
 func TestWatchEndsAtANewerOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(false)
@@ -65,16 +65,16 @@
 		time.Sleep(time.Minute)
 		assert.Equal(t, w.currentRole(), fleet.RoleBoth)
 		assert.DeepEqual(t, w.taken, []string{"first", "second"})
-		assert.Equal(t, len(b.watch.due(time.Now())), 0)
+		assert.Equal(t, len(b.watch.active(time.Now())), 0)
 	})
 }
 
-// Two entries both take themselves for the planner after a change of the view
-// and order opposite roles, over and over, with calls of any length. In the end
-// the endpoint must have what the newest order of the log says.
+// Two entries both act as planner after a change of the view, and repeatedly
+// order opposite roles with calls of random duration. In the end the endpoint
+// must have the role of the newest order in the log.
 func TestTwoPlannersRace(t *testing.T) {
 	for seed := range uint64(40) {
-		both(t, func(t *testing.T, w *world) {
+		forBothEndpoints(t, func(t *testing.T, w *world) {
 			random := rand.New(rand.NewPCG(seed, 1))
 			var mu sync.Mutex
 			w.atEndpoint = func(engineapi.Order) {
@@ -103,16 +103,16 @@
 	}
 }
 
-// loading counts loads at once over a set of endpoints.
-type loading struct {
+// loadCounter counts concurrent loads over a set of endpoints.
+type loadCounter struct {
 	*world
-	mu   sync.Mutex
-	now  int
-	most int
-	done map[fleet.EndpointID]engineapi.ModelRef
+	mu       sync.Mutex
+	loads    int
+	maxLoads int
+	done     map[fleet.EndpointID]engineapi.ModelRef
 }
 
-func (l *loading) State(_ context.Context, t engine.Target) (engineapi.Announcement, error) {
+func (l *loadCounter) State(_ context.Context, t engine.Target) (engineapi.Announcement, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := engineapi.Announcement{ID: t.ID, ChecksTokens: true}
@@ -122,52 +122,52 @@
 	return a, nil
 }
 
-func (l *loading) Order(_ context.Context, t engine.Target, o engineapi.Order) (engineapi.OrderReply, error) {
+func (l *loadCounter) Order(_ context.Context, t engine.Target, o engineapi.Order) (engineapi.OrderReply, error) {
 	l.mu.Lock()
-	l.now++
-	l.most = max(l.most, l.now)
+	l.loads++
+	l.maxLoads = max(l.maxLoads, l.loads)
 	l.mu.Unlock()
-	time.Sleep(loadOfTest)
+	time.Sleep(testLoadDuration)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.now--
+	l.loads--
 	l.done[t.ID] = o.Model
 	return engineapi.OrderReply{Done: true, LastToken: o.Token}, nil
 }
 
-// loadOfTest is a little under what the log reserves for 16 GB of weights at a
-// half of 2 GB/s.
-const loadOfTest = 15 * time.Second
+// testLoadDuration is slightly less than the time that the log reserves for 16 GB of
+// weights at half of 2 GB/s.
+const testLoadDuration = 15 * time.Second
 
-// Two planners want eight loads at the same moment. Started together, all would
-// crawl at an eighth of the weight store's rate and none would serve for long;
-// two at a time must load, and the rest wait for their turn.
+// Two planners want eight loads at the same time. If all started together, each
+// would get an eighth of the weight store's rate and no engine would serve for
+// long. Two at a time must load, and the others wait for their turn.
 func TestLoadsShareTheWeightStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(true)
 		w.settings(t, "weight_store: {rate: 2GB/s, concurrent_loads: 2}\nmodels:\n  - {name: m, versions: [v], kv_bytes_per_token: 1KB, max_tokens: 100, weight_bytes: 16GB}\n")
-		l := &loading{world: w, done: map[fleet.EndpointID]engineapi.ModelRef{}}
+		l := &loadCounter{world: w, done: map[fleet.EndpointID]engineapi.ModelRef{}}
 		began := time.Now()
 		var loads sync.WaitGroup
 		for n := range 8 {
 			issuer := w.issuerAt([]fleet.InstanceID{"a", "b"}[n%2], l)
 			loads.Go(func() {
-				want := Want{ID: fmt.Sprint("load-", n), Kind: engineapi.OrderLoad, Model: engineapi.ModelRef{Model: "m", Version: "v"}}
-				outcome, err := issuer.Run(t.Context(), engine.Target{ID: fleet.EndpointID(fmt.Sprint("e", n))}, want)
+				spec := Spec{ID: fmt.Sprint("load-", n), Kind: engineapi.OrderLoad, Model: engineapi.ModelRef{Model: "m", Version: "v"}}
+				outcome, err := issuer.Run(t.Context(), engine.Target{ID: fleet.EndpointID(fmt.Sprint("e", n))}, spec)
 				assert.Check(t, err)
 				assert.Check(t, outcome == OutcomeDone)
 			})
 		}
 		loads.Wait()
-		assert.Equal(t, l.most, 2)
+		assert.Equal(t, l.maxLoads, 2)
 		assert.Assert(t, time.Since(began) < 4*16*time.Second+time.Second, "%v", time.Since(began))
 	})
 }
 
-// A swap is an unload and a load right after it, by one issuer. At an endpoint
-// that ignores tokens the load must not wait out the unload's lease and the
-// longest load, for which the endpoint would stand there without a model.
-func TestOwnOrdersFollowAtOnce(t *testing.T) {
+// A swap is an unload followed by a load from the same issuer. At an endpoint that
+// ignores tokens the load must not wait for the unload's lease and maximum
+// duration, during which the endpoint would have no model.
+func TestOwnOrdersNeedNoWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(false)
 		b := w.issuer("b")
@@ -176,6 +176,6 @@
 		assert.Equal(t, run(t, b, role("second", fleet.RoleBoth)), OutcomeDone)
 		assert.Assert(t, time.Since(began) < time.Second)
 		assert.Equal(t, run(t, w.issuer("a"), role("other", fleet.RoleDecode)), OutcomeDone)
-		assert.Assert(t, time.Since(began) >= shortestLongest) // another's is waited out
+		assert.Assert(t, time.Since(began) >= maxDurationFloor) // waits for the other issuer's order
 	})
 }
--- a/internal/provision/carrier.go
+++ b/internal/provision/carrier.go
@@ -62,7 +62,7 @@
 		go c.renew(ctx, id, change)
 	}
 	for n, o := range change.Orders {
-		want := orders.Want{ID: fmt.Sprintf("%s/%d", id, n), Kind: o.Kind, Model: o.Model, Role: o.Role}
+		want := orders.Spec{ID: fmt.Sprintf("%s/%d", id, n), Kind: o.Kind, Model: o.Model, Role: o.Role}
 		outcome, err := c.issuer.Run(ctx, target, want)
 		if err != nil {
 			c.options.Part.Warn("Order not given.", "order", want.ID, "endpoint", target.ID, "err", err)
@@ -77,7 +77,7 @@
 
 func resultOf(o orders.Outcome) Result {
 	switch o {
-	case orders.OutcomeSuperseded, orders.OutcomeSlippedIn:
+	case orders.OutcomeSuperseded, orders.OutcomeOutOfOrder:
 		return ResultSuperseded
 	case orders.OutcomeRefused:
 		return ResultRefused
