--- a/internal/provision/demands.go
+++ b/internal/provision/demands.go
@@ -5,22 +5,22 @@
 	"github.com/hyssopsail/hyssopsail/internal/schedule"
 )
 
-// The figures by which counts become engines.
+// Parameters of the conversion from demand rates to engines.
 const (
-	headroom     = 0.6  // share of an engine that may be in use before more is wanted
-	mostUnserved = 4    // refused work counts for at most so many times the served
-	defaultSlots = 20   // of an engine that nobody has seen yet
-	leastAbsent  = 0.01 // looks without an endpoint a second that count as demand
+	targetUtilization = 0.6  // fraction of an engine that may be used before more engines are wanted
+	maxUnservedFactor = 4    // maximum factor by which refused requests increase the demand
+	defaultSlots      = 20   // assumed slots of an engine while none serves the model
+	minAbsentPerSec   = 0.01 // lookups per second without an endpoint that count as demand
 )
 
-// demandsOf turns rates into engines wanted. Prefill is counted in prompt
-// tokens, decode in slots held. A model that is asked for and served by no
-// engine wants one, however little is asked.
+// demandsOf converts demand rates to engines wanted. Prefill is measured in
+// prompt tokens, decode in slots held. A model with any unserved requests and no
+// engine wants at least one.
 func demandsOf(rows []Row, engines []Engine, prefillRate int) []schedule.PlanDemand {
 	demands := make([]schedule.PlanDemand, 0, len(rows))
 	for _, row := range rows {
 		wanted, served := enginesFor(row, engines, prefillRate)
-		if !served && unserved(row.Rate) {
+		if !served && hasUnserved(row.Rate) {
 			wanted = max(wanted, 1)
 		}
 		if wanted <= 0 {
@@ -36,7 +36,7 @@
 	return demands
 }
 
-func unserved(r Rate) bool { return r.Absent >= leastAbsent || r.Refused > 0 }
+func hasUnserved(r Rate) bool { return r.Absent >= minAbsentPerSec || r.Refused > 0 }
 
 func enginesFor(row Row, engines []Engine, prefillRate int) (wanted float64, served bool) {
 	slots, count := 0, 0
@@ -56,7 +56,7 @@
 		work = r.PromptTokens / float64(max(prefillRate, 1))
 	}
 	if r.Granted > 0 {
-		work *= min((r.Granted+r.Refused)/r.Granted, mostUnserved)
+		work *= min((r.Granted+r.Refused)/r.Granted, maxUnservedFactor)
 	}
-	return work / headroom, count > 0
+	return work / targetUtilization, count > 0
 }
--- a/internal/provision/engine.go
+++ b/internal/provision/engine.go
@@ -10,7 +10,7 @@
 	"github.com/hyssopsail/hyssopsail/internal/schedule"
 )
 
-// Engine is a prefill or decode endpoint as its home tells of it.
+// Engine is a prefill or decode endpoint as reported by its home.
 type Engine struct {
 	Target  engine.Target
 	Role    fleet.EndpointRole
@@ -21,7 +21,7 @@
 	Leaving bool // takes no new work
 }
 
-// EngineOf reads a digest; ok is false for plain services and malformed ones.
+// EngineOf parses a digest; ok is false for plain services and malformed digests.
 func EngineOf(d *pb.EndpointDigest) (e Engine, ok bool) {
 	e = Engine{
 		Target: engine.Target{
@@ -56,8 +56,8 @@
 		fleet.ParseZoneClass(k.Class).Permits(e.Target.Zone)
 }
 
-// after gives the engine as it is once an order is done.
-func (e Engine) after(o schedule.PlanOrder) Engine {
+// withOrder returns the engine as it will be once an order is done.
+func (e Engine) withOrder(o schedule.PlanOrder) Engine {
 	switch o.Kind {
 	case engineapi.OrderLoad:
 		if !slices.Contains(e.Models, o.Model) {
--- a/internal/provision/flap_test.go
+++ b/internal/provision/flap_test.go
@@ -13,8 +13,8 @@
 	"github.com/hyssopsail/hyssopsail/internal/settings"
 )
 
-// region is eight engines of one model under a demand that flips between
-// prefill and decode; orders take effect at once.
+// region is a simulated region of eight engines of one model whose demand flips
+// between prefill and decode. Orders take effect at once.
 type region struct {
 	engines []Engine
 	counts  *pb.DemandReply
@@ -35,28 +35,29 @@
 	return r
 }
 
-// ask adds the work of a while: so many engines' prefill and decode.
+// ask adds the work of a time span: that of the given numbers of prefill and
+// decode engines.
 func (r *region) ask(prefill, decode float64, of time.Duration, rate int) {
 	s := of.Seconds()
 	p, d := r.counts.Rows[0], r.counts.Rows[1]
 	p.Granted += uint64(4 * s)
-	p.PromptTokens += uint64(prefill * headroom * float64(rate) * s)
+	p.PromptTokens += uint64(prefill * targetUtilization * float64(rate) * s)
 	d.Granted += uint64(4 * s)
-	d.BusyMs += uint64(decode * headroom * 20 * 1000 * s)
+	d.BusyMs += uint64(decode * targetUtilization * 20 * 1000 * s)
 }
 
-func (r *region) obey(c Change) {
+func (r *region) apply(c Change) {
 	for n := range r.engines {
 		if r.engines[n].Target.ID == c.Engine.Target.ID {
 			for _, o := range c.Orders {
-				r.engines[n] = r.engines[n].after(o)
+				r.engines[n] = r.engines[n].withOrder(o)
 			}
 		}
 	}
 }
 
-// flap runs an hour of demand that flips each period between five prefill and
-// three decode engines' work and the other way round, and counts orders.
+// flap runs an hour of demand that flips each period between 5.5 engines of
+// prefill and 2 of decode and the reverse, and returns the number of orders.
 func flap(p settings.Provision, period time.Duration) (orders int) {
 	r := newRegion()
 	planner, rates := NewPlanner(p, 2), NewRates(p.Hold)
@@ -70,16 +71,16 @@
 		rates.Add(now, []*pb.DemandReply{proto.CloneOf(r.counts)})
 		for _, c := range planner.Step(now, Input{Engines: r.engines, Rows: rates.Rows()}) {
 			orders += len(c.Orders)
-			r.obey(c)
+			r.apply(c)
 			planner.Finish(now, c.Engine.Target.ID, true)
 		}
 	}
 	return orders
 }
 
-// Callers come in bursts, so that prefill and decode take turns in being
-// short. Without damping each turn changes roles, and engines spend their time
-// in changing; with it nothing moves, and a turn that lasts is still followed.
+// Bursts make prefill and decode short of engines in turn. Without damping each
+// turn would change roles, and engines would spend their time changing. With it
+// short turns cause no orders, and long ones are still followed.
 func TestFlippingDemandDoesNotFlapRoles(t *testing.T) {
 	for _, period := range []time.Duration{10 * time.Second, 20 * time.Second, 30 * time.Second} {
 		assert.Equal(t, flap(acting(), period), 0, "%v", period)
@@ -102,9 +103,9 @@
 			{Model: fibre.String(), Kind: "plain", Granted: 1 << 60},
 		}}}
 	}
-	r := NewRates(time.Millisecond) // hardly smoothed
+	r := NewRates(time.Millisecond) // nearly without smoothing
 	r.Add(start, reply(1, 1_000_000))
-	assert.Equal(t, len(r.Rows()), 0) // counted before anyone looked
+	assert.Equal(t, len(r.Rows()), 0) // counts from before the first poll are ignored
 	r.Add(start.Add(5*time.Second), reply(1, 1_000_010))
 	assert.DeepEqual(t, r.Rows(), []Row{{k, Rate{Granted: 2}}})
 	r.Add(start.Add(10*time.Second), reply(2, 15)) // a new process counts from zero
--- a/internal/provision/gate_test.go
+++ b/internal/provision/gate_test.go
@@ -16,11 +16,11 @@
 	"github.com/hyssopsail/hyssopsail/internal/settings"
 )
 
-// oneHome is a home of endpoint "e" that grants all and shows what it granted.
+// oneHome is a home of endpoint "e" that grants every request and records it.
 type oneHome struct {
 	pb.DRPCHomeUnimplementedServer
 	granted map[string]struct{}
-	slow    chan struct{} // a grant waits for it; nil: none does
+	slow    chan struct{} // if not nil, a grant waits for it
 }
 
 func (h *oneHome) Grant(_ context.Context, in *pb.GrantRequest) (*pb.GrantReply, error) {
@@ -62,9 +62,9 @@
 	granted = pb.GrantStatus_GRANT_STATUS_GRANTED
 )
 
-// A request runs on the endpoint whose model is to go. New ones are kept off,
-// the running one may renew its grant, and the endpoint isn't idle before it
-// has ended; then other orders can't take the stop over, and it ends by itself.
+// An endpoint is to be drained while a request runs on it. New requests are
+// refused, the running one may renew its grant, and the endpoint isn't idle until
+// it ends. Other orders can't take over the stop, and the stop expires by itself.
 func TestStoppedEndpoint(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := &oneHome{}
@@ -88,9 +88,9 @@
 }
 
 // A request has passed the gate and waits in the home when the stop comes. The
-// home's books don't show it yet, but the endpoint isn't idle: the grant comes
-// a moment later.
-func TestTakeUnderWayIsNotIdle(t *testing.T) {
+// home's digest doesn't show it yet, but the endpoint isn't idle, since the grant
+// follows a moment later.
+func TestGrantInFlightIsNotIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := &oneHome{slow: make(chan struct{})}
 		s := newServer(h)
@@ -105,7 +105,7 @@
 		delete(h.granted, "late")
 		assert.Assert(t, s.quiesce(t, "o", time.Minute).Idle)
 		s.quiesce(t, "o", 0)
-		assert.Assert(t, !s.home.gate.any())
+		assert.Assert(t, !s.home.gate.anyStopped())
 	})
 }
 
@@ -113,14 +113,14 @@
 	s := newServer(&oneHome{})
 	reply, err := s.Quiesce(t.Context(), &pb.QuiesceRequest{EndpointId: "far", OrderId: "o", LifeMs: 1000})
 	assert.NilError(t, err)
-	assert.Assert(t, !reply.Stopped && !s.home.gate.any())
+	assert.Assert(t, !reply.Stopped && !s.home.gate.anyStopped())
 	for _, in := range []*pb.QuiesceRequest{{}, {EndpointId: "e"}, {OrderId: "o"}} {
 		_, err := s.Quiesce(t.Context(), in)
 		assert.Assert(t, err != nil)
 	}
 }
 
-// fakeFollower grants unless it is full.
+// fakeFollower grants every request unless it is full.
 type fakeFollower struct {
 	endpoint.Follower
 	candidates []endpoint.Candidate
@@ -148,7 +148,7 @@
 	r := endpoint.GrantRequest{Endpoint: "e", Kind: fleet.RoleDecode, Attempt: "a", Team: "t", Model: fibre, PromptTokens: 11}
 	grant, _, _ := m.Take(t.Context(), r)
 	m.Give(endpoint.Release{Grant: *grant, Busy: 1500 * time.Millisecond})
-	m.Give(endpoint.Release{Grant: *grant, Busy: time.Hour}) // a repeat
+	m.Give(endpoint.Release{Grant: *grant, Busy: time.Hour}) // a repeat isn't counted
 	f.full = true
 	m.Take(t.Context(), r)
 	rows := m.Reply().Rows
@@ -165,7 +165,7 @@
 	assert.Equal(t, refusal.Status, full)
 }
 
-// Callers name models as they like; what is counted must stay bounded.
+// Callers choose model names freely, so the number of counted rows must be bounded.
 func TestMeterIsBounded(t *testing.T) {
 	m := NewMeter(&fakeFollower{}, &membership.Static{Fixed: &membership.State{}}, NewGate())
 	for n := range 2 * maxRows {
--- a/internal/provision/guard.go
+++ b/internal/provision/guard.go
@@ -4,18 +4,18 @@
 	"github.com/hyssopsail/hyssopsail/internal/schedule"
 )
 
-// KeepsServed tells whether, once c is done, every demand that its engine
-// serves now is still served by it or by another engine that takes new work.
+// KeepsServed reports whether, once c is done, every demand that its engine
+// serves now is still served by it or by another engine that accepts new work.
 //
-// Failure: between the plan and the order, a model's other engine dies; the
-// order then takes the last one, and the teams that ask for the model are
-// refused for as long as a load takes. It is asked when the change is planned
-// and again, with the newest look, when the engine is idle and the order about
-// to go.
+// It guards against this failure: between the plan and the order, the model's
+// other engine crashes. The order would then take the last one, and requests for
+// the model would be refused for as long as a load takes. It is checked when the
+// change is planned, and again with the latest poll when the engine is idle,
+// right before the order.
 func KeepsServed(c Change, engines []Engine, demands []schedule.PlanDemand) bool {
 	after := c.Engine
 	for _, o := range c.Orders {
-		after = after.after(o)
+		after = after.withOrder(o)
 	}
 	for _, d := range demands {
 		k := Key{Model: d.Model, Kind: d.Kind, Class: d.Permitted.Class()}
--- a/internal/provision/key.go
+++ b/internal/provision/key.go
@@ -8,8 +8,8 @@
 	"github.com/hyssopsail/hyssopsail/internal/fleet"
 )
 
-// Key names one kind of demand: a model's prefill or decode for teams with the
-// same permitted zones.
+// Key identifies one kind of demand: prefill or decode of a model, for teams with
+// the same permitted zones.
 type Key struct {
 	Model engineapi.ModelRef
 	Kind  fleet.EndpointRole
@@ -24,7 +24,7 @@
 	)
 }
 
-// ParseModel reads engineapi.ModelRef.String's form. ok is false without a
+// ParseModel parses the form of engineapi.ModelRef.String. ok is false without a
 // model or a version.
 func ParseModel(s string) (m engineapi.ModelRef, ok bool) {
 	model, rest, _ := strings.Cut(s, "@")
--- a/internal/provision/meter.go
+++ b/internal/provision/meter.go
@@ -12,27 +12,27 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// The meter's bounds.
+// Limits of a Meter.
 const (
-	maxRows     = 256   // kinds of demand counted; more are not
-	maxTaken    = 16384 // grants whose end is awaited; more are not timed
-	stoppedWait = 200 * time.Millisecond
+	maxRows           = 256                    // kinds of demand; further ones are not counted
+	maxOpenGrants     = 16384                  // open grants; further ones are not timed
+	stoppedRetryAfter = 200 * time.Millisecond // RetryAfter of a stopped endpoint
 )
 
-// Meter is a Follower that counts what is asked of each model on its way to
-// another one, and keeps new work from endpoints that this daemon's Gate has
-// stopped. Safe for many goroutines; mu is held during no call.
+// Meter is a Follower that forwards to another one, counts the demand for each
+// model, and withholds new work from endpoints that this daemon's Gate has
+// stopped. Safe for concurrent use; mu is not held during calls.
 type Meter struct {
 	endpoint.Follower
 	source membership.Source
 	gate   *Gate
 
-	mu    sync.Mutex
-	rows  map[Key]*pb.DemandRow
-	taken map[takenKey]Key
+	mu         sync.Mutex
+	rows       map[Key]*pb.DemandRow
+	openGrants map[openGrantKey]Key // grants not released yet
 }
 
-type takenKey struct {
+type openGrantKey struct {
 	endpoint fleet.EndpointID
 	attempt  fleet.AttemptID
 	kind     fleet.EndpointRole
@@ -40,30 +40,30 @@
 
 var _ endpoint.Follower = (*Meter)(nil)
 
-// NewMeter counts what goes to inner.
+// NewMeter returns a Meter in front of inner.
 func NewMeter(inner endpoint.Follower, source membership.Source, gate *Gate) *Meter {
 	return &Meter{
-		Follower: inner,
-		source:   source,
-		gate:     gate,
-		rows:     make(map[Key]*pb.DemandRow),
-		taken:    make(map[takenKey]Key),
+		Follower:   inner,
+		source:     source,
+		gate:       gate,
+		rows:       make(map[Key]*pb.DemandRow),
+		openGrants: make(map[openGrantKey]Key),
 	}
 }
 
 // Candidates implements endpoint.Follower.
 func (m *Meter) Candidates(q endpoint.Query) []endpoint.Candidate {
 	found := m.Follower.Candidates(q)
-	if m.gate.any() {
+	if m.gate.anyStopped() {
 		found = slices.DeleteFunc(found, func(c endpoint.Candidate) bool { return m.gate.stopped(time.Now(), c.ID) })
 	}
-	if len(found) == 0 && counted(q.Kind) {
-		m.count(Key{Model: q.Model, Kind: q.Kind, Class: q.Permitted.Class()}, func(r *pb.DemandRow) { r.Absent++ })
+	if len(found) == 0 && countsDemand(q.Kind) {
+		m.update(Key{Model: q.Model, Kind: q.Kind, Class: q.Permitted.Class()}, func(r *pb.DemandRow) { r.Absent++ })
 	}
 	return found
 }
 
-func counted(kind fleet.EndpointRole) bool {
+func countsDemand(kind fleet.EndpointRole) bool {
 	return kind == fleet.RolePrefill || kind == fleet.RoleDecode
 }
 
@@ -71,32 +71,32 @@
 func (m *Meter) Take(ctx context.Context, r endpoint.GrantRequest) (*endpoint.Grant, *endpoint.Refusal, error) {
 	leave, ok := m.gate.enter(time.Now(), r.Endpoint)
 	if !ok {
-		return nil, &endpoint.Refusal{Status: pb.GrantStatus_GRANT_STATUS_FULL, RetryAfter: stoppedWait}, nil
+		return nil, &endpoint.Refusal{Status: pb.GrantStatus_GRANT_STATUS_FULL, RetryAfter: stoppedRetryAfter}, nil
 	}
 	grant, refusal, err := m.Follower.Take(ctx, r)
 	leave()
-	if counted(r.Kind) && err == nil {
-		m.asked(r, grant)
+	if countsDemand(r.Kind) && err == nil {
+		m.countTake(r, grant)
 	}
 	return grant, refusal, err
 }
 
-func (m *Meter) asked(r endpoint.GrantRequest, grant *endpoint.Grant) {
-	key := Key{Model: r.Model, Kind: r.Kind, Class: m.class(r.Team)}
-	m.count(key, func(row *pb.DemandRow) {
+func (m *Meter) countTake(r endpoint.GrantRequest, grant *endpoint.Grant) {
+	key := Key{Model: r.Model, Kind: r.Kind, Class: m.zoneClass(r.Team)}
+	m.update(key, func(row *pb.DemandRow) {
 		if grant == nil {
 			row.Refused++
 			return
 		}
 		row.Granted++
 		row.PromptTokens += uint64(max(r.PromptTokens, 0))
-		if len(m.taken) < maxTaken {
-			m.taken[takenKey{r.Endpoint, r.Attempt, r.Kind}] = key
+		if len(m.openGrants) < maxOpenGrants {
+			m.openGrants[openGrantKey{r.Endpoint, r.Attempt, r.Kind}] = key
 		}
 	})
 }
 
-func (m *Meter) class(team fleet.Team) string {
+func (m *Meter) zoneClass(team fleet.Team) string {
 	tree := m.source.State().Tree
 	if tree == nil {
 		return ""
@@ -109,17 +109,17 @@
 	m.Follower.Give(r)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	taken := takenKey{r.Grant.Endpoint, r.Grant.Attempt, r.Grant.Kind}
-	key, ok := m.taken[taken]
+	taken := openGrantKey{r.Grant.Endpoint, r.Grant.Attempt, r.Grant.Kind}
+	key, ok := m.openGrants[taken]
 	if !ok {
 		return
 	}
-	delete(m.taken, taken)
+	delete(m.openGrants, taken)
 	m.rows[key].BusyMs += uint64(max(r.Busy, 0).Milliseconds())
 }
 
-// count changes a row under mu.
-func (m *Meter) count(k Key, change func(*pb.DemandRow)) {
+// update updates the row of a kind of demand while holding mu.
+func (m *Meter) update(k Key, change func(*pb.DemandRow)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	row, ok := m.rows[k]
@@ -133,7 +133,7 @@
 	change(row)
 }
 
-// Reply gives the counts so far.
+// Reply returns the counts since the process started.
 func (m *Meter) Reply() *pb.DemandReply {
 	self := m.source.Self()
 	reply := &pb.DemandReply{InstanceId: string(self.ID), Incarnation: uint64(self.Incarnation)}
--- a/internal/provision/jobs_test.go
+++ b/internal/provision/operatororders_test.go
@@ -38,10 +38,10 @@
 	assert.ErrorContains(t, err, "not an engine")
 }
 
-// An operator's reply is lost and the order sent again: it must be the same
-// one, and another order under its ID must not pass for it.
-func TestJobsAreKnownByID(t *testing.T) {
-	j := newJobs()
+// An operator's reply is lost and the order sent again. It must be recognised as
+// the same order, and a different order with its ID must be rejected.
+func TestOperatorOrdersAreIdentifiedByID(t *testing.T) {
+	j := newOperatorOrders()
 	load := func(model string) Change {
 		c, err := changeOf(&pb.OrderEndpointRequest{OrderId: "1", Kind: "load", Model: model}, &pb.EndpointDigest{Id: "e", Role: "both"})
 		assert.NilError(t, err)
@@ -53,7 +53,7 @@
 	assert.Assert(t, err == nil && !fresh && again == first)
 	_, _, err = j.begin("1", load("n@v"))
 	assert.ErrorContains(t, err, "another one")
-	for n := len(j.byID); n < maxJobs; n++ {
+	for n := len(j.byID); n < maxOperatorOrders; n++ {
 		_, fresh, err = j.begin(string(rune(1000+n)), load("m@v"))
 		assert.Assert(t, err == nil && fresh)
 	}
@@ -61,11 +61,11 @@
 	assert.ErrorContains(t, err, "under way")
 	close(first.ended)
 	_, fresh, err = j.begin("more", load("m@v"))
-	assert.Assert(t, err == nil && fresh && len(j.byID) == maxJobs)
+	assert.Assert(t, err == nil && fresh && len(j.byID) == maxOperatorOrders)
 }
 
-// An operator's order and an endpoint's digest are outside input: what is taken
-// of them must be whole and bounded.
+// An operator's order and an endpoint's digest are external input: an accepted
+// change must be complete and bounded.
 func FuzzChangeOf(f *testing.F) {
 	f.Add("1", "load", "m@v/a", "", "decode", uint32(2))
 	f.Add("1", "change-role", "", "both", "prefill", uint32(0))
--- a/internal/provision/options.go
+++ b/internal/provision/options.go
@@ -14,13 +14,13 @@
 	"github.com/hyssopsail/hyssopsail/internal/timeline"
 )
 
-// Options are a Service's parts; all but Part, Recorder, Registerer and Now
-// are required.
+// Options holds a Service's dependencies; all but Part, Recorder, Registerer and
+// Now are required.
 type Options struct {
 	Source     membership.Source
 	Dialer     rpc.Dialer
-	Home       pb.DRPCHomeServer // this daemon's own
-	Follower   endpoint.Follower // that requests use
+	Home       pb.DRPCHomeServer // this daemon's own home
+	Follower   endpoint.Follower // the one that requests use
 	Control    orders.Control
 	Endpoints  orders.Endpoints
 	Part       logging.Part
--- a/internal/provision/planner.go
+++ b/internal/provision/planner.go
@@ -10,76 +10,76 @@
 	"github.com/hyssopsail/hyssopsail/internal/settings"
 )
 
-// Input is what one Step plans by: a whole look at a region.
+// Input is the complete result of one poll of a region.
 type Input struct {
 	Engines []Engine
 	Rows    []Row
 }
 
-// Change is what one endpoint is to become, by orders in their sequence.
+// Change is a sequence of orders to one endpoint.
 type Change struct {
-	Engine Engine // as it was seen
+	Engine Engine // its state when the change was planned
 	Orders []schedule.PlanOrder
 }
 
-// Drains tells whether the endpoint must be idle first: it loses a model or
-// its role.
+// Drains reports whether the endpoint must be idle first, because it loses a
+// model or changes its role.
 func (c Change) Drains() bool {
 	return slices.ContainsFunc(c.Orders, func(o schedule.PlanOrder) bool { return o.Kind != engineapi.OrderLoad })
 }
 
-func (c Change) loads() bool {
+func (c Change) loadsModel() bool {
 	return slices.ContainsFunc(c.Orders, func(o schedule.PlanOrder) bool { return o.Kind == engineapi.OrderLoad })
 }
 
-// Planner decides what a region's engines load and which role they take. It is
-// pure; not safe for concurrent use.
+// Planner decides what a region's engines load and which role they take. It does
+// no I/O and reads no clock. Not safe for concurrent use.
 type Planner struct {
 	settings settings.Provision
-	loads    int // at once
+	maxLoads int // maximum concurrent loads
 	plan     *schedule.ModelPlanner
 	pending  map[fleet.EndpointID]*pending
 }
 
-// pending is a change under way, or one that has just ended and may not show
+// pending is a change in progress, or one that has just ended and may not show
 // in the endpoint's digest yet.
 type pending struct {
 	change Change
-	ended  time.Time // zero: under way
+	ended  time.Time // zero: in progress
 }
 
-// settle is how long the digest of an endpoint may lag behind an order's end.
-const settle = 10 * time.Second
+// digestLag is how long an endpoint's digest may lag behind the end of an order.
+const digestLag = 10 * time.Second
 
-// pendingPrice puts engines that are being changed behind all others.
-const pendingPrice = 1000
+// pendingBusy ranks engines with a pending change behind all others.
+const pendingBusy = 1000
 
-// NewPlanner makes a planner that has planned nothing. loads is how many loads
-// may be under way at once, at least 1.
+// NewPlanner returns a planner without pending changes. loads is the maximum
+// number of concurrent loads, at least 1.
 func NewPlanner(p settings.Provision, loads int) *Planner {
 	return &Planner{
 		settings: p,
-		loads:    max(loads, 1),
+		maxLoads: max(loads, 1),
 		plan:     schedule.NewModelPlanner(schedule.PlanOptions{Hold: p.Hold, CoolDown: p.CoolDown, Interval: p.Poll}),
 		pending:  map[fleet.EndpointID]*pending{},
 	}
 }
 
-// Step gives the changes that are due. In mode act the caller carries them out
-// and tells Finish.
+// Step returns the changes that are due. In mode act the caller carries them out
+// and calls Finish.
 //
-// Failure: a load takes minutes; until its end the model still lacks an engine,
-// and each look would order another load of it, until all idle engines hold the
-// same model. The guard holds because engines count as what they are becoming
-// from the order on.
+// It guards against this failure: a load takes minutes, and until it ends the
+// model still lacks an engine, so each poll would order another load of it until
+// all idle engines hold the same model. Therefore an engine counts as already
+// changed from the time of its order.
 func (p *Planner) Step(now time.Time, in Input) []Change {
-	engines := p.becoming(now, in.Engines)
-	if p.loading() >= p.loads {
+	engines := p.withPending(now, in.Engines)
+	if p.activeLoads() >= p.maxLoads {
 		return nil
 	}
 	demands := demandsOf(in.Rows, engines, p.settings.PrefillRate)
 	var changes []Change
-	for _, c := range group(p.plan.Step(now, p.planEngines(engines), demands), in.Engines) {
+	for _, c := range groupByEndpoint(p.plan.Step(now, p.planEngines(engines), demands), in.Engines) {
 		if _, busy := p.pending[c.Engine.Target.ID]; busy || !KeepsServed(c, in.Engines, demands) {
 			continue
 		}
@@ -91,7 +91,8 @@
 	return changes
 }
 
-// Finish tells that a change has ended.
+// Finish records the end of a change. A change that isn't done is no longer
+// pending; a done one stays pending for digestLag.
 func (p *Planner) Finish(now time.Time, id fleet.EndpointID, done bool) {
 	q, ok := p.pending[id]
 	if !ok {
@@ -104,18 +105,19 @@
 	q.ended = now
 }
 
-// becoming gives the engines as they are once the changes under way are done.
-func (p *Planner) becoming(now time.Time, engines []Engine) []Engine {
+// withPending returns the engines as they will be once the pending changes are
+// done.
+func (p *Planner) withPending(now time.Time, engines []Engine) []Engine {
 	out := make([]Engine, 0, len(engines))
 	for _, e := range engines {
 		q, ok := p.pending[e.Target.ID]
-		if ok && !q.ended.IsZero() && now.Sub(q.ended) > settle {
+		if ok && !q.ended.IsZero() && now.Sub(q.ended) > digestLag {
 			delete(p.pending, e.Target.ID)
 			ok = false
 		}
 		if ok {
 			for _, o := range q.change.Orders {
-				e = e.after(o)
+				e = e.withOrder(o)
 			}
 		}
 		out = append(out, e)
@@ -123,10 +125,10 @@
 	return out
 }
 
-func (p *Planner) loading() int {
+func (p *Planner) activeLoads() int {
 	n := 0
 	for _, q := range p.pending {
-		if q.ended.IsZero() && q.change.loads() {
+		if q.ended.IsZero() && q.change.loadsModel() {
 			n++
 		}
 	}
@@ -138,7 +140,7 @@
 	for _, e := range engines {
 		_, busy := p.pending[e.Target.ID]
 		if e.Leaving && !busy {
-			continue // going away: it serves nobody soon, and gets no order
+			continue // it will soon serve no requests and gets no orders
 		}
 		row := schedule.PlanEngine{
 			ID:             e.Target.ID,
@@ -149,15 +151,15 @@
 			FreeModelSlots: p.settings.ModelsPerEngine - len(e.Models),
 		}
 		if busy {
-			row.Busy = pendingPrice
+			row.Busy = pendingBusy
 		}
 		out = append(out, row)
 	}
 	return out
 }
 
-// group puts the orders of one endpoint together.
-func group(orders []schedule.PlanOrder, engines []Engine) []Change {
+// groupByEndpoint collects the orders of each endpoint into one change.
+func groupByEndpoint(orders []schedule.PlanOrder, engines []Engine) []Change {
 	var changes []Change
 	for _, o := range orders {
 		n := slices.IndexFunc(changes, func(c Change) bool { return c.Engine.Target.ID == o.Endpoint })
--- a/internal/provision/planner_test.go
+++ b/internal/provision/planner_test.go
@@ -36,7 +36,7 @@
 	return Key{Model: m, Kind: kind, Class: fleet.NewZoneSet(zones...).Class()}
 }
 
-// steps plans each five seconds for a time and gives all changes.
+// steps calls Step every five seconds for length and returns all changes.
 func steps(p *Planner, from time.Time, length time.Duration, in func(at time.Duration) Input) []Change {
 	var all []Change
 	for at := time.Duration(0); at < length; at += 5 * time.Second {
@@ -51,7 +51,7 @@
 
 func TestPlannerStep(t *testing.T) {
 	wanted := Row{key(fibre, fleet.RoleDecode, "h"), Rate{Absent: 0.2}}
-	busy := Row{wanted.Key, Rate{Granted: 10, Busy: 60}} // three engines' slots
+	busy := Row{wanted.Key, Rate{Granted: 10, Busy: 60}} // the slots of three engines
 	prefill := func(r Rate) Row { return Row{key(fibre, fleet.RolePrefill, "h"), r} }
 	decoder := func(id string, zone fleet.AvailabilityZone, models ...engineapi.ModelRef) Engine {
 		return newEngine(id, zone, fleet.RoleDecode, models...)
@@ -88,10 +88,10 @@
 	}
 }
 
-// A load takes five minutes. Until its end the model has no more engines than
-// before, and each look orders the next idle engine to load it too; in the end
-// all hold the one model.
-func TestLoadUnderWayIsCounted(t *testing.T) {
+// A load takes five minutes. Until it ends the model has no more engines than
+// before, and each poll would order a load at the next idle engine, until all of
+// them hold the same model.
+func TestLoadInProgressIsCounted(t *testing.T) {
 	var engines []Engine
 	for n := range 6 {
 		engines = append(engines, newEngine(fmt.Sprint("e", n), "h", fleet.RoleDecode))
@@ -101,7 +101,7 @@
 	assert.Equal(t, len(steps(p, start, 5*time.Minute, always(in))), 1)
 }
 
-// Three models lack an engine at once, and the weight store takes two loads.
+// Several models lack an engine at once, and the weight store allows two loads.
 func TestLoadsAreBounded(t *testing.T) {
 	var in Input
 	for n := range 4 {
@@ -116,8 +116,8 @@
 	assert.Equal(t, len(steps(p, start.Add(5*time.Minute), 10*time.Second, always(in))), 1)
 }
 
-// A model's two engines are both needed by little demand, and one was chosen to
-// unload it. While that one is emptied the other dies. The order must not go.
+// A change is to unload a model from one of its two engines. While that engine is
+// drained the other one crashes, so the order must not be issued.
 func TestLastEndpointIsKept(t *testing.T) {
 	a, b := newEngine("a", "h", fleet.RoleDecode, notes), newEngine("b", "h", fleet.RoleDecode, notes)
 	demands := []schedule.PlanDemand{{Model: notes, Kind: fleet.RoleDecode, Permitted: fleet.NewZoneSet("h"), Engines: 0.01}}
--- a/internal/provision/poll.go
+++ b/internal/provision/poll.go
@@ -14,14 +14,14 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// The bounds of a poll.
+// Limits of a poll.
 const (
-	pollers     = 16
-	pollTimeout = 2 * time.Second
-	maxEngines  = 16384 // of a region; more are not planned
+	maxPollCalls = 16 // concurrent calls
+	pollTimeout  = 2 * time.Second
+	maxEngines   = 16384 // engines of a region; further ones are ignored
 )
 
-// poller asks the region's entries for their counts and endpoints.
+// poller collects counts and endpoints from the region's entries.
 type poller struct {
 	options Options
 	meter   *Meter
@@ -29,21 +29,21 @@
 	metrics *metrics
 }
 
-// answer is one entry's part of a look.
-type answer struct {
+// pollReply is the reply of one entry to a poll.
+type pollReply struct {
 	demand  *pb.DemandReply
 	digests []*pb.EndpointDigest
 }
 
-// look asks all entries. It fails unless each has answered: the endpoints of a
-// silent entry would seem to be gone, and others be ordered to take their
-// place.
-func (p *poller) look(ctx context.Context, entries []fleet.Instance) ([]*pb.DemandReply, []Engine, error) {
-	answers := make([]answer, len(entries))
+// pollAll polls all entries. It fails unless every entry answers: the endpoints
+// of an unreachable entry would seem to be removed, and the plan would replace
+// them.
+func (p *poller) pollAll(ctx context.Context, entries []fleet.Instance) ([]*pb.DemandReply, []Engine, error) {
+	answers := make([]pollReply, len(entries))
 	errs := make([]error, len(entries))
 	next := make(chan int)
 	var workers sync.WaitGroup
-	for range min(pollers, len(entries)) {
+	for range min(maxPollCalls, len(entries)) {
 		workers.Go(func() {
 			for n := range next {
 				answers[n], errs[n] = p.ask(ctx, entries[n])
@@ -61,7 +61,7 @@
 	return p.merge(answers)
 }
 
-func (p *poller) merge(answers []answer) ([]*pb.DemandReply, []Engine, error) {
+func (p *poller) merge(answers []pollReply) ([]*pb.DemandReply, []Engine, error) {
 	var replies []*pb.DemandReply
 	known := make(map[fleet.EndpointID]Engine)
 	for _, a := range answers {
@@ -82,7 +82,7 @@
 	return replies, engines, nil
 }
 
-func (p *poller) ask(ctx context.Context, entry fleet.Instance) (answer, error) {
+func (p *poller) ask(ctx context.Context, entry fleet.Instance) (pollReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	request := &pb.DigestRequest{
@@ -92,20 +92,20 @@
 	}
 	if entry.Owner() == p.options.Source.Self().Owner() {
 		digests, err := p.home.Digest(ctx, request)
-		return answer{p.meter.Reply(), digests.GetDigests()}, trace.Wrap(err)
+		return pollReply{p.meter.Reply(), digests.GetDigests()}, trace.Wrap(err)
 	}
 	conn, err := p.options.Dialer.Conn(ctx, entry.RPCAddress)
 	if err != nil {
-		return answer{}, trace.Wrap(err)
+		return pollReply{}, trace.Wrap(err)
 	}
 	demand, err := pb.NewDRPCProvisionClient(conn).Demand(ctx, &pb.DemandRequest{})
 	if err != nil {
-		return answer{}, trace.Wrap(err)
+		return pollReply{}, trace.Wrap(err)
 	}
 	digests, err := pb.NewDRPCHomeClient(conn).Digest(ctx, request)
 	if err != nil {
-		return answer{}, trace.Wrap(err)
+		return pollReply{}, trace.Wrap(err)
 	}
 	p.metrics.pollBytes.Add(float64(proto.Size(demand) + proto.Size(digests)))
-	return answer{demand, digests.GetDigests()}, nil
+	return pollReply{demand, digests.GetDigests()}, nil
 }
--- a/internal/provision/look_test.go
+++ b/internal/provision/poll_test.go
@@ -21,27 +21,27 @@
 	return nil, errors.New("unreachable")
 }
 
-// An entry doesn't answer, and its endpoints seem to be gone. Planned by the
-// rest, their models would be loaded a second time and roles changed for them.
-func TestNothingIsPlannedByAPartOfTheRegion(t *testing.T) {
+// One entry doesn't answer, so its endpoints seem to be removed. A plan from the
+// other entries' replies would load their models again and change roles for them.
+func TestNothingIsPlannedFromAPartialPoll(t *testing.T) {
 	self := fleet.Instance{ID: "i", Incarnation: 1, Zone: "h", Entry: true}
 	source := &membership.Static{Fixed: &membership.State{}, Instance: self}
 	home := NewGatedHome(&oneHome{}, NewGate())
 	p := &poller{options: Options{Source: source, Dialer: noDialer{}}, meter: NewMeter(nil, source, home.gate), home: home, metrics: newMetrics(nil)}
-	_, engines, err := p.look(t.Context(), []fleet.Instance{self})
+	_, engines, err := p.pollAll(t.Context(), []fleet.Instance{self})
 	assert.NilError(t, err)
 	assert.Equal(t, len(engines), 1)
-	_, _, err = p.look(t.Context(), []fleet.Instance{self, {ID: "j", Zone: "h", Entry: true}})
+	_, _, err = p.pollAll(t.Context(), []fleet.Instance{self, {ID: "j", Zone: "h", Entry: true}})
 	assert.ErrorContains(t, err, "unreachable")
 }
 
-// Right after a change of the view homes move and endpoints are unknown for a
-// moment, as if they were gone.
-func TestNothingIsPlannedUntilTheViewStandsStill(t *testing.T) {
-	var s settledView
-	assert.Assert(t, !s.at(start, 1))
-	assert.Assert(t, s.at(start.Add(viewSettle), 1))
-	assert.Assert(t, !s.at(start.Add(viewSettle), 2))
+// Right after a change of the view homes move, and endpoints are unknown for a
+// moment as if they were removed.
+func TestNothingIsPlannedUntilTheViewIsStable(t *testing.T) {
+	var s viewStability
+	assert.Assert(t, !s.stableAt(start, 1))
+	assert.Assert(t, s.stableAt(start.Add(viewSettleTime), 1))
+	assert.Assert(t, !s.stableAt(start.Add(viewSettleTime), 2))
 }
 
 func TestPlannerOf(t *testing.T) {
@@ -88,8 +88,8 @@
 	return in
 }
 
-// TestBytesOfAPoll prints what one entry's answers to a planner take, before
-// framing: four models for two classes of teams, and twelve endpoints.
+// TestBytesOfAPoll logs and bounds the size of one entry's replies to a planner,
+// before framing: four models for two classes of teams, and twelve endpoints.
 func TestBytesOfAPoll(t *testing.T) {
 	demand, digests := &pb.DemandReply{InstanceId: "mill-entry-1", Incarnation: 1 << 60}, &pb.DigestReply{}
 	for _, model := range []string{"fibre-notes@v4", "fibre-notes@v4/cotton", "fibre-notes@v4/saris", "fibre-notes@v3"} {
--- a/internal/provision/rates.go
+++ b/internal/provision/rates.go
@@ -9,81 +9,81 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// Rate is smoothed demand, each figure a second.
+// Rate is smoothed demand per second.
 type Rate struct {
 	Granted      float64
 	Refused      float64
-	Absent       float64 // looks that found no endpoint
+	Absent       float64 // lookups that found no endpoint
 	PromptTokens float64
-	Busy         float64 // slots held on average
+	Busy         float64 // average number of slots held
 }
 
-// Row is the demand of one kind.
+// Row is the demand of one kind and its rates.
 type Row struct {
 	Key  Key
 	Rate Rate
 }
 
-// The bounds of Rates.
+// Limits of Rates.
 const (
-	maxRates = 1024 // kinds of demand of a region
-	leastAny = 1e-3 // a second; rows under it are forgotten
+	maxRates = 1024 // kinds of demand in a region
+	minRate  = 1e-3 // per second; rows whose rates are all lower are removed
 )
 
-// Rates makes smoothed demand from the entries' counts. Pure; not safe for
-// concurrent use.
+// Rates computes smoothed demand from the entries' counts. It does no I/O and
+// reads no clock. Not safe for concurrent use.
 type Rates struct {
-	smooth time.Duration
-	last   map[fleet.InstanceID]look
-	rates  map[Key]Rate
-	at     time.Time
+	timeConstant time.Duration
+	last         map[fleet.InstanceID]entryCounts
+	rates        map[Key]Rate
+	lastPoll     time.Time
 }
 
-// look is an entry's counts at a poll.
-type look struct {
+// entryCounts holds one entry's counts at a poll.
+type entryCounts struct {
 	incarnation uint64
 	counts      map[Key]*pb.DemandRow
 }
 
-// NewRates smooths over about the time smooth.
-func NewRates(smooth time.Duration) *Rates {
-	return &Rates{smooth: smooth, last: map[fleet.InstanceID]look{}, rates: map[Key]Rate{}}
+// NewRates returns Rates that smooth with the given time constant.
+func NewRates(timeConstant time.Duration) *Rates {
+	return &Rates{timeConstant: timeConstant, last: map[fleet.InstanceID]entryCounts{}, rates: map[Key]Rate{}}
 }
 
-// Add takes one poll of all the region's entries. What an entry counted before
-// its first poll is left out: nobody knows over what time.
+// Add adds one poll of all the region's entries. An entry's counts before its
+// first poll are ignored, since the time that they cover is unknown.
 func (r *Rates) Add(now time.Time, replies []*pb.DemandReply) {
-	elapsed := now.Sub(r.at).Seconds()
-	first := r.at.IsZero() || elapsed <= 0
+	elapsed := now.Sub(r.lastPoll).Seconds()
+	first := r.lastPoll.IsZero() || elapsed <= 0
 	sums := map[Key]Rate{}
-	next := make(map[fleet.InstanceID]look, len(replies))
+	next := make(map[fleet.InstanceID]entryCounts, len(replies))
 	for _, reply := range replies {
 		id := fleet.InstanceID(reply.GetInstanceId())
-		seen := lookOf(reply)
-		next[id] = seen
+		current := countsOf(reply)
+		next[id] = current
 		before, known := r.last[id]
 		if !known {
 			continue
 		}
-		if before.incarnation != seen.incarnation {
+		if before.incarnation != current.incarnation {
 			before.counts = nil // a new process counts from zero
 		}
-		addDifference(sums, before.counts, seen.counts)
+		addDifference(sums, before.counts, current.counts)
 	}
-	r.last, r.at = next, now
+	r.last, r.lastPoll = next, now
 	if first {
 		return
 	}
 	r.blend(sums, elapsed)
 }
 
-func lookOf(reply *pb.DemandReply) look {
+func countsOf(reply *pb.DemandReply) entryCounts {
 	rows := reply.GetRows()
-	l := look{incarnation: reply.GetIncarnation(), counts: make(map[Key]*pb.DemandRow, len(rows))}
+	l := entryCounts{incarnation: reply.GetIncarnation(), counts: make(map[Key]*pb.DemandRow, len(rows))}
 	for _, row := range rows[:min(len(rows), maxRows)] {
 		model, ok := ParseModel(row.GetModel())
 		kind := fleet.EndpointRole(row.GetKind())
-		if ok && counted(kind) {
+		if ok && countsDemand(kind) {
 			l.counts[Key{Model: model, Kind: kind, Class: row.GetClass()}] = row
 		}
 	}
@@ -94,25 +94,25 @@
 	for k, row := range now {
 		old := before[k] // nil counts nothing
 		sum := sums[k]
-		sum.Granted += since(row.GetGranted(), old.GetGranted())
-		sum.Refused += since(row.GetRefused(), old.GetRefused())
-		sum.Absent += since(row.GetAbsent(), old.GetAbsent())
-		sum.PromptTokens += since(row.GetPromptTokens(), old.GetPromptTokens())
-		sum.Busy += since(row.GetBusyMs(), old.GetBusyMs()) / 1000
+		sum.Granted += increase(row.GetGranted(), old.GetGranted())
+		sum.Refused += increase(row.GetRefused(), old.GetRefused())
+		sum.Absent += increase(row.GetAbsent(), old.GetAbsent())
+		sum.PromptTokens += increase(row.GetPromptTokens(), old.GetPromptTokens())
+		sum.Busy += increase(row.GetBusyMs(), old.GetBusyMs()) / 1000
 		sums[k] = sum
 	}
 }
 
-func since(now, before uint64) float64 {
+func increase(now, before uint64) float64 {
 	if now < before {
 		return 0
 	}
 	return float64(now - before)
 }
 
-// blend moves the rates towards the newest by the part of smooth that passed.
+// blend updates the moving averages by the rates of the last elapsed seconds.
 func (r *Rates) blend(sums map[Key]Rate, elapsed float64) {
-	weight := 1 - math.Exp(-elapsed/max(r.smooth.Seconds(), 1e-3))
+	weight := 1 - math.Exp(-elapsed/max(r.timeConstant.Seconds(), 1e-3))
 	for k := range sums {
 		if _, known := r.rates[k]; !known && len(r.rates) < maxRates {
 			r.rates[k] = Rate{}
@@ -121,7 +121,7 @@
 	for k, old := range r.rates {
 		fresh := sums[k].times(1 / elapsed)
 		rate := old.times(1 - weight).plus(fresh.times(weight))
-		if rate.any() < leastAny {
+		if rate.largest() < minRate {
 			delete(r.rates, k)
 			continue
 		}
@@ -137,9 +137,9 @@
 	return Rate{r.Granted + o.Granted, r.Refused + o.Refused, r.Absent + o.Absent, r.PromptTokens + o.PromptTokens, r.Busy + o.Busy}
 }
 
-func (r Rate) any() float64 { return max(r.Granted, r.Refused, r.Absent, r.Busy) }
+func (r Rate) largest() float64 { return max(r.Granted, r.Refused, r.Absent, r.Busy) }
 
-// Rows lists the demand, sorted by key.
+// Rows returns the demand, sorted by key.
 func (r *Rates) Rows() []Row {
 	rows := make([]Row, 0, len(r.rates))
 	for k, rate := range r.rates {
--- a/internal/provision/who.go
+++ b/internal/provision/region.go
@@ -5,7 +5,7 @@
 	"github.com/hyssopsail/hyssopsail/internal/settings"
 )
 
-// RegionOf gives a zone's region; empty when it isn't declared.
+// RegionOf returns a zone's region, or "" if the zone isn't declared.
 func RegionOf(tree *settings.Tree, zone fleet.AvailabilityZone) string {
 	if tree == nil {
 		return ""
@@ -18,7 +18,7 @@
 	return ""
 }
 
-// zonesOf gives a region's zones.
+// zonesOf returns a region's zones.
 func zonesOf(tree *settings.Tree, region string) fleet.ZoneSet {
 	var zones []fleet.AvailabilityZone
 	for _, z := range tree.Fleet.Zones {
@@ -29,9 +29,9 @@
 	return fleet.NewZoneSet(zones...)
 }
 
-// PlannerOf gives the entry that plans for a region, by rendezvous over the
-// region's entries. Two daemons with different views may both take themselves
-// for it; the orders' fencing tokens make that harmless.
+// PlannerOf returns the entry that plans for a region, by rendezvous hashing over
+// the region's entries. Two daemons with different views may both act as planner;
+// the orders' fencing tokens make that harmless.
 func PlannerOf(region string, tree *settings.Tree, view fleet.View) (fleet.Instance, bool) {
 	entries := view.Entries(zonesOf(tree, region))
 	if region == "" || len(entries) == 0 {
--- a/internal/provision/server.go
+++ b/internal/provision/server.go
@@ -10,7 +10,7 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// server answers planners.
+// server answers the RPCs of planners.
 type server struct {
 	meter *Meter
 	home  *GatedHome
@@ -18,31 +18,31 @@
 
 var _ pb.DRPCProvisionServer = (*server)(nil)
 
-const maxName = 512 // bytes of an ID in a request
+const maxIDBytes = 512 // maximum length of an ID in a request, in bytes
 
-// Demand gives this entry's counts.
+// Demand returns this entry's counts.
 func (s *server) Demand(context.Context, *pb.DemandRequest) (*pb.DemandReply, error) {
 	return s.meter.Reply(), nil
 }
 
-// Quiesce stops an endpoint's grants, or lets them go on.
+// Quiesce stops an endpoint's grants, or resumes them if the life is 0.
 func (s *server) Quiesce(ctx context.Context, in *pb.QuiesceRequest) (*pb.QuiesceReply, error) {
-	if !named(in.GetEndpointId()) || !named(in.GetOrderId()) {
+	if !validID(in.GetEndpointId()) || !validID(in.GetOrderId()) {
 		return nil, trace.BadParameter("malformed quiesce request")
 	}
-	life := time.Duration(min(in.GetLifeMs(), uint64(maxStop.Milliseconds()))) * time.Millisecond
+	life := time.Duration(min(in.GetLifeMs(), uint64(maxStopDuration.Milliseconds()))) * time.Millisecond
 	id := fleet.EndpointID(in.GetEndpointId())
 	if _, home := s.home.find(ctx, in.GetEndpointId()); !home && life > 0 {
 		return &pb.QuiesceReply{}, nil
 	}
-	stopped, quiet := s.home.gate.stop(time.Now(), id, in.GetOrderId(), life)
+	stopped, noneInFlight := s.home.gate.stop(time.Now(), id, in.GetOrderId(), life)
 	if !stopped {
 		return &pb.QuiesceReply{}, nil
 	}
-	// Read after the stop: what it doesn't show can't come any more.
+	// Read after the stop: a grant that this doesn't show can't be given any more.
 	d, home := s.home.find(ctx, in.GetEndpointId())
-	idle := quiet && home && d.GetGranted() == 0 && d.GetQueued() == 0
+	idle := noneInFlight && home && d.GetGranted() == 0 && d.GetQueued() == 0
 	return &pb.QuiesceReply{Stopped: home, Idle: idle}, nil
 }
 
-func named(s string) bool { return s != "" && len(s) <= maxName }
+func validID(s string) bool { return s != "" && len(s) <= maxIDBytes }
--- a/internal/provision/service.go
+++ b/internal/provision/service.go
@@ -15,36 +15,37 @@
 	"github.com/hyssopsail/hyssopsail/internal/settings"
 )
 
-// Service is an entry's part in provisioning: it counts, answers planners, and
-// plans when it is its region's planner.
+// Service is an entry's provisioning component. It counts demand, answers
+// planners, and plans if this entry is its region's planner.
 //
-// mu guards planner, rates and newest; it is held during no call.
+// mu guards the fields below it and is not held during calls.
 type Service struct {
-	options Options
-	meter   *Meter
-	home    *GatedHome
-	server  *server
-	poller  *poller
-	carrier *carrier
-	metrics *metrics
-	numbers atomic.Uint64 // of this process's changes
-	jobs    *jobs
-
-	mu      sync.Mutex
-	planner *Planner
-	rates   *Rates
-	of      planFor
-	settled settledView
-	newest  Input
+	options        Options
+	meter          *Meter
+	home           *GatedHome
+	server         *server
+	poller         *poller
+	executor       *executor
+	metrics        *metrics
+	lastChange     atomic.Uint64 // number of this process's last change
+	operatorOrders *operatorOrders
+
+	mu        sync.Mutex
+	planner   *Planner
+	rates     *Rates
+	config    plannerConfig
+	stability viewStability
+	latest    Input // latest complete poll
 }
 
-// planFor is what a planner was made for; another value needs a new one.
-type planFor struct {
+// plannerConfig is the configuration of a planner. A changed configuration needs
+// a new planner.
+type plannerConfig struct {
 	provision settings.Provision
 	loads     int
 }
 
-// New makes a Service; Run starts it.
+// New returns a Service; Run starts it.
 func New(o Options) *Service {
 	o = o.withDefaults()
 	gate := NewGate()
@@ -53,14 +54,14 @@
 	answers := &server{meter: meter, home: home}
 	measured := newMetrics(o.Registerer)
 	return &Service{
-		options: o,
-		meter:   meter,
-		home:    home,
-		server:  answers,
-		poller:  &poller{options: o, meter: meter, home: home, metrics: measured},
-		metrics: measured,
-		jobs:    newJobs(),
-		carrier: &carrier{options: o, home: answers, issuer: orders.NewIssuer(orders.Options{
+		options:        o,
+		meter:          meter,
+		home:           home,
+		server:         answers,
+		poller:         &poller{options: o, meter: meter, home: home, metrics: measured},
+		metrics:        measured,
+		operatorOrders: newOperatorOrders(),
+		executor: &executor{options: o, home: answers, issuer: orders.NewIssuer(orders.Options{
 			Control:   o.Control,
 			Endpoints: o.Endpoints,
 			Source:    o.Source,
@@ -70,40 +71,41 @@
 	}
 }
 
-// Follower is the follower that requests must use, so that they are counted.
+// Follower returns the follower that requests must use, so that they are counted.
 func (s *Service) Follower() endpoint.Follower { return s.meter }
 
-// Home is the home that other daemons must use, so that endpoints can be
-// emptied.
+// Home returns the home that other daemons must use, so that endpoints can be
+// drained.
 func (s *Service) Home() pb.DRPCHomeServer { return s.home }
 
-// Server answers the planners of other daemons.
+// Server returns the server that answers other daemons' planners.
 func (s *Service) Server() pb.DRPCProvisionServer { return s.server }
 
-// Run plans until ctx ends, whenever this entry is its region's planner.
+// Run plans until ctx ends, whenever this entry is its region's planner. It
+// returns nil.
 func (s *Service) Run(ctx context.Context) error {
 	var changes sync.WaitGroup
 	defer changes.Wait()
-	changes.Go(func() { _ = s.carrier.issuer.Watch(ctx) }) // it gives nil
+	changes.Go(func() { _ = s.executor.issuer.Watch(ctx) }) // always nil
 	for ctx.Err() == nil {
-		p := s.provision()
-		if p.Mode != settings.ProvisionOff && s.plans() {
-			s.round(ctx, p, &changes)
+		p := s.provisionSettings()
+		if p.Mode != settings.ProvisionOff && s.isPlanner() {
+			s.planOnce(ctx, p, &changes)
 		} else {
-			s.forget()
+			s.reset()
 		}
-		s.pause(ctx)
+		s.waitForNextPoll(ctx)
 	}
 	return nil
 }
 
-// pause waits for the time of the next look; a change of the settings may move
-// it.
-func (s *Service) pause(ctx context.Context) {
+// waitForNextPoll waits for the time of the next poll, which a change of the
+// settings may move.
+func (s *Service) waitForNextPoll(ctx context.Context) {
 	began := s.options.Now()
 	for ctx.Err() == nil {
 		changed := s.options.Source.Changed()
-		left := s.provision().Poll - s.options.Now().Sub(began)
+		left := s.provisionSettings().Poll - s.options.Now().Sub(began)
 		if left <= 0 {
 			return
 		}
@@ -117,7 +119,7 @@
 	}
 }
 
-func (s *Service) provision() settings.Provision {
+func (s *Service) provisionSettings() settings.Provision {
 	tree := s.options.Source.State().Tree
 	if tree == nil || tree.Fleet.Provision.Mode == "" {
 		off := settings.DefaultProvision()
@@ -127,8 +129,8 @@
 	return tree.Fleet.Provision
 }
 
-// plans tells whether this entry is its region's planner by its own view.
-func (s *Service) plans() bool {
+// isPlanner reports whether this entry's view makes it its region's planner.
+func (s *Service) isPlanner() bool {
 	state, self := s.options.Source.State(), s.options.Source.Self()
 	if !s.options.Source.Current(s.options.Now()) {
 		return false
@@ -137,20 +139,20 @@
 	return ok && planner.Owner() == self.Owner()
 }
 
-func (s *Service) forget() {
+func (s *Service) reset() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.planner, s.rates, s.of = nil, nil, planFor{}
+	s.planner, s.rates, s.config = nil, nil, plannerConfig{}
 }
 
-// round looks once, plans, and starts what is due.
-func (s *Service) round(ctx context.Context, p settings.Provision, running *sync.WaitGroup) {
+// planOnce polls once, plans, and starts the changes that are due.
+func (s *Service) planOnce(ctx context.Context, p settings.Provision, running *sync.WaitGroup) {
 	state := s.options.Source.State()
 	zones := zonesOf(state.Tree, RegionOf(state.Tree, s.options.Source.Self().Zone))
-	demand, engines, err := s.poller.look(ctx, state.View.Entries(zones))
+	demand, engines, err := s.poller.pollAll(ctx, state.View.Entries(zones))
 	if err != nil {
 		s.metrics.polls.WithLabelValues("partial").Inc()
-		s.options.Part.Debug("Not planned: not all entries answered.", "err", err)
+		s.options.Part.Debug("Skipped planning: not all entries answered.", "err", err)
 		return
 	}
 	s.metrics.polls.WithLabelValues("whole").Inc()
@@ -159,11 +161,11 @@
 		s.metrics.planned.Inc()
 		id := s.nextID()
 		if p.Mode != settings.ProvisionAct {
-			s.carrier.note("advised", id, c)
+			s.executor.record("advised", id, c)
 			continue
 		}
-		s.carrier.note("planned", id, c)
-		running.Go(func() { s.carry(ctx, id, c, p.Drain) })
+		s.executor.record("planned", id, c)
+		running.Go(func() { s.carryOut(ctx, id, c, p.Drain) })
 	}
 }
 
@@ -177,26 +179,26 @@
 	return out
 }
 
-// step feeds the newest look to the planner.
+// step passes the latest poll to the planner and returns the changes that are due.
 func (s *Service) step(now time.Time, p settings.Provision, view uint64, demand []*pb.DemandReply, engines []Engine) []Change {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	of := planFor{provision: p, loads: s.options.Source.State().Tree.Fleet.WeightStore.ConcurrentLoads}
-	if s.planner == nil || s.of != of {
-		s.planner, s.rates, s.of = NewPlanner(p, of.loads), NewRates(p.Hold), of
+	config := plannerConfig{provision: p, loads: s.options.Source.State().Tree.Fleet.WeightStore.ConcurrentLoads}
+	if s.planner == nil || s.config != config {
+		s.planner, s.rates, s.config = NewPlanner(p, config.loads), NewRates(p.Hold), config
 	}
 	s.rates.Add(now, demand)
-	s.newest = Input{Engines: engines, Rows: s.rates.Rows()}
-	if !s.settled.at(now, view) {
+	s.latest = Input{Engines: engines, Rows: s.rates.Rows()}
+	if !s.stability.stableAt(now, view) {
 		return nil
 	}
-	return s.planner.Step(now, s.newest)
+	return s.planner.Step(now, s.latest)
 }
 
-func (s *Service) carry(ctx context.Context, id string, c Change, drain time.Duration) {
-	result := s.carrier.run(ctx, id, c, drain, s.stillSpared)
+func (s *Service) carryOut(ctx context.Context, id string, c Change, drain time.Duration) {
+	result := s.executor.run(ctx, id, c, drain, s.stillAllowed)
 	s.metrics.ended.WithLabelValues(string(result)).Inc()
-	s.carrier.note(string(result), id, c)
+	s.executor.record(string(result), id, c)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.planner != nil {
@@ -204,22 +206,22 @@
 	}
 }
 
-// stillSpared asks by the newest look whether a change may go on. An entry
-// that has ceased to be planner gives no more orders.
-func (s *Service) stillSpared(c Change) bool {
-	if !s.plans() {
+// stillAllowed reports whether a change may proceed by the latest poll. An entry
+// that is no longer the planner issues no more orders.
+func (s *Service) stillAllowed(c Change) bool {
+	if !s.isPlanner() {
 		return false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var demands []schedule.PlanDemand
 	if s.planner != nil {
-		demands = demandsOf(s.newest.Rows, s.newest.Engines, s.planner.settings.PrefillRate)
+		demands = demandsOf(s.latest.Rows, s.latest.Engines, s.planner.settings.PrefillRate)
 	}
-	return KeepsServed(c, s.newest.Engines, demands)
+	return KeepsServed(c, s.latest.Engines, demands)
 }
 
 func (s *Service) nextID() string {
 	self := s.options.Source.Self()
-	return fmt.Sprintf("plan/%s/%d/%d", self.ID, self.Incarnation, s.numbers.Add(1))
+	return fmt.Sprintf("plan/%s/%d/%d", self.ID, self.Incarnation, s.lastChange.Add(1))
 }
