--- a/internal/schedule/linkcost.go
+++ b/internal/schedule/linkcost.go
@@ -14,7 +14,7 @@
 
 // Rate and delay that FlatLinkCost assumes for a link between zones.
 const (
-	flatRate  = 5e9 // bytes a second
+	flatRate  = 5e9 // bytes per second
 	flatDelay = time.Millisecond
 )
 
--- a/internal/schedule/modelplan.go
+++ b/internal/schedule/modelplan.go
@@ -16,7 +16,7 @@
 	CoolDown  time.Duration // minimum time between two orders to an engine, default 60s
 	Interval  time.Duration // minimum time between two orders in the fleet, default 2s
 	Threshold float64       // minimum shortage in engines, default 0.6
-	MaxOrders int           // orders per Step, default 1; all orders for one engine come together
+	MaxOrders int           // orders per Step, default 1; the orders of one engine aren't split
 }
 
 func (o PlanOptions) withDefaults() PlanOptions {
@@ -34,7 +34,7 @@
 	Zone           fleet.AvailabilityZone
 	Role           fleet.EndpointRole
 	Models         []engineapi.ModelRef
-	Busy           float64 // fraction of its slots in use, 0 to 1
+	Busy           float64 // fraction of its time or slots in use, 0 to 1
 	FreeModelSlots int     // models that it can hold besides those loaded
 }
 
@@ -156,7 +156,8 @@
 	return best, orders
 }
 
-// prune removes expired cooldowns and demands that no longer exist.
+// prune removes expired cooldowns and the shortages of demands that no longer
+// exist.
 func (p *ModelPlanner) prune(now time.Time, demands []PlanDemand) {
 	for id, until := range p.cooldownUntil {
 		if !now.Before(until) {
--- a/internal/schedule/planstate.go
+++ b/internal/schedule/planstate.go
@@ -6,8 +6,8 @@
 	"github.com/hyssopsail/hyssopsail/internal/engineapi"
 )
 
-// Relative costs by which ModelPlanner compares changes. The engine's busy fraction
-// is added, so that among equal changes the idlest engine is chosen.
+// Relative costs by which ModelPlanner compares changes. The engine's busy
+// fraction is added, so that among equal changes the idlest engine is chosen.
 const (
 	costChangeRole = 1.0
 	costLoad       = 2.0
