--- a/internal/admission/bias.go
+++ b/internal/admission/bias.go
@@ -10,7 +10,7 @@
 	biasWindow       = 32.0             // approximate number of waits in the moving averages
 	biasMarginErrors = 0.5              // mean absolute errors added as a margin
 	maxBiasFraction  = 0.5              // maximum correction as a fraction of the patience
-	biasDecayTime    = 10 * time.Second // the correction decays by e in this time
+	biasDecayTime    = 10 * time.Second // the correction decays by a factor of e in this time
 )
 
 // bias is how far one team's waits exceed their predictions. Predictions are
--- a/internal/admission/bias_test.go
+++ b/internal/admission/bias_test.go
@@ -7,8 +7,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// controlAfterWaits returns a Control that has admitted a request with one predicted wait
-// and observed its first token after another wait, the given number of times.
+// controlAfterWaits returns a Control that has admitted a request with one
+// predicted wait and observed its first token after another wait, the given
+// number of times.
 func controlAfterWaits(t *testing.T, predicted, seen time.Duration, times int) (*Control, Request) {
 	t.Helper()
 	c := New(Options{})
--- a/internal/admission/control.go
+++ b/internal/admission/control.go
@@ -13,7 +13,7 @@
 	options         Options
 	teams           map[fleet.Team]*team
 	admittedWork    decayingSum // admitted work of all teams
-	callerRepeats   retrySpreader
+	callerRepeats   repeatSpreader
 	teamBudgets     retryBudgets[fleet.Team]
 	endpointBudgets retryBudgets[fleet.EndpointID]
 	level           float64       // fair work per unit of share
