--- a/internal/orders/issuer_test.go
+++ b/internal/orders/issuer_test.go
@@ -60,7 +60,8 @@
 	return &result
 }
 
-// startOlder starts issuer a's order "old", which reaches the endpoint when hold returns.
+// startOlder starts issuer a's order "old", which reaches the endpoint when hold
+// returns.
 func (w *world) startOlder(t *testing.T, hold func()) <-chan Outcome {
 	w.atEndpoint = func(o engineapi.Order) {
 		if o.ID == "old" {
@@ -141,7 +142,8 @@
 
 var target = engine.Target{ID: "x"}
 
-// forBothEndpoints runs f with an endpoint that checks tokens and with one that ignores them.
+// forBothEndpoints runs f with an endpoint that checks tokens and with one that
+// ignores them.
 func forBothEndpoints(t *testing.T, f func(t *testing.T, w *world)) {
 	for name, checks := range map[string]bool{"checks tokens": true, "ignores tokens": false} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/orders/process.go
+++ b/internal/orders/process.go
@@ -190,7 +190,7 @@
 }
 
 // NotSent handles a send that was withheld because the confirmation was too old
-// or the issuer's own view not current.
+// or the issuer was not current (see membership.Source).
 func (p *Process) NotSent(now time.Time) { p.setNext(StepConfirm, now.Add(baseBackoff)) }
 
 // Sent handles the endpoint's answer: done if it carried out the order, else its
--- a/internal/orders/watch.go
+++ b/internal/orders/watch.go
@@ -28,7 +28,7 @@
 //
 // It guards against this failure: an issuer freezes directly before its send; a
 // newer order waits, is sent and read back; then the frozen issuer resumes and
-// the endpoint obeys the older order. The older issuer can't repair that: it has
+// the endpoint executes the older order. The older issuer can't repair that: it has
 // lost its membership and gets no token. The endpoint would permanently differ
 // from its newest order. Therefore the newer issuer reads the endpoint's state
 // repeatedly for watchDuration, and reissues its order while its token is still
