--- a/internal/provision/rates.go
+++ b/internal/provision/rates.go
@@ -18,7 +18,7 @@
 	Busy         float64 // average number of slots held
 }
 
-// Row is the demand of one kind and its rates.
+// Row is one kind of demand and its rate.
 type Row struct {
 	Key  Key
 	Rate Rate
@@ -92,7 +92,7 @@
 
 func addDifference(sums map[Key]Rate, before, now map[Key]*pb.DemandRow) {
 	for k, row := range now {
-		old := before[k] // nil counts nothing
+		old := before[k] // a nil row counts as zero
 		sum := sums[k]
 		sum.Granted += increase(row.GetGranted(), old.GetGranted())
 		sum.Refused += increase(row.GetRefused(), old.GetRefused())
