--- a/internal/settings/change.go
+++ b/internal/settings/change.go
@@ -13,27 +13,27 @@
 	"github.com/hyssopsail/hyssopsail/internal/strictyaml"
 )
 
-// EmptyTree is the tree of a fleet without any settings.
+// EmptyTree returns the tree of a fleet without any settings.
 func EmptyTree() *Tree {
 	return &Tree{
-		Fleet:    defaultFleet(),
-		Teams:    map[fleet.Team]Team{},
-		Versions: map[string]uint64{},
-		teamOf:   map[keyhash.Hash]fleet.Team{},
+		Fleet:         defaultFleet(),
+		Teams:         map[fleet.Team]Team{},
+		Versions:      map[string]uint64{},
+		teamByKeyHash: map[keyhash.Hash]fleet.Team{},
 	}
 }
 
-// CheckChange checks the YAML of one subtree against tree, both ways, and
-// gives the tree after the change. Empty YAML removes a team. The result has
-// the subtree's version raised by one; Index is left to the caller. It reads
-// nothing but its arguments, so each replica that applies the same changes in
-// the same order accepts the same ones. tree itself stays as it was, and only
-// the one subtree is parsed.
+// CheckChange checks the YAML of one subtree against tree, a team against the
+// fleet or the fleet against all teams, and returns the tree after the change.
+// Empty YAML removes a team. The result has the subtree's version raised by one;
+// the caller sets Index. The result depends only on the arguments, so replicas
+// that apply the same changes in the same order accept the same ones. tree is
+// not modified, and only the changed subtree is parsed.
 func CheckChange(tree *Tree, name string, yaml []byte) (*Tree, error) {
 	return CheckChangeFile(tree, name+fileSuffix, name, yaml)
 }
 
-// CheckChangeFile is CheckChange for YAML whose faults are to name file.
+// CheckChangeFile is like CheckChange, but faults name file as their source.
 func CheckChangeFile(tree *Tree, file, name string, yaml []byte) (*Tree, error) {
 	if len(yaml) == 0 {
 		return removeSubtree(tree, name)
@@ -57,8 +57,8 @@
 	return next, nil
 }
 
-// Apply puts accepted documents into a tree, in order, and gives them the
-// versions that they were accepted with and the tree the index.
+// Apply applies accepted documents to a tree, in order. The result has the
+// versions that the documents were accepted with, and the given index.
 func Apply(tree *Tree, documents []*pb.SubtreeDocument, index uint64) (*Tree, error) {
 	next := tree.shallowCopy()
 	next.Index = index
@@ -73,12 +73,12 @@
 	return next, nil
 }
 
-// Build makes a tree out of the current documents of all subtrees, in any
-// order. Documents of removed subtrees (empty YAML) only give their version.
+// Build returns a tree built from the current documents of all subtrees, in any
+// order. A document of a removed subtree (empty YAML) contributes its version only.
 func Build(documents []*pb.SubtreeDocument, index uint64) (*Tree, error) {
 	tree := EmptyTree()
 	tree.Index = index
-	// The fleet first: teams are checked against it.
+	// The fleet sorts before all teams, which are checked against it.
 	sorted := slices.SortedStableFunc(slices.Values(documents), func(a, b *pb.SubtreeDocument) int {
 		return strings.Compare(a.GetName(), b.GetName())
 	})
@@ -114,23 +114,23 @@
 	}
 	next := tree.shallowCopy()
 	next.Versions[name]++
-	next.dropTeam(fleet.Team(team))
+	next.removeTeam(fleet.Team(team))
 	return next, nil
 }
 
-// checkTeamUse compares a team's subtree with the rest of the tree.
+// checkTeamUse checks a team's subtree against the rest of the tree.
 func (t *Tree) checkTeamUse(subtree *Subtree) {
 	if !t.hasFleet() {
 		subtree.document.Fault("", "apply fleet.yaml first", "the tree has no fleet subtree yet")
 		return
 	}
-	for _, m := range declaredBy(&t.Fleet).mismatches(subtree.Team) {
+	for _, m := range indexDeclarations(&t.Fleet).mismatches(subtree.Team) {
 		subtree.document.Fault(m.teamPath, m.want, "%s", m.problem)
 	}
 	for n, hash := range subtree.Team.KeyHashes {
-		// One key must name one team, or a caller's requests would run within
-		// another team's zones. The other team isn't named: its operators may
-		// be others.
+		// A key must identify one team, or a caller's requests would run in
+		// another team's zones. The fault doesn't name the other team, which
+		// may have different operators.
 		owner, taken := t.teamByHash(hash)
 		if taken && owner != subtree.Team.Name {
 			subtree.document.Fault(strictyaml.Index("key_hashes", n), "make a new key", "this key belongs to another team")
@@ -138,12 +138,12 @@
 	}
 }
 
-// checkTeams compares a new fleet subtree with all teams.
+// checkTeams checks that a new fleet subtree keeps what the teams use.
 func (t *Tree) checkTeams(document *strictyaml.Document) {
-	offered := declaredBy(&t.Fleet)
+	declared := indexDeclarations(&t.Fleet)
 	for _, name := range slices.Sorted(maps.Keys(t.Teams)) {
 		team := t.Teams[name]
-		for _, m := range offered.mismatches(&team) {
+		for _, m := range declared.mismatches(&team) {
 			document.Fault(m.fleetPath, "change "+TeamSubtree(name)+" first, or keep what it uses",
 				"%s needs what this would take away: %s: %s", TeamSubtree(name), m.teamPath, m.problem)
 		}
--- a/internal/settings/check_fleet.go
+++ b/internal/settings/check_fleet.go
@@ -11,16 +11,16 @@
 
 // Ranges of the fleet subtree's values.
 const (
-	minLinkRate  ByteRate = 1e6
-	maxLinkRate  ByteRate = 1e13
-	maxLinkDelay          = time.Second
-	maxTokens             = 10_000_000
-	maxKVPerTok  ByteSize = 1e9
-	maxWeights   ByteSize = 1e14
-	maxLoadTime           = 24 * time.Hour
-	maxLoads              = 10_000
-	maxPatience           = time.Hour
-	maxPriority           = 9
+	minLinkRate        ByteRate = 1e6
+	maxLinkRate        ByteRate = 1e13
+	maxLinkDelay                = time.Second
+	maxTokens                   = 10_000_000
+	maxKVBytesPerToken ByteSize = 1e9
+	maxWeightBytes     ByteSize = 1e14
+	maxLoadTime                 = 24 * time.Hour
+	maxConcurrentLoads          = 10_000
+	maxPatience                 = time.Hour
+	maxPriority                 = 9
 )
 
 func checkFleet(f *Fleet, document *strictyaml.Document) {
@@ -57,8 +57,8 @@
 		c.zoneDeclared(strictyaml.Key(path, "from"), f, string(link.From))
 		c.zoneDeclared(strictyaml.Key(path, "to"), f, string(link.To))
 		c.required(strictyaml.Key(path, "rate"), "give the link's rate, such as 10GB/s")
-		between(c, strictyaml.Key(path, "rate"), link.Rate, minLinkRate, maxLinkRate)
-		between(c, strictyaml.Key(path, "delay"), link.Delay, 0, maxLinkDelay)
+		checkRange(c, strictyaml.Key(path, "rate"), link.Rate, minLinkRate, maxLinkRate)
+		checkRange(c, strictyaml.Key(path, "delay"), link.Delay, 0, maxLinkDelay)
 		ends[n] = string(link.From) + "+" + string(link.To)
 	}
 	c.distinct("links", ends, "the link between the same zones")
@@ -89,10 +89,10 @@
 		c.nonEmpty(strictyaml.Key(path, "versions"), len(model.Versions), "list the versions, newest first")
 		c.names(strictyaml.Key(path, "versions"), model.Versions)
 		c.names(strictyaml.Key(path, "adapters"), model.Adapters)
-		between(c, strictyaml.Key(path, "kv_bytes_per_token"), model.KVBytesPerToken, 1, maxKVPerTok)
-		between(c, strictyaml.Key(path, "max_tokens"), model.MaxTokens, 1, maxTokens)
-		between(c, strictyaml.Key(path, "load_time"), model.LoadTime, time.Millisecond, maxLoadTime)
-		between(c, strictyaml.Key(path, "weight_bytes"), model.WeightBytes, 0, maxWeights)
+		checkRange(c, strictyaml.Key(path, "kv_bytes_per_token"), model.KVBytesPerToken, 1, maxKVBytesPerToken)
+		checkRange(c, strictyaml.Key(path, "max_tokens"), model.MaxTokens, 1, maxTokens)
+		checkRange(c, strictyaml.Key(path, "load_time"), model.LoadTime, time.Millisecond, maxLoadTime)
+		checkRange(c, strictyaml.Key(path, "weight_bytes"), model.WeightBytes, 0, maxWeightBytes)
 	}
 	c.distinct("models", names, "the same model")
 }
@@ -103,13 +103,13 @@
 		path := strictyaml.Index("services", n)
 		names[n] = service.Name
 		c.name(strictyaml.Key(path, "name"), service.Name)
-		between(c, strictyaml.Key(path, "timeout"), service.Timeout, time.Millisecond, maxPatience)
+		checkRange(c, strictyaml.Key(path, "timeout"), service.Timeout, time.Millisecond, maxPatience)
 		c.routes(strictyaml.Key(path, "routes"), service.Routes)
 	}
 	c.distinct("services", names, "the same service")
 }
 
-// anyMethod matches each method in a ServiceRoute.
+// anyMethod in a ServiceRoute matches every method.
 const anyMethod = "*"
 
 var methods = []string{
@@ -122,19 +122,20 @@
 		item := strictyaml.Index(path, n)
 		c.oneOf(strictyaml.Key(item, "method"), route.Method, methods)
 		c.required(strictyaml.Key(item, "idempotent"), "say true or false")
-		if !strings.HasPrefix(route.Prefix, "/") || !plainPath(route.Prefix) {
+		if !strings.HasPrefix(route.Prefix, "/") || !isUnambiguousPath(route.Prefix) {
 			c.fault(strictyaml.Key(item, "prefix"), `write a path that begins with "/", without ".", "..", "//" or "%"`,
 				"%q is not a path", route.Prefix)
 		}
-		c.reachable(item, routes[:n], route)
+		c.notShadowed(item, routes[:n], route)
 	}
 }
 
-// reachable notes a route that an earlier one hides: it would be ignored.
-func (c checker) reachable(path string, earlier []ServiceRoute, route ServiceRoute) {
+// notShadowed reports a route that never applies because an earlier one matches
+// all of its calls.
+func (c checker) notShadowed(path string, earlier []ServiceRoute, route ServiceRoute) {
 	for _, before := range earlier {
 		sameMethod := before.Method == anyMethod || before.Method == route.Method
-		if sameMethod && below(before.Prefix, route.Prefix) {
+		if sameMethod && prefixCovers(before.Prefix, route.Prefix) {
 			c.fault(path, "put it before the route that matches more", "is hidden by the route %s %s before it",
 				before.Method, before.Prefix)
 			return
@@ -145,7 +146,7 @@
 func (c checker) operators(operators []Operator) {
 	names := make([]string, len(operators))
 	hashes := make([]string, len(operators))
-	fleetKept := false
+	fleetCovered := false
 	for n, operator := range operators {
 		path := strictyaml.Index("operators", n)
 		names[n], hashes[n] = operator.Name, string(operator.KeyHash)
@@ -155,12 +156,13 @@
 		for m, pattern := range operator.Subtrees {
 			c.subtreePattern(strictyaml.Index(strictyaml.Key(path, "subtrees"), m), pattern)
 		}
-		fleetKept = fleetKept || operator.MayChange(FleetSubtree)
+		fleetCovered = fleetCovered || operator.MayChange(FleetSubtree)
 	}
 	c.distinct("operators", names, "the same operator")
 	c.distinct("operators", hashes, "the same key")
-	// With no such operator left, no change could ever let one in again.
-	if !fleetKept {
+	// Operators are declared in the fleet subtree: if none may change it, none
+	// can be added again.
+	if !fleetCovered {
 		c.fault("operators", `keep at least one operator with "fleet" or "*"`, "no operator may change the fleet subtree")
 	}
 }
@@ -174,8 +176,8 @@
 }
 
 func (c checker) weightStore(w WeightStore) {
-	between(c, "weight_store.rate", w.Rate, minLinkRate, maxLinkRate)
-	between(c, "weight_store.concurrent_loads", w.ConcurrentLoads, 1, maxLoads)
+	checkRange(c, "weight_store.rate", w.Rate, minLinkRate, maxLinkRate)
+	checkRange(c, "weight_store.concurrent_loads", w.ConcurrentLoads, 1, maxConcurrentLoads)
 }
 
 func (c checker) decisions(d Decisions) {
@@ -191,8 +193,8 @@
 		item := strictyaml.Index(path, n)
 		names[n] = kind.Kind
 		c.name(strictyaml.Key(item, "kind"), kind.Kind)
-		between(c, strictyaml.Key(item, "patience"), kind.Patience, time.Millisecond, maxPatience)
-		between(c, strictyaml.Key(item, "priority"), kind.Priority, 0, maxPriority)
+		checkRange(c, strictyaml.Key(item, "patience"), kind.Patience, time.Millisecond, maxPatience)
+		checkRange(c, strictyaml.Key(item, "priority"), kind.Priority, 0, maxPriority)
 	}
 	c.distinct(path, names, "the same kind")
 }
--- a/internal/settings/check_team.go
+++ b/internal/settings/check_team.go
@@ -9,13 +9,13 @@
 
 // Ranges of a team's values.
 const (
-	maxFirstToken          = 10 * time.Minute
-	maxTokenGap            = 10 * time.Second
-	minShare               = 0.001
-	maxShare               = 1000.0
-	maxConcurrent          = 1_000_000
-	maxRate                = 1e6
-	maxBody       ByteSize = 64e6
+	maxFirstTokenTarget            = 10 * time.Minute
+	maxTokenGapTarget              = 10 * time.Second
+	minShare                       = 0.001
+	maxShare                       = 1000.0
+	maxConcurrentRequests          = 1_000_000
+	maxRequestsPerSecond           = 1e6
+	maxBodyBytes          ByteSize = 64e6
 )
 
 func checkTeam(t *Team, name fleet.Team, document *strictyaml.Document) {
@@ -39,12 +39,12 @@
 }
 
 func (c checker) teamRanges(t *Team) {
-	between(c, "targets.first_token", t.Targets.FirstToken, time.Millisecond, maxFirstToken)
-	between(c, "targets.token_gap", t.Targets.TokenGap, time.Millisecond, maxTokenGap)
-	between(c, "wasted_prefill_weight", t.WastedPrefillWeight, 0, 1)
-	between(c, "share", t.Share, minShare, maxShare)
-	between(c, "limits.concurrent", t.Limits.Concurrent, 0, maxConcurrent)
-	between(c, "limits.requests_per_second", t.Limits.RequestsPerSecond, 0, maxRate)
-	between(c, "limits.prompt_tokens", t.Limits.PromptTokens, 0, maxTokens)
-	between(c, "limits.body_bytes", t.Limits.BodyBytes, 1, maxBody)
+	checkRange(c, "targets.first_token", t.Targets.FirstToken, time.Millisecond, maxFirstTokenTarget)
+	checkRange(c, "targets.token_gap", t.Targets.TokenGap, time.Millisecond, maxTokenGapTarget)
+	checkRange(c, "wasted_prefill_weight", t.WastedPrefillWeight, 0, 1)
+	checkRange(c, "share", t.Share, minShare, maxShare)
+	checkRange(c, "limits.concurrent", t.Limits.Concurrent, 0, maxConcurrentRequests)
+	checkRange(c, "limits.requests_per_second", t.Limits.RequestsPerSecond, 0, maxRequestsPerSecond)
+	checkRange(c, "limits.prompt_tokens", t.Limits.PromptTokens, 0, maxTokens)
+	checkRange(c, "limits.body_bytes", t.Limits.BodyBytes, 1, maxBodyBytes)
 }
--- a/internal/settings/check_use.go
+++ b/internal/settings/check_use.go
@@ -7,16 +7,17 @@
 	"github.com/hyssopsail/hyssopsail/internal/strictyaml"
 )
 
-// declared indexes what a fleet subtree declares, for checks of many teams.
-type declared struct {
+// declarations is an index of what a fleet subtree declares, built once to check
+// many teams.
+type declarations struct {
 	zones    map[fleet.AvailabilityZone]struct{}
 	models   map[string]Model
 	services map[string]struct{}
 	timeouts Timeouts
 }
 
-func declaredBy(f *Fleet) declared {
-	d := declared{
+func indexDeclarations(f *Fleet) declarations {
+	d := declarations{
 		zones:    make(map[fleet.AvailabilityZone]struct{}, len(f.Zones)),
 		models:   make(map[string]Model, len(f.Models)),
 		services: make(map[string]struct{}, len(f.Services)),
@@ -34,22 +35,23 @@
 	return d
 }
 
-// mismatch is one thing of a team that its fleet doesn't declare or allow.
+// mismatch is a value in a team's subtree that the fleet doesn't declare or allow.
 type mismatch struct {
 	teamPath  string // in the team's subtree
-	fleetPath string // in the fleet's
+	fleetPath string // in the fleet subtree
 	problem   string
 	want      string
 }
 
-// mismatches compares a team with its fleet. Changes of either use it: a team's
-// that uses what isn't declared, and a fleet's that removes what teams use.
-func (d declared) mismatches(t *Team) []mismatch {
+// mismatches checks a team against the fleet. It is used for changes of both: of
+// a team that uses something undeclared, and of the fleet that removes something
+// teams use.
+func (d declarations) mismatches(t *Team) []mismatch {
 	var found []mismatch
 	for n, zone := range t.PermittedZones {
 		if _, ok := d.zones[zone]; !ok {
 			found = append(found, mismatch{strictyaml.Index("permitted_zones", n), "availability_zones",
-				"availability zone " + quoted(zone) + " is not declared", "declare it in the fleet's availability_zones"})
+				"availability zone " + quote(zone) + " is not declared", "declare it in the fleet's availability_zones"})
 		}
 	}
 	for n, reference := range t.Models {
@@ -61,27 +63,29 @@
 	for n, service := range t.Services {
 		if _, ok := d.services[service]; !ok {
 			found = append(found, mismatch{strictyaml.Index("services", n), "services",
-				"service " + quoted(service) + " is not declared", "declare it in the fleet's services"})
+				"service " + quote(service) + " is not declared", "declare it in the fleet's services"})
 		}
 	}
 	return append(found, d.patienceMismatches(t)...)
 }
 
-func (d declared) modelProblem(reference string) string {
+// modelProblem returns what is wrong with a "model" or "model@version"
+// reference, or an empty string.
+func (d declarations) modelProblem(reference string) string {
 	name, version, pinned := strings.Cut(reference, "@")
 	model, ok := d.models[name]
 	if !ok {
-		return "model " + quoted(name) + " is not declared"
+		return "model " + quote(name) + " is not declared"
 	}
 	if pinned && !model.hasVersion(version) {
-		return "model " + quoted(name) + " has no version " + quoted(version)
+		return "model " + quote(name) + " has no version " + quote(version)
 	}
 	return ""
 }
 
-// patienceMismatches finds callers who wait longer than an outcome record lives;
-// see checker.recordOutlives.
-func (d declared) patienceMismatches(t *Team) []mismatch {
+// patienceMismatches returns the caller kinds that wait at least as long as an
+// outcome record is kept; see checker.recordOutlivesCalls.
+func (d declarations) patienceMismatches(t *Team) []mismatch {
 	var found []mismatch
 	for n, kind := range t.Callers {
 		if kind.Patience >= d.timeouts.RecordLife {
@@ -93,4 +97,4 @@
 	return found
 }
 
-func quoted[T ~string](text T) string { return `"` + string(text) + `"` }
+func quote[T ~string](text T) string { return `"` + string(text) + `"` }
--- a/internal/settings/checker.go
+++ b/internal/settings/checker.go
@@ -10,17 +10,17 @@
 	"github.com/hyssopsail/hyssopsail/internal/strictyaml"
 )
 
-// NameRule tells what a name may be. It leaves out "+", which joins zones in a
-// zone class, "/" and "@", which part model references and subtree names, and
-// all that would need quoting in a path, a metric label or a log line.
+// NameRule describes valid names. It excludes "+", which joins zones in a zone
+// class, "/" and "@", which separate the parts of model references and subtree
+// names, and characters that need quoting in a path, metric label or log line.
 const NameRule = `lower-case letters, digits, ".", "_" and "-", at most 63, a letter or digit first`
 
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
 
-// ValidName tells whether a name follows NameRule.
+// ValidName reports whether a name follows NameRule.
 func ValidName(name string) bool { return namePattern.MatchString(name) }
 
-// checker notes the faults of one decoded document.
+// checker validates one decoded document and adds the faults that it finds.
 type checker struct {
 	document *strictyaml.Document
 }
@@ -29,21 +29,20 @@
 	c.document.Fault(path, want, problem, args...)
 }
 
-// required notes a fault when the file doesn't name path.
+// required reports a fault if the file doesn't set path.
 func (c checker) required(path, want string) {
 	if !c.document.Has(path) {
 		c.fault(path, want, "is missing")
 	}
 }
 
-// name checks one name.
 func (c checker) name(path, name string) {
 	if !ValidName(name) {
 		c.fault(path, "write "+NameRule, "%q is not a name", name)
 	}
 }
 
-// distinct notes each repeat in values.
+// distinct reports each repeated value as a fault; what describes it.
 func (c checker) distinct(path string, values []string, what string) {
 	seen := make(map[string]int, len(values))
 	for n, value := range values {
@@ -57,7 +56,7 @@
 	}
 }
 
-// names checks a list of names: each one valid, none repeated.
+// names checks that all names are valid and distinct.
 func (c checker) names(path string, values []string) {
 	for n, value := range values {
 		c.name(strictyaml.Index(path, n), value)
@@ -65,15 +64,15 @@
 	c.distinct(path, values, "the same name")
 }
 
-// nonEmpty notes an empty or missing list.
+// nonEmpty reports an empty or missing list as a fault.
 func (c checker) nonEmpty(path string, length int, want string) {
 	if length == 0 {
 		c.fault(path, want, "has no item")
 	}
 }
 
-// between checks low <= value <= high for any ordered kind that prints well.
-func between[T int | int64 | float64 | time.Duration | ByteRate | ByteSize](c checker, path string, value, low, high T) {
+// checkRange reports a fault unless low <= value <= high.
+func checkRange[T int | int64 | float64 | time.Duration | ByteRate | ByteSize](c checker, path string, value, low, high T) {
 	if value < low || value > high {
 		c.fault(path, fmt.Sprintf("choose from %v to %v", low, high), "%v is out of range", value)
 	}
--- a/internal/settings/credentials.go
+++ b/internal/settings/credentials.go
@@ -7,15 +7,15 @@
 	"github.com/hyssopsail/hyssopsail/internal/keyhash"
 )
 
-// Patterns of Operator.Subtrees.
+// Patterns in Operator.Subtrees that match several subtrees.
 const (
 	allSubtrees = "*"
 	allTeams    = TeamPrefix + "*"
 )
 
-// TeamByKey finds the team that a caller's key names. The key is hashed before
-// anything is looked up, so the time taken tells nothing of any key: who
-// guesses can't choose the leading bits of a hash.
+// TeamByKey returns the team that a caller's key belongs to. The key is hashed
+// before the lookup, so the response time reveals nothing about valid keys: an
+// attacker can't choose the leading bits of a hash.
 func (t *Tree) TeamByKey(key string) (Team, bool) {
 	name, ok := t.teamByHash(keyhash.Of(key))
 	if !ok {
@@ -25,7 +25,8 @@
 	return team, team.ownsKey(key)
 }
 
-// ownsKey compares with each of the team's hashes, whichever matches.
+// ownsKey reports whether the key is the team's. It always compares all of the
+// team's hashes.
 func (t Team) ownsKey(key string) bool {
 	owns := false
 	for _, hash := range t.KeyHashes {
@@ -35,15 +36,16 @@
 }
 
 func (t *Tree) teamByHash(hash keyhash.Hash) (fleet.Team, bool) {
-	index := t.teamOf
+	index := t.teamByKeyHash
 	if index == nil {
-		index = t.keyIndex()
+		index = t.copyKeyIndex()
 	}
 	name, ok := index[hash]
 	return name, ok
 }
 
-// OperatorByKey finds the operator that a key names, comparing with all.
+// OperatorByKey returns the operator that a key belongs to. It always compares
+// the hashes of all operators.
 func (t *Tree) OperatorByKey(key string) (found Operator, ok bool) {
 	for _, operator := range t.Fleet.Operators {
 		if operator.KeyHash.Matches(key) {
@@ -53,7 +55,7 @@
 	return found, ok
 }
 
-// EndpointKeyMatches tells whether key is one that endpoints show.
+// EndpointKeyMatches reports whether key is a valid endpoint key.
 func (t *Tree) EndpointKeyMatches(key string) bool {
 	matches := false
 	for _, hash := range t.Fleet.EndpointKeys {
@@ -62,7 +64,7 @@
 	return matches
 }
 
-// MayChange tells whether the operator's scope covers a subtree.
+// MayChange reports whether the operator may change a subtree.
 func (o Operator) MayChange(subtree string) bool {
 	for _, pattern := range o.Subtrees {
 		switch {
--- a/internal/settings/defaults.go
+++ b/internal/settings/defaults.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// The defaults of a fleet subtree.
+// Defaults of the fleet subtree.
 const (
 	DefaultServiceTimeout  = 30 * time.Second
 	DefaultConcurrentLoads = 2
 	DefaultLoadTime        = 10 * time.Minute
 )
 
-// DefaultTimeouts are in force where a fleet subtree names none.
+// DefaultTimeouts returns the values of timeouts that a fleet subtree doesn't set.
 func DefaultTimeouts() Timeouts {
 	return Timeouts{
 		InstanceLease:     2 * time.Second,
@@ -25,7 +25,7 @@
 	}
 }
 
-// DefaultDecisions are the policies of a fleet that names none.
+// DefaultDecisions returns the policies of decisions that a fleet subtree doesn't set.
 func DefaultDecisions() Decisions {
 	return Decisions{
 		Prefill: "sampled-wait",
@@ -35,7 +35,7 @@
 	}
 }
 
-// defaultFleet is what a fleet subtree starts from.
+// defaultFleet returns the values of a fleet subtree before it is decoded.
 func defaultFleet() Fleet {
 	return Fleet{
 		WeightStore: WeightStore{Rate: 1e9, ConcurrentLoads: DefaultConcurrentLoads},
@@ -45,7 +45,7 @@
 	}
 }
 
-// defaultTeam is what a team's subtree starts from.
+// defaultTeam returns the values of a team's subtree before it is decoded.
 func defaultTeam() Team {
 	return Team{
 		Targets:             Targets{FirstToken: 1600 * time.Millisecond, TokenGap: 38 * time.Millisecond},
@@ -55,14 +55,14 @@
 	}
 }
 
-// defaultCallerKind holds for a caller whose kind neither its team nor the
-// fleet declares.
+// defaultCallerKind returns the kind of a caller if neither its team nor the
+// fleet declares the caller's kind or DefaultKind.
 func defaultCallerKind() CallerKind {
 	return CallerKind{Kind: DefaultKind, Patience: 10 * time.Second, Priority: 5}
 }
 
-// DefaultKind names the caller kind that holds for each undeclared one. A team
-// or the fleet may declare it too.
+// DefaultKind names the caller kind that stands in for undeclared ones. A team
+// or the fleet may declare it to override the built-in default.
 const DefaultKind = "default"
 
 // SetDefaults implements strictyaml.Defaulter.
--- a/internal/settings/fixture_test.go
+++ b/internal/settings/fixture_test.go
@@ -50,7 +50,8 @@
   - {kind: volunteer, patience: 3s, priority: 8}
 `
 
-func fill(text string) []byte {
+// fillKeyHashes replaces the placeholders of key hashes in a subtree's text.
+func fillKeyHashes(text string) []byte {
 	for _, name := range []string{"ROOT", "LEAD", "SORTERS"} {
 		text = strings.ReplaceAll(text, "%"+name+"%", string(keyhash.Of(strings.ToLower(name)+"-key")))
 	}
@@ -59,15 +60,15 @@
 
 func goodTree(t testing.TB) *Tree {
 	t.Helper()
-	tree, err := CheckChange(EmptyTree(), FleetSubtree, fill(goodFleet))
+	tree, err := CheckChange(EmptyTree(), FleetSubtree, fillKeyHashes(goodFleet))
 	assert.NilError(t, err)
-	tree, err = CheckChange(tree, "teams/sorters", fill(goodTeam))
+	tree, err = CheckChange(tree, "teams/sorters", fillKeyHashes(goodTeam))
 	assert.NilError(t, err)
 	return tree
 }
 
-// manyTeams gives a tree with n teams.
-func manyTeams(t testing.TB, n int) *Tree {
+// treeWithTeams returns goodTree with n more teams.
+func treeWithTeams(t testing.TB, n int) *Tree {
 	t.Helper()
 	tree := goodTree(t)
 	for i := range n {
@@ -80,7 +81,7 @@
 	return tree
 }
 
-// teamText is a small team's subtree; its key is its name.
+// teamText returns the subtree of a small team whose key is its name.
 func teamText(name string) []byte {
 	return fmt.Appendf(nil, "team: %s\nkey_hashes: [%q]\npermitted_zones: [howrah, barasat]\nmodels: [fibre]\n"+
 		"services: [bank]\ntargets: {first_token: 1600ms, token_gap: 38ms}\nlimits: {concurrent: 40, prompt_tokens: 20000}\n", name, keyhash.Of(name))
--- a/internal/settings/fleet.go
+++ b/internal/settings/fleet.go
@@ -7,7 +7,7 @@
 	"github.com/hyssopsail/hyssopsail/internal/keyhash"
 )
 
-// Fleet is the fleet subtree: what all teams share.
+// Fleet is the fleet subtree: settings that all teams share.
 type Fleet struct {
 	Zones        []Zone         `yaml:"availability_zones"` // at least one
 	Links        []Link         `yaml:"links"`              // KV transfer links between zones
@@ -49,18 +49,18 @@
 	Adapters        []string      `yaml:"adapters"`
 	KVBytesPerToken ByteSize      `yaml:"kv_bytes_per_token"`
 	MaxTokens       int           `yaml:"max_tokens"` // prompt and output together
-	LoadTime        time.Duration `yaml:"load_time"`  // longest time of a load order
+	LoadTime        time.Duration `yaml:"load_time"`  // maximum duration of a load order, default 10m
 	WeightBytes     ByteSize      `yaml:"weight_bytes"`
 }
 
 // Service declares a plain service and which of its calls may be repeated.
 type Service struct {
 	Name    string         `yaml:"name"`
-	Timeout time.Duration  `yaml:"timeout"` // longest call, default 30s
-	Routes  []ServiceRoute `yaml:"routes"`  // first match wins; none: not idempotent, but for GET and HEAD
+	Timeout time.Duration  `yaml:"timeout"` // maximum duration of a call, default 30s
+	Routes  []ServiceRoute `yaml:"routes"`  // first match wins; without a match only GET and HEAD are idempotent
 }
 
-// ServiceRoute tells whether calls of a method below a path are idempotent.
+// ServiceRoute declares whether calls of a method below a path are idempotent.
 type ServiceRoute struct {
 	Method     string `yaml:"method"` // "*" for any
 	Prefix     string `yaml:"prefix"` // path below the service, begins with "/"
@@ -75,14 +75,14 @@
 	Subtrees []string     `yaml:"subtrees"`
 }
 
-// WeightStore bounds model loads over the fleet.
+// WeightStore limits model loads across the fleet.
 type WeightStore struct {
 	Rate            ByteRate `yaml:"rate"`             // shared by all loads
 	ConcurrentLoads int      `yaml:"concurrent_loads"` // default 2
 }
 
-// Decisions chooses the policy of each decision by name; see package schedule
-// for the names.
+// Decisions names the policy of each decision; see package schedule for the
+// names.
 type Decisions struct {
 	Prefill string `yaml:"prefill"` // endpoint choice for prefill, default "sampled-wait"
 	Decode  string `yaml:"decode"`  // endpoint choice for decode, default "two-choices"
@@ -90,24 +90,24 @@
 	Plain   string `yaml:"plain"`   // endpoint choice for plain services, default "two-choices"
 }
 
-// Timeouts are the fleet's time bounds; docs/DESIGN.md has their relations,
-// which Check enforces.
+// Timeouts are the fleet's time limits. docs/DESIGN.md lists the relations
+// between them, which checker.timeouts enforces.
 type Timeouts struct {
 	InstanceLease     time.Duration `yaml:"instance_lease"`     // default 2s
-	SettingsLease     time.Duration `yaml:"settings_lease"`     // default 3s: an entry not confirmed for so long stops
+	SettingsLease     time.Duration `yaml:"settings_lease"`     // default 3s: an entry whose settings aren't confirmed for this long stops
 	EndpointHeartbeat time.Duration `yaml:"endpoint_heartbeat"` // default 300ms
 	EndpointLease     time.Duration `yaml:"endpoint_lease"`     // default 1500ms
 	GrantLife         time.Duration `yaml:"grant_life"`         // default 2s unless confirmed by the endpoint's held list
-	AddressKeep       time.Duration `yaml:"address_keep"`       // default 5s: how long callers may keep addresses
-	RecordLife        time.Duration `yaml:"record_life"`        // default 10m: outcome records
-	KVLife            time.Duration `yaml:"kv_life"`            // default 800ms: a prefill's result
-	Transfer          time.Duration `yaml:"transfer"`           // default 600ms: a stalled transfer is given up
+	AddressKeep       time.Duration `yaml:"address_keep"`       // default 5s: how long callers may cache addresses
+	RecordLife        time.Duration `yaml:"record_life"`        // default 10m: how long outcome records are kept
+	KVLife            time.Duration `yaml:"kv_life"`            // default 800ms: how long a prefill's result is kept
+	Transfer          time.Duration `yaml:"transfer"`           // default 600ms: a stalled transfer is then abandoned
 	QuarantineLife    time.Duration `yaml:"quarantine_life"`    // default 1h
 }
 
-// CallerKind says how long one kind of caller waits, and its priority.
+// CallerKind declares how long one kind of caller waits, and its priority.
 type CallerKind struct {
 	Kind     string        `yaml:"kind"`     // e.g. "sorter"
 	Patience time.Duration `yaml:"patience"` // time from arrival to the first token
-	Priority int           `yaml:"priority"` // 0 to 9, higher goes first
+	Priority int           `yaml:"priority"` // 0 to 9, higher first; default 5
 }
--- a/internal/settings/fuzz_test.go
+++ b/internal/settings/fuzz_test.go
@@ -7,12 +7,12 @@
 	"github.com/hyssopsail/hyssopsail/internal/strictyaml"
 )
 
-// FuzzParseSubtree: any bytes give a whole subtree or faults, never a panic
-// and never half of each, and a subtree that parses alone is never refused by
-// a second reading.
+// FuzzParseSubtree checks that any input is parsed into either a complete
+// subtree or faults, without a panic, and that an accepted subtree is accepted
+// again when it is parsed a second time.
 func FuzzParseSubtree(f *testing.F) {
-	f.Add(true, fill(goodFleet))
-	f.Add(false, fill(goodTeam))
+	f.Add(true, fillKeyHashes(goodFleet))
+	f.Add(false, fillKeyHashes(goodTeam))
 	for _, text := range []string{"", "---", "a: &a [*a]", "- 1", "{{", "team: !!binary x", "links: [{rate: 1e9}]", "? [a]\n: b", "timeouts: {kv_life: 1h}"} {
 		f.Add(true, []byte(text))
 		f.Add(false, []byte(text))
@@ -26,15 +26,15 @@
 		if err != nil {
 			var faults strictyaml.Faults
 			if !errors.As(err, &faults) || len(faults) == 0 || subtree.Fleet != nil || subtree.Team != nil {
-				t.Fatalf("refused without faults, or half parsed: %v", err)
+				t.Fatalf("refused without faults, or partially parsed: %v", err)
 			}
 			return
 		}
 		if (subtree.Fleet != nil) != isFleet || (subtree.Team != nil) == isFleet {
-			t.Fatal("parsed into the wrong subtree")
+			t.Fatal("parsed into the wrong kind of subtree")
 		}
 		if _, err := parseSubtree(name, data); err != nil {
-			t.Fatalf("read differently the second time: %v", err)
+			t.Fatalf("accepted the first time, but not the second: %v", err)
 		}
 	})
 }
--- a/internal/settings/idempotent.go
+++ b/internal/settings/idempotent.go
@@ -5,33 +5,34 @@
 	"strings"
 )
 
-// Idempotent tells whether a call may be run twice. path is what follows the
-// service's name, with its leading "/". A caller can only make it stricter:
-// headerSaysNo wins over all. First matching route, else GET and HEAD alone.
+// Idempotent reports whether a call may be run twice. path is the part after the
+// service's name, with its leading "/". The first matching route decides;
+// without one only GET and HEAD are idempotent. headerSaysNo, the caller's own
+// statement that the call is not idempotent, overrides the routes.
 func (s Service) Idempotent(method, path string, headerSaysNo bool) bool {
-	// A service may read "/glosses/../slips" as "/slips" and "/%73lips" too:
-	// the call would run under one route's rule after being judged by
-	// another's. Such a path counts as not idempotent, whatever it matches.
-	if headerSaysNo || !plainPath(path) {
+	// A service may read both "/glosses/../slips" and "/%73lips" as "/slips", so
+	// that the call would be checked by another route's rule than the one that
+	// applies. Such a path counts as not idempotent, whatever it matches.
+	if headerSaysNo || !isUnambiguousPath(path) {
 		return false
 	}
 	for _, route := range s.Routes {
-		if (route.Method == anyMethod || route.Method == method) && below(route.Prefix, path) {
+		if (route.Method == anyMethod || route.Method == method) && prefixCovers(route.Prefix, path) {
 			return route.Idempotent
 		}
 	}
 	return method == http.MethodGet || method == http.MethodHead
 }
 
-// below tells whether path is prefix or lies under it, by whole segments.
-func below(prefix, path string) bool {
+// prefixCovers reports whether path equals prefix or is below it, by whole segments.
+func prefixCovers(prefix, path string) bool {
 	rest, ok := strings.CutPrefix(path, prefix)
 	return ok && (rest == "" || rest[0] == '/' || strings.HasSuffix(prefix, "/"))
 }
 
-// plainPath tells whether a path reads the same to each server: no escapes, no
-// dot or empty segments, no other separators.
-func plainPath(path string) bool {
+// isUnambiguousPath reports whether all servers interpret a path in the same
+// way: it has no escapes, dot segments, empty segments or other separators.
+func isUnambiguousPath(path string) bool {
 	if !strings.HasPrefix(path, "/") || strings.ContainsAny(path, "%\\;?#") || strings.Contains(path, "//") {
 		return false
 	}
--- a/internal/settings/lookup.go
+++ b/internal/settings/lookup.go
@@ -12,7 +12,7 @@
 
 func (m Model) hasVersion(version string) bool { return slices.Contains(m.Versions, version) }
 
-// Model finds a declared model by name.
+// Model returns a declared model by name.
 func (t *Tree) Model(name string) (Model, bool) {
 	for _, model := range t.Fleet.Models {
 		if model.Name == name {
@@ -22,7 +22,7 @@
 	return Model{}, false
 }
 
-// Service finds a declared plain service that a team may use.
+// Service returns a declared plain service by name if the team may use it.
 func (t *Tree) Service(team Team, name string) (Service, bool) {
 	if !slices.Contains(team.Services, name) {
 		return Service{}, false
@@ -35,30 +35,30 @@
 	return Service{}, false
 }
 
-// Link finds the KV transfer path between two zones. One declaration holds for
+// Link returns the KV transfer link between two zones. A declaration applies to
 // both directions unless the other direction has its own.
 func (t *Tree) Link(from, to fleet.AvailabilityZone) (Link, bool) {
-	var back Link
-	hasBack := false
+	var reverse Link
+	hasReverse := false
 	for _, link := range t.Fleet.Links {
 		if link.From == from && link.To == to {
 			return link, true
 		}
 		if link.From == to && link.To == from {
-			back, hasBack = link, true
-			back.From, back.To = from, to
+			reverse, hasReverse = link, true
+			reverse.From, reverse.To = from, to
 		}
 	}
-	return back, hasBack
+	return reverse, hasReverse
 }
 
-// CallerKind gives the patience and priority of a kind of caller: the
-// team's own, else the fleet's, else the same for DefaultKind, else the
-// built-in default.
+// CallerKind returns the patience and priority of a kind of caller. It looks for
+// the kind in the team, then in the fleet, then for DefaultKind in both, and
+// falls back to the built-in default.
 func (t *Tree) CallerKind(team Team, kind string) CallerKind {
 	for _, name := range []string{kind, DefaultKind} {
 		for _, kinds := range [][]CallerKind{team.Callers, t.Fleet.Callers} {
-			if found, ok := kindNamed(kinds, name); ok {
+			if found, ok := findCallerKind(kinds, name); ok {
 				return found
 			}
 		}
@@ -66,7 +66,7 @@
 	return defaultCallerKind()
 }
 
-func kindNamed(kinds []CallerKind, name string) (CallerKind, bool) {
+func findCallerKind(kinds []CallerKind, name string) (CallerKind, bool) {
 	for _, kind := range kinds {
 		if kind.Kind == name {
 			return kind, true
@@ -76,14 +76,14 @@
 }
 
 // ModelRef resolves a caller's "model", "model@version", "model/adapter" or
-// "model@version/adapter" within what the team may use. Without a version it
-// takes the newest that the team may use. A model of others and one that
-// doesn't exist give the same trace.NotFound.
+// "model@version/adapter" among the models that the team may use. Without a
+// version it returns the newest one that the team may use. For another team's
+// model it returns the same trace.NotFound as for one that doesn't exist.
 func (t *Tree) ModelRef(team Team, text string) (engineapi.ModelRef, error) {
 	rest, adapter, hasAdapter := strings.Cut(text, "/")
 	name, version, pinned := strings.Cut(rest, "@")
 	model, ok := t.Model(name)
-	versions := team.versionsOf(model)
+	versions := team.permittedVersions(model)
 	if !ok || len(versions) == 0 {
 		return engineapi.ModelRef{}, trace.NotFound("no such model for this team")
 	}
@@ -99,8 +99,8 @@
 	return engineapi.ModelRef{Model: name, Version: version, Adapter: adapter}, nil
 }
 
-// versionsOf gives the versions of a model that the team may use, newest first.
-func (t Team) versionsOf(model Model) []string {
+// permittedVersions returns the versions of a model that the team may use, newest first.
+func (t Team) permittedVersions(model Model) []string {
 	var versions []string
 	for _, version := range model.Versions {
 		if slices.Contains(t.Models, model.Name) || slices.Contains(t.Models, model.Name+"@"+version) {
--- a/internal/settings/lookup_test.go
+++ b/internal/settings/lookup_test.go
@@ -45,9 +45,10 @@
 	}
 }
 
-// What a user sees: one pickup slip, two trucks. A caller writes the path in a
-// form that matches an idempotent route here and the slips' route at the
-// service; after a lost answer the call is run again.
+// TestIdempotent guards against running a call twice that isn't idempotent: a
+// caller may write a path so that it matches an idempotent route here and a
+// route that isn't idempotent at the service (one pickup slip, two trucks).
+// After a lost answer the call would be retried.
 func TestIdempotent(t *testing.T) {
 	service := goodTree(t).Fleet.Services[0]
 	for _, row := range []struct {
@@ -91,12 +92,12 @@
 
 func TestLink(t *testing.T) {
 	tree := goodTree(t)
-	there, ok := tree.Link("howrah", "barasat")
+	forward, ok := tree.Link("howrah", "barasat")
 	assert.Assert(t, ok)
-	assert.Equal(t, there.Rate, ByteRate(10e9))
-	back, ok := tree.Link("barasat", "howrah")
+	assert.Equal(t, forward.Rate, ByteRate(10e9))
+	reverse, ok := tree.Link("barasat", "howrah")
 	assert.Assert(t, ok)
-	assert.DeepEqual(t, back, Link{"barasat", "howrah", 10e9, 300 * time.Microsecond})
+	assert.DeepEqual(t, reverse, Link{"barasat", "howrah", 10e9, 300 * time.Microsecond})
 	_, ok = tree.Link("howrah", "durgapur")
 	assert.Assert(t, !ok)
 }
@@ -110,8 +111,8 @@
 		_, ok = tree.TeamByKey(key)
 		assert.Assert(t, !ok, key)
 	}
-	byHand := &Tree{Teams: tree.Teams}
-	_, ok = byHand.TeamByKey("sorters-key")
+	withoutIndex := &Tree{Teams: tree.Teams}
+	_, ok = withoutIndex.TeamByKey("sorters-key")
 	assert.Assert(t, ok)
 	operator, ok := tree.OperatorByKey("lead-key")
 	assert.Assert(t, ok)
@@ -119,17 +120,18 @@
 	for _, subtree := range []string{"fleet", "teams/sorters2", "teams/", "teams/*", "", "*"} {
 		assert.Assert(t, !operator.MayChange(subtree), subtree)
 	}
-	all := Operator{Subtrees: []string{"teams/*"}}
-	assert.Assert(t, all.MayChange("teams/x"))
-	assert.Assert(t, !all.MayChange("fleet"))
+	allTeamsOperator := Operator{Subtrees: []string{"teams/*"}}
+	assert.Assert(t, allTeamsOperator.MayChange("teams/x"))
+	assert.Assert(t, !allTeamsOperator.MayChange("fleet"))
 }
 
-// What a user sees: a caller's note is made in a zone that its team's data may
-// never touch. Two teams hold the same key, and the key finds the other one.
+// TestKeyOfOneTeamOnly checks that two teams can't have the same key: the lookup
+// could return the wrong team, and a caller's request would run in a zone that
+// its team's data may not touch.
 func TestKeyOfOneTeamOnly(t *testing.T) {
 	tree := goodTree(t)
 	second := "team: others\nkey_hashes: [\"%SORTERS%\"]\npermitted_zones: [durgapur]\nmodels: [fibre]\n"
-	_, err := CheckChange(tree, "teams/others", fill(second))
+	_, err := CheckChange(tree, "teams/others", fillKeyHashes(second))
 	assert.ErrorContains(t, err, "teams/others.yaml:2: key_hashes[0]: this key belongs to another team")
 }
 
@@ -147,34 +149,34 @@
 	assert.ErrorContains(t, err, "doesn't exist")
 	_, err = CheckChange(next, FleetSubtree, nil)
 	assert.ErrorContains(t, err, "can't be removed")
-	_, err = CheckChange(EmptyTree(), "teams/sorters", fill(goodTeam))
+	_, err = CheckChange(EmptyTree(), "teams/sorters", fillKeyHashes(goodTeam))
 	assert.ErrorContains(t, err, "no fleet subtree yet; apply fleet.yaml first")
 	for _, name := range []string{"", "team", "fleet/x"} {
-		_, err = CheckChange(tree, name, fill(goodTeam))
+		_, err = CheckChange(tree, name, fillKeyHashes(goodTeam))
 		assert.ErrorContains(t, err, "no subtree is called", name)
 	}
 	for _, team := range []string{"", "a/b", "A", "..", "a+b"} {
 		text := strings.Replace(goodTeam, "team: sorters", "team: '"+team+"'", 1)
-		_, err = CheckChange(tree, "teams/"+team, fill(text))
+		_, err = CheckChange(tree, "teams/"+team, fillKeyHashes(text))
 		assert.ErrorContains(t, err, ".yaml:1: team: \""+team+"\" is not a name")
 	}
 }
 
 func TestBuildEqualsChanges(t *testing.T) {
 	documents := []*pb.SubtreeDocument{
-		{Name: "teams/sorters", Version: 7, Yaml: fill(goodTeam)},
+		{Name: "teams/sorters", Version: 7, Yaml: fillKeyHashes(goodTeam)},
 		{Name: "teams/gone", Version: 3},
-		{Name: FleetSubtree, Version: 4, Yaml: fill(goodFleet)},
+		{Name: FleetSubtree, Version: 4, Yaml: fillKeyHashes(goodFleet)},
 	}
 	built, err := Build(documents, 99)
 	assert.NilError(t, err)
 	assert.Equal(t, built.Index, uint64(99))
 	assert.DeepEqual(t, built.Versions, map[string]uint64{"teams/sorters": 7, "teams/gone": 3, "fleet": 4})
-	stepped := goodTree(t)
-	assert.DeepEqual(t, built.Teams, stepped.Teams)
-	assert.DeepEqual(t, built.Fleet, stepped.Fleet)
+	changed := goodTree(t)
+	assert.DeepEqual(t, built.Teams, changed.Teams)
+	assert.DeepEqual(t, built.Fleet, changed.Fleet)
 
-	update := &pb.SubtreeDocument{Name: "teams/sorters", Version: 9, Yaml: fill(goodTeam + "share: 2\n")}
+	update := &pb.SubtreeDocument{Name: "teams/sorters", Version: 9, Yaml: fillKeyHashes(goodTeam + "share: 2\n")}
 	applied, err := Apply(built, []*pb.SubtreeDocument{update}, 120)
 	assert.NilError(t, err)
 	assert.Equal(t, applied.Index, uint64(120))
--- a/internal/settings/policies.go
+++ b/internal/settings/policies.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// The policy names that each decision takes. Package schedule has one type for
-// each; a name without a type would be accepted and then ignored.
+// The policy names that each decision accepts. Package schedule implements each
+// of them; a name without an implementation would be accepted and then ignored.
 var (
 	prefillPolicies = []string{"sampled-wait", "least-wait", "two-choices", "round-robin", "least-reported-load"}
 	decodePolicies  = []string{"two-choices", "least-wait", "sampled-wait", "round-robin", "least-reported-load"}
@@ -11,7 +11,7 @@
 	plainPolicies   = []string{"two-choices", "least-wait", "sampled-wait", "round-robin", "least-reported-load"}
 )
 
-// Policies gives the names that each decision takes, the default first.
+// Policies returns the policy names that each decision accepts, the default first.
 func Policies() (prefill, decode, start, plain []string) {
 	return slices.Clone(prefillPolicies), slices.Clone(decodePolicies), slices.Clone(startPolicies), slices.Clone(plainPolicies)
 }
--- a/internal/settings/policies_test.go
+++ b/internal/settings/policies_test.go
@@ -10,8 +10,9 @@
 	"github.com/hyssopsail/hyssopsail/internal/settings"
 )
 
-// What a user sees: a change that names a policy is accepted, and the entries
-// can't follow it. Every name that settings accept must have its policy.
+// TestEveryPolicyNameHasAPolicy checks that package schedule implements every
+// policy name that settings accept; entries couldn't apply a change that names
+// one without an implementation.
 func TestEveryPolicyNameHasAPolicy(t *testing.T) {
 	prefill, decode, start, plain := settings.Policies()
 	for kind, names := range map[fleet.EndpointRole][]string{fleet.RolePrefill: prefill, fleet.RoleDecode: decode, fleet.RolePlain: plain} {
--- a/internal/settings/refusal_test.go
+++ b/internal/settings/refusal_test.go
@@ -8,11 +8,11 @@
 	"gotest.tools/v3/assert/cmp"
 )
 
-// refusal is one change that must be refused with this text in the error.
+// refusal is a change that must be refused with an error that contains want.
 type refusal struct {
 	name     string
 	subtree  string
-	old, new string // replaced in the good subtree
+	old, new string // old is replaced by new in the valid subtree
 	want     string
 }
 
@@ -26,7 +26,7 @@
 	{"zero without unit", "fleet", "timeout: 5s", "timeout: 0", `services[0].timeout: has no unit`},
 	{"negative duration", "fleet", "timeout: 5s", "timeout: -5s", `services[0].timeout: "-5s" is negative`},
 	{"text for a number", "fleet", "max_tokens: 32000", "max_tokens: many", `fleet.yaml:12: models[0].max_tokens: "many" is not a whole number`},
-	{"octal look", "fleet", "max_tokens: 32000", "max_tokens: 032000", `models[0].max_tokens: "032000" is not a whole number`},
+	{"leading zero", "fleet", "max_tokens: 32000", "max_tokens: 032000", `models[0].max_tokens: "032000" is not a whole number`},
 	{"number for text", "fleet", "versions: [v2, v1]", "versions: [2, v1]", `fleet.yaml:9: models[0].versions[0]: "2" is not text; put the value in quotes`},
 	{"no value", "fleet", "max_tokens: 32000", "max_tokens:", `models[0].max_tokens: has no value`},
 	{"map for a list", "fleet", "versions: [v2, v1]", "versions: {v2: v1}", `models[0].versions: is not a list`},
@@ -46,7 +46,7 @@
 	{"limit out of range", "fleet", "max_tokens: 32000", "max_tokens: 99000000", `models[0].max_tokens: 99000000 is out of range; choose from 1 to 10000000`},
 	{"hidden route", "fleet", "{method: PUT, prefix: /,", "{method: POST, prefix: /slips/late,", `services[0].routes[1]: is hidden by the route POST /slips before it`},
 	{"route with dots", "fleet", "prefix: /slips", "prefix: /a/../slips", `services[0].routes[0].prefix: "/a/../slips" is not a path`},
-	{"route without verdict", "fleet", "/slips, idempotent: false", "/slips", `services[0].routes[0].idempotent: is missing`},
+	{"route without idempotent", "fleet", "/slips, idempotent: false", "/slips", `services[0].routes[0].idempotent: is missing`},
 	{"method in lower case", "fleet", "method: POST", "method: post", `services[0].routes[0].method: "post" is not known; choose one of *, GET`},
 	{"key hash", "fleet", "%LEAD%", "sha256:abc", `operators[1].key_hash: "sha256:abc" is not valid; write "sha256:" and 64 lower-case hex digits`},
 	{"operator pattern", "fleet", "[teams/sorters]", "[sorters]", `operators[1].subtrees[0]: "sorters" matches no subtree`},
@@ -56,9 +56,9 @@
 	{"unknown mode", "fleet", "timeouts:\n", "provision: {mode: on}\ntimeouts:\n", `provision.mode: "on" is not known; choose one of advise, off, act`},
 	{"poll out of range", "fleet", "timeouts:\n", "provision: {poll: 2m, hold: 3m}\ntimeouts:\n", `provision.poll: 2m0s is out of range; choose from 200ms to 1m0s`},
 	{"hold under poll", "fleet", "timeouts:\n", "provision: {poll: 5s, hold: 1s}\ntimeouts:\n", `provision.hold: hold 1s is under poll 5s; keep hold >= poll`},
-	{"no model in an engine", "fleet", "timeouts:\n", "provision: {models_per_engine: 0}\ntimeouts:\n", `provision.models_per_engine: 0 is out of range; choose from 1 to 256`},
+	{"no model per engine", "fleet", "timeouts:\n", "provision: {models_per_engine: 0}\ntimeouts:\n", `provision.models_per_engine: 0 is out of range; choose from 1 to 256`},
 	{"lease under three heartbeats", "fleet", "record_life: 5m", "endpoint_heartbeat: 501ms", `keep endpoint_heartbeat * 3 <= endpoint_lease (now 501ms * 3 > 1.5s)`},
-	{"leaving too slow", "fleet", "record_life: 5m", "{endpoint_lease: 2900ms, grant_life: 3s}", `keep endpoint_lease + endpoint_heartbeat <= 3s (now 2.9s + 300ms)`},
+	{"endpoint lease and heartbeat too long", "fleet", "record_life: 5m", "{endpoint_lease: 2900ms, grant_life: 3s}", `keep endpoint_lease + endpoint_heartbeat <= 3s (now 2.9s + 300ms)`},
 	{"settings lease too short", "fleet", "record_life: 5m", "settings_lease: 2s", `timeouts.settings_lease: doesn't fit the other timeouts; keep instance_lease < settings_lease`},
 	{"settings lease too long", "fleet", "record_life: 5m", "settings_lease: 7s", `timeouts.settings_lease: 7s is out of range; choose from 300ms to 6s`},
 	{"grant shorter than lease", "fleet", "record_life: 5m", "grant_life: 1s", `keep grant_life >= endpoint_lease (now 1s, 1.5s)`},
@@ -91,7 +91,7 @@
 				text = goodTeam
 			}
 			assert.Assert(t, cmp.Contains(text, r.old))
-			_, err := CheckChange(tree, r.subtree, fill(strings.Replace(text, r.old, r.new, 1)))
+			_, err := CheckChange(tree, r.subtree, fillKeyHashes(strings.Replace(text, r.old, r.new, 1)))
 			assert.ErrorContains(t, err, r.want)
 		})
 	}
@@ -99,28 +99,28 @@
 
 func TestAllFaultsAtOnce(t *testing.T) {
 	text := strings.NewReplacer("10GB/s", "10Gbps", "max_tokens: 32000", "max_tokens: many", "timeouts:", "tiemouts:").Replace(goodFleet)
-	_, err := parseSubtree(FleetSubtree, fill(text))
+	_, err := parseSubtree(FleetSubtree, fillKeyHashes(text))
 	assert.Equal(t, len(strings.Split(err.Error(), "\n")), 3)
 }
 
-// What a user sees: the fleet's file drops a zone that a team's data may
-// touch, and is accepted; the team's requests then run nowhere, or the team's
-// next change is refused for a zone it always had. The change must be refused
-// and name the team.
+// TestFleetKeepsWhatTeamsUse checks that a change of the fleet subtree is refused
+// if it removes a zone, model or service that a team uses, and that the fault
+// names the team. Otherwise the team's requests couldn't run, or its next change
+// would be refused for a zone that it already had.
 func TestFleetKeepsWhatTeamsUse(t *testing.T) {
-	taken := []refusal{
+	removals := []refusal{
 		{"zone", FleetSubtree, "name: barasat", "name: bandel", `availability_zones: teams/sorters needs what this would take away: permitted_zones[1]`},
 		{"model", FleetSubtree, "name: fibre", "name: fiber", `models: teams/sorters needs what this would take away: models[0]`},
 		{"service", FleetSubtree, "name: bank", "name: banks", `services: teams/sorters needs what this would take away: services[0]`},
 	}
-	for _, r := range taken {
+	for _, r := range removals {
 		t.Run(r.name, func(t *testing.T) {
 			tree := goodTree(t)
 			text := strings.Replace(goodFleet, r.old, r.new, 1)
 			if r.name == "zone" {
 				text = strings.Replace(text, "to: barasat", "to: bandel", 1)
 			}
-			_, err := CheckChange(tree, r.subtree, fill(text))
+			_, err := CheckChange(tree, r.subtree, fillKeyHashes(text))
 			assert.ErrorContains(t, err, r.want)
 		})
 	}
--- a/internal/settings/scale_test.go
+++ b/internal/settings/scale_test.go
@@ -9,12 +9,12 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// The size of the target: 2,100 teams.
+// targetTeams is the number of teams that the project is designed for.
 const targetTeams = 2100
 
 func BenchmarkTeamChange(b *testing.B) {
-	tree := manyTeams(b, targetTeams)
-	text := fill(goodTeam)
+	tree := treeWithTeams(b, targetTeams)
+	text := fillKeyHashes(goodTeam)
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, err := CheckChange(tree, "teams/sorters", text); err != nil {
@@ -24,8 +24,8 @@
 }
 
 func BenchmarkFleetChange(b *testing.B) {
-	tree := manyTeams(b, targetTeams)
-	text := fill(goodFleet)
+	tree := treeWithTeams(b, targetTeams)
+	text := fillKeyHashes(goodFleet)
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, err := CheckChange(tree, FleetSubtree, text); err != nil {
@@ -34,20 +34,20 @@
 	}
 }
 
-// BenchmarkBuild is what an entry does with a snapshot. tree-bytes is the heap
-// that the tree keeps.
+// BenchmarkBuild measures what an entry does with a snapshot. tree-bytes is the
+// heap memory that the tree occupies.
 func BenchmarkBuild(b *testing.B) {
-	documents := []*pb.SubtreeDocument{{Name: FleetSubtree, Version: 1, Yaml: fill(goodFleet)}}
+	documents := []*pb.SubtreeDocument{{Name: FleetSubtree, Version: 1, Yaml: fillKeyHashes(goodFleet)}}
 	for i := range targetTeams {
 		text := teamText(fmt.Sprintf("team-%d", i))
 		documents = append(documents, &pb.SubtreeDocument{Name: TeamSubtree(fleet.Team(fmt.Sprintf("team-%d", i))), Version: 1, Yaml: text})
 	}
-	before := heap()
+	before := heapBytes()
 	tree, err := Build(documents, 1)
 	if err != nil {
 		b.Fatal(err)
 	}
-	size := float64(heap() - before)
+	size := float64(heapBytes() - before)
 	for b.Loop() {
 		if tree, err = Build(documents, 1); err != nil {
 			b.Fatal(err)
@@ -57,7 +57,7 @@
 	runtime.KeepAlive(tree)
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
@@ -65,7 +65,7 @@
 }
 
 func BenchmarkTeamByKey(b *testing.B) {
-	tree := manyTeams(b, targetTeams)
+	tree := treeWithTeams(b, targetTeams)
 	key := fmt.Sprintf("team-%d", targetTeams/2)
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/settings/subtree.go
+++ b/internal/settings/subtree.go
@@ -12,7 +12,7 @@
 	"github.com/hyssopsail/hyssopsail/internal/strictyaml"
 )
 
-// Subtree is one parsed subtree: exactly one of Fleet and Team is set.
+// Subtree is a parsed subtree; exactly one of Fleet and Team is set.
 type Subtree struct {
 	Name     string
 	Fleet    *Fleet
@@ -20,16 +20,17 @@
 	document *strictyaml.Document
 }
 
-// fileSuffix makes the file name that stands in faults out of a subtree name.
+// fileSuffix is added to a subtree name to form the file name in faults.
 const fileSuffix = ".yaml"
 
-// parseSubtree reads and checks the YAML of one subtree by itself, without the
-// rest of the tree. The error holds strictyaml.Faults with all faults found.
+// parseSubtree parses and checks the YAML of one subtree, without the rest of
+// the tree. The error contains strictyaml.Faults with all faults found.
 func parseSubtree(name string, yaml []byte) (Subtree, error) {
 	return ParseSubtreeFile(name+fileSuffix, name, yaml)
 }
 
-// ParseSubtreeFile is parseSubtree for YAML whose faults are to name file.
+// ParseSubtreeFile parses and checks the YAML of one subtree, without the rest of
+// the tree. The error contains strictyaml.Faults, which name file as their source.
 func ParseSubtreeFile(file, name string, yaml []byte) (Subtree, error) {
 	if name == FleetSubtree {
 		return parseFleet(file, yaml)
@@ -68,13 +69,13 @@
 	return Subtree{Name: TeamSubtree(name), Team: &parsed, document: document}, nil
 }
 
-// SubtreeNameOf tells which subtree a file is meant for: a team's names its
-// team, all others are the fleet's.
+// SubtreeNameOf returns the name of the subtree that a file is for: that of the
+// team under its "team" key, else FleetSubtree.
 func SubtreeNameOf(data []byte) string {
 	var head struct {
 		Team string `yaml:"team"`
 	}
-	// A file with faults is reported by parseSubtree, with lines.
+	// parseSubtree reports the file's faults, with their lines.
 	_ = yaml.NewDecoder(bytes.NewReader(data)).Decode(&head)
 	if head.Team == "" {
 		return FleetSubtree
--- a/internal/settings/team.go
+++ b/internal/settings/team.go
@@ -15,13 +15,13 @@
 	Models              []string                 `yaml:"models"`          // "model" or "model@version"
 	Services            []string                 `yaml:"services"`        // plain services
 	Targets             Targets                  `yaml:"targets"`
-	Callers             []CallerKind             `yaml:"caller_kinds"`          // override the fleet's
-	WastedPrefillWeight float64                  `yaml:"wasted_prefill_weight"` // 0 to 1: 1 cares for waste alone, 0 for goodput alone; default 0.5
+	Callers             []CallerKind             `yaml:"caller_kinds"`          // override the fleet's kinds
+	WastedPrefillWeight float64                  `yaml:"wasted_prefill_weight"` // 0 to 1: 1 considers only waste, 0 only goodput; default 0.5
 	Share               float64                  `yaml:"share"`                 // weight in fair sharing, default 1
 	Limits              Limits                   `yaml:"limits"`
 }
 
-// Permitted gives the team's permission.
+// Permitted returns the set of zones that the team's data may touch.
 func (t Team) Permitted() fleet.ZoneSet { return fleet.NewZoneSet(t.PermittedZones...) }
 
 // Targets are a team's latency targets.
@@ -30,7 +30,7 @@
 	TokenGap   time.Duration `yaml:"token_gap"`   // default 38ms
 }
 
-// Limits bound one team; 0 means no limit of that kind.
+// Limits are the limits of one team; 0 means unlimited.
 type Limits struct {
 	Concurrent        int      `yaml:"concurrent"`
 	RequestsPerSecond float64  `yaml:"requests_per_second"`
--- a/internal/settings/units.go
+++ b/internal/settings/units.go
@@ -6,13 +6,13 @@
 	"strings"
 )
 
-// unit is a suffix and its factor.
+// unit is a byte unit: its suffix and the number of bytes.
 type unit struct {
 	suffix string
 	factor int64
 }
 
-// byteUnits are tried in order, so the bare "B" comes last.
+// byteUnits are tried in order; "B" comes last because it is a suffix of the others.
 var byteUnits = []unit{
 	{"TB", 1e12},
 	{"GB", 1e9},
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// String gives the form that UnmarshalScalar reads.
+// String returns the form that UnmarshalScalar parses.
 func (r ByteRate) String() string { return formatBytes(int64(r)) + "/s" }
 
 // UnmarshalScalar implements strictyaml.ScalarUnmarshaler.
@@ -47,10 +47,11 @@
 	return nil
 }
 
-// String gives the form that UnmarshalScalar reads.
+// String returns the form that UnmarshalScalar parses.
 func (s ByteSize) String() string { return formatBytes(int64(s)) }
 
-// parseBytes reads digits with a byte unit; a value that overflows is refused.
+// parseBytes parses digits with a byte unit. ok is false for other text and for
+// a value that overflows int64.
 func parseBytes(text string) (value int64, ok bool) {
 	for _, u := range byteUnits {
 		digits, found := strings.CutSuffix(text, u.suffix)
