--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -9,16 +9,16 @@
 	"github.com/hyssopsail/hyssopsail/internal/strictyaml"
 )
 
-// Ranges of the bounds.
+// Ranges of Bounds and Retries.
 const (
 	minHeaderBytes settings.ByteSize = 4e3
 	maxHeaderBytes settings.ByteSize = 1e6
 	minBodyBytes   settings.ByteSize = 1e3
 	maxBodyBytes   settings.ByteSize = 1e9
 	maxConnections                   = 1_000_000
-	minIdle                          = time.Second
-	maxIdle                          = time.Hour
-	maxStream                        = 24 * time.Hour
+	minIdleTimeout                   = time.Second
+	maxIdleTimeout                   = time.Hour
+	maxStreamTime                    = 24 * time.Hour
 	maxRetryRatio                    = 10
 	maxRetrySlack                    = 1_000_000
 	minRetryWindow                   = time.Second
@@ -41,16 +41,16 @@
 	c.listener("listeners.operators", &d.Listeners.Operators, true)
 	c.listener("listeners.callers", &d.Listeners.Callers, d.Has(RoleEntry))
 	c.listener("listeners.endpoints", &d.Listeners.Endpoints, d.Has(RoleEntry))
-	c.noOwnCertificate("listeners.rpc", d.Listeners.RPC)
-	c.noOwnCertificate("listeners.operators", d.Listeners.Operators)
-	c.ownCertificate("listeners.callers", d.Listeners.Callers)
-	c.ownCertificate("listeners.endpoints", d.Listeners.Endpoints)
+	c.certificateUnused("listeners.rpc", d.Listeners.RPC)
+	c.certificateUnused("listeners.operators", d.Listeners.Operators)
+	c.certificatePair("listeners.callers", d.Listeners.Callers)
+	c.certificatePair("listeners.endpoints", d.Listeners.Endpoints)
 	c.endpointAuthority()
 	c.distinctListeners()
-	c.file("tls.authority", d.TLS.Authority)
-	c.file("tls.certificate", d.TLS.Certificate)
-	c.file("tls.key", d.TLS.Key)
-	c.file("fleet_secret_file", d.FleetSecretFile)
+	c.requiredFile("tls.authority", d.TLS.Authority)
+	c.requiredFile("tls.certificate", d.TLS.Certificate)
+	c.requiredFile("tls.key", d.TLS.Key)
+	c.requiredFile("fleet_secret_file", d.FleetSecretFile)
 	c.logLevel()
 	c.bounds()
 	c.retries()
@@ -62,7 +62,7 @@
 	}
 }
 
-func (c checker) file(path, name string) {
+func (c checker) requiredFile(path, name string) {
 	if name == "" {
 		c.document.Fault(path, `name a file; "hyssopsail certs" writes a working set`, "is missing")
 	}
@@ -95,8 +95,8 @@
 	}
 }
 
-// controlAddresses are needed by each daemon: entries renew their lease there,
-// and a control instance's own lease goes to whichever is the leader.
+// controlAddresses checks the addresses of the control instances. Every daemon
+// needs them to renew its lease, a control instance too: it renews at the leader.
 func (c checker) controlAddresses() {
 	if len(c.daemon.ControlAddresses) == 0 {
 		c.document.Fault("control_addresses", "list the rpc addresses of the control instances", "has no item")
@@ -133,20 +133,22 @@
 		l.Advertise = l.Listen
 		advertisePath = listenPath
 	}
-	// Port 0 lets the kernel choose; the daemon then advertises what it got.
+	// With port 0 the kernel chooses a port, and the daemon advertises that one.
 	if l.Advertise == l.Listen && address.Port() == 0 && !address.Addr().IsUnspecified() {
 		return
 	}
 	c.dialable(advertisePath, l.Advertise)
 }
 
-func (c checker) noOwnCertificate(path string, l Listener) {
+// certificateUnused reports a certificate or key of a listener that doesn't use them.
+func (c checker) certificateUnused(path string, l Listener) {
 	if l.Certificate != "" || l.Key != "" {
 		c.document.Fault(path, "take certificate and key out", "would be ignored: this listener uses the files below tls")
 	}
 }
 
-func (c checker) ownCertificate(path string, l Listener) {
+// certificatePair reports a certificate without a key or the reverse.
+func (c checker) certificatePair(path string, l Listener) {
 	if (l.Certificate == "") != (l.Key == "") {
 		c.document.Fault(path, "name both certificate and key, or neither for plain HTTP", "has one of certificate and key")
 	}
@@ -158,7 +160,8 @@
 	}
 }
 
-// dialable refuses what others couldn't dial: names, and "any" addresses.
+// dialable reports an address that others couldn't dial as a fault: a host name,
+// or an unspecified or multicast address.
 func (c checker) dialable(path, text string) {
 	address, err := netip.ParseAddrPort(text)
 	if err != nil || address.Port() == 0 {
@@ -181,15 +184,15 @@
 		{"listeners.endpoints", c.daemon.Listeners.Endpoints},
 		{"listeners.operators", c.daemon.Listeners.Operators},
 	}
-	for _, one := range all {
-		address, err := netip.ParseAddrPort(one.listener.Listen)
+	for _, l := range all {
+		address, err := netip.ParseAddrPort(l.listener.Listen)
 		if err != nil || address.Port() == 0 {
 			continue
 		}
-		if first, taken := seen[one.listener.Listen]; taken {
-			c.document.Fault(one.path, "give each listener its own port", "listens where %s does", first)
+		if first, taken := seen[l.listener.Listen]; taken {
+			c.document.Fault(l.path, "give each listener its own port", "listens where %s does", first)
 		}
-		seen[one.listener.Listen] = one.path
+		seen[l.listener.Listen] = l.path
 	}
 }
 
@@ -203,11 +206,11 @@
 
 func (c checker) bounds() {
 	b := c.daemon.Bounds
-	c.within("bounds.header_bytes", b.HeaderBytes >= minHeaderBytes && b.HeaderBytes <= maxHeaderBytes, "from 4KB to 1MB")
-	c.within("bounds.body_bytes", b.BodyBytes >= minBodyBytes && b.BodyBytes <= maxBodyBytes, "from 1KB to 1GB")
-	c.within("bounds.connections", b.Connections >= 1 && b.Connections <= maxConnections, "from 1 to 1000000")
-	c.within("bounds.idle_timeout", b.IdleTimeout >= minIdle && b.IdleTimeout <= maxIdle, "from 1s to 1h")
-	c.within("bounds.stream_time", b.StreamTime >= minIdle && b.StreamTime <= maxStream, "from 1s to 24h")
+	c.checkRange("bounds.header_bytes", b.HeaderBytes >= minHeaderBytes && b.HeaderBytes <= maxHeaderBytes, "from 4KB to 1MB")
+	c.checkRange("bounds.body_bytes", b.BodyBytes >= minBodyBytes && b.BodyBytes <= maxBodyBytes, "from 1KB to 1GB")
+	c.checkRange("bounds.connections", b.Connections >= 1 && b.Connections <= maxConnections, "from 1 to 1000000")
+	c.checkRange("bounds.idle_timeout", b.IdleTimeout >= minIdleTimeout && b.IdleTimeout <= maxIdleTimeout, "from 1s to 1h")
+	c.checkRange("bounds.stream_time", b.StreamTime >= minIdleTimeout && b.StreamTime <= maxStreamTime, "from 1s to 24h")
 }
 
 func (c checker) retries() {
@@ -215,13 +218,13 @@
 	if r != DefaultDaemon().Retries && !c.daemon.Has(RoleEntry) {
 		c.document.Fault("retries", "take it out, or add the role entry", "would be ignored without the role entry")
 	}
-	c.within("retries.ratio", r.Ratio >= 0 && r.Ratio <= maxRetryRatio, "from 0 to 10")
-	c.within("retries.slack", r.Slack >= 0 && r.Slack <= maxRetrySlack, "from 0 to 1000000")
-	c.within("retries.window", r.Window >= minRetryWindow && r.Window <= maxRetryWindow, "from 1s to 10m")
+	c.checkRange("retries.ratio", r.Ratio >= 0 && r.Ratio <= maxRetryRatio, "from 0 to 10")
+	c.checkRange("retries.slack", r.Slack >= 0 && r.Slack <= maxRetrySlack, "from 0 to 1000000")
+	c.checkRange("retries.window", r.Window >= minRetryWindow && r.Window <= maxRetryWindow, "from 1s to 10m")
 }
 
-func (c checker) within(path string, holds bool, want string) {
-	if !holds {
+func (c checker) checkRange(path string, inRange bool, want string) {
+	if !inRange {
 		c.document.Fault(path, "choose "+want, "is out of range")
 	}
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -47,8 +47,9 @@
 	assert.ErrorContains(t, err, "no such file")
 }
 
-// What a user sees: a setting that is written down and does nothing. A key
-// that the roles don't use must be refused like one that doesn't exist.
+// TestRefusals checks that invalid files are refused. A key that the daemon's
+// roles don't use must be refused like an unknown one, or an operator would rely
+// on a setting without effect.
 func TestRefusals(t *testing.T) {
 	for _, row := range []struct{ name, old, new, want string }{
 		{"unknown key", "data_folder:", "data_dir:", "daemon.yaml:4: data_dir: unknown key; known keys here: availability_zone,"},
--- a/internal/config/daemon.go
+++ b/internal/config/daemon.go
@@ -10,35 +10,35 @@
 	"github.com/hyssopsail/hyssopsail/internal/settings"
 )
 
-// Daemon is the daemon's own file.
+// Daemon is the configuration file of a daemon.
 type Daemon struct {
 	InstanceID       fleet.InstanceID       `yaml:"instance_id"`
 	AvailabilityZone fleet.AvailabilityZone `yaml:"availability_zone"`
 	Roles            []Role                 `yaml:"roles"`             // at least one
 	DataFolder       string                 `yaml:"data_folder"`       // control only
-	ControlAddresses []string               `yaml:"control_addresses"` // ip:port of control instances, rpc listeners
+	ControlAddresses []string               `yaml:"control_addresses"` // ip:port of the control instances' rpc listeners
 	Listeners        Listeners              `yaml:"listeners"`
 	TLS              TLS                    `yaml:"tls"`
 	FleetSecretFile  string                 `yaml:"fleet_secret_file"` // SecretBytes random bytes as hex
-	// EndpointAuthority is a PEM file: endpoints are then called by HTTPS and
-	// must show a certificate of this authority for their IP number. Without it
-	// they are called by plain HTTP. Entry only.
+	// EndpointAuthority is a PEM file. If it is set, endpoints are called by HTTPS
+	// and must present a certificate of this authority for their IP address; if
+	// not, they are called by plain HTTP. Entry only.
 	EndpointAuthority string        `yaml:"endpoint_authority"`
 	LogLevel          logging.Level `yaml:"log_level"` // default info
 	Bounds            Bounds        `yaml:"bounds"`
 	Retries           Retries       `yaml:"retries"` // entry only
 }
 
-// Role is a job of the daemon.
+// Role is a function that a daemon performs.
 type Role string
 
 // The roles.
 const (
-	RoleEntry   Role = "entry"   // serves callers and endpoints, routes
-	RoleControl Role = "control" // votes; has a data folder
+	RoleEntry   Role = "entry"   // serves callers and endpoints, routes requests
+	RoleControl Role = "control" // votes in the control group; has a data folder
 )
 
-// Listeners are the addresses that the daemon serves. RPC and Operators are
+// Listeners are the addresses that the daemon listens on. RPC and Operators are
 // required; Callers and Endpoints belong to the entry role.
 type Listeners struct {
 	RPC       Listener `yaml:"rpc"`
@@ -47,10 +47,10 @@
 	Operators Listener `yaml:"operators"`
 }
 
-// Listener is one TCP listener. Both are ip:port; Advertise is what others are
-// told to dial and defaults to Listen. Certificate and Key are PEM files for
-// HTTPS on the callers' and endpoints' listeners; without both these speak
-// plain HTTP. The other two listeners always use the files below tls.
+// Listener is one TCP listener. Listen and Advertise are ip:port; Advertise is
+// the address that others dial and defaults to Listen. Certificate and Key are
+// PEM files for HTTPS on the callers' and endpoints' listeners, which use plain
+// HTTP without them. The other two listeners always use the files under tls.
 type Listener struct {
 	Listen      string `yaml:"listen"`
 	Advertise   string `yaml:"advertise"`
@@ -58,7 +58,7 @@
 	Key         string `yaml:"key"`
 }
 
-// Secure tells whether the listener has its own certificate.
+// Secure reports whether the listener has its own certificate.
 func (l Listener) Secure() bool { return l.Certificate != "" }
 
 // TLS names the PEM files for connections between processes.
@@ -68,30 +68,30 @@
 	Key         string `yaml:"key"`
 }
 
-// Bounds limit what one connection or body may use of the daemon.
+// Bounds limit the daemon's resources that connections and bodies may use.
 type Bounds struct {
 	HeaderBytes settings.ByteSize `yaml:"header_bytes"` // default 64KB
 	BodyBytes   settings.ByteSize `yaml:"body_bytes"`   // default 64MB; a team's own limit may be lower
-	Connections int               `yaml:"connections"`  // for each listener, default 10000
+	Connections int               `yaml:"connections"`  // per listener, default 10000
 	IdleTimeout time.Duration     `yaml:"idle_timeout"` // default 60s
-	StreamTime  time.Duration     `yaml:"stream_time"`  // longest answer, default 10m
+	StreamTime  time.Duration     `yaml:"stream_time"`  // maximum duration of an answer, default 10m
 }
 
-// Retries bound how often the fleet's entries send requests again. They must be the same
-// for all of them: each entry keeps to its part. A daemon that has just started sends
-// requests again by the ratio alone until its first window is over.
+// Retries limit how often the fleet's entries send requests again. They must be the same
+// for all entries, each of which keeps to its share. In its first window after the start
+// a daemon sends requests again within Ratio alone.
 type Retries struct {
-	Ratio  float64       `yaml:"ratio"`  // arrivals beyond the first for each request, default 0.2
-	Slack  float64       `yaml:"slack"`  // arrivals beyond the first that are allowed besides, default 100
-	Window time.Duration `yaml:"window"` // over which both are counted, default 10s
+	Ratio  float64       `yaml:"ratio"`  // arrivals beyond the first per request, default 0.2
+	Slack  float64       `yaml:"slack"`  // arrivals beyond the first allowed in addition to Ratio, default 100
+	Window time.Duration `yaml:"window"` // period over which both are counted, default 10s
 }
 
-// Limits gives the bound as package retrybudget takes it.
+// Limits returns the limits in the form that package retrybudget uses.
 func (r Retries) Limits() retrybudget.Limits {
 	return retrybudget.Limits{Ratio: r.Ratio, Slack: r.Slack, Window: r.Window}
 }
 
-// DefaultDaemon is what a file starts from.
+// DefaultDaemon returns the values of a file before it is decoded.
 func DefaultDaemon() Daemon {
 	return Daemon{
 		LogLevel: logging.LevelInfo,
@@ -106,7 +106,7 @@
 	}
 }
 
-// Has tells whether the daemon has a role.
+// Has reports whether the daemon has a role.
 func (d Daemon) Has(role Role) bool {
 	for _, r := range d.Roles {
 		if r == role {
@@ -116,12 +116,12 @@
 	return false
 }
 
-// RPCFiles gives the TLS files as package rpc takes them.
+// RPCFiles returns the TLS files in the form that package rpc uses.
 func (d Daemon) RPCFiles() rpc.Files {
 	return rpc.Files{Authority: d.TLS.Authority, Certificate: d.TLS.Certificate, Key: d.TLS.Key}
 }
 
-// Instance describes the daemon as the view is to hold it, at an incarnation.
+// Instance returns the daemon's entry for the view, at an incarnation.
 func (d Daemon) Instance(incarnation fleet.Incarnation) fleet.Instance {
 	return fleet.Instance{
 		ID:              d.InstanceID,
--- a/internal/config/doc.go
+++ b/internal/config/doc.go
@@ -1,5 +1,5 @@
-// Package config reads the daemon's own file: who the process is, where it
-// listens, whom it dials and where its keys are. What teams and the fleet
-// share lies in package settings instead. A key that the given roles would
-// ignore is refused, so that no daemon runs with a setting that does nothing.
+// Package config reads the configuration file of one daemon: its identity, its
+// listeners, the addresses that it dials and the files of its keys. Settings of
+// teams and the fleet are in package settings. A key that the configured roles
+// don't use is refused, so that no daemon runs with a setting without effect.
 package config
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -9,8 +9,9 @@
 	"github.com/hyssopsail/hyssopsail/internal/strictyaml"
 )
 
-// Load reads and checks the daemon's file. Relative paths in it are taken from
-// the file's own folder. The error holds strictyaml.Faults with all faults.
+// Load reads and checks the daemon's file. Relative paths in it are resolved
+// against the file's folder. If the file can be read but isn't valid, the error
+// contains strictyaml.Faults with all faults.
 func Load(path string) (Daemon, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -21,13 +22,13 @@
 		return Daemon{}, trace.Wrap(err)
 	}
 	folder := filepath.Dir(path)
-	for _, field := range daemon.paths() {
-		*field = under(folder, *field)
+	for _, field := range daemon.pathFields() {
+		*field = resolvePath(folder, *field)
 	}
 	return daemon, nil
 }
 
-// Parse is Load for a file's bytes; paths stay as written.
+// Parse is like Load for a file's contents, but leaves paths as written.
 func Parse(file string, data []byte) (Daemon, error) {
 	daemon := DefaultDaemon()
 	document := strictyaml.Decode(file, data, &daemon)
@@ -40,7 +41,8 @@
 	return daemon, nil
 }
 
-func (d *Daemon) paths() []*string {
+// pathFields returns pointers to all fields that hold file or folder names.
+func (d *Daemon) pathFields() []*string {
 	return []*string{
 		&d.DataFolder,
 		&d.TLS.Authority, &d.TLS.Certificate, &d.TLS.Key,
@@ -51,7 +53,7 @@
 	}
 }
 
-func under(folder, path string) string {
+func resolvePath(folder, path string) string {
 	if path == "" || filepath.IsAbs(path) {
 		return path
 	}
--- a/internal/config/secret.go
+++ b/internal/config/secret.go
@@ -8,15 +8,15 @@
 	"github.com/gravitational/trace"
 )
 
-// SecretBytes is the length of a fleet's secret.
+// SecretBytes is the length of the fleet secret.
 const SecretBytes = 32
 
-// Secret keys the hashes of request keys and fingerprints, so that a record
-// can't be matched to a guessed body. Before the fleet subtree exists its hex
-// form is the operator's credential too.
+// Secret is the fleet secret. It keys the hashes of request keys and
+// fingerprints, so that a record can't be matched to a guessed body. Until the
+// fleet subtree exists, its hex form is also the operator's credential.
 type Secret [SecretBytes]byte
 
-// Hex gives the file's form.
+// Hex returns the secret in the form that the file has.
 func (s Secret) Hex() string { return hex.EncodeToString(s[:]) }
 
 // String keeps the secret out of logs.
@@ -25,7 +25,7 @@
 // GoString keeps the secret out of logs.
 func (s Secret) GoString() string { return "(secret)" }
 
-// LoadSecret reads a fleet's secret.
+// LoadSecret reads the fleet secret from a file.
 func LoadSecret(path string) (Secret, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
