--- a/internal/fleet/doc.go
+++ b/internal/fleet/doc.go
@@ -1,5 +1,4 @@
-// Package fleet holds the value types that every other package speaks of:
-// instances, endpoints, teams, availability zones, views and the rendezvous
-// ranking over them. It has no I/O and imports no other package of the
-// project but pb.
+// Package fleet defines the value types that the other packages share:
+// instances, endpoints, teams, availability zones, views and their rendezvous
+// ranking. It has no I/O and imports no other package of the project except pb.
 package fleet
--- a/internal/fleet/fingerprint.go
+++ b/internal/fleet/fingerprint.go
@@ -2,14 +2,16 @@
 
 import "encoding/hex"
 
-// Fingerprint is a keyed hash of team, model and body: the same request has
-// the same one whatever its key. It can't be turned back into a body.
+// Fingerprint is a keyed hash of team, model and body. Equal requests have equal
+// fingerprints even if their request keys differ. The body can't be recovered
+// from it.
 type Fingerprint [16]byte
 
-// String gives the hex form for logs and the time line.
+// String returns the hex form for logs and the time line.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
-// FingerprintFromBytes takes a message's field; a wrong length gives ok false.
+// FingerprintFromBytes converts a message's field; ok is false if its length is
+// wrong.
 func FingerprintFromBytes(b []byte) (f Fingerprint, ok bool) {
 	if len(b) != len(f) {
 		return Fingerprint{}, false
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -52,9 +52,10 @@
 	}
 }
 
-// An entry is lost. Only the endpoints whose home it was may move; were others
-// to move too, each loss would stir the whole fleet.
-func TestLossMovesOnlyTheLostOnesEndpoints(t *testing.T) {
+// TestInstanceLossMovesOnlyItsEndpoints checks that the loss of an entry changes
+// the home of only those endpoints that it was home of. If others moved too, each
+// loss would disturb the whole fleet.
+func TestInstanceLossMovesOnlyItsEndpoints(t *testing.T) {
 	all := entries(10)
 	before := viewOf(all...)
 	after := viewOf(all[1:]...)
--- a/internal/fleet/instance.go
+++ b/internal/fleet/instance.go
@@ -2,21 +2,21 @@
 
 import "github.com/hyssopsail/hyssopsail/internal/pb"
 
-// Instance is one daemon of the fleet, as the view holds it.
+// Instance is one daemon of the fleet, as recorded in a View.
 type Instance struct {
 	ID              InstanceID
 	Incarnation     Incarnation
 	Zone            AvailabilityZone
-	RPCAddress      string // host:port, between processes
+	RPCAddress      string // host:port for calls between processes
 	CallerAddress   string // host:port for callers; empty without the entry role
 	EndpointAddress string // host:port where endpoints announce themselves
 	OperatorAddress string // host:port for operators
 	Entry           bool
 	Control         bool
-	Draining        bool // takes no new callers; still finishes its requests
+	Draining        bool // accepts no new callers, but finishes its requests
 }
 
-// Owner gives the process that i stands for.
+// Owner returns the process that i describes.
 func (i Instance) Owner() Owner {
 	return Owner{Instance: i.ID, Incarnation: i.Incarnation}
 }
@@ -37,7 +37,7 @@
 	}
 }
 
-// InstanceFromProto converts a message's instance.
+// InstanceFromProto converts an instance from a message between processes.
 func InstanceFromProto(p *pb.InstanceRecord) Instance {
 	return Instance{
 		ID:              InstanceID(p.GetId()),
--- a/internal/fleet/ledger.go
+++ b/internal/fleet/ledger.go
@@ -1,28 +1,28 @@
 package fleet
 
-// LedgerShards is the number of shards for each zone class.
+// LedgerShards is the number of ledger shards per zone class.
 const LedgerShards = 16
 
-// LedgerReplicas is the replica count of a whole ledger group.
+// LedgerReplicas is the number of replicas in a complete ledger group.
 const LedgerReplicas = 3
 
-// LedgerShard names one shard of outcome records.
+// LedgerShard identifies a shard of outcome records.
 type LedgerShard struct {
 	ZoneClass string
 	Shard     uint32
 }
 
-// LedgerReplica is one holder of a shard.
+// LedgerReplica is one replica of a shard.
 type LedgerReplica struct {
 	Owner Owner
-	Ready bool // holds every record that its epoch started with
+	Ready bool // has every record that its epoch started with
 }
 
-// LedgerGroup is a shard's replica set at an epoch; see pb.LedgerGroup.
+// LedgerGroup is the replica set of a shard at an epoch; see pb.LedgerGroup.
 type LedgerGroup struct {
 	Shard         LedgerShard
 	Epoch         uint64
 	Replicas      []LedgerReplica
 	Sources       []LedgerReplica
-	HistoryLostMs int64 // unix ms; 0: never
+	HistoryLostMs int64 // Unix time in ms; 0 if no history was lost
 }
--- a/internal/fleet/rendezvous.go
+++ b/internal/fleet/rendezvous.go
@@ -7,14 +7,15 @@
 )
 
 // RankInstances orders instances for key by rendezvous hashing, best first:
-// those in prefer before the others, then by hash. Each process that sees the
-// same instances gets the same order, and the loss of one moves only its keys.
+// instances in zone prefer precede the others, then by hash. All processes with
+// the same instances compute the same order, and the loss of an instance moves
+// only the keys that it was first for.
 func RankInstances(key string, prefer AvailabilityZone, instances []Instance) []Instance {
-	rows := make([]ranked, len(instances))
+	rows := make([]rankedInstance, len(instances))
 	for n, i := range instances {
-		rows[n] = rank(key, prefer, i)
+		rows[n] = rankInstance(key, prefer, i)
 	}
-	sort.Slice(rows, func(a, b int) bool { return rows[a].before(rows[b]) })
+	sort.Slice(rows, func(a, b int) bool { return rows[a].ranksBefore(rows[b]) })
 	out := make([]Instance, len(rows))
 	for n, r := range rows {
 		out[n] = r.instance
@@ -22,20 +23,20 @@
 	return out
 }
 
-// ranked is an instance's place in the order for one key.
-type ranked struct {
-	instance Instance
-	near     bool
-	score    uint64
+// rankedInstance is an instance with its sort criteria for one key.
+type rankedInstance struct {
+	instance  Instance
+	preferred bool
+	score     uint64
 }
 
-func rank(key string, prefer AvailabilityZone, i Instance) ranked {
-	return ranked{instance: i, near: i.Zone == prefer, score: score(key, string(i.ID))}
+func rankInstance(key string, prefer AvailabilityZone, i Instance) rankedInstance {
+	return rankedInstance{instance: i, preferred: i.Zone == prefer, score: rendezvousScore(key, string(i.ID))}
 }
 
-func (r ranked) before(o ranked) bool {
-	if r.near != o.near {
-		return r.near
+func (r rankedInstance) ranksBefore(o rankedInstance) bool {
+	if r.preferred != o.preferred {
+		return r.preferred
 	}
 	if r.score != o.score {
 		return r.score > o.score
@@ -43,7 +44,7 @@
 	return r.instance.ID < o.instance.ID
 }
 
-func score(key, member string) uint64 {
+func rendezvousScore(key, member string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
 	_, _ = d.WriteString(key)
@@ -52,17 +53,17 @@
 	return d.Sum64()
 }
 
-// HomeOf gives the instance that is home of an endpoint in zone, by
-// rendezvous over the view's entries, preferring the endpoint's own zone. ok
-// is false when the view has no entry.
+// HomeOf returns the home of an endpoint in zone: the first in the rendezvous
+// order of the view's entries that aren't draining, which prefers the endpoint's
+// zone. ok is false if there is no such entry.
 func HomeOf(endpoint EndpointID, zone AvailabilityZone, view View) (home Instance, ok bool) {
-	var best ranked
+	var best rankedInstance
 	for _, i := range view.Instances {
 		if !i.Entry || i.Draining {
 			continue
 		}
-		r := rank(string(endpoint), zone, i)
-		if !ok || r.before(best) {
+		r := rankInstance(string(endpoint), zone, i)
+		if !ok || r.ranksBefore(best) {
 			best, ok = r, true
 		}
 	}
--- a/internal/fleet/role.go
+++ b/internal/fleet/role.go
@@ -1,6 +1,6 @@
 package fleet
 
-// EndpointRole tells what work an endpoint takes.
+// EndpointRole is the kind of work that an endpoint takes.
 type EndpointRole string
 
 // The endpoint roles.
@@ -11,7 +11,7 @@
 	RolePlain   EndpointRole = "plain"
 )
 
-// Takes tells whether an endpoint of role r takes work of kind w, where w is
+// Takes reports whether an endpoint of role r takes work of kind w, where w is
 // RolePrefill, RoleDecode or RolePlain.
 func (r EndpointRole) Takes(w EndpointRole) bool {
 	return r == w || (r == RoleBoth && w != RolePlain)
--- a/internal/fleet/suspect.go
+++ b/internal/fleet/suspect.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Suspect is a fingerprint that ran on an endpoint when it died.
+// Suspect is the record of a fingerprint whose request was running on an endpoint
+// when the endpoint crashed.
 type Suspect struct {
 	Fingerprint Fingerprint
 	Crashes     int
--- a/internal/fleet/view.go
+++ b/internal/fleet/view.go
@@ -1,20 +1,20 @@
 package fleet
 
-// View is the set of live instances at a view number. A View is never changed
-// after it is published; a delta makes a new one.
+// View is the set of live instances at a view number. A published View is
+// immutable; a delta creates a new one.
 type View struct {
 	Number    uint64
 	Instances map[InstanceID]Instance
 }
 
-// Holds tells whether the process o is a live member of the view.
+// Holds reports whether the process o is a live member of the view.
 func (v View) Holds(o Owner) bool {
 	i, ok := v.Instances[o.Instance]
 	return ok && i.Incarnation == o.Incarnation
 }
 
-// Entries gives the instances with the entry role that are not draining and
-// whose zone is permitted, in no set order.
+// Entries returns the instances with the entry role that are not draining and
+// whose zone is permitted, in no particular order.
 func (v View) Entries(permitted ZoneSet) []Instance {
 	entries := make([]Instance, 0, len(v.Instances))
 	for _, i := range v.Instances {
@@ -25,8 +25,8 @@
 	return entries
 }
 
-// CountEntries counts the instances with the entry role, those among them that are
-// draining: they still finish requests.
+// CountEntries returns the number of instances with the entry role, including
+// draining ones, which still finish requests.
 func (v View) CountEntries() int {
 	count := 0
 	for _, i := range v.Instances {
--- a/internal/fleet/zoneset.go
+++ b/internal/fleet/zoneset.go
@@ -5,16 +5,16 @@
 	"strings"
 )
 
-// ZoneSet is the set of availability zones that a team's data may touch. It
-// is the one type that carries a permission: entry, ledger replicas, prefill,
-// decode, KV transfer, cache index and logs all ask it. The zero ZoneSet
-// permits nothing. A ZoneSet never changes once made.
+// ZoneSet is the set of availability zones that a team's data may touch. It is
+// the only type for such permissions: entries, ledger replicas, prefill, decode,
+// KV transfer, cache index and logs all check it. The zero ZoneSet permits
+// nothing. A ZoneSet is immutable.
 type ZoneSet struct {
 	zones map[AvailabilityZone]struct{}
 	class string
 }
 
-// NewZoneSet makes a set of the given zones; repeats are folded.
+// NewZoneSet returns the set of the given zones; duplicates are ignored.
 func NewZoneSet(zones ...AvailabilityZone) ZoneSet {
 	set := make(map[AvailabilityZone]struct{}, len(zones))
 	names := make([]string, 0, len(zones))
@@ -29,10 +29,11 @@
 	return ZoneSet{zones: set, class: strings.Join(names, ZoneClassSeparator)}
 }
 
-// ZoneClassSeparator joins zone names in a class; settings refuse it in names.
+// ZoneClassSeparator joins zone names in a class; package settings refuses it in
+// zone names.
 const ZoneClassSeparator = "+"
 
-// ParseZoneClass is the inverse of Class.
+// ParseZoneClass returns the set that Class names; it is the inverse of Class.
 func ParseZoneClass(class string) ZoneSet {
 	if class == "" {
 		return ZoneSet{}
@@ -45,20 +46,20 @@
 	return NewZoneSet(zones...)
 }
 
-// Permits tells whether data may touch zone z.
+// Permits reports whether data may touch zone z.
 func (s ZoneSet) Permits(z AvailabilityZone) bool {
 	_, ok := s.zones[z]
 	return ok
 }
 
-// Class names the set: its sorted zones joined by ZoneClassSeparator. Teams
-// with equal sets share ledger groups.
+// Class returns the name of the set: its sorted zones joined by
+// ZoneClassSeparator. Teams with equal sets share ledger groups.
 func (s ZoneSet) Class() string { return s.class }
 
-// Len gives the number of zones.
+// Len returns the number of zones.
 func (s ZoneSet) Len() int { return len(s.zones) }
 
-// Zones gives the zones, sorted.
+// Zones returns the zones, sorted.
 func (s ZoneSet) Zones() []AvailabilityZone {
 	if s.class == "" {
 		return nil
