--- a/internal/strictyaml/document.go
+++ b/internal/strictyaml/document.go
@@ -6,22 +6,22 @@
 	"strings"
 )
 
-// Document remembers where each path of a file stands, so that checks made
-// after decoding can point at the line too.
+// Document records the line of each path in a file, so that checks after decoding
+// can report lines too.
 type Document struct {
 	file   string
 	lines  map[string]int
 	faults Faults
 }
 
-// Has tells whether the file itself names path.
+// Has reports whether the file itself sets path.
 func (d *Document) Has(path string) bool {
 	_, ok := d.lines[path]
 	return ok
 }
 
-// Fault notes a fault at path. A path that the file doesn't hold is placed at
-// the nearest one above it.
+// Fault records a fault at path. The line of a path that isn't in the file is
+// that of its nearest parent in the file.
 func (d *Document) Fault(path, want, problem string, args ...any) {
 	d.add(Fault{
 		File:    d.file,
@@ -32,8 +32,8 @@
 	})
 }
 
-// maxFaults bounds the faults kept of one file: one made of unknown keys alone
-// would otherwise have an error many times its own size.
+// maxFaults limits the faults recorded for one file: a file of unknown keys would
+// otherwise cause an error many times its own size.
 const maxFaults = 100
 
 func (d *Document) add(f Fault) {
@@ -42,7 +42,7 @@
 	}
 }
 
-// Err gives nil, or Faults with all faults noted so far.
+// Err returns nil, or Faults with the faults recorded so far.
 func (d *Document) Err() error {
 	if len(d.faults) == 0 {
 		return nil
@@ -60,11 +60,11 @@
 		if path == "" {
 			return 0
 		}
-		path = parent(path)
+		path = parentPath(path)
 	}
 }
 
-// Key gives the path of a key below path.
+// Key returns the path of a key below path.
 func Key(path, key string) string {
 	if path == "" {
 		return key
@@ -72,11 +72,11 @@
 	return path + "." + key
 }
 
-// Index gives the path of the n-th item below path, from 0.
+// Index returns the path of item n, counted from 0, of the list at path.
 func Index(path string, n int) string {
 	return path + "[" + strconv.Itoa(n) + "]"
 }
 
-func parent(path string) string {
+func parentPath(path string) string {
 	return path[:max(0, strings.LastIndexAny(path, ".["))]
 }
--- a/internal/strictyaml/fault.go
+++ b/internal/strictyaml/fault.go
@@ -6,16 +6,16 @@
 	"strings"
 )
 
-// Fault is one thing wrong with a file.
+// Fault is one problem in a file.
 type Fault struct {
 	File    string
 	Line    int    // from 1; 0 when the file is empty
 	Path    string // such as "links[2].rate"; empty for the whole document
 	Problem string
-	Want    string // what would be right
+	Want    string // how to correct it; may be empty
 }
 
-// String gives "file:line: path: problem; want".
+// String returns "file:line: path: problem; want".
 func (f Fault) String() string {
 	text := fmt.Sprintf("%s:%d: ", f.File, f.Line)
 	if f.Path != "" {
@@ -28,10 +28,10 @@
 	return text
 }
 
-// Faults are all faults found in one file, by line.
+// Faults are the faults found in one file, sorted by line.
 type Faults []Fault
 
-// Error gives one line for each fault.
+// Error returns one line per fault.
 func (f Faults) Error() string {
 	lines := make([]string, len(f))
 	for n, fault := range f {
--- a/internal/strictyaml/scalar.go
+++ b/internal/strictyaml/scalar.go
@@ -10,8 +10,8 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// ScalarUnmarshaler is a type with its own text form. The error's text says
-// what would be right.
+// ScalarUnmarshaler is a type with its own text form. The text of the error is
+// used as Fault.Want: it says what to write instead.
 type ScalarUnmarshaler interface {
 	UnmarshalScalar(text string) error
 }
@@ -21,12 +21,12 @@
 	unmarshalerType = reflect.TypeFor[ScalarUnmarshaler]()
 )
 
-// maxQuoted bounds how much of a bad value an error repeats, bytes.
-const maxQuoted = 64
+// maxQuotedBytes limits how much of an invalid value or key a fault repeats.
+const maxQuotedBytes = 64
 
 func quote(text string) string {
-	if len(text) > maxQuoted {
-		text = text[:maxQuoted] + "..."
+	if len(text) > maxQuotedBytes {
+		text = text[:maxQuotedBytes] + "..."
 	}
 	return strconv.Quote(text)
 }
@@ -35,7 +35,7 @@
 	return reflect.PointerTo(t).Implements(unmarshalerType) || (t.Kind() != reflect.Struct && t.Kind() != reflect.Slice)
 }
 
-func (d *Document) scalar(node *yaml.Node, path string, target reflect.Value) {
+func (d *Document) decodeScalar(node *yaml.Node, path string, target reflect.Value) {
 	if node.Kind != yaml.ScalarNode {
 		d.Fault(path, "write one value", "is a list or a map")
 		return
@@ -51,13 +51,13 @@
 		return
 	}
 	if target.Type() == durationType {
-		d.duration(node, path, target)
+		d.decodeDuration(node, path, target)
 		return
 	}
-	d.basic(node, path, target)
+	d.decodeBasic(node, path, target)
 }
 
-func (d *Document) duration(node *yaml.Node, path string, target reflect.Value) {
+func (d *Document) decodeDuration(node *yaml.Node, path string, target reflect.Value) {
 	const want = "write a number with its unit, such as 300ms, 2s or 10m"
 	value, err := time.ParseDuration(node.Value)
 	switch {
@@ -72,22 +72,22 @@
 	}
 }
 
-func (d *Document) basic(node *yaml.Node, path string, target reflect.Value) {
+func (d *Document) decodeBasic(node *yaml.Node, path string, target reflect.Value) {
 	switch target.Kind() {
 	case reflect.String:
-		d.text(node, path, target)
+		d.decodeText(node, path, target)
 	case reflect.Bool:
-		d.boolean(node, path, target)
+		d.decodeBool(node, path, target)
 	case reflect.Int, reflect.Int64:
-		d.integer(node, path, target)
+		d.decodeInt(node, path, target)
 	case reflect.Float64:
-		d.float(node, path, target)
+		d.decodeFloat(node, path, target)
 	default:
-		panic("strictyaml: no rule for " + target.Type().String())
+		panic("strictyaml: unsupported type " + target.Type().String())
 	}
 }
 
-func (d *Document) text(node *yaml.Node, path string, target reflect.Value) {
+func (d *Document) decodeText(node *yaml.Node, path string, target reflect.Value) {
 	if node.ShortTag() != "!!str" {
 		d.Fault(path, "put the value in quotes", "%s is not text", quote(node.Value))
 		return
@@ -95,7 +95,7 @@
 	target.SetString(node.Value)
 }
 
-func (d *Document) boolean(node *yaml.Node, path string, target reflect.Value) {
+func (d *Document) decodeBool(node *yaml.Node, path string, target reflect.Value) {
 	value, err := strconv.ParseBool(node.Value)
 	if node.ShortTag() != "!!bool" || err != nil {
 		d.Fault(path, "write true or false", "%s is neither true nor false", quote(node.Value))
@@ -104,18 +104,18 @@
 	target.SetBool(value)
 }
 
-func (d *Document) integer(node *yaml.Node, path string, target reflect.Value) {
+func (d *Document) decodeInt(node *yaml.Node, path string, target reflect.Value) {
 	value, err := strconv.ParseInt(node.Value, 10, 64)
-	// A leading zero means octal to some YAML readers and nothing to others.
-	padded := len(strings.TrimLeft(node.Value, "-+")) > 1 && strings.TrimLeft(node.Value, "-+")[0] == '0'
-	if node.ShortTag() != "!!int" || err != nil || padded {
+	// Some YAML parsers take a leading zero to mean octal, others ignore it.
+	leadingZero := len(strings.TrimLeft(node.Value, "-+")) > 1 && strings.TrimLeft(node.Value, "-+")[0] == '0'
+	if node.ShortTag() != "!!int" || err != nil || leadingZero {
 		d.Fault(path, "write a whole number in decimal digits", "%s is not a whole number", quote(node.Value))
 		return
 	}
 	target.SetInt(value)
 }
 
-func (d *Document) float(node *yaml.Node, path string, target reflect.Value) {
+func (d *Document) decodeFloat(node *yaml.Node, path string, target reflect.Value) {
 	value, err := strconv.ParseFloat(node.Value, 64)
 	tag := node.ShortTag()
 	number := (tag == "!!int" || tag == "!!float") && err == nil
--- a/internal/strictyaml/strictyaml_test.go
+++ b/internal/strictyaml/strictyaml_test.go
@@ -66,7 +66,7 @@
 		{"on: true\n\tsize: 1", "f.yaml:2: not YAML"},
 		{"on: true\n---\n", "second document"},
 		{"on: \x00", "not YAML"},
-		{"one: {name: \"" + strings.Repeat("x", MaxBytes) + "\"}", "keep it under"},
+		{"one: {name: \"" + strings.Repeat("x", MaxFileBytes) + "\"}", "keep it under"},
 	} {
 		_, document := decode(row.text)
 		err := document.Err()
@@ -74,10 +74,10 @@
 	}
 }
 
-// What a user sees: a daemon that grows by hundreds of megabytes while it
-// answers one refused change, made of a million unknown keys.
+// TestFaultsAreBounded guards against a refused change with a million unknown
+// keys, whose faults made the daemon grow by hundreds of megabytes.
 func TestFaultsAreBounded(t *testing.T) {
-	_, document := decode(strings.Repeat(strings.Repeat("k", 200)+": 1\n", MaxBytes/210))
+	_, document := decode(strings.Repeat(strings.Repeat("k", 200)+": 1\n", MaxFileBytes/210))
 	var faults Faults
 	assert.Assert(t, errors.As(document.Err(), &faults))
 	assert.Equal(t, len(faults), maxFaults)
@@ -91,7 +91,7 @@
 		first, document := decode(text)
 		second, again := decode(text)
 		if (document.Err() == nil) != (again.Err() == nil) || first.Size != second.Size {
-			t.Fatal("read differently the second time")
+			t.Fatal("decoded differently the second time")
 		}
 	})
 }
