--- a/internal/settings/team.go
+++ b/internal/settings/team.go
@@ -30,7 +30,8 @@
 	TokenGap   time.Duration `yaml:"token_gap"`   // default 38ms
 }
 
-// Limits are the limits of one team; 0 means unlimited.
+// Limits are the limits of one team; 0 means unlimited, except for BodyBytes, which
+// must be at least 1.
 type Limits struct {
 	Concurrent        int      `yaml:"concurrent"`
 	RequestsPerSecond float64  `yaml:"requests_per_second"`
