--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -20,7 +20,7 @@
 
 // largeFleet has benchTeams teams in seven zone classes and benchInstances
 // entries, with whole groups.
-func largeFleet(b *testing.B) *log {
+func largeFleet(b *testing.B) *testLog {
 	b.Helper()
 	l := newLog(b)
 	l.accept("fleet", 0, []byte(fleetYAML))
--- a/internal/control/bytes_test.go
+++ b/internal/control/bytes_test.go
@@ -11,9 +11,9 @@
 // Message bytes of a daemon, before framing, TLS and TCP: under a third of the
 // 3 KB/s when idle and all of it at ten changes a second, and, idle, the same
 // beside 2 daemons as beside 24.
-func TestBytesOfADaemon(t *testing.T) {
+func TestDaemonTrafficIsBounded(t *testing.T) {
 	measure := func(daemons, changes int) (perDaemon float64) {
-		inBubble(t, func(b *bench) {
+		withHarness(t, func(b *daemonHarness) {
 			for n := range daemons {
 				b.start(fmt.Sprint("e", n), 1)
 			}
--- a/internal/control/change.go
+++ b/internal/control/change.go
@@ -22,11 +22,11 @@
 		return invalid(m.version(c.GetName()), "name, change ID or author is empty or too long")
 	}
 	digest := changeDigest(c)
-	if first, ok := m.answers.byID[c.ChangeId]; ok {
-		return m.repeatAnswer(first, digest)
+	if first, ok := m.changeResults.byID[c.ChangeId]; ok {
+		return m.repeatedResult(first, digest)
 	}
-	result := m.decideChange(index, c)
-	m.answers.add(&pb.AnsweredChange{
+	result := m.evaluateChange(index, c)
+	m.changeResults.add(&pb.AnsweredChange{
 		ChangeId:  c.ChangeId,
 		Name:      c.Name,
 		Digest:    digest,
@@ -39,23 +39,23 @@
 	return result
 }
 
-func (m *Machine) decideChange(index uint64, c *pb.ChangeSubtree) *pb.ChangeResult {
-	now := m.current[c.Name]
+func (m *Machine) evaluateChange(index uint64, c *pb.ChangeSubtree) *pb.ChangeResult {
+	now := m.documents[c.Name]
 	version := now.GetVersion()
 	if c.ExpectedVersion != version {
 		return conflict(now)
 	}
-	if detail := m.boundChange(c, now); detail != "" {
+	if detail := m.checkSizeLimits(c, now); detail != "" {
 		return invalid(version, detail)
 	}
 	tree, err := m.check(m.tree, c.Name, c.Yaml)
 	if err != nil {
 		return invalid(version, err.Error())
 	}
-	if m.tooManyClasses(tree, c.Name) {
+	if m.exceedsClassLimit(tree, c.Name) {
 		return invalid(version, "too many different sets of permitted zones")
 	}
-	if m.tooManyFormer(tree, c.Name) {
+	if m.exceedsFormerClassLimit(tree, c.Name) {
 		return invalid(version, "the permitted zones were changed too often of late; try again when outcome records have aged")
 	}
 	accepted := &pb.SubtreeDocument{
@@ -64,7 +64,7 @@
 		Yaml:           c.Yaml,
 		ChangeId:       c.ChangeId,
 		Author:         c.Author,
-		AcceptedUnixMs: m.clock,
+		AcceptedUnixMs: m.clockUnixMs,
 	}
 	m.tree = tree
 	m.replaceDocument(now, accepted)
@@ -73,14 +73,14 @@
 	return &pb.ChangeResult{Status: pb.ChangeStatus_CHANGE_STATUS_ACCEPTED, Version: accepted.Version, Index: index}
 }
 
-func (m *Machine) boundChange(c *pb.ChangeSubtree, now *pb.SubtreeDocument) string {
+func (m *Machine) checkSizeLimits(c *pb.ChangeSubtree, now *pb.SubtreeDocument) string {
 	if len(c.Yaml) > maxYAMLBytes {
 		return "the subtree is too large"
 	}
 	if m.treeBytes-len(now.GetYaml())+len(c.Yaml) > maxTreeBytes {
 		return "all settings together would be too large"
 	}
-	if now == nil && len(m.current) >= maxSubtrees {
+	if now == nil && len(m.documents) >= maxSubtrees {
 		return "too many subtrees"
 	}
 	return ""
@@ -91,12 +91,12 @@
 		m.history.add(old)
 	}
 	m.treeBytes += len(accepted.Yaml) - len(old.GetYaml())
-	m.current[accepted.Name] = accepted
+	m.documents[accepted.Name] = accepted
 }
 
-func (m *Machine) version(name string) uint64 { return m.current[name].GetVersion() }
+func (m *Machine) version(name string) uint64 { return m.documents[name].GetVersion() }
 
-func (m *Machine) repeatAnswer(first *pb.AnsweredChange, digest []byte) *pb.ChangeResult {
+func (m *Machine) repeatedResult(first *pb.AnsweredChange, digest []byte) *pb.ChangeResult {
 	if !bytes.Equal(first.Digest, digest) {
 		return invalid(m.version(first.Name), "this change ID was used for another change")
 	}
@@ -114,7 +114,7 @@
 }
 
 func (m *Machine) document(name string, version uint64) *pb.SubtreeDocument {
-	now := m.current[name]
+	now := m.documents[name]
 	if version == 0 || now.GetVersion() == version {
 		return now
 	}
@@ -134,11 +134,11 @@
 	return &pb.ChangeResult{
 		Status:  pb.ChangeStatus_CHANGE_STATUS_INVALID,
 		Version: version,
-		Detail:  cutDetail(detail),
+		Detail:  truncateDetail(detail),
 	}
 }
 
-func cutDetail(s string) string {
+func truncateDetail(s string) string {
 	if len(s) > maxDetailBytes {
 		s = s[:maxDetailBytes]
 	}
--- a/internal/control/change_test.go
+++ b/internal/control/change_test.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	accepted    = pb.ChangeStatus_CHANGE_STATUS_ACCEPTED
-	conflicting = pb.ChangeStatus_CHANGE_STATUS_CONFLICT
-	notTaken    = pb.ChangeStatus_CHANGE_STATUS_INVALID
+	accepted      = pb.ChangeStatus_CHANGE_STATUS_ACCEPTED
+	conflicting   = pb.ChangeStatus_CHANGE_STATUS_CONFLICT
+	invalidChange = pb.ChangeStatus_CHANGE_STATUS_INVALID
 )
 
 func TestChangeTable(t *testing.T) {
@@ -26,14 +26,14 @@
 	}{
 		{"create", subtree("teams/clerks", 0, "c1", clerks), accepted, 1},
 		{"create with a version", subtree("teams/clerks", 1, "c1", clerks), conflicting, 0},
-		{"no change ID", subtree("teams/clerks", 0, "", clerks), notTaken, 0},
-		{"no name", subtree("", 0, "c1", clerks), notTaken, 0},
-		{"unknown zone", subtree("teams/clerks", 0, "c1", teamYAML("clerks", "nowhere")), notTaken, 0},
-		{"not YAML", subtree("teams/clerks", 0, "c1", []byte("{\xff")), notTaken, 0},
-		{"too large", subtree("teams/clerks", 0, "c1", make([]byte, maxYAMLBytes+1)), notTaken, 0},
+		{"no change ID", subtree("teams/clerks", 0, "", clerks), invalidChange, 0},
+		{"no name", subtree("", 0, "c1", clerks), invalidChange, 0},
+		{"unknown zone", subtree("teams/clerks", 0, "c1", teamYAML("clerks", "nowhere")), invalidChange, 0},
+		{"not YAML", subtree("teams/clerks", 0, "c1", []byte("{\xff")), invalidChange, 0},
+		{"too large", subtree("teams/clerks", 0, "c1", make([]byte, maxYAMLBytes+1)), invalidChange, 0},
 		{"existing, version 0", subtree("teams/sorters", 0, "c1", sorters), conflicting, 1},
 		{"remove", subtree("teams/sorters", 1, "c1", nil), accepted, 2},
-		{"remove the fleet", subtree("fleet", 1, "c1", nil), notTaken, 1},
+		{"remove the fleet", subtree("fleet", 1, "c1", nil), invalidChange, 1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -53,7 +53,7 @@
 // the operator resends it, also after others have changed the subtree and
 // after the next leader started from a snapshot. The first result comes back
 // each time and the change is applied once.
-func TestResentChangeGetsItsFirstResult(t *testing.T) {
+func TestRepeatedChangeGetsFirstResult(t *testing.T) {
 	l := newFleet(t)
 	change := subtree("teams/sorters", 1, "mine", teamYAML("sorters", "howrah"))
 	change.Author = "mina"
@@ -65,25 +65,25 @@
 	assert.Equal(t, conflict.Status, conflicting)
 	for round := range 3 {
 		l.accept("teams/sorters", uint64(2+round), teamYAML("sorters", "barasat"))
-		l.restart()
+		l.restoreFromSnapshot()
 		change.ProposedUnixMs++ // another send
 		again := l.change(change)
 		assert.Assert(t, again.Repeated)
 		assert.Equal(t, again.Index, first.Index)
 		assert.Equal(t, again.Version, first.Version)
-		assert.Equal(t, l.machine.current["teams/sorters"].Version, uint64(3+round))
+		assert.Equal(t, l.machine.documents["teams/sorters"].Version, uint64(3+round))
 		againLost := l.change(lost)
 		assert.Equal(t, againLost.Status, conflicting)
 		assert.Equal(t, againLost.Current.Version, uint64(2))
 	}
 	change.Yaml = teamYAML("sorters", "durgapur")
-	assert.Equal(t, l.change(change).Status, notTaken)
+	assert.Equal(t, l.change(change).Status, invalidChange)
 }
 
 // Two operators read the same version and both change it, a thousand times.
 // Exactly one wins each round and the other is shown the winner's document.
 // Operators of different teams never meet.
-func TestOperatorsRace(t *testing.T) {
+func TestConcurrentChangesConflict(t *testing.T) {
 	l := newFleet(t)
 	l.accept("teams/clerks", 0, teamYAML("clerks", "howrah"))
 	for round := range uint64(1000) {
@@ -105,13 +105,13 @@
 
 func TestHistoryIsKeptAndBounded(t *testing.T) {
 	l := newFleet(t)
-	const changes = historyVersions + 10
+	const changes = maxHistoryVersions + 10
 	for n := range uint64(changes) {
 		l.accept("teams/sorters", n+1, teamYAML("sorters", "howrah"))
 	}
-	l.restart()
+	l.restoreFromSnapshot()
 	kept := l.machine.Documents(&pb.GetSettingsRequest{Name: "teams/sorters", History: true})
-	assert.Equal(t, len(kept), historyVersions+1)
+	assert.Equal(t, len(kept), maxHistoryVersions+1)
 	assert.Equal(t, kept[len(kept)-1].Version, uint64(changes+1))
 	old := l.machine.Documents(&pb.GetSettingsRequest{Name: "teams/sorters", Version: changes - 5})
 	assert.Equal(t, old[0].Version, uint64(changes-5))
@@ -122,7 +122,7 @@
 // just behind gets deltas, and both end with the same documents.
 func TestPullDeltasOrSnapshot(t *testing.T) {
 	l := newFleet(t)
-	for n := range uint64(recentDeltas + 10) {
+	for n := range uint64(maxRecentDeltas + 10) {
 		l.accept("teams/sorters", n+1, teamYAML("sorters", "howrah"))
 	}
 	assert.Assert(t, l.machine.Pull(2).Snapshot != nil)
@@ -130,9 +130,9 @@
 	assert.Equal(t, len(near.Deltas), 3)
 	assert.Equal(t, near.ThroughIndex, l.index)
 	assert.Assert(t, l.machine.Pull(l.index) == nil)
-	l.restart()
+	l.restoreFromSnapshot()
 	assert.Assert(t, l.machine.Pull(l.index-3).Snapshot != nil)
 	assert.Assert(t, l.machine.Pull(l.index) == nil)
-	l.accept("teams/sorters", recentDeltas+11, teamYAML("sorters", "barasat"))
+	l.accept("teams/sorters", maxRecentDeltas+11, teamYAML("sorters", "barasat"))
 	assert.Equal(t, len(l.machine.Pull(l.index-1).Deltas), 1)
 }
--- a/internal/control/classes.go
+++ b/internal/control/classes.go
@@ -13,60 +13,60 @@
 // the fleet subtree gives no record life.
 const defaultRecordLife = 10 * time.Minute
 
-// classes counts which zone classes teams use. A class that falls out of use
+// zoneClasses counts which zone classes teams use. A class that falls out of use
 // is retired: its groups stay for as long as it is a former class of a team,
 // so that requests in flight can finish their records and repeats find them.
-type classes struct {
-	former  *former
-	ofTeam  map[fleet.Team]string
-	users   map[string]int
-	retired map[string]int64 // class to the unix ms of its last use
+type zoneClasses struct {
+	formerClasses *formerClasses
+	byTeam        map[fleet.Team]string
+	teamCounts    map[string]int
+	retiredUnixMs map[string]int64 // class to the unix ms of its last use
 }
 
-func newClasses(f *former) *classes {
-	return &classes{
-		former:  f,
-		ofTeam:  make(map[fleet.Team]string),
-		users:   make(map[string]int),
-		retired: make(map[string]int64),
+func newZoneClasses(f *formerClasses) *zoneClasses {
+	return &zoneClasses{
+		formerClasses: f,
+		byTeam:        make(map[fleet.Team]string),
+		teamCounts:    make(map[string]int),
+		retiredUnixMs: make(map[string]int64),
 	}
 }
 
-// set notes a team's class; the empty class means none.
-func (c *classes) set(team fleet.Team, class string, clock int64) {
-	old := c.ofTeam[team]
+// setTeamClass notes a team's class; the empty class means none.
+func (c *zoneClasses) setTeamClass(team fleet.Team, class string, clock int64) {
+	old := c.byTeam[team]
 	if old == class {
 		return
 	}
 	if old != "" {
-		c.former.leave(team, old, clock)
-		c.users[old]--
-		if c.users[old] == 0 {
-			delete(c.users, old)
-			c.retired[old] = clock
+		c.formerClasses.recordLeft(team, old, clock)
+		c.teamCounts[old]--
+		if c.teamCounts[old] == 0 {
+			delete(c.teamCounts, old)
+			c.retiredUnixMs[old] = clock
 		}
 	}
-	delete(c.ofTeam, team)
+	delete(c.byTeam, team)
 	if class == "" {
 		return
 	}
-	c.ofTeam[team] = class
-	c.users[class]++
-	delete(c.retired, class)
+	c.byTeam[team] = class
+	c.teamCounts[class]++
+	delete(c.retiredUnixMs, class)
 }
 
-func (c *classes) update(tree *settings.Tree, clock int64) {
-	for team := range c.ofTeam {
+func (c *zoneClasses) update(tree *settings.Tree, clock int64) {
+	for team := range c.byTeam {
 		if _, ok := tree.Teams[team]; !ok {
-			c.set(team, "", clock)
+			c.setTeamClass(team, "", clock)
 		}
 	}
 	for name, team := range tree.Teams {
-		c.set(name, team.Permitted().Class(), clock)
+		c.setTeamClass(name, team.Permitted().Class(), clock)
 	}
 }
 
-func (c *classes) inUse() []string { return sortedKeys(c.users) }
+func (c *zoneClasses) inUse() []string { return sortedKeys(c.teamCounts) }
 
 func sortedKeys[V any](m map[string]V) []string {
 	keys := make([]string, 0, len(m))
@@ -77,24 +77,24 @@
 	return keys
 }
 
-// tooManyClasses tells whether taking tree's class for the subtree would pass
+// exceedsClassLimit tells whether taking tree's class for the subtree would pass
 // the bound on zone classes.
-func (m *Machine) tooManyClasses(tree *settings.Tree, name string) bool {
-	team, ok := tree.Teams[teamOf(name)]
+func (m *Machine) exceedsClassLimit(tree *settings.Tree, name string) bool {
+	team, ok := tree.Teams[teamOfSubtree(name)]
 	if !ok {
 		return false
 	}
 	class := team.Permitted().Class()
-	if m.classes.users[class] > 0 {
+	if m.zoneClasses.teamCounts[class] > 0 {
 		return false
 	}
-	if _, ok := m.classes.retired[class]; ok {
+	if _, ok := m.zoneClasses.retiredUnixMs[class]; ok {
 		return false
 	}
-	return len(m.classes.users)+len(m.classes.retired) >= maxClasses
+	return len(m.zoneClasses.teamCounts)+len(m.zoneClasses.retiredUnixMs) >= maxClasses
 }
 
-func teamOf(name string) fleet.Team {
+func teamOfSubtree(name string) fleet.Team {
 	if len(name) <= len(settings.TeamPrefix) {
 		return ""
 	}
@@ -105,17 +105,17 @@
 // subtree can touch more than one team.
 func (m *Machine) updateClasses(name string) {
 	if name == settings.FleetSubtree {
-		m.classes.update(m.tree, m.clock)
+		m.zoneClasses.update(m.tree, m.clockUnixMs)
 	} else {
-		team := teamOf(name)
-		m.classes.set(team, m.tree.Teams[team].Permitted().Class(), m.clock)
+		team := teamOfSubtree(name)
+		m.zoneClasses.setTeamClass(team, m.tree.Teams[team].Permitted().Class(), m.clockUnixMs)
 	}
 	m.createGroups()
 }
 
 func (m *Machine) createGroups() {
-	planner := m.planner()
-	for _, class := range m.classes.inUse() {
+	planner := m.newGroupPlanner()
+	for _, class := range m.zoneClasses.inUse() {
 		if _, ok := m.groups[fleet.LedgerShard{ZoneClass: class}]; ok {
 			continue
 		}
@@ -125,25 +125,25 @@
 			if !changed {
 				next.Epoch++
 			}
-			m.putGroup(next)
+			m.setGroup(next)
 		}
 	}
 }
 
-// dropRetired removes the groups of classes unused for formerLives. Their
+// removeExpiredClasses removes the groups of classes unused for formerLives. Their
 // epochs stay used up: a class that returns starts above them, so that no
 // replica mistakes an old group for the new one.
-func (m *Machine) dropRetired() {
-	life := m.formerLife()
-	for _, class := range sortedKeys(m.classes.retired) {
-		age := m.clock - m.classes.retired[class]
+func (m *Machine) removeExpiredClasses() {
+	life := m.formerClassLifeMs()
+	for _, class := range sortedKeys(m.zoneClasses.retiredUnixMs) {
+		age := m.clockUnixMs - m.zoneClasses.retiredUnixMs[class]
 		if age < -life {
-			m.classes.retired[class] = m.clock // retired by a clock that was ahead
+			m.zoneClasses.retiredUnixMs[class] = m.clockUnixMs // retired by a clock that was ahead
 		}
 		if age <= life {
 			continue
 		}
-		delete(m.classes.retired, class)
+		delete(m.zoneClasses.retiredUnixMs, class)
 		m.removeGroups(class)
 	}
 }
@@ -157,6 +157,6 @@
 		}
 		m.epochFloor = max(m.epochFloor, g.Epoch)
 		delete(m.groups, key)
-		m.noteGroup(&pb.LedgerGroup{ZoneClass: class, Shard: shard, Epoch: g.Epoch, Removed: true})
+		m.addGroupToDelta(&pb.LedgerGroup{ZoneClass: class, Shard: shard, Epoch: g.Epoch, Removed: true})
 	}
 }
--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -16,12 +16,12 @@
 
 // The client's time bounds.
 const (
-	attemptTimeout  = 1500 * time.Millisecond // without a byte in one try at one member
-	renewTimeout    = 400 * time.Millisecond  // so that a lease outlives a silent member or two
-	commandTimeout  = proposeTimeout + attemptTimeout
-	shortestBackoff = 20 * time.Millisecond
-	longestBackoff  = 400 * time.Millisecond
-	maxRedirects    = 2 // redirects in a row without a wait
+	attemptTimeout = 1500 * time.Millisecond // without a byte in one try at one member
+	renewTimeout   = 400 * time.Millisecond  // so that a lease outlives a silent member or two
+	commandTimeout = proposeTimeout + attemptTimeout
+	minBackoff     = 20 * time.Millisecond
+	maxBackoff     = 400 * time.Millisecond
+	maxRedirects   = 2 // redirects in a row without a wait
 )
 
 // Client calls the control group from other processes. It follows the leader
@@ -33,95 +33,95 @@
 	addresses func() []string
 	part      logging.Part
 
-	mu     sync.Mutex
-	random *rand.Rand
-	leader string        // last known; empty when not
-	moved  chan struct{} // closed when a leader becomes known
-	next   int           // of addresses, when there is no leader known
-	reader string        // where pulls go
+	mu            sync.Mutex
+	random        *rand.Rand
+	leader        string        // last known; empty when not
+	leaderChanged chan struct{} // closed when a leader becomes known
+	addressIndex  int           // of addresses, when there is no leader known
+	pullMember    string        // where pulls go
 }
 
 // NewClient makes a client of the control instances at addresses, which is
 // asked anew whenever the client has to look for another one.
 func NewClient(dialer rpc.Dialer, addresses func() []string, part logging.Part) *Client {
 	return &Client{
-		dialer:    dialer,
-		addresses: addresses,
-		part:      part,
-		random:    rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
-		moved:     make(chan struct{}),
+		dialer:        dialer,
+		addresses:     addresses,
+		part:          part,
+		random:        rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		leaderChanged: make(chan struct{}),
 	}
 }
 
-// attempt makes one call and gives the address to ask instead, if any.
-type attempt func(ctx context.Context, c pb.DRPCControlClient) (elsewhere string, err error)
+// attemptFunc makes one call and gives the address to ask instead, if any.
+type attemptFunc func(ctx context.Context, c pb.DRPCControlClient) (elsewhere string, err error)
 
-// follow repeats try at the leader, as far as it is known, until it is
+// callLeader repeats try at the leader, as far as it is known, until it is
 // answered there.
-func (c *Client) follow(ctx context.Context, timeout time.Duration, try attempt) error {
-	backoff := shortestBackoff
+func (c *Client) callLeader(ctx context.Context, timeout time.Duration, try attemptFunc) error {
+	backoff := minBackoff
 	redirects := 0
 	for {
-		address := c.target()
-		elsewhere, err := c.once(ctx, timeout, address, try)
+		address := c.targetAddress()
+		elsewhere, err := c.attemptAt(ctx, timeout, address, try)
 		if err == nil && elsewhere == "" {
 			c.setLeader(address)
 			return nil
 		}
-		c.learn(address, elsewhere, err)
+		c.recordFailure(address, elsewhere, err)
 		if elsewhere != "" && redirects < maxRedirects {
 			redirects++
 			continue
 		}
 		redirects = 0
 		if !c.sleep(ctx, backoff) {
-			return givenUp(ctx, err)
+			return noAnswerError(ctx, err)
 		}
-		backoff = min(2*backoff, longestBackoff)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-// learn takes a try's failure. It forgets the leader only when that is who
+// recordFailure takes a try's failure. It forgets the leader only when that is who
 // failed: another call may have found the next one meanwhile.
-func (c *Client) learn(address, elsewhere string, err error) {
+func (c *Client) recordFailure(address, elsewhere string, err error) {
 	if elsewhere != "" {
 		c.setLeader(elsewhere)
 		return
 	}
 	c.part.Debug("Call failed.", "address", address, "err", err)
-	c.loseLeader(address)
+	c.forgetLeader(address)
 }
 
-func givenUp(ctx context.Context, last error) error {
+func noAnswerError(ctx context.Context, last error) error {
 	if last == nil {
 		last = ctx.Err()
 	}
 	return trace.ConnectionProblem(last, "no answer from the control group")
 }
 
-func (c *Client) once(ctx context.Context, timeout time.Duration, address string, try attempt) (string, error) {
+func (c *Client) attemptAt(ctx context.Context, timeout time.Duration, address string, try attemptFunc) (string, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	ctx, transfer := rpc.WithTransfer(ctx, timeout)
-	client, err := c.at(ctx, address)
+	client, err := c.clientAt(ctx, address)
 	if err != nil {
 		return "", trace.Wrap(transfer.End(ctx, err))
 	}
-	go c.cancelWhenMoved(ctx, cancel, address)
+	go c.cancelOnNewLeader(ctx, cancel, address)
 	elsewhere, err := try(ctx, client)
 	return elsewhere, transfer.End(ctx, err)
 }
 
-// cancelWhenMoved ends a try once another member is known to lead.
+// cancelOnNewLeader ends a try once another member is known to lead.
 //
 // Failure: the leader is cut off silently while a change waits there for its
 // answer. It shows as an operator's command that hangs for the whole time of a
 // try, long after the others have a new leader. The lease renewals of this
 // process find the new leader within a second, and since all calls are
 // idempotent the try may be given up and made there.
-func (c *Client) cancelWhenMoved(ctx context.Context, cancel context.CancelFunc, address string) {
+func (c *Client) cancelOnNewLeader(ctx context.Context, cancel context.CancelFunc, address string) {
 	for {
-		leader, moved := c.known()
+		leader, moved := c.knownLeader()
 		if leader != "" && leader != address {
 			cancel()
 			return
@@ -134,13 +134,13 @@
 	}
 }
 
-func (c *Client) known() (leader string, moved <-chan struct{}) {
+func (c *Client) knownLeader() (leader string, moved <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.leader, c.moved
+	return c.leader, c.leaderChanged
 }
 
-func (c *Client) at(ctx context.Context, address string) (pb.DRPCControlClient, error) {
+func (c *Client) clientAt(ctx context.Context, address string) (pb.DRPCControlClient, error) {
 	if address == "" {
 		return nil, trace.BadParameter("no address of a control instance is known")
 	}
@@ -151,8 +151,8 @@
 	return pb.NewDRPCControlClient(conn), nil
 }
 
-// target gives the leader, or the next address in turn.
-func (c *Client) target() string {
+// targetAddress gives the leader, or the next address in turn.
+func (c *Client) targetAddress() string {
 	addresses := c.addresses()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -162,25 +162,25 @@
 	if len(addresses) == 0 {
 		return ""
 	}
-	if c.next == 0 {
-		c.next = 1 + c.random.IntN(len(addresses))
+	if c.addressIndex == 0 {
+		c.addressIndex = 1 + c.random.IntN(len(addresses))
 	}
-	c.next++
-	return addresses[c.next%len(addresses)]
+	c.addressIndex++
+	return addresses[c.addressIndex%len(addresses)]
 }
 
 func (c *Client) setLeader(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if address != "" && address != c.leader {
-		close(c.moved)
-		c.moved = make(chan struct{})
+		close(c.leaderChanged)
+		c.leaderChanged = make(chan struct{})
 	}
 	c.leader = address
 }
 
-// loseLeader forgets the leader if it is the one at address.
-func (c *Client) loseLeader(address string) {
+// forgetLeader forgets the leader if it is the one at address.
+func (c *Client) forgetLeader(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.leader == address {
--- a/internal/control/client_calls.go
+++ b/internal/control/client_calls.go
@@ -13,7 +13,7 @@
 // final refusal, or none when the caller should try again or has left.
 func (c *Client) RenewLease(ctx context.Context, r *pb.RenewLeaseRequest) (*pb.RenewLeaseReply, error) {
 	var reply *pb.RenewLeaseReply
-	err := c.follow(ctx, renewTimeout, func(ctx context.Context, at pb.DRPCControlClient) (string, error) {
+	err := c.callLeader(ctx, renewTimeout, func(ctx context.Context, at pb.DRPCControlClient) (string, error) {
 		var err error
 		reply, err = at.RenewLease(ctx, r)
 		if err != nil {
@@ -35,7 +35,7 @@
 func (c *Client) Change(ctx context.Context, r *pb.ChangeRequest) (*pb.ChangeReply, error) {
 	var reply *pb.ChangeReply
 	timeout := commandTimeout + time.Duration(r.GetWaitInForceMs())*time.Millisecond
-	err := c.follow(ctx, timeout, func(ctx context.Context, at pb.DRPCControlClient) (string, error) {
+	err := c.callLeader(ctx, timeout, func(ctx context.Context, at pb.DRPCControlClient) (string, error) {
 		var err error
 		reply, err = at.Change(ctx, r)
 		return reply.GetLeaderAddress(), err
@@ -46,7 +46,7 @@
 // GetSettings reads settings as of now.
 func (c *Client) GetSettings(ctx context.Context, r *pb.GetSettingsRequest) (*pb.GetSettingsReply, error) {
 	var reply *pb.GetSettingsReply
-	err := c.follow(ctx, attemptTimeout, func(ctx context.Context, at pb.DRPCControlClient) (string, error) {
+	err := c.callLeader(ctx, attemptTimeout, func(ctx context.Context, at pb.DRPCControlClient) (string, error) {
 		var err error
 		reply, err = at.GetSettings(ctx, r)
 		return reply.GetLeaderAddress(), err
@@ -57,7 +57,7 @@
 // ChangeMember adds or removes a member of the group.
 func (c *Client) ChangeMember(ctx context.Context, r *pb.ChangeMemberRequest) (*pb.ChangeMemberReply, error) {
 	var reply *pb.ChangeMemberReply
-	err := c.follow(ctx, memberTimeout, func(ctx context.Context, at pb.DRPCControlClient) (string, error) {
+	err := c.callLeader(ctx, changeMemberTimeout, func(ctx context.Context, at pb.DRPCControlClient) (string, error) {
 		var err error
 		reply, err = at.ChangeMember(ctx, r)
 		return reply.GetLeaderAddress(), err
@@ -65,13 +65,13 @@
 	return reply, err
 }
 
-// memberTimeout allows for a learner that catches up first.
-const memberTimeout = time.Minute
+// changeMemberTimeout allows for a learner that catches up first.
+const changeMemberTimeout = time.Minute
 
 // Drain makes an instance drain.
 func (c *Client) Drain(ctx context.Context, r *pb.DrainRequest) (*pb.DrainReply, error) {
 	var reply *pb.DrainReply
-	err := c.follow(ctx, commandTimeout, func(ctx context.Context, at pb.DRPCControlClient) (string, error) {
+	err := c.callLeader(ctx, commandTimeout, func(ctx context.Context, at pb.DRPCControlClient) (string, error) {
 		var err error
 		reply, err = at.Drain(ctx, r)
 		return reply.GetLeaderAddress(), err
@@ -82,7 +82,7 @@
 // Order gets a fencing token for an order.
 func (c *Client) Order(ctx context.Context, o *pb.IssueOrder) (*pb.OrderReply, error) {
 	var reply *pb.OrderReply
-	err := c.follow(ctx, commandTimeout, func(ctx context.Context, at pb.DRPCControlClient) (string, error) {
+	err := c.callLeader(ctx, commandTimeout, func(ctx context.Context, at pb.DRPCControlClient) (string, error) {
 		var err error
 		reply, err = at.Order(ctx, o)
 		return reply.GetLeaderAddress(), err
@@ -108,7 +108,7 @@
 
 func (c *Client) report(ctx context.Context, send reportCall) (*pb.ReportReply, error) {
 	var reply *pb.ReportReply
-	err := c.follow(ctx, commandTimeout, func(ctx context.Context, at pb.DRPCControlClient) (string, error) {
+	err := c.callLeader(ctx, commandTimeout, func(ctx context.Context, at pb.DRPCControlClient) (string, error) {
 		var err error
 		reply, err = send(ctx, at)
 		return reply.GetLeaderAddress(), err
--- a/internal/control/client_members.go
+++ b/internal/control/client_members.go
@@ -14,17 +14,17 @@
 // another one when that fails. It makes one try; the caller repeats it.
 func (c *Client) Pull(ctx context.Context, r *pb.PullRequest) (*pb.PullReply, error) {
 	ctx, transfer := rpc.WithTransfer(ctx, attemptTimeout+time.Duration(r.GetWaitMs())*time.Millisecond)
-	address := c.pullAddress()
+	address := c.choosePullMember()
 	reply, err := c.pullAt(ctx, address, r)
 	if err = transfer.End(ctx, err); err != nil {
-		c.leaveReader(address)
+		c.switchPullMember(address)
 		return nil, trace.Wrap(err, "pull at %s", address)
 	}
 	return reply, nil
 }
 
 func (c *Client) pullAt(ctx context.Context, address string, r *pb.PullRequest) (*pb.PullReply, error) {
-	client, err := c.at(ctx, address)
+	client, err := c.clientAt(ctx, address)
 	if err != nil {
 		return nil, err
 	}
@@ -35,36 +35,36 @@
 // to the leader when it is known, since any other one may lag too.
 func (c *Client) Elsewhere() {
 	c.mu.Lock()
-	address := c.reader
+	address := c.pullMember
 	if c.leader != "" && c.leader != address {
-		c.reader = c.leader
+		c.pullMember = c.leader
 	}
 	c.mu.Unlock()
-	c.leaveReader(address)
+	c.switchPullMember(address)
 }
 
-func (c *Client) pullAddress() string {
+func (c *Client) choosePullMember() string {
 	addresses := c.addresses()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.reader == "" && len(addresses) > 0 {
-		c.reader = addresses[c.random.IntN(len(addresses))]
+	if c.pullMember == "" && len(addresses) > 0 {
+		c.pullMember = addresses[c.random.IntN(len(addresses))]
 	}
-	return c.reader
+	return c.pullMember
 }
 
-// leaveReader takes the address after the one that failed.
-func (c *Client) leaveReader(address string) {
+// switchPullMember takes the address after the one that failed.
+func (c *Client) switchPullMember(address string) {
 	addresses := c.addresses()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.reader != address {
+	if c.pullMember != address {
 		return
 	}
-	c.reader = ""
+	c.pullMember = ""
 	for n, a := range addresses {
 		if a == address {
-			c.reader = addresses[(n+1)%len(addresses)]
+			c.pullMember = addresses[(n+1)%len(addresses)]
 		}
 	}
 }
@@ -83,22 +83,22 @@
 		}
 		last = err
 	}
-	return nil, givenUp(ctx, last)
+	return nil, noAnswerError(ctx, last)
 }
 
 func (c *Client) tryStatus(ctx context.Context) (*pb.StatusReply, error) {
-	address := c.target()
+	address := c.targetAddress()
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	reply, err := c.statusAt(ctx, address)
 	if err != nil {
-		c.loseLeader(address)
+		c.forgetLeader(address)
 	}
 	return reply, err
 }
 
 func (c *Client) statusAt(ctx context.Context, address string) (*pb.StatusReply, error) {
-	client, err := c.at(ctx, address)
+	client, err := c.clientAt(ctx, address)
 	if err != nil {
 		return nil, err
 	}
@@ -108,7 +108,7 @@
 
 // Init starts a fleet through the member at address. It makes one try.
 func (c *Client) Init(ctx context.Context, address string, r *pb.InitRequest) (*pb.InitReply, error) {
-	client, err := c.at(ctx, address)
+	client, err := c.clientAt(ctx, address)
 	if err != nil {
 		return nil, err
 	}
@@ -118,7 +118,7 @@
 
 // DiskIdentity asks the instance at address for its disk's identity.
 func (c *Client) DiskIdentity(ctx context.Context, address string) (*pb.Member, error) {
-	client, err := c.at(ctx, address)
+	client, err := c.clientAt(ctx, address)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/control/clock_test.go
+++ b/internal/control/clock_test.go
@@ -10,23 +10,23 @@
 // One leader's clock is years ahead. While it leads and after it, classes
 // retire, suspects age and loads wait for their turns by the clocks that are
 // right: nothing waits for years.
-func TestLeaderWithAClockFarAhead(t *testing.T) {
+func TestLeaderClockFarAhead(t *testing.T) {
 	const years = 10 * 365 * 24 * time.Hour
-	l := grown(t, 3)
-	l.clock += years.Milliseconds()
+	l := fleetWithEntries(t, 3)
+	l.clockMs += years.Milliseconds()
 	for _, id := range []string{"1", "2", "3"} {
-		assert.Equal(t, l.order(load(id, id)).Refusal, "")
+		assert.Equal(t, l.order(loadOrder(id, id)).Refusal, "")
 	}
 	l.crash("x", 1, 1)
 	l.accept("teams/sorters", 1, teamYAML("sorters", "howrah"))
-	l.clock -= years.Milliseconds()
-	assert.Equal(t, l.order(load("4", "4")).Order.DelayMs, uint64(0))
+	l.clockMs -= years.Milliseconds()
+	assert.Equal(t, l.order(loadOrder("4", "4")).Order.DelayMs, uint64(0))
 	assert.Equal(t, len(l.machine.suspects.records), 0)
 	assert.Assert(t, l.group(0) != nil)
-	l.pass(formerLives * defaultRecordLife.Milliseconds())
+	l.advance(formerClassRecordLives * defaultRecordLife.Milliseconds())
 	assert.Assert(t, l.group(0) != nil)
-	assert.Equal(t, len(l.machine.former.sorted()), 1)
-	l.pass(1)
+	assert.Equal(t, len(l.machine.formerClasses.sorted()), 1)
+	l.advance(1)
 	assert.Assert(t, l.group(0) == nil)
-	assert.Equal(t, len(l.machine.former.sorted()), 0)
+	assert.Equal(t, len(l.machine.formerClasses.sorted()), 0)
 }
--- a/internal/control/daemonbench_test.go
+++ b/internal/control/daemonharness_test.go
@@ -16,8 +16,8 @@
 	"github.com/hyssopsail/hyssopsail/internal/settings"
 )
 
-// bench is a control group with daemons, inside a synctest bubble.
-type bench struct {
+// daemonHarness is a control group with daemons, inside a synctest bubble.
+type daemonHarness struct {
 	t       testing.TB
 	ctx     context.Context
 	cluster *cluster
@@ -32,12 +32,12 @@
 	client *Client
 }
 
-func inBubble(t *testing.T, f func(*bench)) {
+func withHarness(t *testing.T, f func(*daemonHarness)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		c := newCluster(t, 3)
 		c.run(ctx)
-		b := &bench{t: t, ctx: ctx, cluster: c}
+		b := &daemonHarness{t: t, ctx: ctx, cluster: c}
 		b.admin = NewClient(c.net.Dialer("admin"), c.addresses, logging.Part{})
 		b.apply("fleet", 0, []byte(fleetYAML))
 		b.apply("teams/sorters", 0, teamYAML("sorters", allZones...))
@@ -48,20 +48,20 @@
 }
 
 // withEntry runs f five seconds after entry e0 has been started.
-func withEntry(t *testing.T, f func(*bench, *daemon)) {
-	inBubble(t, func(b *bench) {
+func withEntry(t *testing.T, f func(*daemonHarness, *daemon)) {
+	withHarness(t, func(b *daemonHarness) {
 		d := b.start("e0", 1)
 		time.Sleep(5 * time.Second)
 		f(b, d)
 	})
 }
 
-func (b *bench) apply(name string, version uint64, yaml []byte) *pb.ChangeReply {
+func (b *daemonHarness) apply(name string, version uint64, yaml []byte) *pb.ChangeReply {
 	b.t.Helper()
 	return b.change(name, version, yaml, 0)
 }
 
-func (b *bench) change(name string, version uint64, yaml []byte, wait time.Duration) *pb.ChangeReply {
+func (b *daemonHarness) change(name string, version uint64, yaml []byte, wait time.Duration) *pb.ChangeReply {
 	b.t.Helper()
 	return changeWith(b.t, b.admin, subtree(name, version, fmt.Sprint(name, version), yaml), wait)
 }
@@ -78,7 +78,7 @@
 	return reply
 }
 
-func (b *bench) start(id string, incarnation fleet.Incarnation) *daemon {
+func (b *daemonHarness) start(id string, incarnation fleet.Incarnation) *daemon {
 	ctx, stop := context.WithCancel(b.ctx)
 	d := &daemon{ended: make(chan error, 1), stop: stop}
 	// As in a daemon, the client's addresses come from the agent's state too.
@@ -100,7 +100,7 @@
 
 func (d *daemon) current() bool { return d.agent.Current(time.Now()) }
 
-func (b *bench) view() map[string]uint64 {
+func (b *daemonHarness) view() map[string]uint64 {
 	b.cluster.mu.Lock()
 	leader := b.cluster.members[max(b.cluster.leader, 0)]
 	b.cluster.mu.Unlock()
@@ -112,26 +112,26 @@
 	return view
 }
 
-func (b *bench) cutOff(id string, cut bool) {
+func (b *daemonHarness) setPartitioned(id string, cut bool) {
 	b.cluster.net.SetCut(cut, id, b.cluster.addresses()...)
 	for _, a := range b.cluster.addresses() {
 		b.cluster.net.SetCut(cut, a, id)
 	}
 }
 
-func (b *bench) groups() []*pb.LedgerGroup {
+func (b *daemonHarness) groups() []*pb.LedgerGroup {
 	return b.cluster.members[0].machine.machineState().State.LedgerGroups
 }
 
-// copyShards reports all pending copies as done until there are none.
-func copyShards(b *bench) {
+// completeCopies reports all pending copies as done until there are none.
+func completeCopies(b *daemonHarness) {
 	for range 4 {
 		for _, g := range b.groups() {
 			for _, r := range g.Replicas {
 				if r.Ready {
 					continue
 				}
-				_, err := b.admin.Ready(b.ctx, readyOf(r, g))
+				_, err := b.admin.Ready(b.ctx, readyReport(r, g))
 				assert.NilError(b.t, err)
 			}
 		}
--- a/internal/control/fakegroup_test.go
+++ b/internal/control/fakegroup_test.go
@@ -20,19 +20,19 @@
 	leader   int // -1: none
 	term     uint64
 	commands [][]byte
-	// loseReply makes the next proposal commit and its leader die before it
+	// failNextReply makes the next proposal commit and its leader die before it
 	// answers.
-	loseReply bool
-	net       *testkit.Network
+	failNextReply bool
+	net           *testkit.Network
 }
 
 type fakeMember struct {
-	cluster *cluster
-	number  int
-	cut     bool // from the other members
-	applied int
-	machine *Machine
-	server  *Server
+	cluster     *cluster
+	number      int
+	partitioned bool // from the other members
+	applied     int
+	machine     *Machine
+	server      *Server
 }
 
 var _ replica.Group = (*fakeMember)(nil)
@@ -43,7 +43,7 @@
 		m := &fakeMember{cluster: c, number: n, machine: NewMachine(testOptions())}
 		m.server = NewServer(ServerOptions{Group: m, Machine: m.machine, Self: m.instance(), Dialer: c.net.Dialer(m.address())})
 		c.members = append(c.members, m)
-		serve(c.net, m.address(), m.server)
+		serveControl(c.net, m.address(), m.server)
 	}
 	return c
 }
@@ -70,22 +70,22 @@
 	defer c.mu.Unlock()
 	c.leader = number
 	c.term++
-	c.catchUp()
+	c.applyCommitted()
 }
 
-func (c *cluster) setCut(number int, cut bool) {
+func (c *cluster) setPartitioned(number int, cut bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.members[number].cut = cut
-	c.catchUp()
+	c.members[number].partitioned = cut
+	c.applyCommitted()
 }
 
-// catchUp applies the log at all members that are not cut off. It gives the
+// applyCommitted applies the log at all members that are not cut off. It gives the
 // leader's last result.
-func (c *cluster) catchUp() []byte {
+func (c *cluster) applyCommitted() []byte {
 	var last []byte
 	for _, m := range c.members {
-		for !m.cut && m.applied < len(c.commands) {
+		for !m.partitioned && m.applied < len(c.commands) {
 			result := m.machine.Apply(uint64(m.applied+1), c.commands[m.applied])
 			m.applied++
 			if m.number == c.leader {
@@ -112,13 +112,13 @@
 	if c.leader != m.number {
 		return replica.Applied{}, replica.ErrNotLeader
 	}
-	if m.cut {
+	if m.partitioned {
 		return replica.Applied{}, replica.ErrUncertain
 	}
 	c.commands = append(c.commands, command)
-	result := c.catchUp()
-	if c.loseReply {
-		c.loseReply = false
+	result := c.applyCommitted()
+	if c.failNextReply {
+		c.failNextReply = false
 		c.leader = (c.leader + 1) % len(c.members)
 		c.term++
 		return replica.Applied{}, replica.ErrUncertain
@@ -131,7 +131,7 @@
 	c := m.cluster
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.leader != m.number || m.cut {
+	if c.leader != m.number || m.partitioned {
 		return replica.ErrNotLeader
 	}
 	return nil
--- a/internal/control/fixture_test.go
+++ b/internal/control/fixture_test.go
@@ -36,26 +36,26 @@
 	return MachineOptions{Check: settings.CheckChange, Build: settings.Build}
 }
 
-// log drives a Machine as the replicated log would.
-type log struct {
+// testLog drives a Machine as the replicated log would.
+type testLog struct {
 	t       testing.TB
 	machine *Machine
 	index   uint64
-	clock   int64
+	clockMs int64
 }
 
-func serve(n *testkit.Network, address string, s pb.DRPCControlServer) {
+func serveControl(n *testkit.Network, address string, s pb.DRPCControlServer) {
 	n.Serve(address, s, pb.DRPCControlDescription{}, pb.DRPCConsensusDescription{})
 }
 
-func newLog(t testing.TB) *log {
-	return &log{t: t, machine: NewMachine(testOptions()), clock: 1_000_000}
+func newLog(t testing.TB) *testLog {
+	return &testLog{t: t, machine: NewMachine(testOptions()), clockMs: 1_000_000}
 }
 
-func (l *log) apply(c *pb.Command) *pb.CommandResult {
+func (l *testLog) apply(c *pb.Command) *pb.CommandResult {
 	l.t.Helper()
 	l.index++
-	c.UnixMs = l.clock
+	c.UnixMs = l.clockMs
 	encoded, err := proto.Marshal(c)
 	assert.NilError(l.t, err)
 	var result pb.CommandResult
@@ -63,7 +63,7 @@
 	return &result
 }
 
-func (l *log) change(c *pb.ChangeSubtree) *pb.ChangeResult {
+func (l *testLog) change(c *pb.ChangeSubtree) *pb.ChangeResult {
 	l.t.Helper()
 	return l.apply(&pb.Command{Body: &pb.Command_ChangeSubtree{ChangeSubtree: c}}).Change
 }
@@ -72,55 +72,55 @@
 	return &pb.ChangeSubtree{Name: name, ExpectedVersion: version, ChangeId: changeID, Yaml: yaml}
 }
 
-func (l *log) accept(name string, version uint64, yaml []byte) *pb.ChangeResult {
+func (l *testLog) accept(name string, version uint64, yaml []byte) *pb.ChangeResult {
 	l.t.Helper()
 	result := l.change(subtree(name, version, fmt.Sprintf("%s-%d-%d", name, version, l.index), yaml))
 	assert.Equal(l.t, result.Status, pb.ChangeStatus_CHANGE_STATUS_ACCEPTED, result.Detail)
 	return result
 }
 
-func (l *log) join(id string, incarnation uint64, zone string) string {
+func (l *testLog) join(id string, incarnation uint64, zone string) string {
 	l.t.Helper()
 	i := &pb.InstanceRecord{Id: id, Incarnation: incarnation, AvailabilityZone: zone, Entry: true}
 	return l.apply(&pb.Command{Body: &pb.Command_JoinInstance{JoinInstance: &pb.JoinInstance{Instance: i}}}).Refusal
 }
 
-func (l *log) expire(id string, incarnation uint64) string {
+func (l *testLog) expire(id string, incarnation uint64) string {
 	l.t.Helper()
 	e := &pb.ExpireInstance{Id: id, Incarnation: incarnation, Reason: "lease"}
 	return l.apply(&pb.Command{Body: &pb.Command_ExpireInstance{ExpireInstance: e}}).Refusal
 }
 
-func (l *log) drain(id string) string {
+func (l *testLog) drain(id string) string {
 	l.t.Helper()
 	return l.apply(&pb.Command{Body: &pb.Command_DrainInstance{DrainInstance: &pb.DrainInstance{Id: id}}}).Refusal
 }
 
-// pass moves the clock on, in milliseconds, by a command without effect.
-func (l *log) pass(ms int64) {
+// advance moves the clock on, in milliseconds, by a command without effect.
+func (l *testLog) advance(ms int64) {
 	l.t.Helper()
-	l.clock += ms
+	l.clockMs += ms
 	l.drain("nobody")
 }
 
-func (l *log) ready(r *pb.LedgerReplica, g *pb.LedgerGroup) string {
+func (l *testLog) reportReady(r *pb.LedgerReplica, g *pb.LedgerGroup) string {
 	l.t.Helper()
-	return l.apply(&pb.Command{Body: &pb.Command_LedgerReady{LedgerReady: readyOf(r, g)}}).Refusal
+	return l.apply(&pb.Command{Body: &pb.Command_LedgerReady{LedgerReady: readyReport(r, g)}}).Refusal
 }
 
-// readyOf reports a replica's copy of the group's records as done.
-func readyOf(r *pb.LedgerReplica, g *pb.LedgerGroup) *pb.LedgerReady {
+// readyReport reports a replica's copy of the group's records as done.
+func readyReport(r *pb.LedgerReplica, g *pb.LedgerGroup) *pb.LedgerReady {
 	shards := []*pb.LedgerShardEpoch{{ZoneClass: g.ZoneClass, Shard: g.Shard, Epoch: g.Epoch}}
 	return &pb.LedgerReady{InstanceId: r.InstanceId, Incarnation: r.Incarnation, Shards: shards}
 }
 
-func (l *log) order(o *pb.IssueOrder) *pb.CommandResult {
+func (l *testLog) order(o *pb.IssueOrder) *pb.CommandResult {
 	l.t.Helper()
 	return l.apply(&pb.Command{Body: &pb.Command_IssueOrder{IssueOrder: o}})
 }
 
-// restart replaces the machine by one restored from its snapshot.
-func (l *log) restart() {
+// restoreFromSnapshot replaces the machine by one restored from its snapshot.
+func (l *testLog) restoreFromSnapshot() {
 	l.t.Helper()
 	snapshot, err := l.machine.Snapshot()
 	assert.NilError(l.t, err)
@@ -129,7 +129,7 @@
 }
 
 // newFleet gives a log with the fleet subtree and one team in all zones.
-func newFleet(t testing.TB) *log {
+func newFleet(t testing.TB) *testLog {
 	t.Helper()
 	l := newLog(t)
 	l.accept("fleet", 0, []byte(fleetYAML))
--- a/internal/control/former_test.go
+++ b/internal/control/former_test.go
@@ -10,8 +10,8 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// formerOf lists a machine's former classes as "team class".
-func (l *log) formerOf() []string {
+// formerClassList lists a machine's former classes as "team class".
+func (l *testLog) formerClassList() []string {
 	found := []string{}
 	for _, f := range l.machine.fleetState().FormerClasses {
 		found = append(found, f.Team+" "+f.ZoneClass)
@@ -19,8 +19,8 @@
 	return found
 }
 
-func (l *log) lastDelta() *pb.Delta {
-	return l.machine.recent.deltas[len(l.machine.recent.deltas)-1]
+func (l *testLog) lastDelta() *pb.Delta {
+	return l.machine.recentDeltas.deltas[len(l.machine.recentDeltas.deltas)-1]
 }
 
 // A team's zones change, and change back. Each class that it left stays known
@@ -29,35 +29,35 @@
 	const all, one = "barasat+durgapur+howrah", "howrah"
 	l := newFleet(t)
 	l.accept("teams/sorters", 1, append(teamYAML("sorters", allZones...), "share: 2\n"...))
-	assert.DeepEqual(t, l.formerOf(), []string{})
+	assert.DeepEqual(t, l.formerClassList(), []string{})
 	l.accept("teams/sorters", 2, teamYAML("sorters", "howrah"))
-	assert.DeepEqual(t, l.formerOf(), []string{"sorters " + all})
+	assert.DeepEqual(t, l.formerClassList(), []string{"sorters " + all})
 	assert.Equal(t, l.lastDelta().FormerClasses[0].ZoneClass, all)
-	l.restart()
-	l.clock += 1000
+	l.restoreFromSnapshot()
+	l.clockMs += 1000
 	l.accept("teams/sorters", 3, nil) // removed
-	l.restart()
+	l.restoreFromSnapshot()
 	l.accept("teams/sorters", 4, teamYAML("sorters", allZones...))
-	assert.DeepEqual(t, l.formerOf(), []string{"sorters " + all, "sorters " + one})
-	life := formerLives * defaultRecordLife.Milliseconds()
-	l.pass(life - 1000)
-	assert.Equal(t, len(l.formerOf()), 2)
-	l.clock++
-	assert.Assert(t, l.machine.Due(l.clock))
+	assert.DeepEqual(t, l.formerClassList(), []string{"sorters " + all, "sorters " + one})
+	life := formerClassRecordLives * defaultRecordLife.Milliseconds()
+	l.advance(life - 1000)
+	assert.Equal(t, len(l.formerClassList()), 2)
+	l.clockMs++
+	assert.Assert(t, l.machine.HasExpiredRecords(l.clockMs))
 	l.drain("nobody")
-	assert.DeepEqual(t, l.formerOf(), []string{"sorters " + one})
+	assert.DeepEqual(t, l.formerClassList(), []string{"sorters " + one})
 	assert.Assert(t, l.lastDelta().FormerClasses[0].Removed)
-	l.pass(1000)
-	assert.DeepEqual(t, l.formerOf(), []string{})
-	assert.Assert(t, !l.machine.Due(l.clock))
+	l.advance(1000)
+	assert.DeepEqual(t, l.formerClassList(), []string{})
+	assert.Assert(t, !l.machine.HasExpiredRecords(l.clockMs))
 }
 
 // The table of former classes is full: the change is refused, since a class
 // that is forgotten would let calls run twice.
 func TestFormerClassesAreBounded(t *testing.T) {
 	l := newFleet(t)
-	for n := range maxTeamFormer {
-		l.machine.former.set("sorters", fmt.Sprint("class-", n), l.clock)
+	for n := range maxFormerClassesPerTeam {
+		l.machine.formerClasses.set("sorters", fmt.Sprint("class-", n), l.clockMs)
 	}
 	refused := l.change(subtree("teams/sorters", 1, "x", teamYAML("sorters", "howrah")))
 	assert.Equal(t, refused.Status, pb.ChangeStatus_CHANGE_STATUS_INVALID)
@@ -68,11 +68,11 @@
 // A call runs while its team's zones change, and ends minutes later. Its record
 // lives on from its end, and a repeat in that time must still find it, though
 // the change is more than one record life ago.
-func TestFormerClassOutlivesALateEnd(t *testing.T) {
+func TestFormerClassOutlivesLateRecords(t *testing.T) {
 	l := newFleet(t)
-	old := l.machine.classes.ofTeam["sorters"]
+	old := l.machine.zoneClasses.byTeam["sorters"]
 	l.accept("teams/sorters", 1, teamYAML("sorters", "howrah"))
-	l.pass(defaultRecordLife.Milliseconds() * 19 / 10)
-	assert.DeepEqual(t, l.formerOf(), []string{"sorters " + old})
+	l.advance(defaultRecordLife.Milliseconds() * 19 / 10)
+	assert.DeepEqual(t, l.formerClassList(), []string{"sorters " + old})
 	assert.Assert(t, l.machine.groups[fleet.LedgerShard{ZoneClass: old}] != nil)
 }
--- a/internal/control/fuzz_test.go
+++ b/internal/control/fuzz_test.go
@@ -16,7 +16,7 @@
 	bodies := []*pb.Command{
 		{Body: &pb.Command_JoinInstance{JoinInstance: &pb.JoinInstance{Instance: instance}}},
 		{Body: &pb.Command_ExpireInstance{ExpireInstance: &pb.ExpireInstance{Id: "e0", Incarnation: 1}}},
-		{Body: &pb.Command_IssueOrder{IssueOrder: load("o", "x")}},
+		{Body: &pb.Command_IssueOrder{IssueOrder: loadOrder("o", "x")}},
 		{Body: &pb.Command_ReportCrash{ReportCrash: &pb.ReportCrash{EndpointId: "x", Fingerprints: [][]byte{make([]byte, 16)}}}},
 		{Body: &pb.Command_ChangeSubtree{ChangeSubtree: &pb.ChangeSubtree{Name: "teams/x", ChangeId: "c", Yaml: teamYAML("x", "howrah")}}},
 	}
@@ -31,7 +31,7 @@
 // decodable and equal on a replica restored from a snapshot.
 func FuzzApply(f *testing.F) {
 	seedCommands(f)
-	base := grown(f, 4)
+	base := fleetWithEntries(f, 4)
 	snapshot, err := base.machine.Snapshot()
 	assert.NilError(f, err)
 	f.Fuzz(func(t *testing.T, command []byte) {
@@ -52,7 +52,7 @@
 
 // FuzzRestore: arbitrary bytes are an error or a state that works on.
 func FuzzRestore(f *testing.F) {
-	base := grown(f, 4)
+	base := fleetWithEntries(f, 4)
 	encoded, err := proto.Marshal(base.machine.machineState())
 	assert.NilError(f, err)
 	f.Add(encoded)
--- a/internal/control/groupplan.go
+++ b/internal/control/groupplan.go
@@ -12,16 +12,16 @@
 // groupPlanner decides the replica sets of ledger groups for one state of the
 // view. docs/design/control.md has the argument why no decided record is lost.
 type groupPlanner struct {
-	instances map[string]*pb.InstanceRecord
-	clock     int64
-	eligible  map[string][]fleet.Instance // by zone class, filled when asked for
+	instances       map[string]*pb.InstanceRecord
+	clockUnixMs     int64
+	eligibleByClass map[string][]fleet.Instance // by zone class, filled when asked for
 }
 
-func (m *Machine) planner() *groupPlanner {
+func (m *Machine) newGroupPlanner() *groupPlanner {
 	return &groupPlanner{
-		instances: m.instances,
-		clock:     m.clock,
-		eligible:  make(map[string][]fleet.Instance),
+		instances:       m.instances,
+		clockUnixMs:     m.clockUnixMs,
+		eligibleByClass: make(map[string][]fleet.Instance),
 	}
 }
 
@@ -35,12 +35,12 @@
 // ready ones, and when so many of these are gone that no majority can be
 // read, history_lost says that absent records mean "unknown".
 func (p *groupPlanner) repair(g *pb.LedgerGroup) (next *pb.LedgerGroup, changed bool) {
-	alive := p.alive(g.Replicas)
+	alive := p.liveReplicas(g.Replicas)
 	keep := alive
-	if leaving := p.leaving(g, alive); leaving != nil {
+	if leaving := p.drainingReplica(g, alive); leaving != nil {
 		keep = without(alive, leaving)
 	}
-	spares := p.spares(g, keep)
+	spares := p.chooseReplacements(g, keep)
 	if len(alive) == len(g.Replicas) && len(spares) == 0 {
 		return g, false
 	}
@@ -53,36 +53,36 @@
 		Epoch:             g.Epoch + 1,
 		HistoryLostUnixMs: g.HistoryLostUnixMs,
 	}
-	p.fill(g, next, alive, keep, spares)
+	p.setReplicas(g, next, alive, keep, spares)
 	return next, true
 }
 
-// fill sets the replicas, sources and history of the next epoch.
-func (p *groupPlanner) fill(g, next *pb.LedgerGroup, alive, keep, spares []*pb.LedgerReplica) {
+// setReplicas sets the replicas, sources and history of the next epoch.
+func (p *groupPlanner) setReplicas(g, next *pb.LedgerGroup, alive, keep, spares []*pb.LedgerReplica) {
 	for _, r := range append(append([]*pb.LedgerReplica{}, keep...), spares...) {
 		next.Replicas = append(next.Replicas, proto.Clone(r).(*pb.LedgerReplica))
 	}
 	if len(g.Replicas) == 0 {
-		markReady(next)
-		next.Complete = len(next.Replicas) <= completeLimit
+		markAllReady(next)
+		next.Complete = len(next.Replicas) <= maxCompleteReplicas
 		return
 	}
-	if len(ready(alive)) < readQuorum(g) {
-		next.HistoryLostUnixMs = p.clock
-		markReady(next)
-		next.Complete = len(next.Replicas) <= completeLimit
+	if len(readyReplicas(alive)) < readQuorum(g) {
+		next.HistoryLostUnixMs = p.clockUnixMs
+		markAllReady(next)
+		next.Complete = len(next.Replicas) <= maxCompleteReplicas
 		return
 	}
-	next.Sources = ready(g.Replicas)
+	next.Sources = readyReplicas(g.Replicas)
 	if g.Complete {
-		next.Sources = ready(alive)
+		next.Sources = readyReplicas(alive)
 	}
 	next.Complete = g.Complete
 }
 
-// completeLimit is the number of ready replicas up to which a majority is all
+// maxCompleteReplicas is the number of ready replicas up to which a majority is all
 // of them, so that each holds every decided record.
-const completeLimit = 2
+const maxCompleteReplicas = 2
 
 // readQuorum is how many of the ready replicas together hold every decided
 // record.
@@ -90,10 +90,10 @@
 	if g.Complete {
 		return 1
 	}
-	return len(ready(g.Replicas))/2 + 1
+	return len(readyReplicas(g.Replicas))/2 + 1
 }
 
-func (p *groupPlanner) alive(replicas []*pb.LedgerReplica) []*pb.LedgerReplica {
+func (p *groupPlanner) liveReplicas(replicas []*pb.LedgerReplica) []*pb.LedgerReplica {
 	var alive []*pb.LedgerReplica
 	for _, r := range replicas {
 		live, ok := p.instances[r.InstanceId]
@@ -104,10 +104,10 @@
 	return alive
 }
 
-// leaving gives a draining replica to replace: only one at a time and only in
+// drainingReplica gives a draining replica to replace: only one at a time and only in
 // a whole group, so that the draining one can be copied from while it is here.
-func (p *groupPlanner) leaving(g *pb.LedgerGroup, alive []*pb.LedgerReplica) *pb.LedgerReplica {
-	if len(alive) < fleet.LedgerReplicas || len(alive) < len(g.Replicas) || len(ready(alive)) < len(alive) {
+func (p *groupPlanner) drainingReplica(g *pb.LedgerGroup, alive []*pb.LedgerReplica) *pb.LedgerReplica {
+	if len(alive) < fleet.LedgerReplicas || len(alive) < len(g.Replicas) || len(readyReplicas(alive)) < len(alive) {
 		return nil
 	}
 	for _, r := range alive {
@@ -118,9 +118,9 @@
 	return nil
 }
 
-// spares chooses instances for the free places: those in zones that the group
+// chooseReplacements chooses instances for the free places: those in zones that the group
 // lacks first, then by rendezvous rank.
-func (p *groupPlanner) spares(g *pb.LedgerGroup, keep []*pb.LedgerReplica) []*pb.LedgerReplica {
+func (p *groupPlanner) chooseReplacements(g *pb.LedgerGroup, keep []*pb.LedgerReplica) []*pb.LedgerReplica {
 	free := fleet.LedgerReplicas - len(keep)
 	if free <= 0 {
 		return nil
@@ -135,7 +135,7 @@
 		zones[p.instances[r.InstanceId].AvailabilityZone] = true
 	}
 	key := g.ZoneClass + "/" + strconv.Itoa(int(g.Shard))
-	ranked := fleet.RankInstances(key, "", p.eligibleIn(g.ZoneClass))
+	ranked := fleet.RankInstances(key, "", p.eligibleInstances(g.ZoneClass))
 	var chosen []*pb.LedgerReplica
 	for _, newZonesOnly := range []bool{true, false} {
 		for _, i := range ranked {
@@ -153,8 +153,8 @@
 	return chosen
 }
 
-func (p *groupPlanner) eligibleIn(class string) []fleet.Instance {
-	if found, ok := p.eligible[class]; ok {
+func (p *groupPlanner) eligibleInstances(class string) []fleet.Instance {
+	if found, ok := p.eligibleByClass[class]; ok {
 		return found
 	}
 	permitted := fleet.ParseZoneClass(class)
@@ -164,11 +164,11 @@
 			found = append(found, fleet.InstanceFromProto(i))
 		}
 	}
-	p.eligible[class] = found
+	p.eligibleByClass[class] = found
 	return found
 }
 
-func ready(replicas []*pb.LedgerReplica) []*pb.LedgerReplica {
+func readyReplicas(replicas []*pb.LedgerReplica) []*pb.LedgerReplica {
 	var found []*pb.LedgerReplica
 	for _, r := range replicas {
 		if r.Ready {
@@ -188,7 +188,7 @@
 	return rest
 }
 
-func markReady(g *pb.LedgerGroup) {
+func markAllReady(g *pb.LedgerGroup) {
 	for _, r := range g.Replicas {
 		r.Ready = true
 	}
--- a/internal/control/groups.go
+++ b/internal/control/groups.go
@@ -15,11 +15,11 @@
 
 // repairGroups follows a change of the view.
 func (m *Machine) repairGroups() {
-	planner := m.planner()
+	planner := m.newGroupPlanner()
 	for _, shard := range m.sortedShards() {
 		next, changed := planner.repair(m.groups[shard])
 		if changed {
-			m.putGroup(next)
+			m.setGroup(next)
 		}
 	}
 }
@@ -38,13 +38,13 @@
 	return shards
 }
 
-func (m *Machine) putGroup(g *pb.LedgerGroup) {
+func (m *Machine) setGroup(g *pb.LedgerGroup) {
 	m.groups[shardOf(g)] = g
-	m.noteGroup(g)
+	m.addGroupToDelta(g)
 }
 
-// noteGroup puts the group into the delta once, with its last form.
-func (m *Machine) noteGroup(g *pb.LedgerGroup) {
+// addGroupToDelta puts the group into the delta once, with its last form.
+func (m *Machine) addGroupToDelta(g *pb.LedgerGroup) {
 	for n, noted := range m.delta.LedgerGroups {
 		if shardOf(noted) == shardOf(g) {
 			m.delta.LedgerGroups[n] = g
@@ -54,33 +54,33 @@
 	m.delta.LedgerGroups = append(m.delta.LedgerGroups, g)
 }
 
-// applyReady marks a replica that has copied its shards. A report for another
+// applyLedgerReady marks a replica that has copied its shards. A report for another
 // epoch than the current one is dropped: that copy may lack what was decided
 // since.
-func (m *Machine) applyReady(l *pb.LedgerReady) string {
+func (m *Machine) applyLedgerReady(l *pb.LedgerReady) string {
 	live := m.instances[l.GetInstanceId()]
 	if live == nil || live.Incarnation != l.GetIncarnation() {
 		return refusalUnknown
 	}
-	planner := m.planner()
+	planner := m.newGroupPlanner()
 	for _, s := range l.GetShards() {
 		g := m.groups[fleet.LedgerShard{ZoneClass: s.GetZoneClass(), Shard: s.GetShard()}]
 		if g == nil || g.Epoch != s.GetEpoch() {
 			continue
 		}
-		next, changed := withReady(g, live)
+		next, changed := markReplicaReady(g, live)
 		if !changed {
 			continue
 		}
 		if repaired, again := planner.repair(next); again {
 			next = repaired
 		}
-		m.putGroup(next)
+		m.setGroup(next)
 	}
 	return ""
 }
 
-func withReady(g *pb.LedgerGroup, i *pb.InstanceRecord) (next *pb.LedgerGroup, changed bool) {
+func markReplicaReady(g *pb.LedgerGroup, i *pb.InstanceRecord) (next *pb.LedgerGroup, changed bool) {
 	next = proto.Clone(g).(*pb.LedgerGroup)
 	for _, r := range next.Replicas {
 		if r.InstanceId == i.Id && r.Incarnation == i.Incarnation && !r.Ready {
@@ -88,6 +88,6 @@
 			changed = true
 		}
 	}
-	next.Complete = next.Complete && len(ready(next.Replicas)) <= completeLimit
+	next.Complete = next.Complete && len(readyReplicas(next.Replicas)) <= maxCompleteReplicas
 	return next, changed
 }
--- a/internal/control/groups_test.go
+++ b/internal/control/groups_test.go
@@ -10,40 +10,40 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-const wideClass = "barasat+durgapur+howrah"
+const allZonesClass = "barasat+durgapur+howrah"
 
-func (l *log) group(shard uint32) *pb.LedgerGroup {
-	return l.machine.groups[fleet.LedgerShard{ZoneClass: wideClass, Shard: shard}]
+func (l *testLog) group(shard uint32) *pb.LedgerGroup {
+	return l.machine.groups[fleet.LedgerShard{ZoneClass: allZonesClass, Shard: shard}]
 }
 
-// grown gives a fleet with n entries over the three zones, whose groups are
+// fleetWithEntries gives a fleet with n entries over the three zones, whose groups are
 // whole.
-func grown(t testing.TB, n int) *log {
+func fleetWithEntries(t testing.TB, n int) *testLog {
 	l := newFleet(t)
 	for i := range n {
 		assert.Equal(t, l.join(fmt.Sprint("e", i), 1, allZones[i%3]), "")
 	}
-	l.repairAll()
+	l.reportAllReady()
 	return l
 }
 
-// repairAll reports each copy as done.
-func (l *log) repairAll() {
+// reportAllReady reports each copy as done.
+func (l *testLog) reportAllReady() {
 	for shard := range uint32(fleet.LedgerShards) {
 		for _, r := range l.group(shard).Replicas {
 			if !r.Ready {
-				assert.Equal(l.t, l.ready(r, l.group(shard)), "")
+				assert.Equal(l.t, l.reportReady(r, l.group(shard)), "")
 			}
 		}
 	}
 }
 
-func wholeGroup(g *pb.LedgerGroup) bool {
-	return len(g.Replicas) == fleet.LedgerReplicas && len(ready(g.Replicas)) == fleet.LedgerReplicas
+func fullyReplicated(g *pb.LedgerGroup) bool {
+	return len(g.Replicas) == fleet.LedgerReplicas && len(readyReplicas(g.Replicas)) == fleet.LedgerReplicas
 }
 
 func TestGroupsSpreadOverZones(t *testing.T) {
-	l := grown(t, 9)
+	l := fleetWithEntries(t, 9)
 	for shard := range uint32(fleet.LedgerShards) {
 		g := l.group(shard)
 		zones := map[string]bool{}
@@ -51,12 +51,12 @@
 			zones[l.machine.Instance(fleet.InstanceID(r.InstanceId)).AvailabilityZone] = true
 		}
 		assert.Equal(t, len(zones), 3)
-		assert.Assert(t, wholeGroup(g))
+		assert.Assert(t, fullyReplicated(g))
 		assert.Equal(t, g.HistoryLostUnixMs, int64(0))
 	}
 }
 
-func TestCreationIsReadyAtOnce(t *testing.T) {
+func TestNewGroupIsReadyAtOnce(t *testing.T) {
 	l := newLog(t)
 	l.accept("fleet", 0, []byte(fleetYAML))
 	for n := range 4 {
@@ -64,13 +64,13 @@
 	}
 	l.accept("teams/sorters", 0, teamYAML("sorters", allZones...))
 	g := l.group(0)
-	assert.Assert(t, wholeGroup(g))
+	assert.Assert(t, fullyReplicated(g))
 	assert.Equal(t, len(g.Sources), 0)
 	assert.Equal(t, g.Epoch, uint64(1))
 }
 
-func TestJoinMovesNothingInWholeGroups(t *testing.T) {
-	l := grown(t, 6)
+func TestJoinKeepsFullGroups(t *testing.T) {
+	l := fleetWithEntries(t, 6)
 	before := l.group(0)
 	l.join("late", 1, "howrah")
 	assert.Equal(t, l.group(0), before)
@@ -80,17 +80,17 @@
 // second one dies. Each time the two survivors still hold every decided
 // record, so no history is lost.
 func TestSecondLossAfterRepairLosesNothing(t *testing.T) {
-	l := grown(t, 6)
+	l := fleetWithEntries(t, 6)
 	for range 3 {
 		g := l.group(0)
 		lost := g.Replicas[0]
 		l.expire(lost.InstanceId, lost.Incarnation)
 		repaired := l.group(0)
 		assert.Equal(t, repaired.Epoch, g.Epoch+1)
-		assert.Equal(t, len(ready(repaired.Replicas)), 2)
+		assert.Equal(t, len(readyReplicas(repaired.Replicas)), 2)
 		assert.Equal(t, len(repaired.Sources), 3)
-		l.repairAll()
-		assert.Assert(t, wholeGroup(l.group(0)))
+		l.reportAllReady()
+		assert.Assert(t, fullyReplicated(l.group(0)))
 		assert.Equal(t, l.group(0).Epoch, repaired.Epoch)
 		assert.Equal(t, l.group(0).HistoryLostUnixMs, int64(0))
 	}
@@ -98,31 +98,31 @@
 
 // Two replicas of a group die before a third has copied their records: a
 // decided record may be on neither survivor. The group says so.
-func TestTwoLossesAtOnceSetHistoryLost(t *testing.T) {
-	l := grown(t, 6)
+func TestTwoReplicasLostAtOnceSetHistoryLost(t *testing.T) {
+	l := fleetWithEntries(t, 6)
 	g := l.group(0)
 	l.expire(g.Replicas[0].InstanceId, 1)
-	l.clock = 2_000_000
+	l.clockMs = 2_000_000
 	l.expire(g.Replicas[1].InstanceId, 1)
 	lost := l.group(0)
-	assert.Equal(t, lost.HistoryLostUnixMs, l.clock)
-	assert.Assert(t, wholeGroup(lost))
+	assert.Equal(t, lost.HistoryLostUnixMs, l.clockMs)
+	assert.Assert(t, fullyReplicated(lost))
 }
 
 // A replica finishes copying, but its report names an epoch that has passed
 // meanwhile. Records decided since may be missing from its copy.
 func TestReadyOfAnOlderEpochIsDropped(t *testing.T) {
-	l := grown(t, 9)
+	l := fleetWithEntries(t, 9)
 	l.expire(l.group(0).Replicas[0].InstanceId, 1)
 	older := l.group(0)
 	copying := older.Replicas[2]
 	l.drain(older.Replicas[0].InstanceId) // waits: the group is not whole
 	assert.Equal(t, l.group(0).Epoch, older.Epoch)
-	stale := &pb.LedgerGroup{ZoneClass: wideClass, Epoch: older.Epoch - 1}
-	l.ready(copying, stale)
+	stale := &pb.LedgerGroup{ZoneClass: allZonesClass, Epoch: older.Epoch - 1}
+	l.reportReady(copying, stale)
 	assert.Equal(t, l.group(0).Epoch, older.Epoch)
 	assert.Assert(t, !l.group(0).Replicas[2].Ready)
-	l.ready(copying, older)
+	l.reportReady(copying, older)
 	// Whole again, so the draining one is replaced now and still a source.
 	next := l.group(0)
 	assert.Equal(t, next.Epoch, older.Epoch+1)
@@ -135,50 +135,50 @@
 // A history was lost. "Unknown" is answered for as long as the lost records
 // would have lived, by the control group's clocks, and no longer.
 func TestLostHistoryEnds(t *testing.T) {
-	l := grown(t, 3)
+	l := fleetWithEntries(t, 3)
 	for _, id := range []string{"e0", "e1", "e2"} {
 		l.expire(id, 1)
 	}
-	l.pass(defaultRecordLife.Milliseconds() + lostHistoryMargin)
+	l.advance(defaultRecordLife.Milliseconds() + lostHistoryMarginMs)
 	epoch := l.group(0).Epoch
 	assert.Assert(t, l.group(0).HistoryLostUnixMs != 0)
-	assert.Assert(t, !l.machine.Due(l.clock))
-	l.clock++
-	assert.Assert(t, l.machine.Due(l.clock))
+	assert.Assert(t, !l.machine.HasExpiredRecords(l.clockMs))
+	l.clockMs++
+	assert.Assert(t, l.machine.HasExpiredRecords(l.clockMs))
 	l.drain("nobody")
 	assert.Equal(t, l.group(0).HistoryLostUnixMs, int64(0))
 	assert.Equal(t, l.group(0).Epoch, epoch)
 	assert.Equal(t, len(l.lastDelta().LedgerGroups), fleet.LedgerShards)
-	assert.Assert(t, !l.machine.Due(l.clock))
+	assert.Assert(t, !l.machine.HasExpiredRecords(l.clockMs))
 }
 
 // A class with two entries: each restart of one must not cost the history,
 // since with two replicas each holds every decided record.
 func TestTwoEntriesRestartInTurn(t *testing.T) {
-	l := grown(t, 2)
+	l := fleetWithEntries(t, 2)
 	assert.Assert(t, l.group(0).Complete)
 	for incarnation := uint64(2); incarnation < 5; incarnation++ {
 		l.join("e0", incarnation, "howrah")
-		l.repairAll()
+		l.reportAllReady()
 		l.join("e1", incarnation, "barasat")
-		l.repairAll()
+		l.reportAllReady()
 	}
 	assert.Equal(t, l.group(0).HistoryLostUnixMs, int64(0))
-	assert.Equal(t, len(ready(l.group(0).Replicas)), 2)
+	assert.Equal(t, len(readyReplicas(l.group(0).Replicas)), 2)
 }
 
 // A team leaves a zone class and comes back. Its groups are kept for two record
 // lives; after that the class begins anew above the old epochs.
 func TestRetiredClassKeepsEpochsRising(t *testing.T) {
-	l := grown(t, 3)
+	l := fleetWithEntries(t, 3)
 	l.accept("teams/sorters", 1, teamYAML("sorters", "howrah"))
 	old := l.group(0)
 	assert.Assert(t, old != nil)
-	l.pass(formerLives * defaultRecordLife.Milliseconds())
+	l.advance(formerClassRecordLives * defaultRecordLife.Milliseconds())
 	assert.Assert(t, l.group(0) != nil)
-	l.pass(1)
+	l.advance(1)
 	assert.Assert(t, l.group(0) == nil)
-	l.restart()
+	l.restoreFromSnapshot()
 	l.accept("teams/sorters", 2, teamYAML("sorters", allZones...))
 	assert.Assert(t, l.group(0).Epoch > old.Epoch)
 }
--- a/internal/control/history.go
+++ b/internal/control/history.go
@@ -2,48 +2,48 @@
 
 import "github.com/hyssopsail/hyssopsail/internal/pb"
 
-// history keeps older versions of subtrees, bounded for each subtree and in
+// subtreeHistory keeps older versions of subtrees, bounded for each subtree and in
 // all: the globally oldest go first.
-type history struct {
-	all    []*pb.SubtreeDocument // in the order of their replacement
-	counts map[string]int
-	bytes  int
+type subtreeHistory struct {
+	documents     []*pb.SubtreeDocument // in the order of their replacement
+	versionCounts map[string]int
+	yamlBytes     int
 }
 
-func newHistory() *history {
-	return &history{counts: make(map[string]int)}
+func newSubtreeHistory() *subtreeHistory {
+	return &subtreeHistory{versionCounts: make(map[string]int)}
 }
 
-func (h *history) add(d *pb.SubtreeDocument) {
-	h.all = append(h.all, d)
-	h.counts[d.Name]++
-	h.bytes += len(d.Yaml)
-	if h.counts[d.Name] > historyVersions {
+func (h *subtreeHistory) add(d *pb.SubtreeDocument) {
+	h.documents = append(h.documents, d)
+	h.versionCounts[d.Name]++
+	h.yamlBytes += len(d.Yaml)
+	if h.versionCounts[d.Name] > maxHistoryVersions {
 		h.dropFirst(func(o *pb.SubtreeDocument) bool { return o.Name == d.Name })
 	}
-	for h.bytes > historyBytes {
+	for h.yamlBytes > maxHistoryBytes {
 		h.dropFirst(func(*pb.SubtreeDocument) bool { return true })
 	}
 }
 
-func (h *history) dropFirst(match func(*pb.SubtreeDocument) bool) {
-	for n, d := range h.all {
+func (h *subtreeHistory) dropFirst(match func(*pb.SubtreeDocument) bool) {
+	for n, d := range h.documents {
 		if !match(d) {
 			continue
 		}
-		h.all = append(h.all[:n:n], h.all[n+1:]...)
-		h.bytes -= len(d.Yaml)
-		h.counts[d.Name]--
-		if h.counts[d.Name] == 0 {
-			delete(h.counts, d.Name)
+		h.documents = append(h.documents[:n:n], h.documents[n+1:]...)
+		h.yamlBytes -= len(d.Yaml)
+		h.versionCounts[d.Name]--
+		if h.versionCounts[d.Name] == 0 {
+			delete(h.versionCounts, d.Name)
 		}
 		return
 	}
 }
 
-func (h *history) of(name string) []*pb.SubtreeDocument {
+func (h *subtreeHistory) versions(name string) []*pb.SubtreeDocument {
 	var found []*pb.SubtreeDocument
-	for _, d := range h.all {
+	for _, d := range h.documents {
 		if d.Name == name {
 			found = append(found, d)
 		}
@@ -51,8 +51,8 @@
 	return found
 }
 
-func (h *history) version(name string, version uint64) *pb.SubtreeDocument {
-	for _, d := range h.all {
+func (h *subtreeHistory) version(name string, version uint64) *pb.SubtreeDocument {
+	for _, d := range h.documents {
 		if d.Name == name && d.Version == version {
 			return d
 		}
--- a/internal/control/incarnations.go
+++ b/internal/control/incarnations.go
@@ -17,7 +17,7 @@
 
 func (s *incarnations) add(r *pb.SeenIncarnation, live map[string]*pb.InstanceRecord) {
 	s.byID[r.InstanceId] = r
-	if len(s.byID) > maxSeen {
+	if len(s.byID) > maxSeenIncarnations {
 		s.dropOldest(live)
 	}
 }
--- a/internal/control/instances.go
+++ b/internal/control/instances.go
@@ -17,7 +17,7 @@
 	if live.GetIncarnation() == i.Incarnation {
 		return m.updateInstance(live, i)
 	}
-	if i.Incarnation <= m.seen.highest(i.Id) {
+	if i.Incarnation <= m.seenIncarnations.highest(i.Id) {
 		return refusalIncarnation
 	}
 	if live == nil && len(m.instances) >= maxInstances {
@@ -27,7 +27,7 @@
 		m.delta.Left = append(m.delta.Left, live)
 	}
 	m.instances[i.Id] = i
-	m.seen.add(&pb.SeenIncarnation{InstanceId: i.Id, Incarnation: i.Incarnation, Index: index}, m.instances)
+	m.seenIncarnations.add(&pb.SeenIncarnation{InstanceId: i.Id, Incarnation: i.Incarnation, Index: index}, m.instances)
 	m.delta.Joined = append(m.delta.Joined, i)
 	m.repairGroups()
 	return ""
--- a/internal/control/instances_test.go
+++ b/internal/control/instances_test.go
@@ -9,12 +9,12 @@
 )
 
 func TestInstancesTable(t *testing.T) {
-	type step func(*log) string
+	type step func(*testLog) string
 	join := func(incarnation uint64) step {
-		return func(l *log) string { return l.join("a", incarnation, "howrah") }
+		return func(l *testLog) string { return l.join("a", incarnation, "howrah") }
 	}
-	expire := func(incarnation uint64) step { return func(l *log) string { return l.expire("a", incarnation) } }
-	restart := func(l *log) string { l.restart(); return "" }
+	expire := func(incarnation uint64) step { return func(l *testLog) string { return l.expire("a", incarnation) } }
+	restart := func(l *testLog) string { l.restoreFromSnapshot(); return "" }
 	cases := []struct {
 		name  string
 		steps []step
@@ -32,10 +32,10 @@
 		{"expired, then started anew", []step{join(5), expire(5), join(6)}, "", 3, 6},
 		{"expiry of an older one", []step{join(5), join(6), expire(5)}, refusalUnknown, 2, 6},
 		{"no incarnation", []step{join(0)}, refusalMalformed, 0, 0},
-		{"other zone", []step{join(5), func(l *log) string { return l.join("a", 5, "barasat") }}, refusalMalformed, 1, 5},
-		{"drain", []step{join(5), func(l *log) string { return l.drain("a") }}, "", 2, 5},
-		{"drain twice", []step{join(5), func(l *log) string { l.drain("a"); return l.drain("a") }}, "", 2, 5},
-		{"drain unknown", []step{func(l *log) string { return l.drain("a") }}, refusalUnknown, 0, 0},
+		{"other zone", []step{join(5), func(l *testLog) string { return l.join("a", 5, "barasat") }}, refusalMalformed, 1, 5},
+		{"drain", []step{join(5), func(l *testLog) string { return l.drain("a") }}, "", 2, 5},
+		{"drain twice", []step{join(5), func(l *testLog) string { l.drain("a"); return l.drain("a") }}, "", 2, 5},
+		{"drain unknown", []step{func(l *testLog) string { return l.drain("a") }}, refusalUnknown, 0, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestDrainingSticksThroughRenewedDescription(t *testing.T) {
+func TestDrainingSurvivesInstanceUpdate(t *testing.T) {
 	l := newLog(t)
 	l.join("a", 1, "howrah")
 	l.drain("a")
--- a/internal/control/ledgermodel_test.go
+++ b/internal/control/ledgermodel_test.go
@@ -17,47 +17,47 @@
 // coordinators with old views decide records, replicas that were expired go on
 // answering, copies stop half way, instances die and return.
 type ledgerModel struct {
-	log      *log
-	random   *rand.Rand
-	versions []*pb.LedgerGroup // each form of the group, oldest first
-	replicas map[fleet.Owner]*modelReplica
-	owners   []fleet.Owner // keys of replicas, in order of their start
-	records  []*modelRecord
-	next     uint64 // incarnations
-	reads    int
-	decided  int
+	log             *testLog
+	random          *rand.Rand
+	versions        []*pb.LedgerGroup // each form of the group, oldest first
+	replicas        map[fleet.Owner]*modelReplica
+	owners          []fleet.Owner // keys of replicas, in order of their start
+	records         []*modelRecord
+	lastIncarnation uint64 // incarnations
+	reads           int
+	decided         int
 }
 
 type modelReplica struct {
-	sealed  uint64
-	view    int // into versions
-	records map[*modelRecord]bool
-	copied  map[fleet.Owner]bool
-	copying uint64 // epoch of copied
+	sealedEpoch  uint64
+	versionIndex int // into versions
+	records      map[*modelRecord]bool
+	copiedFrom   map[fleet.Owner]bool
+	copyEpoch    uint64 // epoch of copied
 }
 
 type modelRecord struct {
-	group    *pb.LedgerGroup // its coordinator's view
-	accepted map[fleet.Owner]bool
-	decided  bool
-	denied   bool // a reader was told that it was never decided
+	viewedGroup    *pb.LedgerGroup // its coordinator's view
+	acceptedBy     map[fleet.Owner]bool
+	decided        bool
+	reportedAbsent bool // a reader was told that it was never decided
 }
 
 func modelOwner(r *pb.LedgerReplica) fleet.Owner {
 	return fleet.Owner{Instance: fleet.InstanceID(r.InstanceId), Incarnation: fleet.Incarnation(r.Incarnation)}
 }
 
-func (m *ledgerModel) newest() *pb.LedgerGroup { return m.versions[len(m.versions)-1] }
+func (m *ledgerModel) latestVersion() *pb.LedgerGroup { return m.versions[len(m.versions)-1] }
 
-func (m *ledgerModel) sync() {
+func (m *ledgerModel) recordVersion() {
 	g := m.log.group(0)
-	if len(m.versions) == 0 || !proto.Equal(m.newest(), g) {
+	if len(m.versions) == 0 || !proto.Equal(m.latestVersion(), g) {
 		m.versions = append(m.versions, g)
 	}
 	for _, r := range g.Replicas {
 		if m.replicas[modelOwner(r)] == nil {
 			m.owners = append(m.owners, modelOwner(r))
-			m.replicas[modelOwner(r)] = &modelReplica{view: len(m.versions) - 1, records: map[*modelRecord]bool{}}
+			m.replicas[modelOwner(r)] = &modelReplica{versionIndex: len(m.versions) - 1, records: map[*modelRecord]bool{}}
 		}
 	}
 }
@@ -66,14 +66,14 @@
 // ready there, and no later copy has sealed it.
 func (m *ledgerModel) serves(o fleet.Owner, epoch uint64) bool {
 	r := m.replicas[o]
-	g := m.versions[r.view]
-	if g.Epoch != epoch || r.sealed > epoch {
+	g := m.versions[r.versionIndex]
+	if g.Epoch != epoch || r.sealedEpoch > epoch {
 		return false
 	}
 	return slices.ContainsFunc(g.Replicas, func(p *pb.LedgerReplica) bool { return modelOwner(p) == o && p.Ready })
 }
 
-func (m *ledgerModel) someVersion() *pb.LedgerGroup {
+func (m *ledgerModel) recentVersion() *pb.LedgerGroup {
 	back := min(m.random.IntN(4), len(m.versions)-1)
 	return m.versions[len(m.versions)-1-back]
 }
@@ -86,34 +86,34 @@
 	return owners
 }
 
-func (m *ledgerModel) begin() {
-	g := m.someVersion()
+func (m *ledgerModel) beginRecord() {
+	g := m.recentVersion()
 	if len(g.Replicas) > 0 {
-		m.records = append(m.records, &modelRecord{group: g, accepted: map[fleet.Owner]bool{}})
+		m.records = append(m.records, &modelRecord{viewedGroup: g, acceptedBy: map[fleet.Owner]bool{}})
 	}
 }
 
-func (m *ledgerModel) accept() {
+func (m *ledgerModel) acceptRecord() {
 	if len(m.records) == 0 {
 		return
 	}
 	r := m.records[len(m.records)-1-m.random.IntN(min(5, len(m.records)))]
-	o := m.shuffled(r.group.Replicas)[0]
-	if !m.serves(o, r.group.Epoch) {
+	o := m.shuffled(r.viewedGroup.Replicas)[0]
+	if !m.serves(o, r.viewedGroup.Epoch) {
 		return
 	}
-	r.accepted[o] = true
+	r.acceptedBy[o] = true
 	m.replicas[o].records[r] = true
-	if !r.decided && len(r.accepted) > len(r.group.Replicas)/2 {
+	if !r.decided && len(r.acceptedBy) > len(r.viewedGroup.Replicas)/2 {
 		r.decided = true
 		m.decided++
 	}
 }
 
-// read asks a majority. It fails the test when a decided record is missing,
+// readMajority asks a majority. It fails the test when a decided record is missing,
 // or one is decided that an earlier reader was told is absent.
-func (m *ledgerModel) read() {
-	g := m.someVersion()
+func (m *ledgerModel) readMajority() {
+	g := m.recentVersion()
 	seen := map[*modelRecord]bool{}
 	var answered []fleet.Owner
 	for _, o := range m.shuffled(g.Replicas) {
@@ -127,25 +127,25 @@
 	}
 	m.reads++
 	for _, r := range m.records {
-		if seen[r] || m.lostSince(r.group.Epoch, g) || r.group.Epoch > g.Epoch {
+		if seen[r] || m.lostSince(r.viewedGroup.Epoch, g) || r.viewedGroup.Epoch > g.Epoch {
 			continue
 		}
 		if r.decided {
 			for _, v := range m.versions {
-				if v.Epoch >= r.group.Epoch && v.Epoch <= g.Epoch {
+				if v.Epoch >= r.viewedGroup.Epoch && v.Epoch <= g.Epoch {
 					m.log.t.Log(v)
 				}
 			}
-			m.log.t.Log(r.accepted, answered)
-			m.log.t.Fatalf("record decided at epoch %d is absent from a majority at epoch %d", r.group.Epoch, g.Epoch)
+			m.log.t.Log(r.acceptedBy, answered)
+			m.log.t.Fatalf("record decided at epoch %d is absent from a majority at epoch %d", r.viewedGroup.Epoch, g.Epoch)
 		}
-		if r.group.Epoch < g.Epoch {
-			r.denied = true
+		if r.viewedGroup.Epoch < g.Epoch {
+			r.reportedAbsent = true
 		}
 	}
 	for _, r := range m.records {
-		if r.denied && r.decided && !m.lostSince(r.group.Epoch, m.newest()) {
-			m.log.t.Fatalf("record of epoch %d was decided after a reader found it absent", r.group.Epoch)
+		if r.reportedAbsent && r.decided && !m.lostSince(r.viewedGroup.Epoch, m.latestVersion()) {
+			m.log.t.Fatalf("record of epoch %d was decided after a reader found it absent", r.viewedGroup.Epoch)
 		}
 	}
 }
@@ -162,38 +162,38 @@
 	return false
 }
 
-func (m *ledgerModel) learn() {
+func (m *ledgerModel) advanceViews() {
 	for _, o := range m.owners {
 		r := m.replicas[o]
-		if m.random.IntN(3) == 0 && r.view < len(m.versions)-1 {
-			r.view++
+		if m.random.IntN(3) == 0 && r.versionIndex < len(m.versions)-1 {
+			r.versionIndex++
 		}
 	}
 }
 
-// copyOne makes one step of a pending replica's copy, by its own view, which
+// stepCopy makes one step of a pending replica's copy, by its own view, which
 // may be old.
-func (m *ledgerModel) copyOne() {
-	for _, p := range m.newest().Replicas {
+func (m *ledgerModel) stepCopy() {
+	for _, p := range m.latestVersion().Replicas {
 		o := modelOwner(p)
 		r := m.replicas[o]
-		g := m.versions[r.view]
+		g := m.versions[r.versionIndex]
 		if !pending(g, o) {
 			continue
 		}
-		if r.copying != g.Epoch {
-			r.copying, r.copied = g.Epoch, map[fleet.Owner]bool{}
+		if r.copyEpoch != g.Epoch {
+			r.copyEpoch, r.copiedFrom = g.Epoch, map[fleet.Owner]bool{}
 		}
 		source := m.shuffled(g.Sources)[0]
 		from := m.replicas[source]
-		if from.sealed > g.Epoch || m.versions[from.view].Epoch > g.Epoch || m.random.IntN(4) == 0 {
+		if from.sealedEpoch > g.Epoch || m.versions[from.versionIndex].Epoch > g.Epoch || m.random.IntN(4) == 0 {
 			continue
 		}
-		from.sealed = g.Epoch
+		from.sealedEpoch = g.Epoch
 		maps.Copy(r.records, from.records)
-		r.copied[source] = true
-		if len(r.copied) > len(g.Sources)/2 {
-			m.log.ready(p, g)
+		r.copiedFrom[source] = true
+		if len(r.copiedFrom) > len(g.Sources)/2 {
+			m.log.reportReady(p, g)
 			return
 		}
 	}
@@ -203,15 +203,15 @@
 	return slices.ContainsFunc(g.Replicas, func(p *pb.LedgerReplica) bool { return modelOwner(p) == o && !p.Ready })
 }
 
-func (m *ledgerModel) disturb() {
+func (m *ledgerModel) disruptInstance() {
 	n := m.random.IntN(5)
 	id := fmt.Sprint("e", n)
 	live := m.log.machine.Instance(fleet.InstanceID(id))
-	m.log.clock++
+	m.log.clockMs++
 	switch {
 	case live == nil || m.random.IntN(3) == 0:
-		m.next++
-		m.log.join(id, m.next, allZones[n%3])
+		m.lastIncarnation++
+		m.log.join(id, m.lastIncarnation, allZones[n%3])
 	case m.random.IntN(2) == 0:
 		m.log.drain(id)
 	default:
@@ -232,26 +232,26 @@
 		m := &ledgerModel{log: newFleet(t), random: rand.New(rand.NewPCG(seed, 7)), replicas: map[fleet.Owner]*modelReplica{}}
 		calm := 40 + m.random.IntN(360) // steps between disturbances
 		for step := range steps {
-			m.sync()
+			m.recordVersion()
 			if step%calm == 0 || step < 5 {
-				m.disturb()
+				m.disruptInstance()
 				continue
 			}
 			switch m.random.IntN(6) {
 			case 0:
-				m.begin()
+				m.beginRecord()
 			case 1, 2:
-				m.accept()
+				m.acceptRecord()
 			case 3:
-				m.read()
+				m.readMajority()
 			case 4:
-				m.learn()
+				m.advanceViews()
 			case 5:
-				m.copyOne()
+				m.stepCopy()
 			}
 		}
 		reads, decided = reads+m.reads, decided+m.decided
-		if m.newest().HistoryLostUnixMs != 0 {
+		if m.latestVersion().HistoryLostUnixMs != 0 {
 			lost++
 		}
 	}
--- a/internal/control/limits.go
+++ b/internal/control/limits.go
@@ -3,28 +3,28 @@
 // The bounds of the replicated state. Each kind of record that outside input
 // can add has one, so that no sequence of commands grows it without end.
 const (
-	maxNameBytes     = 160       // subtree names, IDs, authors, addresses
-	maxYAMLBytes     = 256 << 10 // one subtree
-	maxTreeBytes     = 5 << 20   // all current subtrees: a FleetState stays under rpc.MaxMessage
-	maxClasses       = 256       // sets of permitted zones in use, or retired of late
-	maxTeamFormer    = 16        // former zone classes of one team
-	maxFormer        = 8192      // of all teams
-	maxSubtrees      = 8192      // names ever used, removed ones too
-	maxDetailBytes   = 512       // of a result
-	historyVersions  = 64        // kept older versions of one subtree
-	historyBytes     = 16 << 20  // kept older versions of all subtrees
-	maxAnswers       = 16384     // change IDs with their first results
-	answerLife       = 1 << 20   // log entries for which a change ID is kept
-	maxInstances     = 4096      // live
-	maxSeen          = 16384     // incarnations of instances, live or gone
-	maxOrders        = 4096      // kept by newest token
-	maxSuspects      = 4096      // kept by newest report
-	maxCrashes       = 1024      // reports kept to fold repeats
-	maxFingerprints  = 1024      // of one crash report
-	maxLoadSlots     = 64        // concurrent loads of the weight store
-	recentDeltas     = 2048      // deltas kept for pulls
-	recentDeltaBytes = 16 << 20
-	pullBytes        = 1 << 20   // deltas of one pull
-	maxSnapshotBytes = 256 << 20 // after decompression
-	fingerprintBytes = 16
+	maxNameBytes            = 160       // subtree names, IDs, authors, addresses
+	maxYAMLBytes            = 256 << 10 // one subtree
+	maxTreeBytes            = 5 << 20   // all current subtrees: a FleetState stays under rpc.MaxMessage
+	maxClasses              = 256       // sets of permitted zones in use, or retired of late
+	maxFormerClassesPerTeam = 16        // former zone classes of one team
+	maxFormerClasses        = 8192      // of all teams
+	maxSubtrees             = 8192      // names ever used, removed ones too
+	maxDetailBytes          = 512       // of a result
+	maxHistoryVersions      = 64        // kept older versions of one subtree
+	maxHistoryBytes         = 16 << 20  // kept older versions of all subtrees
+	maxChangeResults        = 16384     // change IDs with their first results
+	changeResultLifeEntries = 1 << 20   // log entries for which a change ID is kept
+	maxInstances            = 4096      // live
+	maxSeenIncarnations     = 16384     // incarnations of instances, live or gone
+	maxOrders               = 4096      // kept by newest token
+	maxSuspects             = 4096      // kept by newest report
+	maxCrashes              = 1024      // reports kept to fold repeats
+	maxFingerprints         = 1024      // of one crash report
+	maxLoadSlots            = 64        // concurrent loads of the weight store
+	maxRecentDeltas         = 2048      // deltas kept for pulls
+	maxRecentDeltaBytes     = 16 << 20
+	maxPullBytes            = 1 << 20   // deltas of one pull
+	maxSnapshotBytes        = 256 << 20 // after decompression
+	fingerprintBytes        = 16
 )
--- a/internal/control/loadslots.go
+++ b/internal/control/loadslots.go
@@ -10,8 +10,8 @@
 // The bounds of waits for the weight store.
 const (
 	defaultLoadSlots = 2
-	longestLoad      = 24 * time.Hour
-	longestLoadWait  = 2 * time.Hour // a load that would wait longer is refused
+	maxLoadDuration  = 24 * time.Hour
+	maxLoadWait      = 2 * time.Hour // a load that would wait longer is refused
 )
 
 // loadSlots paces weight loads over the whole fleet: each concurrent load of
@@ -43,11 +43,11 @@
 // loadDuration gives each of the concurrent loads its part of the rate.
 func loadDuration(model settings.Model, rate settings.ByteRate, slots int) time.Duration {
 	if rate <= 0 || model.WeightBytes <= 0 {
-		return min(max(model.LoadTime, 0), longestLoad)
+		return min(max(model.LoadTime, 0), maxLoadDuration)
 	}
 	seconds := float64(model.WeightBytes) * float64(slots) / float64(rate)
-	if seconds > longestLoad.Seconds() {
-		return longestLoad
+	if seconds > maxLoadDuration.Seconds() {
+		return maxLoadDuration
 	}
 	return time.Duration(seconds * float64(time.Second))
 }
@@ -62,7 +62,7 @@
 	}
 	first := 0
 	for n, free := range *s {
-		if free-now > (longestLoadWait + longestLoad).Milliseconds() {
+		if free-now > (maxLoadWait + maxLoadDuration).Milliseconds() {
 			(*s)[n] = now // reserved by a clock that was ahead
 		}
 		if (*s)[n] < (*s)[first] {
@@ -70,7 +70,7 @@
 		}
 	}
 	start := max(now, (*s)[first])
-	if start-now > longestLoadWait.Milliseconds() {
+	if start-now > maxLoadWait.Milliseconds() {
 		return 0, false
 	}
 	(*s)[first] = start + plan.duration.Milliseconds()
--- a/internal/control/losthistory.go
+++ b/internal/control/losthistory.go
@@ -6,18 +6,18 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// lostHistoryMargin is added to the record life for which a lost history
+// lostHistoryMarginMs is added to the record life for which a lost history
 // counts, in ms: two leaders' clocks may differ by as much.
-const lostHistoryMargin = 10_000
+const lostHistoryMarginMs = 10_000
 
-// endLostHistory clears the mark of groups whose lost records have outlived
+// clearExpiredLostHistory clears the mark of groups whose lost records have outlived
 // their life.
 //
 // Failure guarded: were each entry to compare the time of the loss with its
 // own wall clock, one with a clock ahead would take lost records for absent
 // ones, and run a call a second time. So the state ends the mark, by the
 // clocks of the control group alone.
-func (m *Machine) endLostHistory() {
+func (m *Machine) clearExpiredLostHistory() {
 	if !m.anyLostHistory() {
 		return
 	}
@@ -26,12 +26,12 @@
 		if g.HistoryLostUnixMs == 0 {
 			continue
 		}
-		age := m.clock - g.HistoryLostUnixMs
-		switch life := m.recordLife() + lostHistoryMargin; {
+		age := m.clockUnixMs - g.HistoryLostUnixMs
+		switch life := m.recordLifeMs() + lostHistoryMarginMs; {
 		case age < -life:
-			m.putGroup(withLostHistory(g, m.clock)) // lost by a clock far ahead
+			m.setGroup(withLostHistory(g, m.clockUnixMs)) // lost by a clock far ahead
 		case age > life:
-			m.putGroup(withLostHistory(g, 0))
+			m.setGroup(withLostHistory(g, 0))
 		}
 	}
 }
@@ -45,9 +45,9 @@
 	return false
 }
 
-func (m *Machine) lostHistoryDue(clock int64) bool {
+func (m *Machine) lostHistoryExpired(clock int64) bool {
 	for _, g := range m.groups {
-		if g.HistoryLostUnixMs != 0 && clock-g.HistoryLostUnixMs > m.recordLife()+lostHistoryMargin {
+		if g.HistoryLostUnixMs != 0 && clock-g.HistoryLostUnixMs > m.recordLifeMs()+lostHistoryMarginMs {
 			return true
 		}
 	}
--- a/internal/control/machine.go
+++ b/internal/control/machine.go
@@ -18,27 +18,27 @@
 	check CheckFunc
 	build BuildFunc
 
-	mu         sync.RWMutex
-	applied    uint64 // last applied index
-	effect     uint64 // index of the last delta
-	clock      int64  // the last proposer's clock, unix ms
-	viewNumber uint64
-	tree       *settings.Tree
-	current    map[string]*pb.SubtreeDocument
-	treeBytes  int
-	history    *history
-	answers    *answers
-	instances  map[string]*pb.InstanceRecord
-	seen       *incarnations
-	classes    *classes
-	former     *former
-	groups     map[fleet.LedgerShard]*pb.LedgerGroup
-	epochFloor uint64
-	orders     *orders
-	suspects   *suspects
-	recent     *deltaRing
-	delta      *pb.Delta // effect of the command being applied
-	changed    chan struct{}
+	mu               sync.RWMutex
+	appliedIndex     uint64 // last applied index
+	effectIndex      uint64 // index of the last delta
+	clockUnixMs      int64  // the last proposer's clock, unix ms
+	viewNumber       uint64
+	tree             *settings.Tree
+	documents        map[string]*pb.SubtreeDocument
+	treeBytes        int
+	history          *subtreeHistory
+	changeResults    *changeResults
+	instances        map[string]*pb.InstanceRecord
+	seenIncarnations *incarnations
+	zoneClasses      *zoneClasses
+	formerClasses    *formerClasses
+	groups           map[fleet.LedgerShard]*pb.LedgerGroup
+	epochFloor       uint64
+	orders           *orders
+	suspects         *suspects
+	recentDeltas     *deltaRing
+	delta            *pb.Delta // effect of the command being applied
+	changed          chan struct{}
 }
 
 var _ replica.StateMachine = (*Machine)(nil)
@@ -51,21 +51,21 @@
 }
 
 func (m *Machine) reset() {
-	m.applied, m.effect, m.clock, m.viewNumber = 0, 0, 0, 0
+	m.appliedIndex, m.effectIndex, m.clockUnixMs, m.viewNumber = 0, 0, 0, 0
 	m.tree = settings.EmptyTree()
-	m.current = make(map[string]*pb.SubtreeDocument)
+	m.documents = make(map[string]*pb.SubtreeDocument)
 	m.treeBytes = 0
-	m.history = newHistory()
-	m.answers = newAnswers()
+	m.history = newSubtreeHistory()
+	m.changeResults = newChangeResults()
 	m.instances = make(map[string]*pb.InstanceRecord)
-	m.seen = newIncarnations()
-	m.former = newFormer()
-	m.classes = newClasses(m.former)
+	m.seenIncarnations = newIncarnations()
+	m.formerClasses = newFormerClasses()
+	m.zoneClasses = newZoneClasses(m.formerClasses)
 	m.groups = make(map[fleet.LedgerShard]*pb.LedgerGroup)
 	m.epochFloor = 0
 	m.orders = newOrders()
 	m.suspects = newSuspects()
-	m.recent = newDeltaRing()
+	m.recentDeltas = newDeltaRing()
 	m.delta = &pb.Delta{}
 }
 
@@ -84,7 +84,7 @@
 }
 
 func (m *Machine) applyLocked(index uint64, command []byte) *pb.CommandResult {
-	m.applied = index
+	m.appliedIndex = index
 	var c pb.Command
 	if err := proto.Unmarshal(command, &c); err != nil {
 		return &pb.CommandResult{Refusal: refusalMalformed}
@@ -92,8 +92,8 @@
 	m.setClock(c.GetUnixMs())
 	m.delta = &pb.Delta{}
 	result := m.dispatch(index, &c)
-	m.expireOld(index)
-	m.publish(index)
+	m.expireRecords(index)
+	m.publishDelta(index)
 	return result
 }
 
@@ -105,7 +105,7 @@
 // and ages that no right clock can give are cut where they are used.
 func (m *Machine) setClock(unixMs int64) {
 	if unixMs > 0 {
-		m.clock = unixMs
+		m.clockUnixMs = unixMs
 	}
 }
 
@@ -124,24 +124,24 @@
 	case *pb.Command_ReportCrash:
 		return refused(m.applyCrash(index, body.ReportCrash))
 	case *pb.Command_LedgerReady:
-		return refused(m.applyReady(body.LedgerReady))
+		return refused(m.applyLedgerReady(body.LedgerReady))
 	}
 	return refused(refusalMalformed)
 }
 
-// expireOld drops records whose age, in log entries or by the proposers'
+// expireRecords drops records whose age, in log entries or by the proposers'
 // clock, has passed.
-func (m *Machine) expireOld(index uint64) {
-	m.answers.expire(index)
-	m.dropRetired()
-	m.endLostHistory()
-	m.former.expire(m.clock, m.formerLife())
-	m.delta.Suspects = append(m.delta.Suspects, m.suspects.expire(m.clock, m.suspectLife())...)
+func (m *Machine) expireRecords(index uint64) {
+	m.changeResults.expire(index)
+	m.removeExpiredClasses()
+	m.clearExpiredLostHistory()
+	m.formerClasses.expire(m.clockUnixMs, m.formerClassLifeMs())
+	m.delta.Suspects = append(m.delta.Suspects, m.suspects.expire(m.clockUnixMs, m.suspectLifeMs())...)
 }
 
-func (m *Machine) publish(index uint64) {
+func (m *Machine) publishDelta(index uint64) {
 	d := m.delta
-	d.FormerClasses = m.former.take()
+	d.FormerClasses = m.formerClasses.takePendingDelta()
 	if len(d.Subtrees)+len(d.Joined)+len(d.Left)+len(d.LedgerGroups)+len(d.Suspects)+len(d.FormerClasses) == 0 {
 		return
 	}
@@ -150,12 +150,12 @@
 	}
 	d.Index = index
 	d.ViewNumber = m.viewNumber
-	m.recent.add(d, m.effect)
-	m.effect = index
-	m.wake()
+	m.recentDeltas.add(d, m.effectIndex)
+	m.effectIndex = index
+	m.notifyChanged()
 }
 
-func (m *Machine) wake() {
+func (m *Machine) notifyChanged() {
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -9,19 +9,19 @@
 // orders keeps issued orders by ID for repeats, and the last one of each
 // endpoint, oldest first and bounded.
 type orders struct {
-	byID       map[string]*pb.OrderRecord
-	byEndpoint map[string]*pb.OrderRecord
-	sequence   []*pb.OrderRecord
-	slots      loadSlots
+	byID             map[string]*pb.OrderRecord
+	latestByEndpoint map[string]*pb.OrderRecord
+	sequence         []*pb.OrderRecord
+	loadSlots        loadSlots
 }
 
 func newOrders() *orders {
-	return &orders{byID: make(map[string]*pb.OrderRecord), byEndpoint: make(map[string]*pb.OrderRecord)}
+	return &orders{byID: make(map[string]*pb.OrderRecord), latestByEndpoint: make(map[string]*pb.OrderRecord)}
 }
 
 func (o *orders) add(r *pb.OrderRecord) {
 	o.byID[r.GetOrder().GetOrderId()] = r
-	o.byEndpoint[r.GetOrder().GetEndpointId()] = r
+	o.latestByEndpoint[r.GetOrder().GetEndpointId()] = r
 	o.sequence = append(o.sequence, r)
 	if len(o.sequence) <= maxOrders {
 		return
@@ -31,8 +31,8 @@
 	if o.byID[oldest.GetOrder().GetOrderId()] == oldest {
 		delete(o.byID, oldest.GetOrder().GetOrderId())
 	}
-	if o.byEndpoint[oldest.GetOrder().GetEndpointId()] == oldest {
-		delete(o.byEndpoint, oldest.GetOrder().GetEndpointId())
+	if o.latestByEndpoint[oldest.GetOrder().GetEndpointId()] == oldest {
+		delete(o.latestByEndpoint, oldest.GetOrder().GetEndpointId())
 	}
 }
 
@@ -47,21 +47,21 @@
 		if !proto.Equal(first.Order, o) {
 			return refused(refusalOrderID)
 		}
-		return &pb.CommandResult{Order: first, NewestOrder: m.orders.byEndpoint[o.EndpointId]}
+		return &pb.CommandResult{Order: first, NewestOrder: m.orders.latestByEndpoint[o.EndpointId]}
 	}
 	issuer := m.instances[o.IssuerInstance]
 	if issuer == nil || issuer.Incarnation != o.IssuerIncarnation {
 		return refused(refusalIssuer)
 	}
-	record := &pb.OrderRecord{Order: o, Token: index, IssuedUnixMs: m.clock}
-	if previous := m.orders.byEndpoint[o.EndpointId]; previous != nil {
+	record := &pb.OrderRecord{Order: o, Token: index, IssuedUnixMs: m.clockUnixMs}
+	if previous := m.orders.latestByEndpoint[o.EndpointId]; previous != nil {
 		record.PreviousToken = previous.Token
 		record.PreviousIssuer = previous.GetOrder().GetIssuerInstance()
 		record.PreviousIssuerIncarnation = previous.GetOrder().GetIssuerIncarnation()
 		record.PreviousUnixMs = previous.IssuedUnixMs
 	}
 	if o.Kind == pb.OrderKind_ORDER_KIND_LOAD {
-		delay, ok := m.orders.slots.reserve(m.clock, m.loadPlan(o))
+		delay, ok := m.orders.loadSlots.reserve(m.clockUnixMs, m.loadPlan(o))
 		if !ok {
 			return refused(refusalFull)
 		}
--- a/internal/control/orders_test.go
+++ b/internal/control/orders_test.go
@@ -9,7 +9,7 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-func load(id, endpoint string) *pb.IssueOrder {
+func loadOrder(id, endpoint string) *pb.IssueOrder {
 	return &pb.IssueOrder{
 		OrderId: id, EndpointId: endpoint, Kind: pb.OrderKind_ORDER_KIND_LOAD, Model: "fibre", Version: "v1",
 		IssuerInstance: "e0", IssuerIncarnation: 1,
@@ -18,7 +18,7 @@
 
 func TestOrdersTable(t *testing.T) {
 	edit := func(f func(*pb.IssueOrder)) *pb.IssueOrder {
-		o := load("o1", "x")
+		o := loadOrder("o1", "x")
 		f(o)
 		return o
 	}
@@ -27,7 +27,7 @@
 		order   *pb.IssueOrder
 		refusal string
 	}{
-		{"load", load("o1", "x"), ""},
+		{"load", loadOrder("o1", "x"), ""},
 		{"unload", edit(func(o *pb.IssueOrder) { o.Kind = pb.OrderKind_ORDER_KIND_UNLOAD }), ""},
 		{"change role", edit(func(o *pb.IssueOrder) { o.Kind = pb.OrderKind_ORDER_KIND_CHANGE_ROLE; o.Role = "decode" }), ""},
 		{"unknown role", edit(func(o *pb.IssueOrder) { o.Kind = pb.OrderKind_ORDER_KIND_CHANGE_ROLE; o.Role = "x" }), refusalMalformed},
@@ -38,7 +38,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			l := grown(t, 1)
+			l := fleetWithEntries(t, 1)
 			result := l.order(c.order)
 			assert.Equal(t, result.Refusal, c.refusal)
 			assert.Equal(t, result.Order != nil, c.refusal == "")
@@ -47,33 +47,33 @@
 }
 
 func TestOrderTokensRiseAndRepeat(t *testing.T) {
-	l := grown(t, 1)
-	first := l.order(load("o1", "x")).Order
-	second := l.order(load("o2", "x")).Order
+	l := fleetWithEntries(t, 1)
+	first := l.order(loadOrder("o1", "x")).Order
+	second := l.order(loadOrder("o2", "x")).Order
 	assert.Assert(t, second.Token > first.Token)
 	assert.Equal(t, second.PreviousToken, first.Token)
 	assert.Equal(t, second.PreviousIssuer, "e0")
-	l.restart()
-	assert.Equal(t, l.order(load("o1", "x")).Order.Token, first.Token)
-	assert.Equal(t, l.order(load("o1", "y")).Refusal, refusalOrderID)
-	assert.Equal(t, l.order(load("o3", "x")).Order.PreviousToken, second.Token)
+	l.restoreFromSnapshot()
+	assert.Equal(t, l.order(loadOrder("o1", "x")).Order.Token, first.Token)
+	assert.Equal(t, l.order(loadOrder("o1", "y")).Refusal, refusalOrderID)
+	assert.Equal(t, l.order(loadOrder("o3", "x")).Order.PreviousToken, second.Token)
 }
 
 // Loads of 10 GB over a store of 1 GB/s, two at a time: each takes 20 s, so
 // they start in pairs, and a load that would wait for hours is refused.
 func TestLoadsShareTheWeightStore(t *testing.T) {
-	l := grown(t, 1)
+	l := fleetWithEntries(t, 1)
 	for n, want := range []uint64{0, 0, 20_000, 20_000, 40_000} {
 		if n == 4 {
-			l.restart()
+			l.restoreFromSnapshot()
 		}
-		assert.Equal(t, l.order(load(fmt.Sprint(n), fmt.Sprint(n))).Order.DelayMs, want)
+		assert.Equal(t, l.order(loadOrder(fmt.Sprint(n), fmt.Sprint(n))).Order.DelayMs, want)
 	}
-	l.clock += 30_000
-	assert.Equal(t, l.order(load("later", "z")).Order.DelayMs, uint64(10_000))
+	l.clockMs += 30_000
+	assert.Equal(t, l.order(loadOrder("later", "z")).Order.DelayMs, uint64(10_000))
 	refusal := ""
 	for n := 10; refusal == ""; n++ {
-		refusal = l.order(load(fmt.Sprint(n), "z")).Refusal
+		refusal = l.order(loadOrder(fmt.Sprint(n), "z")).Refusal
 	}
 	assert.Equal(t, refusal, refusalFull)
 }
--- a/internal/control/read.go
+++ b/internal/control/read.go
@@ -13,7 +13,7 @@
 func (m *Machine) EffectIndex() uint64 {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	return m.effect
+	return m.effectIndex
 }
 
 // Changed gives a channel that is closed when the shared state next changes.
@@ -67,12 +67,12 @@
 func (m *Machine) Pull(index uint64) *pb.PullReply {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	if index >= m.effect {
+	if index >= m.effectIndex {
 		return nil
 	}
-	deltas, ok := m.recent.after(index)
+	deltas, ok := m.recentDeltas.after(index)
 	if index == 0 || !ok {
-		return &pb.PullReply{Snapshot: m.fleetState(), ThroughIndex: m.effect}
+		return &pb.PullReply{Snapshot: m.fleetState(), ThroughIndex: m.effectIndex}
 	}
 	return &pb.PullReply{Deltas: deltas, ThroughIndex: deltas[len(deltas)-1].Index}
 }
@@ -84,9 +84,9 @@
 	if r.GetName() == "" {
 		return m.sortedDocuments(false)
 	}
-	now := m.current[r.Name]
+	now := m.documents[r.Name]
 	if r.GetHistory() {
-		found := m.history.of(r.Name)
+		found := m.history.versions(r.Name)
 		if now != nil {
 			found = append(found, now)
 		}
@@ -100,20 +100,20 @@
 
 func (m *Machine) fleetState() *pb.FleetState {
 	return &pb.FleetState{
-		Index:         m.effect,
+		Index:         m.effectIndex,
 		ViewNumber:    m.viewNumber,
 		Subtrees:      m.sortedDocuments(false),
 		Instances:     m.sortedInstances(),
 		LedgerGroups:  m.sortedGroups(),
 		Suspects:      m.suspects.sorted(),
-		FormerClasses: m.former.sorted(),
+		FormerClasses: m.formerClasses.sorted(),
 	}
 }
 
 func (m *Machine) sortedDocuments(removed bool) []*pb.SubtreeDocument {
-	documents := make([]*pb.SubtreeDocument, 0, len(m.current))
-	for _, name := range sortedKeys(m.current) {
-		if d := m.current[name]; removed || len(d.Yaml) > 0 {
+	documents := make([]*pb.SubtreeDocument, 0, len(m.documents))
+	for _, name := range sortedKeys(m.documents) {
+		if d := m.documents[name]; removed || len(d.Yaml) > 0 {
 			documents = append(documents, d)
 		}
 	}
@@ -136,9 +136,9 @@
 	return groups
 }
 
-func (m *Machine) sortedSeen() []*pb.SeenIncarnation {
-	seen := make([]*pb.SeenIncarnation, 0, len(m.seen.byID))
-	for _, r := range m.seen.byID {
+func (m *Machine) sortedSeenIncarnations() []*pb.SeenIncarnation {
+	seen := make([]*pb.SeenIncarnation, 0, len(m.seenIncarnations.byID))
+	for _, r := range m.seenIncarnations.byID {
 		seen = append(seen, r)
 	}
 	sort.Slice(seen, func(a, b int) bool { return seen[a].InstanceId < seen[b].InstanceId })
--- a/internal/control/realgroup_test.go
+++ b/internal/control/realgroup_test.go
@@ -60,7 +60,7 @@
 	assert.NilError(g.t, err)
 	self := fleet.Instance{ID: fleet.InstanceID(address), RPCAddress: address}
 	server := NewServer(ServerOptions{Group: node, Machine: machine, Self: self, Dialer: g.net.Dialer(address)})
-	serve(g.net, address, server)
+	serveControl(g.net, address, server)
 	g.addresses = append(g.addresses, address)
 	g.nodes[address], g.stops[address] = node, stop
 	ended := make(chan struct{}, 3)
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -20,14 +20,14 @@
 
 // The server's time bounds.
 const (
-	defaultInstanceLease = 2 * time.Second
-	proposeTimeout       = 5 * time.Second
-	inForcePoll          = 10 * time.Millisecond
-	longestPoll          = time.Minute
-	longestInForceWait   = 5 * time.Minute
-	ticksPerLease        = 20
-	expireWorkers        = 16
-	maxPulls             = 4096
+	defaultInstanceLease  = 2 * time.Second
+	proposeTimeout        = 5 * time.Second
+	inForcePollInterval   = 10 * time.Millisecond
+	maxPullWait           = time.Minute
+	maxInForceWait        = 5 * time.Minute
+	ticksPerLease         = 20
+	maxConcurrentExpiries = 16
+	maxPulls              = 4096
 )
 
 // ServerOptions are a Server's parts. Group, Machine and Self are required;
@@ -47,19 +47,19 @@
 // pb.DRPCControlServer and pb.DRPCConsensusServer. Lock order: none of its
 // locks is held while another one, the machine's or the group's is taken.
 type Server struct {
-	group    replica.Group
-	machine  *Machine
-	self     fleet.Instance
-	dialer   rpc.Dialer
-	part     logging.Part
-	metrics  *serverMetrics
-	recorder timeline.Recorder
-	now      func() time.Time
-	leases   *leases
-	expiring chan struct{} // one token for each expiry under way
-	pulls    chan struct{} // one token for each open pull
-	aging    sync.Mutex    // held by the one proposal that ages the state
-	ledTerm  uint64        // term in which this member leads, 0: none; of Run alone
+	group        replica.Group
+	machine      *Machine
+	self         fleet.Instance
+	dialer       rpc.Dialer
+	part         logging.Part
+	metrics      *serverMetrics
+	recorder     timeline.Recorder
+	now          func() time.Time
+	leases       *leaseTable
+	expirySlots  chan struct{} // one token for each expiry under way
+	pullSlots    chan struct{} // one token for each open pull
+	recordExpiry sync.Mutex    // held by the one proposal that ages the state
+	leadingTerm  uint64        // term in which this member leads, 0: none; of Run alone
 }
 
 var (
@@ -74,17 +74,17 @@
 		now = time.Now
 	}
 	return &Server{
-		group:    o.Group,
-		machine:  o.Machine,
-		self:     o.Self,
-		dialer:   o.Dialer,
-		part:     o.Part,
-		metrics:  newServerMetrics(o.Registerer),
-		recorder: o.Recorder,
-		now:      now,
-		leases:   newLeases(),
-		expiring: make(chan struct{}, expireWorkers),
-		pulls:    make(chan struct{}, maxPulls),
+		group:       o.Group,
+		machine:     o.Machine,
+		self:        o.Self,
+		dialer:      o.Dialer,
+		part:        o.Part,
+		metrics:     newServerMetrics(o.Registerer),
+		recorder:    o.Recorder,
+		now:         now,
+		leases:      newLeaseTable(),
+		expirySlots: make(chan struct{}, maxConcurrentExpiries),
+		pullSlots:   make(chan struct{}, maxPulls),
 	}
 }
 
@@ -104,7 +104,7 @@
 	started := s.now()
 	applied, err := s.group.Propose(ctx, encoded)
 	if err != nil {
-		leader, err = s.elsewhere(err)
+		leader, err = s.leaderFromError(err)
 		return nil, leader, err
 	}
 	s.metrics.proposals.Observe(s.now().Sub(started).Seconds())
@@ -115,8 +115,8 @@
 	return result, "", nil
 }
 
-// elsewhere turns "not the leader" into the leader's address.
-func (s *Server) elsewhere(err error) (leader string, rest error) {
+// leaderFromError turns "not the leader" into the leader's address.
+func (s *Server) leaderFromError(err error) (leader string, rest error) {
 	if !errors.Is(err, replica.ErrNotLeader) {
 		return "", trace.Wrap(err)
 	}
@@ -135,10 +135,10 @@
 	return leader.GetRpcAddress()
 }
 
-// barrier makes reads of the machine current, or tells where to ask.
-func (s *Server) barrier(ctx context.Context) (leader string, err error) {
+// readBarrier makes reads of the machine current, or tells where to ask.
+func (s *Server) readBarrier(ctx context.Context) (leader string, err error) {
 	if err := s.group.ReadBarrier(ctx); err != nil {
-		return s.elsewhere(err)
+		return s.leaderFromError(err)
 	}
 	return "", nil
 }
@@ -151,7 +151,7 @@
 	return lease
 }
 
-func (s *Server) record(e timeline.Event) {
+func (s *Server) recordEvent(e timeline.Event) {
 	if s.recorder != nil {
 		s.recorder.Record(e)
 	}
--- a/internal/control/server_commands.go
+++ b/internal/control/server_commands.go
@@ -14,7 +14,7 @@
 		DrainInstance: &pb.DrainInstance{Id: r.GetInstanceId()},
 	}})
 	if err == nil && leader == "" {
-		s.record(timeline.Event{Kind: timeline.KindDraining, Detail: r.GetInstanceId()})
+		s.recordEvent(timeline.Event{Kind: timeline.KindDraining, Detail: r.GetInstanceId()})
 	}
 	return &pb.DrainReply{LeaderAddress: leader, Refusal: result.GetRefusal()}, err
 }
@@ -23,7 +23,7 @@
 func (s *Server) Order(ctx context.Context, o *pb.IssueOrder) (*pb.OrderReply, error) {
 	result, leader, err := s.propose(ctx, &pb.Command{Body: &pb.Command_IssueOrder{IssueOrder: o}})
 	if result.GetOrder() != nil {
-		s.record(timeline.Event{
+		s.recordEvent(timeline.Event{
 			Kind:     timeline.KindOrder,
 			Endpoint: fleet.EndpointID(o.GetEndpointId()),
 			Detail:   o.GetOrderId(),
--- a/internal/control/server_lease.go
+++ b/internal/control/server_lease.go
@@ -29,19 +29,19 @@
 	if !validInstance(r.GetInstance()) {
 		return &pb.RenewLeaseReply{Refusal: refusalMalformed}, nil
 	}
-	term, leading := s.observe()
+	term, leading := s.leadership()
 	if !leading {
-		return s.notLeading(), nil
+		return s.notLeaderReply(), nil
 	}
 	if err := s.group.ReadBarrier(ctx); err != nil {
-		return s.refuseLease(err)
+		return s.leaseRefusal(err)
 	}
 	if r.Leaving {
-		return s.leave(ctx, r.Instance)
+		return s.endLease(ctx, r.Instance)
 	}
 	refusal, err := s.ensureJoined(ctx, r.Instance)
 	if err != nil {
-		return s.refuseLease(err)
+		return s.leaseRefusal(err)
 	}
 	if refusal != "" {
 		return &pb.RenewLeaseReply{Refusal: refusal}, nil
@@ -70,7 +70,7 @@
 	if live.GetIncarnation() > i.Incarnation {
 		return refusalIncarnation, nil
 	}
-	if live != nil && sameButDraining(live, i) {
+	if live != nil && sameExceptDraining(live, i) {
 		return "", nil
 	}
 	result, leader, err := s.propose(ctx, &pb.Command{Body: &pb.Command_JoinInstance{
@@ -85,9 +85,9 @@
 	return result.Refusal, nil
 }
 
-// sameButDraining takes an instance that the operators drain, but that does
+// sameExceptDraining takes an instance that the operators drain, but that does
 // not know yet, as unchanged.
-func sameButDraining(live, now *pb.InstanceRecord) bool {
+func sameExceptDraining(live, now *pb.InstanceRecord) bool {
 	if !live.Draining || now.Draining {
 		return sameInstance(live, now)
 	}
@@ -96,30 +96,30 @@
 	return sameInstance(live, draining)
 }
 
-// leave ends the lease of a planned stop. The reply is not granted and has no
+// endLease ends the lease of a planned stop. The reply is not granted and has no
 // refusal.
-func (s *Server) leave(ctx context.Context, i *pb.InstanceRecord) (*pb.RenewLeaseReply, error) {
+func (s *Server) endLease(ctx context.Context, i *pb.InstanceRecord) (*pb.RenewLeaseReply, error) {
 	_, leader, err := s.propose(ctx, expireCommand(ownerOf(i), "left"))
 	if err != nil {
-		return s.refuseLease(err)
+		return s.leaseRefusal(err)
 	}
 	if leader != "" {
-		return s.notLeading(), nil
+		return s.notLeaderReply(), nil
 	}
 	return &pb.RenewLeaseReply{}, nil
 }
 
-func (s *Server) refuseLease(err error) (*pb.RenewLeaseReply, error) {
+func (s *Server) leaseRefusal(err error) (*pb.RenewLeaseReply, error) {
 	switch {
 	case errors.Is(err, replica.ErrNotInitialised):
 		return &pb.RenewLeaseReply{Refusal: refusalNotInitialised}, nil
 	case errors.Is(err, replica.ErrNotLeader), errors.Is(err, errNoLeader):
-		return s.notLeading(), nil
+		return s.notLeaderReply(), nil
 	}
 	return nil, err
 }
 
-func (s *Server) notLeading() *pb.RenewLeaseReply {
+func (s *Server) notLeaderReply() *pb.RenewLeaseReply {
 	if !s.group.Status().Initialised {
 		return &pb.RenewLeaseReply{Refusal: refusalNotInitialised}
 	}
--- a/internal/control/server_members.go
+++ b/internal/control/server_members.go
@@ -39,7 +39,7 @@
 	}
 	var members []*pb.Member
 	for _, m := range r.Members {
-		identified, err := s.identify(ctx, m)
+		identified, err := s.resolveDiskID(ctx, m)
 		if err != nil {
 			return nil, trace.Wrap(err)
 		}
@@ -54,8 +54,8 @@
 
 func (s *Server) isSelf(m *pb.Member) bool { return m.GetInstanceId() == string(s.self.ID) }
 
-// identify fills in a member's disk identity by asking the member itself.
-func (s *Server) identify(ctx context.Context, m *pb.Member) (*pb.Member, error) {
+// resolveDiskID fills in a member's disk identity by asking the member itself.
+func (s *Server) resolveDiskID(ctx context.Context, m *pb.Member) (*pb.Member, error) {
 	next := proto.Clone(m).(*pb.Member)
 	if next.DiskId != "" {
 		return next, nil
@@ -93,7 +93,7 @@
 // ChangeMember implements pb.DRPCControlServer. A member to remove may be
 // named by its instance alone.
 func (s *Server) ChangeMember(ctx context.Context, r *pb.ChangeMemberRequest) (*pb.ChangeMemberReply, error) {
-	leader, err := s.barrier(ctx)
+	leader, err := s.readBarrier(ctx)
 	if err != nil || leader != "" {
 		return &pb.ChangeMemberReply{LeaderAddress: leader}, err
 	}
@@ -103,7 +103,7 @@
 	}
 	membership, err := s.group.ProposeMember(ctx, r.GetRemove(), member)
 	if err != nil {
-		leader, err = s.elsewhere(err)
+		leader, err = s.leaderFromError(err)
 		return &pb.ChangeMemberReply{LeaderAddress: leader}, err
 	}
 	return &pb.ChangeMemberReply{Membership: membership}, nil
@@ -114,7 +114,7 @@
 		return nil, trace.BadParameter("no member named")
 	}
 	if !r.Remove {
-		return s.identify(ctx, r.Member)
+		return s.resolveDiskID(ctx, r.Member)
 	}
 	if r.Member.DiskId != "" {
 		return r.Member, nil
--- a/internal/control/server_pull.go
+++ b/internal/control/server_pull.go
@@ -13,18 +13,18 @@
 // state: a pull alone never makes a daemon current, only newer.
 func (s *Server) Pull(ctx context.Context, r *pb.PullRequest) (*pb.PullReply, error) {
 	select {
-	case s.pulls <- struct{}{}:
-		defer func() { <-s.pulls }()
+	case s.pullSlots <- struct{}{}:
+		defer func() { <-s.pullSlots }()
 	default:
 		return nil, trace.LimitExceeded("too many open pulls")
 	}
-	wait := min(time.Duration(min(r.GetWaitMs(), uint64(longestPoll.Milliseconds())))*time.Millisecond, longestPoll)
+	wait := min(time.Duration(min(r.GetWaitMs(), uint64(maxPullWait.Milliseconds())))*time.Millisecond, maxPullWait)
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
 		changed := s.machine.Changed()
 		if reply := s.machine.Pull(r.GetAfterIndex()); reply != nil {
-			return s.pulled(reply), nil
+			return s.finishPull(reply), nil
 		}
 		select {
 		case <-changed:
@@ -37,7 +37,7 @@
 	}
 }
 
-func (s *Server) pulled(reply *pb.PullReply) *pb.PullReply {
+func (s *Server) finishPull(reply *pb.PullReply) *pb.PullReply {
 	if reply.Snapshot == nil {
 		s.metrics.pulls.WithLabelValues("deltas").Inc()
 		return reply
--- a/internal/control/server_run.go
+++ b/internal/control/server_run.go
@@ -20,67 +20,67 @@
 			return nil
 		case <-timer.C:
 		}
-		s.endLeases(ctx)
+		s.leaderTick(ctx)
 	}
 }
 
-func (s *Server) endLeases(ctx context.Context) {
-	term, leading := s.observe()
+func (s *Server) leaderTick(ctx context.Context) {
+	term, leading := s.leadership()
 	if !leading {
-		s.ledTerm = 0
+		s.leadingTerm = 0
 		return
 	}
-	if term != s.ledTerm {
-		s.ledTerm = term
+	if term != s.leadingTerm {
+		s.leadingTerm = term
 		s.part.Info("Leading.", "term", term)
-		s.record(timeline.Event{Kind: timeline.KindLeader, Detail: fmt.Sprintf("%s term %d", s.self.ID, term)})
+		s.recordEvent(timeline.Event{Kind: timeline.KindLeader, Detail: fmt.Sprintf("%s term %d", s.self.ID, term)})
 	}
-	s.age(ctx)
+	s.proposeRecordExpiry(ctx)
 	ended := s.leases.tick(s.now(), term, s.instanceLease(), s.machine.Owners())
 	for _, o := range ended {
 		select {
-		case s.expiring <- struct{}{}:
+		case s.expirySlots <- struct{}{}:
 		default:
 			return // the next tick goes on
 		}
 		go func() {
-			defer func() { <-s.expiring }()
-			s.expire(ctx, o)
+			defer func() { <-s.expirySlots }()
+			s.expireInstance(ctx, o)
 		}()
 	}
 }
 
-// age lets the state drop records that have outlived their age. Commands do it
+// proposeRecordExpiry lets the state drop records that have outlived their age. Commands do it
 // on their way; in a fleet without any, a team's calls would go on being held
 // up by the record of a change that is long past.
-func (s *Server) age(ctx context.Context) {
-	if !s.machine.Due(s.now().UnixMilli()) || !s.aging.TryLock() {
+func (s *Server) proposeRecordExpiry(ctx context.Context) {
+	if !s.machine.HasExpiredRecords(s.now().UnixMilli()) || !s.recordExpiry.TryLock() {
 		return
 	}
 	go func() {
-		defer s.aging.Unlock()
+		defer s.recordExpiry.Unlock()
 		if _, _, err := s.propose(ctx, &pb.Command{}); err != nil {
 			s.part.Debug("Old records can't be dropped yet.", "err", err)
 		}
 	}()
 }
 
-// observe tells whether this member leads, and in which term. One that does
+// leadership tells whether this member leads, and in which term. One that does
 // not forgets all lease times.
-func (s *Server) observe() (term uint64, leading bool) {
+func (s *Server) leadership() (term uint64, leading bool) {
 	status := s.group.Status()
 	if !status.IsLeader {
-		s.leases.resign()
+		s.leases.stepDown()
 		return 0, false
 	}
 	return status.Term, true
 }
 
-func (s *Server) expire(ctx context.Context, o fleet.Owner) {
-	if !s.leases.condemn(o, s.now()) {
+func (s *Server) expireInstance(ctx context.Context, o fleet.Owner) {
+	if !s.leases.beginExpiry(o, s.now()) {
 		return
 	}
-	defer s.leases.proposed(o)
+	defer s.leases.expiryProposalDone(o)
 	_, _, err := s.propose(ctx, expireCommand(o, "lease"))
 	if err != nil {
 		s.part.Warn("Can't expire an instance yet.", "instance", o, "err", err)
@@ -88,7 +88,7 @@
 	}
 	s.metrics.expiries.Inc()
 	s.part.Info("Instance expired.", "instance", o)
-	s.record(timeline.Event{Kind: timeline.KindLeaseLost, Detail: o.String()})
+	s.recordEvent(timeline.Event{Kind: timeline.KindLeaseLost, Detail: o.String()})
 }
 
 func expireCommand(o fleet.Owner, reason string) *pb.Command {
--- a/internal/control/server_settings.go
+++ b/internal/control/server_settings.go
@@ -26,7 +26,7 @@
 	s.metrics.changes.WithLabelValues(status).Inc()
 	s.part.Info("Change answered.", "subtree", change.GetName(), "change", change.GetChangeId(), "status", status,
 		"version", result.Change.Version, "index", result.Change.Index)
-	s.record(timeline.Event{Kind: timeline.KindSettings, Change: change.GetChangeId(), Detail: status})
+	s.recordEvent(timeline.Event{Kind: timeline.KindSettings, Change: change.GetChangeId(), Detail: status})
 	reply := &pb.ChangeReply{Result: result.Change}
 	if err := s.awaitInForce(ctx, reply, r.GetWaitInForceMs()); err != nil {
 		return nil, err
@@ -47,10 +47,10 @@
 	if waitMs == 0 || reply.Result.Status != pb.ChangeStatus_CHANGE_STATUS_ACCEPTED {
 		return nil
 	}
-	wait := time.Duration(min(waitMs, uint64(longestInForceWait.Milliseconds()))) * time.Millisecond
+	wait := time.Duration(min(waitMs, uint64(maxInForceWait.Milliseconds()))) * time.Millisecond
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
-	ticker := time.NewTicker(inForcePoll)
+	ticker := time.NewTicker(inForcePollInterval)
 	defer ticker.Stop()
 	for {
 		// The barrier makes the view current: one that lost the leadership
@@ -58,8 +58,8 @@
 		if err := s.group.ReadBarrier(ctx); err != nil {
 			return trace.Wrap(err)
 		}
-		pending := s.leases.behind(reply.Result.Index, s.liveEntries())
-		reply.PendingInstances = names(pending)
+		pending := s.leases.notApplied(reply.Result.Index, s.liveEntries())
+		reply.PendingInstances = instanceIDs(pending)
 		reply.InForce = len(pending) == 0
 		if reply.InForce {
 			return nil
@@ -85,7 +85,7 @@
 	return entries
 }
 
-func names(owners []fleet.Owner) []string {
+func instanceIDs(owners []fleet.Owner) []string {
 	var out []string
 	for _, o := range owners {
 		out = append(out, string(o.Instance))
@@ -95,7 +95,7 @@
 
 // GetSettings implements pb.DRPCControlServer.
 func (s *Server) GetSettings(ctx context.Context, r *pb.GetSettingsRequest) (*pb.GetSettingsReply, error) {
-	leader, err := s.barrier(ctx)
+	leader, err := s.readBarrier(ctx)
 	if err != nil || leader != "" {
 		return &pb.GetSettingsReply{LeaderAddress: leader}, err
 	}
--- a/internal/control/server_status.go
+++ b/internal/control/server_status.go
@@ -39,7 +39,7 @@
 
 func (s *Server) instanceStatus(i *pb.InstanceRecord) *pb.InstanceStatus {
 	status := &pb.InstanceStatus{Instance: i, LastRenewalMs: -1}
-	renewed, applied, ok := s.leases.report(fleet.InstanceID(i.Id))
+	renewed, applied, ok := s.leases.status(fleet.InstanceID(i.Id))
 	if ok {
 		status.AppliedIndex = applied
 		status.LastRenewalMs = s.now().Sub(renewed).Milliseconds()
--- a/internal/control/server_test.go
+++ b/internal/control/server_test.go
@@ -11,7 +11,7 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-func TestCallsNameTheLeader(t *testing.T) {
+func TestFollowerNamesLeader(t *testing.T) {
 	ctx := context.Background()
 	c := newCluster(t, 3)
 	s := c.members[1].server
@@ -33,7 +33,7 @@
 
 // A leader that was cut off still takes itself for the leader. It must answer
 // neither reads nor renewals from its old state.
-func TestCutOffLeaderAnswersNothing(t *testing.T) {
+func TestPartitionedLeaderRefusesCalls(t *testing.T) {
 	ctx := context.Background()
 	c := newCluster(t, 3)
 	s := c.members[0].server
@@ -42,7 +42,7 @@
 	reply, err := s.RenewLease(ctx, request)
 	assert.NilError(t, err)
 	assert.Assert(t, reply.Granted)
-	c.setCut(0, true)
+	c.setPartitioned(0, true)
 	reply, err = s.RenewLease(ctx, request)
 	assert.NilError(t, err)
 	assert.Assert(t, !reply.Granted)
@@ -95,7 +95,7 @@
 	c := newCluster(t, 1)
 	s := c.members[0].server
 	for range maxPulls {
-		s.pulls <- struct{}{}
+		s.pullSlots <- struct{}{}
 	}
 	_, err := s.Pull(context.Background(), &pb.PullRequest{WaitMs: 1 << 60})
 	assert.ErrorContains(t, err, "too many")
--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -38,19 +38,19 @@
 	state := m.fleetState()
 	state.Subtrees = m.sortedDocuments(true)
 	s := &pb.MachineState{
-		AppliedIndex:    m.applied,
-		ClockUnixMs:     m.clock,
+		AppliedIndex:    m.appliedIndex,
+		ClockUnixMs:     m.clockUnixMs,
 		State:           state,
-		History:         append([]*pb.SubtreeDocument{}, m.history.all...),
-		Answers:         append([]*pb.AnsweredChange{}, m.answers.order...),
-		Seen:            m.sortedSeen(),
+		History:         append([]*pb.SubtreeDocument{}, m.history.documents...),
+		Answers:         append([]*pb.AnsweredChange{}, m.changeResults.order...),
+		Seen:            m.sortedSeenIncarnations(),
 		Orders:          append([]*pb.OrderRecord{}, m.orders.sequence...),
-		Crashes:         append([]*pb.CrashRecord{}, m.suspects.order...),
+		Crashes:         append([]*pb.CrashRecord{}, m.suspects.crashOrder...),
 		EpochFloor:      m.epochFloor,
-		LoadSlotsUnixMs: append([]int64{}, m.orders.slots...),
+		LoadSlotsUnixMs: append([]int64{}, m.orders.loadSlots...),
 	}
-	for _, class := range sortedKeys(m.classes.retired) {
-		s.Retired = append(s.Retired, &pb.RetiredClass{ZoneClass: class, UnixMs: m.classes.retired[class]})
+	for _, class := range sortedKeys(m.zoneClasses.retiredUnixMs) {
+		s.Retired = append(s.Retired, &pb.RetiredClass{ZoneClass: class, UnixMs: m.zoneClasses.retiredUnixMs[class]})
 	}
 	return s
 }
@@ -63,13 +63,13 @@
 		return trace.Wrap(err, "snapshot at %d", index)
 	}
 	next := NewMachine(MachineOptions{Check: m.check, Build: m.build})
-	if err := next.load(index, state); err != nil {
+	if err := next.loadState(index, state); err != nil {
 		return trace.Wrap(err, "snapshot at %d", index)
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.take(next)
-	m.wake()
+	m.replaceWith(next)
+	m.notifyChanged()
 	return nil
 }
 
@@ -92,11 +92,11 @@
 	return &state, nil
 }
 
-func (m *Machine) load(index uint64, s *pb.MachineState) error {
+func (m *Machine) loadState(index uint64, s *pb.MachineState) error {
 	state := s.GetState()
 	var documents []*pb.SubtreeDocument
 	for _, d := range state.GetSubtrees() {
-		m.current[d.Name] = d
+		m.documents[d.Name] = d
 		m.treeBytes += len(d.Yaml)
 		if len(d.Yaml) > 0 {
 			documents = append(documents, d)
@@ -107,11 +107,11 @@
 		return trace.Wrap(err)
 	}
 	m.tree = tree
-	m.applied, m.effect = index, state.GetIndex()
-	m.clock, m.viewNumber, m.epochFloor = s.GetClockUnixMs(), state.GetViewNumber(), s.GetEpochFloor()
+	m.appliedIndex, m.effectIndex = index, state.GetIndex()
+	m.clockUnixMs, m.viewNumber, m.epochFloor = s.GetClockUnixMs(), state.GetViewNumber(), s.GetEpochFloor()
 	m.loadTables(s)
 	m.loadGroups(s)
-	m.recent.floor = m.effect
+	m.recentDeltas.afterIndex = m.effectIndex
 	return nil
 }
 
@@ -120,48 +120,48 @@
 		m.history.add(d)
 	}
 	for _, a := range s.GetAnswers() {
-		m.answers.add(a)
+		m.changeResults.add(a)
 	}
 	for _, i := range s.GetState().GetInstances() {
 		m.instances[i.Id] = i
 	}
 	for _, r := range s.GetSeen() {
-		m.seen.add(r, m.instances)
+		m.seenIncarnations.add(r, m.instances)
 	}
 	for _, o := range s.GetOrders() {
 		m.orders.add(o)
 	}
-	m.orders.slots = append(m.orders.slots, s.GetLoadSlotsUnixMs()...)
+	m.orders.loadSlots = append(m.orders.loadSlots, s.GetLoadSlotsUnixMs()...)
 	for _, r := range s.GetState().GetSuspects() {
 		if s, ok := suspectFromProto(r); ok {
-			m.suspects.put(s)
+			m.suspects.set(s)
 		}
 	}
 	for _, c := range s.GetCrashes() {
 		m.suspects.crashes[crashKey{c.EndpointId, c.EndpointIncarnation}] = c
-		m.suspects.order = append(m.suspects.order, c)
+		m.suspects.crashOrder = append(m.suspects.crashOrder, c)
 	}
 }
 
 func (m *Machine) loadGroups(s *pb.MachineState) {
-	m.classes.update(m.tree, m.clock)
+	m.zoneClasses.update(m.tree, m.clockUnixMs)
 	for _, r := range s.GetRetired() {
-		m.classes.retired[r.ZoneClass] = r.UnixMs
+		m.zoneClasses.retiredUnixMs[r.ZoneClass] = r.UnixMs
 	}
 	for _, f := range s.GetState().GetFormerClasses() {
-		m.former.set(fleet.Team(f.Team), f.ZoneClass, f.ChangedUnixMs)
+		m.formerClasses.set(fleet.Team(f.Team), f.ZoneClass, f.ChangedUnixMs)
 	}
 	for _, g := range s.GetState().GetLedgerGroups() {
 		m.groups[shardOf(g)] = g
 	}
 }
 
-// take moves the whole state over from next.
-func (m *Machine) take(next *Machine) {
-	m.applied, m.effect, m.clock, m.viewNumber = next.applied, next.effect, next.clock, next.viewNumber
-	m.tree, m.current, m.treeBytes = next.tree, next.current, next.treeBytes
-	m.history, m.answers = next.history, next.answers
-	m.instances, m.seen = next.instances, next.seen
-	m.classes, m.former, m.groups, m.epochFloor = next.classes, next.former, next.groups, next.epochFloor
-	m.orders, m.suspects, m.recent = next.orders, next.suspects, next.recent
+// replaceWith moves the whole state over from next.
+func (m *Machine) replaceWith(next *Machine) {
+	m.appliedIndex, m.effectIndex, m.clockUnixMs, m.viewNumber = next.appliedIndex, next.effectIndex, next.clockUnixMs, next.viewNumber
+	m.tree, m.documents, m.treeBytes = next.tree, next.documents, next.treeBytes
+	m.history, m.changeResults = next.history, next.changeResults
+	m.instances, m.seenIncarnations = next.instances, next.seenIncarnations
+	m.zoneClasses, m.formerClasses, m.groups, m.epochFloor = next.zoneClasses, next.formerClasses, next.groups, next.epochFloor
+	m.orders, m.suspects, m.recentDeltas = next.orders, next.suspects, next.recentDeltas
 }
--- a/internal/control/suspects.go
+++ b/internal/control/suspects.go
@@ -19,9 +19,9 @@
 // reports seen, so that a repeated report counts once. The rule is that of
 // package suspect.
 type suspects struct {
-	records map[fleet.Fingerprint]fleet.Suspect
-	crashes map[crashKey]*pb.CrashRecord
-	order   []*pb.CrashRecord // oldest first
+	records    map[fleet.Fingerprint]fleet.Suspect
+	crashes    map[crashKey]*pb.CrashRecord
+	crashOrder []*pb.CrashRecord // oldest first
 }
 
 func newSuspects() *suspects {
@@ -41,13 +41,13 @@
 			return refusalMalformed
 		}
 	}
-	limits := suspect.Limits{Life: time.Duration(m.suspectLife()) * time.Millisecond, Most: maxSuspects}
-	m.delta.Suspects = append(m.delta.Suspects, m.suspects.report(index, c, m.clock, limits)...)
+	limits := suspect.Limits{Life: time.Duration(m.suspectLifeMs()) * time.Millisecond, Most: maxSuspects}
+	m.delta.Suspects = append(m.delta.Suspects, m.suspects.applyReport(index, c, m.clockUnixMs, limits)...)
 	return ""
 }
 
-// suspectLife is how long a suspect is kept after its last death, in ms.
-func (m *Machine) suspectLife() int64 {
+// suspectLifeMs is how long a suspect is kept after its last death, in ms.
+func (m *Machine) suspectLifeMs() int64 {
 	life := m.tree.Fleet.Timeouts.QuarantineLife
 	if life <= 0 {
 		life = suspect.DefaultLimits.Life
@@ -55,31 +55,31 @@
 	return life.Milliseconds()
 }
 
-// report applies what is new in a report. A death may be reported twice, or in
+// applyReport applies what is new in a report. A death may be reported twice, or in
 // parts by two homes of its endpoint; what an earlier part named isn't counted
 // again, and when that part had its suspect, later ones add nothing.
-func (s *suspects) report(index uint64, c *pb.ReportCrash, clock int64, limits suspect.Limits) []*pb.SuspectRecord {
-	earlier := s.remember(index, c)
+func (s *suspects) applyReport(index uint64, c *pb.ReportCrash, clock int64, limits suspect.Limits) []*pb.SuspectRecord {
+	earlier := s.recordCrash(index, c)
 	part := &pb.ReportCrash{EndpointId: c.EndpointId, EndpointIncarnation: c.EndpointIncarnation}
 	for _, raw := range c.Fingerprints {
 		if f, ok := fleet.FingerprintFromBytes(raw); ok && !earlier[f] {
 			part.Fingerprints = append(part.Fingerprints, raw)
 		}
 	}
-	if len(part.Fingerprints) == 0 || s.explained(earlier) {
+	if len(part.Fingerprints) == 0 || s.hasRepeatSuspect(earlier) {
 		return nil
 	}
 	changed := suspect.Apply(s.records, part, time.UnixMilli(clock), limits)
 	records := make([]*pb.SuspectRecord, 0, len(changed))
 	for _, next := range changed {
-		s.put(next)
+		s.set(next)
 		records = append(records, suspectProto(next))
 	}
 	return records
 }
 
-// explained tells whether one of these was at more than one death.
-func (s *suspects) explained(earlier map[fleet.Fingerprint]bool) bool {
+// hasRepeatSuspect tells whether one of these was at more than one death.
+func (s *suspects) hasRepeatSuspect(earlier map[fleet.Fingerprint]bool) bool {
 	for f := range earlier {
 		if s.records[f].Crashes >= suspect.AloneCrashes {
 			return true
@@ -88,7 +88,7 @@
 	return false
 }
 
-func (s *suspects) put(next fleet.Suspect) {
+func (s *suspects) set(next fleet.Suspect) {
 	if next.Crashes == 0 {
 		delete(s.records, next.Fingerprint)
 		return
@@ -96,9 +96,9 @@
 	s.records[next.Fingerprint] = next
 }
 
-// remember notes the report and gives the fingerprints that earlier reports of
+// recordCrash notes the report and gives the fingerprints that earlier reports of
 // the same death named.
-func (s *suspects) remember(index uint64, c *pb.ReportCrash) map[fleet.Fingerprint]bool {
+func (s *suspects) recordCrash(index uint64, c *pb.ReportCrash) map[fleet.Fingerprint]bool {
 	known := make(map[fleet.Fingerprint]bool)
 	key := crashKey{c.EndpointId, c.EndpointIncarnation}
 	record := &pb.CrashRecord{
@@ -113,7 +113,7 @@
 			}
 		}
 		record.Fingerprints = append(record.Fingerprints, earlier.Fingerprints...)
-		s.forget(earlier)
+		s.removeCrash(earlier)
 	}
 	for _, raw := range c.Fingerprints {
 		f, ok := fleet.FingerprintFromBytes(raw)
@@ -122,18 +122,18 @@
 		}
 	}
 	s.crashes[key] = record
-	s.order = append(s.order, record)
-	if len(s.order) > maxCrashes {
-		delete(s.crashes, crashKey{s.order[0].EndpointId, s.order[0].EndpointIncarnation})
-		s.order = s.order[1:]
+	s.crashOrder = append(s.crashOrder, record)
+	if len(s.crashOrder) > maxCrashes {
+		delete(s.crashes, crashKey{s.crashOrder[0].EndpointId, s.crashOrder[0].EndpointIncarnation})
+		s.crashOrder = s.crashOrder[1:]
 	}
 	return known
 }
 
-func (s *suspects) forget(r *pb.CrashRecord) {
-	for n, o := range s.order {
+func (s *suspects) removeCrash(r *pb.CrashRecord) {
+	for n, o := range s.crashOrder {
 		if o == r {
-			s.order = append(s.order[:n:n], s.order[n+1:]...)
+			s.crashOrder = append(s.crashOrder[:n:n], s.crashOrder[n+1:]...)
 			return
 		}
 	}
@@ -153,7 +153,7 @@
 	return removed
 }
 
-func (s *suspects) due(clock, life int64) bool {
+func (s *suspects) hasExpired(clock, life int64) bool {
 	for _, r := range s.records {
 		if clock-r.Updated.UnixMilli() > life {
 			return true
--- a/internal/control/suspects_test.go
+++ b/internal/control/suspects_test.go
@@ -10,7 +10,7 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-func (l *log) crash(endpoint string, incarnation uint64, on ...byte) string {
+func (l *testLog) crash(endpoint string, incarnation uint64, on ...byte) string {
 	l.t.Helper()
 	r := &pb.ReportCrash{EndpointId: endpoint, EndpointIncarnation: incarnation}
 	for _, f := range on {
@@ -47,7 +47,7 @@
 			l := newFleet(t)
 			for _, d := range c.deaths {
 				assert.Equal(t, l.crash(d.endpoint, d.incarnation, d.on...), "")
-				l.restart()
+				l.restoreFromSnapshot()
 			}
 			var quarantined []byte
 			for _, r := range l.machine.suspects.sorted() {
@@ -64,7 +64,7 @@
 func TestSuspectsAgeAndAreBounded(t *testing.T) {
 	l := newFleet(t)
 	assert.Equal(t, l.crash("x", 1, 1), "")
-	l.pass(time.Hour.Milliseconds() + 1)
+	l.advance(time.Hour.Milliseconds() + 1)
 	assert.Equal(t, len(l.machine.suspects.records), 0)
 	assert.Equal(t, l.lastDelta().Suspects[0].Crashes, uint32(0))
 	for n := range uint64(6) {
