--- a/internal/control/change.go
+++ b/internal/control/change.go
@@ -11,12 +11,12 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// applyChange answers a change of one subtree.
+// applyChange applies a change of one subtree and returns its result.
 //
-// Failure guarded: a leader dies between the commit and the answer, and the
-// operator resends. Without the answers table the resent change would be
-// applied twice or, worse, be told "conflict" although it had won. The table
-// is replicated, so each later leader gives the first result.
+// If a leader fails between commit and answer, the operator repeats the change.
+// Without changeResults the repeated change would be applied twice or be
+// rejected as a conflict with itself. The table is replicated, so every later
+// leader returns the first result.
 func (m *Machine) applyChange(index uint64, c *pb.ChangeSubtree) *pb.ChangeResult {
 	if !validName(c.GetChangeId()) || !validName(c.GetName()) || len(c.GetAuthor()) > maxNameBytes {
 		return invalid(m.version(c.GetName()), "name, change ID or author is empty or too long")
@@ -40,12 +40,12 @@
 }
 
 func (m *Machine) evaluateChange(index uint64, c *pb.ChangeSubtree) *pb.ChangeResult {
-	now := m.documents[c.Name]
-	version := now.GetVersion()
+	current := m.documents[c.Name]
+	version := current.GetVersion()
 	if c.ExpectedVersion != version {
-		return conflict(now)
+		return conflict(current)
 	}
-	if detail := m.checkSizeLimits(c, now); detail != "" {
+	if detail := m.checkSizeLimits(c, current); detail != "" {
 		return invalid(version, detail)
 	}
 	tree, err := m.check(m.tree, c.Name, c.Yaml)
@@ -67,20 +67,20 @@
 		AcceptedUnixMs: m.clockUnixMs,
 	}
 	m.tree = tree
-	m.replaceDocument(now, accepted)
+	m.replaceDocument(current, accepted)
 	m.delta.Subtrees = append(m.delta.Subtrees, accepted)
 	m.updateClasses(c.Name)
 	return &pb.ChangeResult{Status: pb.ChangeStatus_CHANGE_STATUS_ACCEPTED, Version: accepted.Version, Index: index}
 }
 
-func (m *Machine) checkSizeLimits(c *pb.ChangeSubtree, now *pb.SubtreeDocument) string {
+func (m *Machine) checkSizeLimits(c *pb.ChangeSubtree, current *pb.SubtreeDocument) string {
 	if len(c.Yaml) > maxYAMLBytes {
 		return "the subtree is too large"
 	}
-	if m.treeBytes-len(now.GetYaml())+len(c.Yaml) > maxTreeBytes {
+	if m.treeBytes-len(current.GetYaml())+len(c.Yaml) > maxTreeBytes {
 		return "all settings together would be too large"
 	}
-	if now == nil && len(m.documents) >= maxSubtrees {
+	if current == nil && len(m.documents) >= maxSubtrees {
 		return "too many subtrees"
 	}
 	return ""
@@ -114,18 +114,18 @@
 }
 
 func (m *Machine) document(name string, version uint64) *pb.SubtreeDocument {
-	now := m.documents[name]
-	if version == 0 || now.GetVersion() == version {
-		return now
+	current := m.documents[name]
+	if version == 0 || current.GetVersion() == version {
+		return current
 	}
 	return m.history.version(name, version)
 }
 
-func conflict(now *pb.SubtreeDocument) *pb.ChangeResult {
+func conflict(current *pb.SubtreeDocument) *pb.ChangeResult {
 	return &pb.ChangeResult{
 		Status:  pb.ChangeStatus_CHANGE_STATUS_CONFLICT,
-		Version: now.GetVersion(),
-		Current: now,
+		Version: current.GetVersion(),
+		Current: current,
 		Detail:  "the subtree has another version than expected",
 	}
 }
@@ -145,8 +145,8 @@
 	return strings.ToValidUTF8(s, "")
 }
 
-// changeDigest covers what a change asks for; the time of the proposal
-// differs between sends of one change and is left out.
+// changeDigest returns a digest of a change's content. It leaves out the time of
+// the proposal, which differs between repeats of one change.
 func changeDigest(c *pb.ChangeSubtree) []byte {
 	h := sha256.New()
 	var length [8]byte
@@ -160,5 +160,5 @@
 	return h.Sum(nil)
 }
 
-// sameInstance compares all fields.
+// sameInstance reports whether all fields are equal.
 func sameInstance(a, b *pb.InstanceRecord) bool { return proto.Equal(a, b) }
--- a/internal/control/changeresults.go
+++ b/internal/control/changeresults.go
@@ -2,9 +2,9 @@
 
 import "github.com/hyssopsail/hyssopsail/internal/pb"
 
-// changeResults keeps the first result of each change ID, oldest first. A resent
-// change must get its first result although the leader that gave it is gone,
-// so the table is part of the replicated state and of its snapshots.
+// changeResults keeps the first result of each change ID, oldest first. A
+// repeated change must get its first result even after the leader that answered
+// it has failed, so the table is part of the replicated state and its snapshots.
 type changeResults struct {
 	byID  map[string]*pb.AnsweredChange
 	order []*pb.AnsweredChange
--- a/internal/control/classes.go
+++ b/internal/control/classes.go
@@ -9,18 +9,19 @@
 	"github.com/hyssopsail/hyssopsail/internal/settings"
 )
 
-// defaultRecordLife is how long a retired class keeps its ledger groups when
-// the fleet subtree gives no record life.
+// defaultRecordLife is how long outcome records live when the fleet subtree sets
+// no record life.
 const defaultRecordLife = 10 * time.Minute
 
-// zoneClasses counts which zone classes teams use. A class that falls out of use
-// is retired: its groups stay for as long as it is a former class of a team,
-// so that requests in flight can finish their records and repeats find them.
+// zoneClasses counts the teams that use each zone class. A class that no team
+// uses any more is retired: its ledger groups stay for as long as it is a former
+// class of a team, so that requests in flight can finish their records and
+// repeats find them.
 type zoneClasses struct {
 	formerClasses *formerClasses
 	byTeam        map[fleet.Team]string
 	teamCounts    map[string]int
-	retiredUnixMs map[string]int64 // class to the unix ms of its last use
+	retiredUnixMs map[string]int64 // by class: time of its last use
 }
 
 func newZoneClasses(f *formerClasses) *zoneClasses {
@@ -32,7 +33,7 @@
 	}
 }
 
-// setTeamClass notes a team's class; the empty class means none.
+// setTeamClass sets a team's class; the empty class means none.
 func (c *zoneClasses) setTeamClass(team fleet.Team, class string, clock int64) {
 	old := c.byTeam[team]
 	if old == class {
@@ -77,8 +78,8 @@
 	return keys
 }
 
-// exceedsClassLimit tells whether taking tree's class for the subtree would pass
-// the bound on zone classes.
+// exceedsClassLimit reports whether the subtree's class in tree would exceed
+// maxClasses.
 func (m *Machine) exceedsClassLimit(tree *settings.Tree, name string) bool {
 	team, ok := tree.Teams[teamOfSubtree(name)]
 	if !ok {
@@ -101,8 +102,8 @@
 	return fleet.Team(name[len(settings.TeamPrefix):])
 }
 
-// updateClasses follows an accepted change of a subtree. Only the fleet
-// subtree can touch more than one team.
+// updateClasses updates the classes and their groups after an accepted change of
+// the subtree. Only the fleet subtree can affect more than one team.
 func (m *Machine) updateClasses(name string) {
 	if name == settings.FleetSubtree {
 		m.zoneClasses.update(m.tree, m.clockUnixMs)
@@ -130,15 +131,15 @@
 	}
 }
 
-// removeExpiredClasses removes the groups of classes unused for formerLives. Their
-// epochs stay used up: a class that returns starts above them, so that no
-// replica mistakes an old group for the new one.
+// removeExpiredClasses removes the groups of classes retired for longer than
+// formerClassLifeMs. Their epochs are not reused: a class that returns starts
+// above them, so that no replica mistakes an old group for the new one.
 func (m *Machine) removeExpiredClasses() {
 	life := m.formerClassLifeMs()
 	for _, class := range sortedKeys(m.zoneClasses.retiredUnixMs) {
 		age := m.clockUnixMs - m.zoneClasses.retiredUnixMs[class]
 		if age < -life {
-			m.zoneClasses.retiredUnixMs[class] = m.clockUnixMs // retired by a clock that was ahead
+			m.zoneClasses.retiredUnixMs[class] = m.clockUnixMs // retired under a clock that was ahead
 		}
 		if age <= life {
 			continue
--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -14,20 +14,20 @@
 	"github.com/hyssopsail/hyssopsail/internal/sleep"
 )
 
-// The client's time bounds.
+// Timeouts, backoffs and limits of the client.
 const (
-	attemptTimeout = 1500 * time.Millisecond // without a byte in one try at one member
-	renewTimeout   = 400 * time.Millisecond  // so that a lease outlives a silent member or two
+	attemptTimeout = 1500 * time.Millisecond // without a byte in one attempt at one member
+	renewTimeout   = 400 * time.Millisecond  // short, so that a lease outlasts one or two unreachable members
 	commandTimeout = proposeTimeout + attemptTimeout
 	minBackoff     = 20 * time.Millisecond
 	maxBackoff     = 400 * time.Millisecond
-	maxRedirects   = 2 // redirects in a row without a wait
+	maxRedirects   = 2 // consecutive redirects without a backoff
 )
 
-// Client calls the control group from other processes. It follows the leader
-// and repeats calls until one is answered or the context ends; all calls are
-// idempotent, by change ID, order ID, incarnation or content. Safe for use by
-// many goroutines.
+// Client calls the control group from other processes. It follows the leader and
+// retries a call until it is answered or the context ends; all calls are
+// idempotent, by change ID, order ID, incarnation or content. It is safe for
+// concurrent use.
 type Client struct {
 	dialer    rpc.Dialer
 	addresses func() []string
@@ -35,14 +35,14 @@
 
 	mu            sync.Mutex
 	random        *rand.Rand
-	leader        string        // last known; empty when not
+	leader        string        // latest known; empty when unknown
 	leaderChanged chan struct{} // closed when a leader becomes known
-	addressIndex  int           // of addresses, when there is no leader known
-	pullMember    string        // where pulls go
+	addressIndex  int           // of the address last tried while no leader is known
+	pullMember    string        // address of the member that answers pulls
 }
 
-// NewClient makes a client of the control instances at addresses, which is
-// asked anew whenever the client has to look for another one.
+// NewClient returns a client of the control instances at addresses, which is
+// called again whenever the client has to choose a member.
 func NewClient(dialer rpc.Dialer, addresses func() []string, part logging.Part) *Client {
 	return &Client{
 		dialer:        dialer,
@@ -53,23 +53,24 @@
 	}
 }
 
-// attemptFunc makes one call and gives the address to ask instead, if any.
-type attemptFunc func(ctx context.Context, c pb.DRPCControlClient) (elsewhere string, err error)
+// attemptFunc makes one attempt of a call and returns the address of the leader
+// when the member redirects.
+type attemptFunc func(ctx context.Context, c pb.DRPCControlClient) (redirect string, err error)
 
-// callLeader repeats try at the leader, as far as it is known, until it is
-// answered there.
-func (c *Client) callLeader(ctx context.Context, timeout time.Duration, try attemptFunc) error {
+// callLeader retries attempt, at the leader if it is known, until the leader has
+// answered.
+func (c *Client) callLeader(ctx context.Context, timeout time.Duration, attempt attemptFunc) error {
 	backoff := minBackoff
 	redirects := 0
 	for {
 		address := c.targetAddress()
-		elsewhere, err := c.attemptAt(ctx, timeout, address, try)
-		if err == nil && elsewhere == "" {
+		redirect, err := c.attemptAt(ctx, timeout, address, attempt)
+		if err == nil && redirect == "" {
 			c.setLeader(address)
 			return nil
 		}
-		c.recordFailure(address, elsewhere, err)
-		if elsewhere != "" && redirects < maxRedirects {
+		c.recordFailure(address, redirect, err)
+		if redirect != "" && redirects < maxRedirects {
 			redirects++
 			continue
 		}
@@ -81,11 +82,12 @@
 	}
 }
 
-// recordFailure takes a try's failure. It forgets the leader only when that is who
-// failed: another call may have found the next one meanwhile.
-func (c *Client) recordFailure(address, elsewhere string, err error) {
-	if elsewhere != "" {
-		c.setLeader(elsewhere)
+// recordFailure updates the known leader after a failed attempt. It forgets the
+// leader only if the attempt was made there: another call may have found the next
+// leader meanwhile.
+func (c *Client) recordFailure(address, redirect string, err error) {
+	if redirect != "" {
+		c.setLeader(redirect)
 		return
 	}
 	c.part.Debug("Call failed.", "address", address, "err", err)
@@ -99,7 +101,7 @@
 	return trace.ConnectionProblem(last, "no answer from the control group")
 }
 
-func (c *Client) attemptAt(ctx context.Context, timeout time.Duration, address string, try attemptFunc) (string, error) {
+func (c *Client) attemptAt(ctx context.Context, timeout time.Duration, address string, attempt attemptFunc) (string, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	ctx, transfer := rpc.WithTransfer(ctx, timeout)
@@ -108,17 +110,17 @@
 		return "", trace.Wrap(transfer.End(ctx, err))
 	}
 	go c.cancelOnNewLeader(ctx, cancel, address)
-	elsewhere, err := try(ctx, client)
-	return elsewhere, transfer.End(ctx, err)
+	redirect, err := attempt(ctx, client)
+	return redirect, transfer.End(ctx, err)
 }
 
-// cancelOnNewLeader ends a try once another member is known to lead.
+// cancelOnNewLeader cancels an attempt once another member is known to lead.
 //
-// Failure: the leader is cut off silently while a change waits there for its
-// answer. It shows as an operator's command that hangs for the whole time of a
-// try, long after the others have a new leader. The lease renewals of this
-// process find the new leader within a second, and since all calls are
-// idempotent the try may be given up and made there.
+// If the leader becomes unreachable while a change waits there for its answer,
+// an operator's command would hang for the whole timeout of the attempt, long
+// after the others have elected a new leader. The lease renewals of this process
+// find the new leader within a second, and since all calls are idempotent the
+// call can be retried there.
 func (c *Client) cancelOnNewLeader(ctx context.Context, cancel context.CancelFunc, address string) {
 	for {
 		leader, moved := c.knownLeader()
@@ -151,7 +153,8 @@
 	return pb.NewDRPCControlClient(conn), nil
 }
 
-// targetAddress gives the leader, or the next address in turn.
+// targetAddress returns the leader's address or, when the leader is unknown, the
+// next address in turn.
 func (c *Client) targetAddress() string {
 	addresses := c.addresses()
 	c.mu.Lock()
@@ -188,7 +191,8 @@
 	}
 }
 
-// sleep waits for a random part of about backoff; false when ctx ended.
+// sleep waits for a random time between half and one and a half times backoff.
+// It returns false when ctx ended.
 func (c *Client) sleep(ctx context.Context, backoff time.Duration) bool {
 	c.mu.Lock()
 	wait := backoff/2 + time.Duration(c.random.Int64N(int64(backoff)))
--- a/internal/control/client_calls.go
+++ b/internal/control/client_calls.go
@@ -9,7 +9,7 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// RenewLease asks the leader for a lease. A reply that isn't granted has a
+// RenewLease asks the leader for a lease. A reply without a granted lease has a
 // final refusal, or none when the caller should try again or has left.
 func (c *Client) RenewLease(ctx context.Context, r *pb.RenewLeaseRequest) (*pb.RenewLeaseReply, error) {
 	var reply *pb.RenewLeaseReply
@@ -30,8 +30,8 @@
 	return reply, err
 }
 
-// Change commits a change of settings. On an error the change may or may not
-// be accepted; sending it again with the same change ID tells.
+// Change commits a change of settings. After an error the change may or may not
+// have been accepted; a repeat with the same change ID returns the result.
 func (c *Client) Change(ctx context.Context, r *pb.ChangeRequest) (*pb.ChangeReply, error) {
 	var reply *pb.ChangeReply
 	timeout := commandTimeout + time.Duration(r.GetWaitInForceMs())*time.Millisecond
@@ -43,7 +43,7 @@
 	return reply, err
 }
 
-// GetSettings reads settings as of now.
+// GetSettings reads the current settings from the leader.
 func (c *Client) GetSettings(ctx context.Context, r *pb.GetSettingsRequest) (*pb.GetSettingsReply, error) {
 	var reply *pb.GetSettingsReply
 	err := c.callLeader(ctx, attemptTimeout, func(ctx context.Context, at pb.DRPCControlClient) (string, error) {
@@ -65,10 +65,10 @@
 	return reply, err
 }
 
-// changeMemberTimeout allows for a learner that catches up first.
+// changeMemberTimeout leaves time for a learner to catch up first.
 const changeMemberTimeout = time.Minute
 
-// Drain makes an instance drain.
+// Drain marks an instance as draining.
 func (c *Client) Drain(ctx context.Context, r *pb.DrainRequest) (*pb.DrainReply, error) {
 	var reply *pb.DrainReply
 	err := c.callLeader(ctx, commandTimeout, func(ctx context.Context, at pb.DRPCControlClient) (string, error) {
@@ -90,7 +90,7 @@
 	return reply, err
 }
 
-// Crash reports an endpoint's death.
+// Crash reports the crash of an endpoint.
 func (c *Client) Crash(ctx context.Context, r *pb.ReportCrash) (*pb.ReportReply, error) {
 	return c.report(ctx, func(ctx context.Context, at pb.DRPCControlClient) (*pb.ReportReply, error) {
 		return at.Crash(ctx, r)
--- a/internal/control/client_members.go
+++ b/internal/control/client_members.go
@@ -10,8 +10,8 @@
 	"github.com/hyssopsail/hyssopsail/internal/rpc"
 )
 
-// Pull gets what follows the caller's state from one member, and goes to
-// another one when that fails. It makes one try; the caller repeats it.
+// Pull gets what follows the caller's state from one member. It makes one
+// attempt; after a failure the next Pull goes to another member.
 func (c *Client) Pull(ctx context.Context, r *pb.PullRequest) (*pb.PullReply, error) {
 	ctx, transfer := rpc.WithTransfer(ctx, attemptTimeout+time.Duration(r.GetWaitMs())*time.Millisecond)
 	address := c.choosePullMember()
@@ -31,8 +31,8 @@
 	return client.Pull(ctx, r)
 }
 
-// Elsewhere makes the next Pull go to another member, because this one lags:
-// to the leader when it is known, since any other one may lag too.
+// Elsewhere makes the next Pull go to another member, because the current one
+// lags: to the leader if it is known, since any other member may lag too.
 func (c *Client) Elsewhere() {
 	c.mu.Lock()
 	address := c.pullMember
@@ -53,7 +53,8 @@
 	return c.pullMember
 }
 
-// switchPullMember takes the address after the one that failed.
+// switchPullMember chooses the address after the given one, if pulls still go
+// there.
 func (c *Client) switchPullMember(address string) {
 	addresses := c.addresses()
 	c.mu.Lock()
@@ -69,8 +70,9 @@
 	}
 }
 
-// Status asks the member at address; empty: the leader if it is known, or any
-// other one that answers. Whoever answers is not taken for the leader.
+// Status returns the status of the member at address; if address is empty, of
+// the leader if known, or of any other member that answers. The member that
+// answers is not recorded as the leader.
 func (c *Client) Status(ctx context.Context, address string) (*pb.StatusReply, error) {
 	if address != "" {
 		return c.statusAt(ctx, address)
@@ -106,7 +108,7 @@
 	return reply, trace.Wrap(err)
 }
 
-// Init starts a fleet through the member at address. It makes one try.
+// Init starts a fleet through the member at address. It makes one attempt.
 func (c *Client) Init(ctx context.Context, address string, r *pb.InitRequest) (*pb.InitReply, error) {
 	client, err := c.clientAt(ctx, address)
 	if err != nil {
@@ -116,7 +118,7 @@
 	return reply, trace.Wrap(err)
 }
 
-// DiskIdentity asks the instance at address for its disk's identity.
+// DiskIdentity returns the disk identity of the instance at address.
 func (c *Client) DiskIdentity(ctx context.Context, address string) (*pb.Member, error) {
 	client, err := c.clientAt(ctx, address)
 	if err != nil {
--- a/internal/control/deltaring.go
+++ b/internal/control/deltaring.go
@@ -8,8 +8,8 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// deltaRing keeps the newest deltas, bounded in count and bytes. It is not
-// part of snapshots: a reader behind its floor takes the whole state.
+// deltaRing keeps the newest deltas, bounded in count and bytes. It is not part
+// of snapshots: a reader behind afterIndex gets the whole state.
 type deltaRing struct {
 	deltas     []*pb.Delta
 	sizes      []int
@@ -19,7 +19,7 @@
 
 func newDeltaRing() *deltaRing { return &deltaRing{} }
 
-// add takes the delta that follows the one at index previous.
+// add appends the delta that follows the one at index previous.
 func (r *deltaRing) add(d *pb.Delta, previous uint64) {
 	if len(r.deltas) == 0 {
 		r.afterIndex = previous
@@ -36,7 +36,7 @@
 	}
 }
 
-// after gives the deltas above index, as many as fit in one reply, at least
+// after returns the deltas above index, as many as fit in one reply but at least
 // one. ok is false when some are no longer kept.
 func (r *deltaRing) after(index uint64) (deltas []*pb.Delta, ok bool) {
 	if index < r.afterIndex || len(r.deltas) == 0 {
--- a/internal/control/doc.go
+++ b/internal/control/doc.go
@@ -1,6 +1,7 @@
-// Package control is the control group's own state and service: settings
-// subtrees, instances and their leases, ledger groups, fencing tokens and
-// suspects, kept by a replicated log. Machine is pure and deterministic;
-// Server puts it on the network and keeps the leader's volatile lease times;
-// Client follows the leader from other processes.
+// Package control implements the replicated state and the service of the
+// control group: settings subtrees, instances and their leases, ledger groups,
+// fencing tokens and suspects. Machine is the deterministic state machine that
+// a replicated log drives; Server exposes it over RPC and holds the leader's
+// lease times, which are not replicated; Client calls the group's leader from
+// other processes.
 package control
--- a/internal/control/former.go
+++ b/internal/control/former.go
@@ -8,21 +8,20 @@
 	"github.com/hyssopsail/hyssopsail/internal/settings"
 )
 
-// formerClassRecordLives is the number of record lives for which a team's former zone
-// class and the groups of a class out of use are kept. A call that was running
-// at the change ends later and its record lives on from then: with one life
-// alone, a repeat of it would find nothing and run again.
+// formerClassRecordLives is the number of record lives for which a team's former
+// zone class and the groups of a retired class are kept. The record of a call
+// that was running during the change lives from the end of the call: with a
+// single record life, a repeat would find no record and run the call again.
 const formerClassRecordLives = 2
 
-// formerClasses keeps which zone classes teams have left of late.
-//
-// Failure guarded: a call ran, its team's permitted zones change, and the call
-// is repeated. Its record is in the old class' ledger groups; without this
-// table no entry would look there, and the call would run twice.
+// formerClasses keeps the zone classes that teams left recently. When a call is
+// repeated after its team's permitted zones changed, its record is in the ledger
+// groups of the former class; without this table no entry would look there, and
+// the call would run twice.
 type formerClasses struct {
-	leftUnixMs   map[fleet.Team]map[string]int64 // class to the unix ms of leaving it
+	leftUnixMs   map[fleet.Team]map[string]int64 // by team and class: when the team left it
 	count        int
-	pendingDelta []*pb.FormerClass // not yet in a delta
+	pendingDelta []*pb.FormerClass // changes not yet in a delta
 }
 
 func newFormerClasses() *formerClasses {
@@ -41,7 +40,7 @@
 	classes[class] = clock
 }
 
-// recordLeft notes that the team left a class.
+// recordLeft records that the team left a class.
 func (f *formerClasses) recordLeft(team fleet.Team, class string, clock int64) {
 	f.set(team, class, clock)
 	f.pendingDelta = append(f.pendingDelta, formerClassProto(team, class, clock))
@@ -56,8 +55,9 @@
 	f.pendingDelta = append(f.pendingDelta, &pb.FormerClass{Team: string(team), ZoneClass: class, Removed: true})
 }
 
-// expire drops classes left longer than life ago. One that was left by a clock
-// far ahead counts from now.
+// expire removes classes that were left longer than life ago; clock and life are
+// in ms. The age of a class that was left under a clock far ahead counts from
+// now.
 func (f *formerClasses) expire(clock, life int64) {
 	for team, classes := range f.leftUnixMs {
 		for class, left := range classes {
@@ -82,12 +82,13 @@
 	return false
 }
 
-// takePendingDelta gives what a delta must tell, sorted.
+// takePendingDelta returns the changes for the next delta, sorted, and clears
+// them.
 func (f *formerClasses) takePendingDelta() []*pb.FormerClass {
-	noted := f.pendingDelta
+	pending := f.pendingDelta
 	f.pendingDelta = nil
-	sortFormerClasses(noted)
-	return noted
+	sortFormerClasses(pending)
+	return pending
 }
 
 func (f *formerClasses) sorted() []*pb.FormerClass {
@@ -114,28 +115,28 @@
 	})
 }
 
-// exceedsFormerClassLimit tells whether taking tree's class for the subtree would pass a
-// bound on former classes. The change is refused then: forgetting a class
-// would let calls run twice.
+// exceedsFormerClassLimit reports whether the subtree's class in tree would
+// exceed a limit on former classes. Such a change is refused, because dropping a
+// former class would let calls run twice.
 func (m *Machine) exceedsFormerClassLimit(tree *settings.Tree, name string) bool {
 	team := teamOfSubtree(name)
-	now := m.zoneClasses.byTeam[team]
-	if now == "" || tree.Teams[team].Permitted().Class() == now {
+	current := m.zoneClasses.byTeam[team]
+	if current == "" || tree.Teams[team].Permitted().Class() == current {
 		return false
 	}
 	left := m.formerClasses.leftUnixMs[team]
-	if _, known := left[now]; known {
+	if _, known := left[current]; known {
 		return false
 	}
 	return len(left) >= maxFormerClassesPerTeam || m.formerClasses.count >= maxFormerClasses
 }
 
-// formerClassLifeMs is how long former and retired classes are kept, in ms.
+// formerClassLifeMs returns how long former and retired classes are kept.
 func (m *Machine) formerClassLifeMs() int64 {
 	return formerClassRecordLives * m.recordLifeMs()
 }
 
-// recordLifeMs is how long outcome records live, in ms.
+// recordLifeMs returns how long outcome records live.
 func (m *Machine) recordLifeMs() int64 {
 	life := m.tree.Fleet.Timeouts.RecordLife
 	if life <= 0 {
@@ -144,8 +145,8 @@
 	return life.Milliseconds()
 }
 
-// HasExpiredRecords tells whether records have outlived their age by the given clock, unix
-// ms, so that a command should carry it to the state.
+// HasExpiredRecords reports whether records have expired at clock, in Unix
+// milliseconds. They are removed when the next command is applied.
 func (m *Machine) HasExpiredRecords(clock int64) bool {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
--- a/internal/control/groupplan.go
+++ b/internal/control/groupplan.go
@@ -9,12 +9,12 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// groupPlanner decides the replica sets of ledger groups for one state of the
-// view. docs/design/control.md has the argument why no decided record is lost.
+// groupPlanner chooses the replica sets of ledger groups for one state of the
+// view. docs/design/control.md argues why no decided record is lost.
 type groupPlanner struct {
 	instances       map[string]*pb.InstanceRecord
 	clockUnixMs     int64
-	eligibleByClass map[string][]fleet.Instance // by zone class, filled when asked for
+	eligibleByClass map[string][]fleet.Instance // by zone class, filled on first use
 }
 
 func (m *Machine) newGroupPlanner() *groupPlanner {
@@ -25,15 +25,15 @@
 	}
 }
 
-// repair gives the group's next epoch, or g itself and false when its replica
+// repair returns the group's next epoch, or g itself and false when its replica
 // set stays.
 //
-// Failure guarded: a replica dies and a second one right after. Records are
-// decided by a majority, so one survivor alone may lack a decided one; a
-// reader that took its silence for "never run" would let a request run twice.
-// Hence a new replica counts only after it has copied from a majority of the
-// ready ones, and when so many of these are gone that no majority can be
-// read, history_lost says that absent records mean "unknown".
+// A second replica may fail right after a first one. Records are decided by a
+// majority, so a single survivor may lack a decided record; a reader that took a
+// missing record for "never run" would let a request run twice. Therefore a new
+// replica counts only after it has copied from a majority of the ready ones.
+// When too few of these are left to read a majority, history_lost marks the
+// group: absent records then mean "unknown".
 func (p *groupPlanner) repair(g *pb.LedgerGroup) (next *pb.LedgerGroup, changed bool) {
 	alive := p.liveReplicas(g.Replicas)
 	keep := alive
@@ -80,11 +80,11 @@
 	next.Complete = g.Complete
 }
 
-// maxCompleteReplicas is the number of ready replicas up to which a majority is all
-// of them, so that each holds every decided record.
+// maxCompleteReplicas is the number of ready replicas up to which a majority
+// contains all of them, so that each holds every decided record.
 const maxCompleteReplicas = 2
 
-// readQuorum is how many of the ready replicas together hold every decided
+// readQuorum returns how many of the ready replicas together hold every decided
 // record.
 func readQuorum(g *pb.LedgerGroup) int {
 	if g.Complete {
@@ -104,8 +104,9 @@
 	return alive
 }
 
-// drainingReplica gives a draining replica to replace: only one at a time and only in
-// a whole group, so that the draining one can be copied from while it is here.
+// drainingReplica returns a draining replica to replace, or nil. Only one is
+// replaced at a time, and only in a fully replicated group, so that the draining
+// replica remains a source of copies.
 func (p *groupPlanner) drainingReplica(g *pb.LedgerGroup, alive []*pb.LedgerReplica) *pb.LedgerReplica {
 	if len(alive) < fleet.LedgerReplicas || len(alive) < len(g.Replicas) || len(readyReplicas(alive)) < len(alive) {
 		return nil
@@ -118,8 +119,8 @@
 	return nil
 }
 
-// chooseReplacements chooses instances for the free places: those in zones that the group
-// lacks first, then by rendezvous rank.
+// chooseReplacements chooses instances for the group's vacant replicas: first
+// those in zones without a replica, each time by rendezvous rank.
 func (p *groupPlanner) chooseReplacements(g *pb.LedgerGroup, keep []*pb.LedgerReplica) []*pb.LedgerReplica {
 	free := fleet.LedgerReplicas - len(keep)
 	if free <= 0 {
@@ -178,10 +179,10 @@
 	return found
 }
 
-func without(replicas []*pb.LedgerReplica, gone *pb.LedgerReplica) []*pb.LedgerReplica {
+func without(replicas []*pb.LedgerReplica, removed *pb.LedgerReplica) []*pb.LedgerReplica {
 	var rest []*pb.LedgerReplica
 	for _, r := range replicas {
-		if r != gone {
+		if r != removed {
 			rest = append(rest, r)
 		}
 	}
--- a/internal/control/groups.go
+++ b/internal/control/groups.go
@@ -13,7 +13,7 @@
 	return fleet.LedgerShard{ZoneClass: g.ZoneClass, Shard: g.Shard}
 }
 
-// repairGroups follows a change of the view.
+// repairGroups updates the replica sets after a change of the view.
 func (m *Machine) repairGroups() {
 	planner := m.newGroupPlanner()
 	for _, shard := range m.sortedShards() {
@@ -43,10 +43,10 @@
 	m.addGroupToDelta(g)
 }
 
-// addGroupToDelta puts the group into the delta once, with its last form.
+// addGroupToDelta puts the group into the delta, in place of an earlier form.
 func (m *Machine) addGroupToDelta(g *pb.LedgerGroup) {
-	for n, noted := range m.delta.LedgerGroups {
-		if shardOf(noted) == shardOf(g) {
+	for n, added := range m.delta.LedgerGroups {
+		if shardOf(added) == shardOf(g) {
 			m.delta.LedgerGroups[n] = g
 			return
 		}
@@ -54,9 +54,9 @@
 	m.delta.LedgerGroups = append(m.delta.LedgerGroups, g)
 }
 
-// applyLedgerReady marks a replica that has copied its shards. A report for another
-// epoch than the current one is dropped: that copy may lack what was decided
-// since.
+// applyLedgerReady marks a replica that has copied its shards as ready. A report
+// for an epoch other than the current one is ignored: that copy may lack records
+// decided since.
 func (m *Machine) applyLedgerReady(l *pb.LedgerReady) string {
 	live := m.instances[l.GetInstanceId()]
 	if live == nil || live.Incarnation != l.GetIncarnation() {
--- a/internal/control/history.go
+++ b/internal/control/history.go
@@ -2,10 +2,10 @@
 
 import "github.com/hyssopsail/hyssopsail/internal/pb"
 
-// subtreeHistory keeps older versions of subtrees, bounded for each subtree and in
-// all: the globally oldest go first.
+// subtreeHistory keeps older versions of subtrees. The number of versions is
+// bounded for each subtree and the bytes for all together; the oldest go first.
 type subtreeHistory struct {
-	documents     []*pb.SubtreeDocument // in the order of their replacement
+	documents     []*pb.SubtreeDocument // in the order in which they were replaced
 	versionCounts map[string]int
 	yamlBytes     int
 }
--- a/internal/control/incarnations.go
+++ b/internal/control/incarnations.go
@@ -2,9 +2,10 @@
 
 import "github.com/hyssopsail/hyssopsail/internal/pb"
 
-// incarnations remembers the highest incarnation that each instance has
-// shown, also after it left: a process from before can't join again. Bounded;
-// the longest unused goes first, but never a live one's.
+// incarnations keeps the highest incarnation seen of each instance, also after
+// the instance left, so that an earlier process can't join again. The table is
+// bounded: the record of the instance that joined least recently goes first, but
+// never that of a live one.
 type incarnations struct {
 	byID map[string]*pb.SeenIncarnation
 }
--- a/internal/control/instances.go
+++ b/internal/control/instances.go
@@ -6,9 +6,8 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// applyJoin takes an instance into the view. Only an incarnation above all
-// that its ID has shown may join, so a process that was replaced or expired
-// stays out for good.
+// applyJoin adds an instance to the view. Its incarnation must be higher than
+// any seen for its ID, so a process that was replaced or expired can't rejoin.
 func (m *Machine) applyJoin(index uint64, i *pb.InstanceRecord) string {
 	if !validInstance(i) {
 		return refusalMalformed
@@ -33,14 +32,14 @@
 	return ""
 }
 
-// updateInstance takes changed addresses; draining stays once it is set, and
-// a process can't move to another zone: its ledger shards would move with it.
-func (m *Machine) updateInstance(live, now *pb.InstanceRecord) string {
-	if live.AvailabilityZone != now.AvailabilityZone {
+// updateInstance applies changed addresses. Draining stays once it is set, and a
+// process can't change its zone, because its ledger shards would move with it.
+func (m *Machine) updateInstance(live, updated *pb.InstanceRecord) string {
+	if live.AvailabilityZone != updated.AvailabilityZone {
 		return refusalMalformed
 	}
-	next := proto.Clone(now).(*pb.InstanceRecord)
-	next.Draining = live.Draining || now.Draining
+	next := proto.Clone(updated).(*pb.InstanceRecord)
+	next.Draining = live.Draining || updated.Draining
 	if !sameInstance(live, next) {
 		m.putInstance(next)
 	}
--- a/internal/control/leases.go
+++ b/internal/control/leases.go
@@ -7,17 +7,18 @@
 	"github.com/hyssopsail/hyssopsail/internal/fleet"
 )
 
-// leaseTable are the leader's volatile lease times. They are not replicated: a
-// new leader gives everyone a full lease from the start of its leadership,
-// which ends later than any lease that an earlier leader gave.
+// leaseTable holds the leader's lease times. They are not replicated: a new
+// leader grants every instance a full lease from the start of its leadership,
+// which ends later than any lease that an earlier leader granted. It is safe for
+// concurrent use.
 type leaseTable struct {
 	mu               sync.Mutex
 	leading          bool
 	term             uint64
 	lastTick         time.Time
 	lease            time.Duration
-	previousLease    time.Duration // an earlier, longer lease that may still be held
-	previousLeaseEnd time.Time     // until then
+	previousLease    time.Duration // earlier, longer lease that may still be held
+	previousLeaseEnd time.Time     // previousLease is not held after this time
 	byInstance       map[fleet.InstanceID]*leaseState
 }
 
@@ -26,7 +27,7 @@
 	renewedAt       time.Time
 	expiresAt       time.Time
 	appliedIndex    uint64
-	expiring        bool // its end is proposed: no renewal any more
+	expiring        bool // expiry is being proposed: no more renewals
 	proposalPending bool
 }
 
@@ -34,21 +35,22 @@
 	return &leaseTable{byInstance: make(map[fleet.InstanceID]*leaseState)}
 }
 
-// frozenGapDivisor of a lease without a tick means that this process stood still.
+// frozenGapDivisor sets the gap between ticks, lease / frozenGapDivisor, above
+// which this process is taken to have been suspended.
 const frozenGapDivisor = 4
 
-// tick follows leadership and the view, and gives the owners whose lease has
-// ended.
+// tick updates the table for the current term and view, and returns the owners
+// whose lease has ended.
 //
-// Failures guarded: a new leader knows no renewals, and a leader that was
-// frozen has missed them; either would expire healthy instances. Both are
-// told by a new term, or by a long gap between ticks, and wait a full lease.
+// A new leader knows no renewals, and a leader whose process was suspended has
+// missed some; either could expire healthy instances. A new term or a long gap
+// between ticks shows these cases, and every instance then gets a full lease.
 func (l *leaseTable) tick(now time.Time, term uint64, lease time.Duration, live []fleet.Owner) []fleet.Owner {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.setLease(now, lease)
-	fresh := !l.leading || l.term != term
-	if fresh {
+	newTerm := !l.leading || l.term != term
+	if newTerm {
 		l.byInstance = make(map[fleet.InstanceID]*leaseState)
 	}
 	frozen := now.Sub(l.lastTick) > lease/frozenGapDivisor
@@ -68,7 +70,7 @@
 	l.lease = lease
 }
 
-// maxLease is the longest lease that anyone may hold.
+// maxLease returns the longest lease that any instance may hold.
 func (l *leaseTable) maxLease(now time.Time) time.Duration {
 	if now.Before(l.previousLeaseEnd) {
 		return max(l.lease, l.previousLease)
@@ -112,11 +114,11 @@
 	return ended
 }
 
-// beginExpiry stops renewals of o, whose end is about to be proposed. It fails
-// when o has renewed since.
+// beginExpiry stops renewals of o, whose expiry is about to be proposed. It
+// returns false when o has renewed meanwhile or a proposal is pending.
 //
-// Failure guarded: a renewal granted while the expiry is on its way to the
-// log would leave a process that believes in its lease and a view without it.
+// A renewal granted between the proposal of the expiry and its commit would
+// leave a process that holds a lease but is missing from the view.
 func (l *leaseTable) beginExpiry(o fleet.Owner, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -131,7 +133,7 @@
 	return true
 }
 
-// expiryProposalDone tells that the proposal of o's end has returned.
+// expiryProposalDone records that the proposal of o's expiry has returned.
 func (l *leaseTable) expiryProposalDone(o fleet.Owner) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -140,8 +142,8 @@
 	}
 }
 
-// renew grants o a lease from now. It fails when leadership has changed since
-// term, or o is condemned.
+// renew grants o a lease from now. It returns false when the leadership has
+// changed since term, or o is being expired.
 func (l *leaseTable) renew(o fleet.Owner, term uint64, applied uint64, now time.Time) (lease time.Duration, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -162,7 +164,7 @@
 	return l.lease, true
 }
 
-// stepDown forgets all times: this is not the leader.
+// stepDown clears the table, because this member is not the leader.
 func (l *leaseTable) stepDown() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -170,21 +172,21 @@
 	l.byInstance = make(map[fleet.InstanceID]*leaseState)
 }
 
-// notApplied lists those of owners that have not reported index as applied.
+// notApplied returns those of owners that have not reported index as applied.
 func (l *leaseTable) notApplied(index uint64, owners []fleet.Owner) []fleet.Owner {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var behind []fleet.Owner
+	var pending []fleet.Owner
 	for _, o := range owners {
 		row := l.byInstance[o.Instance]
 		if row == nil || row.owner != o || row.appliedIndex < index {
-			behind = append(behind, o)
+			pending = append(pending, o)
 		}
 	}
-	return behind
+	return pending
 }
 
-// status gives an instance's last renewal and applied index.
+// status returns an instance's last renewal and applied index.
 func (l *leaseTable) status(id fleet.InstanceID) (renewed time.Time, applied uint64, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/control/loadslots.go
+++ b/internal/control/loadslots.go
@@ -7,20 +7,21 @@
 	"github.com/hyssopsail/hyssopsail/internal/settings"
 )
 
-// The bounds of waits for the weight store.
+// Slots of the weight store and limits of the waits for them.
 const (
 	defaultLoadSlots = 2
 	maxLoadDuration  = 24 * time.Hour
 	maxLoadWait      = 2 * time.Hour // a load that would wait longer is refused
 )
 
-// loadSlots paces weight loads over the whole fleet: each concurrent load of
-// the weight store is a slot that is free again at a time, in unix ms of the
-// proposers' clock. Times are enough; no message at a load's end is needed
-// that a dead issuer could fail to send.
+// loadSlots limits the weight loads of the whole fleet. Each concurrent load of
+// the weight store is a slot; its value is the time when it is free again, in
+// Unix milliseconds of the proposers' clocks. Since a slot becomes free by time,
+// no message is needed at the end of a load, which a failed issuer might not
+// send.
 type loadSlots []int64
 
-// loadPlan is one load as the weight store sees it.
+// loadPlan describes one load: the number of slots and the load's duration.
 type loadPlan struct {
 	slots    int
 	duration time.Duration
@@ -40,7 +41,8 @@
 	return plan
 }
 
-// loadDuration gives each of the concurrent loads its part of the rate.
+// loadDuration returns how long a load takes when each of the concurrent loads
+// gets an equal part of the rate.
 func loadDuration(model settings.Model, rate settings.ByteRate, slots int) time.Duration {
 	if rate <= 0 || model.WeightBytes <= 0 {
 		return min(max(model.LoadTime, 0), maxLoadDuration)
@@ -52,7 +54,8 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// reserve takes the slot that is free first and gives the wait until then.
+// reserve takes the slot that is free first and returns the wait until then; ok
+// is false when the wait would exceed maxLoadWait.
 func (s *loadSlots) reserve(now int64, plan loadPlan) (delayMs uint64, ok bool) {
 	for len(*s) < plan.slots {
 		*s = append(*s, 0)
@@ -63,7 +66,7 @@
 	first := 0
 	for n, free := range *s {
 		if free-now > (maxLoadWait + maxLoadDuration).Milliseconds() {
-			(*s)[n] = now // reserved by a clock that was ahead
+			(*s)[n] = now // reserved under a clock that was ahead
 		}
 		if (*s)[n] < (*s)[first] {
 			first = n
--- a/internal/control/losthistory.go
+++ b/internal/control/losthistory.go
@@ -6,17 +6,16 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// lostHistoryMarginMs is added to the record life for which a lost history
-// counts, in ms: two leaders' clocks may differ by as much.
+// lostHistoryMarginMs is added to the record life for which the mark of a lost
+// history stays, because two leaders' clocks may differ by as much.
 const lostHistoryMarginMs = 10_000
 
-// clearExpiredLostHistory clears the mark of groups whose lost records have outlived
-// their life.
+// clearExpiredLostHistory clears the lost-history mark of groups whose lost
+// records would have expired by now.
 //
-// Failure guarded: were each entry to compare the time of the loss with its
-// own wall clock, one with a clock ahead would take lost records for absent
-// ones, and run a call a second time. So the state ends the mark, by the
-// clocks of the control group alone.
+// The state clears the mark, by the control group's clocks alone. If each entry
+// compared the time of the loss with its own wall clock, an entry whose clock is
+// ahead would take lost records for absent ones and run a call a second time.
 func (m *Machine) clearExpiredLostHistory() {
 	if !m.anyLostHistory() {
 		return
@@ -29,7 +28,7 @@
 		age := m.clockUnixMs - g.HistoryLostUnixMs
 		switch life := m.recordLifeMs() + lostHistoryMarginMs; {
 		case age < -life:
-			m.setGroup(withLostHistory(g, m.clockUnixMs)) // lost by a clock far ahead
+			m.setGroup(withLostHistory(g, m.clockUnixMs)) // marked under a clock far ahead
 		case age > life:
 			m.setGroup(withLostHistory(g, 0))
 		}
--- a/internal/control/machine.go
+++ b/internal/control/machine.go
@@ -11,17 +11,17 @@
 	"github.com/hyssopsail/hyssopsail/internal/settings"
 )
 
-// Machine is the replicated state. Apply and Restore come from one goroutine,
-// in log order; all reads may come from any goroutine. Records that it hands
-// out are shared and must not be changed.
+// Machine is the replicated state. Apply and Restore must be called from one
+// goroutine, in log order; the reading methods may be called from any goroutine.
+// Returned records are shared and must not be modified.
 type Machine struct {
 	check CheckFunc
 	build BuildFunc
 
 	mu               sync.RWMutex
-	appliedIndex     uint64 // last applied index
+	appliedIndex     uint64
 	effectIndex      uint64 // index of the last delta
-	clockUnixMs      int64  // the last proposer's clock, unix ms
+	clockUnixMs      int64  // the last proposer's clock
 	viewNumber       uint64
 	tree             *settings.Tree
 	documents        map[string]*pb.SubtreeDocument
@@ -43,7 +43,7 @@
 
 var _ replica.StateMachine = (*Machine)(nil)
 
-// NewMachine makes an empty state.
+// NewMachine returns an empty state.
 func NewMachine(o MachineOptions) *Machine {
 	m := &Machine{check: o.Check, build: o.Build, changed: make(chan struct{})}
 	m.reset()
@@ -70,14 +70,14 @@
 }
 
 // Apply implements replica.StateMachine. The result is an encoded
-// pb.CommandResult; a malformed command is a refusal.
+// pb.CommandResult; a malformed command gives a refusal.
 func (m *Machine) Apply(index uint64, command []byte) []byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	result := m.applyLocked(index, command)
 	encoded, err := proto.Marshal(result)
 	if err != nil {
-		// All strings were checked on the way in, so this is a broken invariant.
+		// All strings were validated before, so this is a broken invariant.
 		panic("control: result can't be encoded: " + err.Error())
 	}
 	return encoded
@@ -97,12 +97,12 @@
 	return result
 }
 
-// setClock takes the proposer's clock as it is, also when it goes back.
+// setClock sets the clock to the proposer's, even if it goes back.
 //
-// Failure guarded: one leader's clock is set years ahead. Were the highest
-// clock kept, ages would stand still until the world has caught up: the weight
-// store's turns would never come. So the next leader's clock heals the state,
-// and ages that no right clock can give are cut where they are used.
+// If a leader's clock is years ahead and the highest clock were kept, no age
+// would grow until real time has caught up, and waits for the weight store would
+// never end. Instead the next leader's clock corrects the state, and ages that no
+// correct clock can give are corrected where they are used.
 func (m *Machine) setClock(unixMs int64) {
 	if unixMs > 0 {
 		m.clockUnixMs = unixMs
@@ -129,8 +129,8 @@
 	return refused(refusalMalformed)
 }
 
-// expireRecords drops records whose age, in log entries or by the proposers'
-// clock, has passed.
+// expireRecords removes records that have expired, by log entries or by the
+// proposers' clock.
 func (m *Machine) expireRecords(index uint64) {
 	m.changeResults.expire(index)
 	m.removeExpiredClasses()
--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -6,12 +6,12 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// orders keeps issued orders by ID for repeats, and the last one of each
-// endpoint, oldest first and bounded.
+// orders keeps a bounded number of issued orders: by ID, to recognise repeats,
+// and the latest one of each endpoint.
 type orders struct {
 	byID             map[string]*pb.OrderRecord
 	latestByEndpoint map[string]*pb.OrderRecord
-	sequence         []*pb.OrderRecord
+	oldestFirst      []*pb.OrderRecord
 	loadSlots        loadSlots
 }
 
@@ -22,12 +22,12 @@
 func (o *orders) add(r *pb.OrderRecord) {
 	o.byID[r.GetOrder().GetOrderId()] = r
 	o.latestByEndpoint[r.GetOrder().GetEndpointId()] = r
-	o.sequence = append(o.sequence, r)
-	if len(o.sequence) <= maxOrders {
+	o.oldestFirst = append(o.oldestFirst, r)
+	if len(o.oldestFirst) <= maxOrders {
 		return
 	}
-	oldest := o.sequence[0]
-	o.sequence = o.sequence[1:]
+	oldest := o.oldestFirst[0]
+	o.oldestFirst = o.oldestFirst[1:]
 	if o.byID[oldest.GetOrder().GetOrderId()] == oldest {
 		delete(o.byID, oldest.GetOrder().GetOrderId())
 	}
@@ -36,9 +36,9 @@
 	}
 }
 
-// applyOrder gives an order its fencing token: the log index, so that a later
-// order to any endpoint always has a higher one. An issuer that is no longer
-// in the view gets none.
+// applyOrder assigns an order its fencing token: the log index, so that a later
+// order to any endpoint always has a higher token. An issuer that is not in the
+// view gets none.
 func (m *Machine) applyOrder(index uint64, o *pb.IssueOrder) *pb.CommandResult {
 	if !validOrder(o) {
 		return refused(refusalMalformed)
--- a/internal/control/read.go
+++ b/internal/control/read.go
@@ -8,36 +8,36 @@
 	"github.com/hyssopsail/hyssopsail/internal/settings"
 )
 
-// EffectIndex is the index of the last entry that changed the shared state: a
-// reader whose state is at this index is up to date.
+// EffectIndex returns the index of the last log entry that changed the shared
+// state: a reader whose state is at this index is up to date.
 func (m *Machine) EffectIndex() uint64 {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return m.effectIndex
 }
 
-// Changed gives a channel that is closed when the shared state next changes.
+// Changed returns a channel that is closed at the next change of the shared state.
 func (m *Machine) Changed() <-chan struct{} {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return m.changed
 }
 
-// Tree gives the settings in force.
+// Tree returns the settings in force.
 func (m *Machine) Tree() *settings.Tree {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return m.tree
 }
 
-// Instance gives a live instance; nil when there is none.
+// Instance returns a live instance, or nil.
 func (m *Machine) Instance(id fleet.InstanceID) *pb.InstanceRecord {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return m.instances[string(id)]
 }
 
-// Owners lists the live processes.
+// Owners returns the live processes, in no particular order.
 func (m *Machine) Owners() []fleet.Owner {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
@@ -48,22 +48,23 @@
 	return owners
 }
 
-// Instances lists the live instances, sorted by ID, with the view's number.
+// Instances returns the view's number and the live instances, sorted by ID.
 func (m *Machine) Instances() (view uint64, instances []*pb.InstanceRecord) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return m.viewNumber, m.sortedInstances()
 }
 
-// ViewNumber numbers the set of live instances; it rises at each change.
+// ViewNumber returns the number of the view, the set of live instances; it
+// increases with each change.
 func (m *Machine) ViewNumber() uint64 {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return m.viewNumber
 }
 
-// Pull gives what follows index, or nil when nothing does: deltas, or the
-// whole state for index 0 and for readers behind the kept deltas.
+// Pull returns what follows index, or nil when nothing does: deltas, or the
+// whole state for index 0 and for readers behind the oldest kept delta.
 func (m *Machine) Pull(index uint64) *pb.PullReply {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
@@ -77,18 +78,18 @@
 	return &pb.PullReply{Deltas: deltas, ThroughIndex: deltas[len(deltas)-1].Index}
 }
 
-// Documents answers a read of settings: see pb.GetSettingsRequest.
+// Documents returns the documents that r asks for; see pb.GetSettingsRequest.
 func (m *Machine) Documents(r *pb.GetSettingsRequest) []*pb.SubtreeDocument {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	if r.GetName() == "" {
 		return m.sortedDocuments(false)
 	}
-	now := m.documents[r.Name]
+	current := m.documents[r.Name]
 	if r.GetHistory() {
 		found := m.history.versions(r.Name)
-		if now != nil {
-			found = append(found, now)
+		if current != nil {
+			found = append(found, current)
 		}
 		return found
 	}
--- a/internal/control/refusal.go
+++ b/internal/control/refusal.go
@@ -2,7 +2,7 @@
 
 import "github.com/hyssopsail/hyssopsail/internal/pb"
 
-// The refusals of commands and calls; see pb.CommandResult and
+// Refusals of commands and calls; see pb.CommandResult and
 // pb.RenewLeaseReply.
 const (
 	refusalMalformed      = "malformed"
@@ -15,8 +15,8 @@
 	refusalNotInitialised = "not-initialised"
 )
 
-// RefusalIncarnation is the refusal of a lease to a process whose place a
-// later incarnation has taken, or that has been expired: it must not go on.
+// RefusalIncarnation is the refusal of a lease to a process that was replaced by
+// a later incarnation or has been expired: it must stop.
 const RefusalIncarnation = refusalIncarnation
 
 func validName(s string) bool { return s != "" && len(s) <= maxNameBytes }
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -18,7 +18,7 @@
 	"github.com/hyssopsail/hyssopsail/internal/timeline"
 )
 
-// The server's time bounds.
+// Timeouts, intervals and limits of the server.
 const (
 	defaultInstanceLease  = 2 * time.Second
 	proposeTimeout        = 5 * time.Second
@@ -30,8 +30,8 @@
 	maxPulls              = 4096
 )
 
-// ServerOptions are a Server's parts. Group, Machine and Self are required;
-// Dialer is needed to learn the disk identities of other members at init.
+// ServerOptions configures a Server. Group, Machine and Self are required;
+// Dialer is needed to ask other members for their disk identities at init.
 type ServerOptions struct {
 	Group      replica.Group
 	Machine    *Machine
@@ -43,9 +43,9 @@
 	Now        func() time.Time      // nil: time.Now
 }
 
-// Server is a control instance's service. It implements
-// pb.DRPCControlServer and pb.DRPCConsensusServer. Lock order: none of its
-// locks is held while another one, the machine's or the group's is taken.
+// Server is a control instance's service. It implements pb.DRPCControlServer
+// and pb.DRPCConsensusServer and is safe for concurrent use. Lock order: no lock
+// of the server is held while another one, the machine's or the group's is taken.
 type Server struct {
 	group        replica.Group
 	machine      *Machine
@@ -56,10 +56,10 @@
 	recorder     timeline.Recorder
 	now          func() time.Time
 	leases       *leaseTable
-	expirySlots  chan struct{} // one token for each expiry under way
+	expirySlots  chan struct{} // one token for each pending expiry
 	pullSlots    chan struct{} // one token for each open pull
-	recordExpiry sync.Mutex    // held by the one proposal that ages the state
-	leadingTerm  uint64        // term in which this member leads, 0: none; of Run alone
+	recordExpiry sync.Mutex    // held during a proposal that removes expired records
+	leadingTerm  uint64        // term in which this member leads; 0: none. Used by Run only.
 }
 
 var (
@@ -67,7 +67,7 @@
 	_ pb.DRPCConsensusServer = (*Server)(nil)
 )
 
-// NewServer makes the service; Run must be running for leases to end.
+// NewServer returns a server; leases expire only while Run is running.
 func NewServer(o ServerOptions) *Server {
 	now := o.Now
 	if now == nil {
@@ -88,11 +88,11 @@
 	}
 }
 
-// errNoLeader is what a member answers that is not the leader and knows none.
+// errNoLeader is returned by a member that is not the leader and knows none.
 var errNoLeader = errors.New("this member is not the leader and knows none")
 
-// propose commits a command. When this is not the leader, leader is where to
-// ask instead and result is nil.
+// propose commits a command. When this member is not the leader, leader is the
+// leader's address and result is nil.
 func (s *Server) propose(ctx context.Context, c *pb.Command) (result *pb.CommandResult, leader string, err error) {
 	c.UnixMs = s.now().UnixMilli()
 	encoded, err := proto.Marshal(c)
@@ -115,7 +115,7 @@
 	return result, "", nil
 }
 
-// leaderFromError turns "not the leader" into the leader's address.
+// leaderFromError returns the leader's address in place of ErrNotLeader.
 func (s *Server) leaderFromError(err error) (leader string, rest error) {
 	if !errors.Is(err, replica.ErrNotLeader) {
 		return "", trace.Wrap(err)
@@ -135,7 +135,8 @@
 	return leader.GetRpcAddress()
 }
 
-// readBarrier makes reads of the machine current, or tells where to ask.
+// readBarrier makes reads of the machine linearizable, or returns the leader's
+// address when this member is not the leader.
 func (s *Server) readBarrier(ctx context.Context) (leader string, err error) {
 	if err := s.group.ReadBarrier(ctx); err != nil {
 		return s.leaderFromError(err)
--- a/internal/control/server_commands.go
+++ b/internal/control/server_commands.go
@@ -19,7 +19,7 @@
 	return &pb.DrainReply{LeaderAddress: leader, Refusal: result.GetRefusal()}, err
 }
 
-// Order implements pb.DRPCControlServer: it gives an order its token.
+// Order implements pb.DRPCControlServer: it assigns an order its fencing token.
 func (s *Server) Order(ctx context.Context, o *pb.IssueOrder) (*pb.OrderReply, error) {
 	result, leader, err := s.propose(ctx, &pb.Command{Body: &pb.Command_IssueOrder{IssueOrder: o}})
 	if result.GetOrder() != nil {
--- a/internal/control/server_lease.go
+++ b/internal/control/server_lease.go
@@ -12,11 +12,11 @@
 	"github.com/hyssopsail/hyssopsail/internal/replica"
 )
 
-// RenewLease implements pb.DRPCControlServer. Only the leader grants.
+// RenewLease implements pb.DRPCControlServer. Only the leader grants leases.
 //
-// Failure guarded: a leader frozen or cut off past its leadership would grant
-// leases and call old state current. The barrier comes before both: it fails
-// without a live leader lease or a quorum's answer.
+// A leader that was suspended or partitioned beyond its leadership could grant
+// leases and report stale state as current. The read barrier prevents both: it
+// fails without a valid leader lease or a quorum's answer.
 func (s *Server) RenewLease(ctx context.Context, r *pb.RenewLeaseRequest) (*pb.RenewLeaseReply, error) {
 	reply, err := s.renewLease(ctx, r)
 	if err == nil {
@@ -49,7 +49,7 @@
 	owner := ownerOf(r.Instance)
 	lease, ok := s.leases.renew(owner, term, r.AppliedIndex, s.now())
 	if !ok {
-		return &pb.RenewLeaseReply{}, nil // try again: its fate is being decided
+		return &pb.RenewLeaseReply{}, nil // try again: its expiry is pending or the leadership changed
 	}
 	return &pb.RenewLeaseReply{
 		Granted:     true,
@@ -63,8 +63,8 @@
 	return fleet.Owner{Instance: fleet.InstanceID(i.Id), Incarnation: fleet.Incarnation(i.Incarnation)}
 }
 
-// ensureJoined proposes a join when the view lacks the process or holds it
-// with other fields.
+// ensureJoined proposes a join when the view lacks the process or has it with
+// other fields.
 func (s *Server) ensureJoined(ctx context.Context, i *pb.InstanceRecord) (refusal string, err error) {
 	live := s.machine.Instance(fleet.InstanceID(i.Id))
 	if live.GetIncarnation() > i.Incarnation {
@@ -85,19 +85,19 @@
 	return result.Refusal, nil
 }
 
-// sameExceptDraining takes an instance that the operators drain, but that does
-// not know yet, as unchanged.
-func sameExceptDraining(live, now *pb.InstanceRecord) bool {
-	if !live.Draining || now.Draining {
-		return sameInstance(live, now)
+// sameExceptDraining reports whether the instance is unchanged. An instance that
+// the operators drain, but that does not know it yet, counts as unchanged.
+func sameExceptDraining(live, updated *pb.InstanceRecord) bool {
+	if !live.Draining || updated.Draining {
+		return sameInstance(live, updated)
 	}
-	draining := proto.Clone(now).(*pb.InstanceRecord)
+	draining := proto.Clone(updated).(*pb.InstanceRecord)
 	draining.Draining = true
 	return sameInstance(live, draining)
 }
 
-// endLease ends the lease of a planned stop. The reply is not granted and has no
-// refusal.
+// endLease removes an instance that stops as planned. The reply grants no lease
+// and has no refusal.
 func (s *Server) endLease(ctx context.Context, i *pb.InstanceRecord) (*pb.RenewLeaseReply, error) {
 	_, leader, err := s.propose(ctx, expireCommand(ownerOf(i), "left"))
 	if err != nil {
--- a/internal/control/server_members.go
+++ b/internal/control/server_members.go
@@ -10,7 +10,7 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// maxMembers bounds the control group.
+// maxMembers is the largest size of a control group at init.
 const maxMembers = 9
 
 // DiskIdentity implements pb.DRPCControlServer.
@@ -22,10 +22,10 @@
 	}, nil
 }
 
-// Init implements pb.DRPCControlServer: it learns the members' disk
-// identities and starts the fleet here; the others join when they hear from
-// this member. A repeated init of the same fleet succeeds, so one whose answer
-// was lost can be sent again.
+// Init implements pb.DRPCControlServer: it asks the members for their disk
+// identities and starts the fleet on this member; the others join when they
+// receive its messages. A repeated init of the same fleet succeeds, so it can be
+// sent again when its answer was lost.
 func (s *Server) Init(ctx context.Context, r *pb.InitRequest) (*pb.InitReply, error) {
 	if !validName(r.GetFleetId()) || len(r.GetMembers()) == 0 || len(r.Members) > maxMembers {
 		return nil, trace.BadParameter("init needs a fleet ID and 1 to %d members", maxMembers)
@@ -54,7 +54,8 @@
 
 func (s *Server) isSelf(m *pb.Member) bool { return m.GetInstanceId() == string(s.self.ID) }
 
-// resolveDiskID fills in a member's disk identity by asking the member itself.
+// resolveDiskID returns the member with its disk identity, for which it asks the
+// member itself when it is not set.
 func (s *Server) resolveDiskID(ctx context.Context, m *pb.Member) (*pb.Member, error) {
 	next := proto.Clone(m).(*pb.Member)
 	if next.DiskId != "" {
@@ -90,8 +91,8 @@
 	return pb.NewDRPCControlClient(conn), nil
 }
 
-// ChangeMember implements pb.DRPCControlServer. A member to remove may be
-// named by its instance alone.
+// ChangeMember implements pb.DRPCControlServer. For a removal the instance ID
+// alone is enough.
 func (s *Server) ChangeMember(ctx context.Context, r *pb.ChangeMemberRequest) (*pb.ChangeMemberReply, error) {
 	leader, err := s.readBarrier(ctx)
 	if err != nil || leader != "" {
--- a/internal/control/server_pull.go
+++ b/internal/control/server_pull.go
@@ -9,8 +9,9 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// Pull implements pb.DRPCControlServer. Any member answers, from its applied
-// state: a pull alone never makes a daemon current, only newer.
+// Pull implements pb.DRPCControlServer. Any member answers from its applied
+// state, which may lag: a pull makes a daemon's state newer, but alone does not
+// show that it is current.
 func (s *Server) Pull(ctx context.Context, r *pb.PullRequest) (*pb.PullReply, error) {
 	select {
 	case s.pullSlots <- struct{}{}:
--- a/internal/control/server_run.go
+++ b/internal/control/server_run.go
@@ -10,7 +10,8 @@
 	"github.com/hyssopsail/hyssopsail/internal/timeline"
 )
 
-// Run ends leases while this member leads, until ctx ends.
+// Run expires instances whose lease has ended while this member leads, until ctx
+// ends.
 func (s *Server) Run(ctx context.Context) error {
 	for {
 		timer := time.NewTimer(s.instanceLease() / ticksPerLease)
@@ -41,7 +42,7 @@
 		select {
 		case s.expirySlots <- struct{}{}:
 		default:
-			return // the next tick goes on
+			return // the next tick continues
 		}
 		go func() {
 			defer func() { <-s.expirySlots }()
@@ -50,9 +51,9 @@
 	}
 }
 
-// proposeRecordExpiry lets the state drop records that have outlived their age. Commands do it
-// on their way; in a fleet without any, a team's calls would go on being held
-// up by the record of a change that is long past.
+// proposeRecordExpiry proposes an empty command when records have expired. Every
+// command removes expired records; without any command a team's calls would
+// still be delayed by the record of a zone change long ago.
 func (s *Server) proposeRecordExpiry(ctx context.Context) {
 	if !s.machine.HasExpiredRecords(s.now().UnixMilli()) || !s.recordExpiry.TryLock() {
 		return
@@ -60,13 +61,13 @@
 	go func() {
 		defer s.recordExpiry.Unlock()
 		if _, _, err := s.propose(ctx, &pb.Command{}); err != nil {
-			s.part.Debug("Old records can't be dropped yet.", "err", err)
+			s.part.Debug("Proposal to remove expired records failed; retrying at a later tick.", "err", err)
 		}
 	}()
 }
 
-// leadership tells whether this member leads, and in which term. One that does
-// not forgets all lease times.
+// leadership reports whether this member leads, and in which term. When it does
+// not lead, it clears all lease times.
 func (s *Server) leadership() (term uint64, leading bool) {
 	status := s.group.Status()
 	if !status.IsLeader {
@@ -83,7 +84,7 @@
 	defer s.leases.expiryProposalDone(o)
 	_, _, err := s.propose(ctx, expireCommand(o, "lease"))
 	if err != nil {
-		s.part.Warn("Can't expire an instance yet.", "instance", o, "err", err)
+		s.part.Warn("Proposal to expire an instance failed; retrying at a later tick.", "instance", o, "err", err)
 		return
 	}
 	s.metrics.expiries.Inc()
--- a/internal/control/server_settings.go
+++ b/internal/control/server_settings.go
@@ -39,10 +39,10 @@
 }
 
 // awaitInForce waits until each live entry has applied the change or lost its
-// lease. One that lost it takes no requests until it has caught up, so the
-// older settings are in force nowhere. An error means that the leadership was
-// lost meanwhile: the change stays accepted, and resending it to the next
-// leader waits on.
+// lease. An entry without a lease takes no requests until it has caught up, so
+// the older settings are in force nowhere. An error means that the leadership was
+// lost meanwhile: the change stays accepted, and a repeat of it at the next
+// leader continues the wait.
 func (s *Server) awaitInForce(ctx context.Context, reply *pb.ChangeReply, waitMs uint64) error {
 	if waitMs == 0 || reply.Result.Status != pb.ChangeStatus_CHANGE_STATUS_ACCEPTED {
 		return nil
@@ -53,8 +53,8 @@
 	ticker := time.NewTicker(inForcePollInterval)
 	defer ticker.Stop()
 	for {
-		// The barrier makes the view current: one that lost the leadership
-		// would miss entries that joined since.
+		// The barrier makes the view current: a former leader would miss entries
+		// that joined since.
 		if err := s.group.ReadBarrier(ctx); err != nil {
 			return trace.Wrap(err)
 		}
--- a/internal/control/server_status.go
+++ b/internal/control/server_status.go
@@ -7,8 +7,8 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// Status implements pb.DRPCControlServer: what this member knows, current or
-// not. Renewals are known to the leader alone.
+// Status implements pb.DRPCControlServer. It returns this member's own state,
+// which may be stale. Only the leader knows lease renewals.
 func (s *Server) Status(context.Context, *pb.StatusRequest) (*pb.StatusReply, error) {
 	status := s.group.Status()
 	view, instances := s.machine.Instances()
--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -12,7 +12,8 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// Snapshot implements replica.StateMachine: a gzipped pb.MachineState.
+// Snapshot implements replica.StateMachine. It returns a gzipped
+// pb.MachineState.
 func (m *Machine) Snapshot() ([]byte, error) {
 	encoded, err := proto.Marshal(m.machineState())
 	if err != nil {
@@ -44,7 +45,7 @@
 		History:         append([]*pb.SubtreeDocument{}, m.history.documents...),
 		Answers:         append([]*pb.AnsweredChange{}, m.changeResults.order...),
 		Seen:            m.sortedSeenIncarnations(),
-		Orders:          append([]*pb.OrderRecord{}, m.orders.sequence...),
+		Orders:          append([]*pb.OrderRecord{}, m.orders.oldestFirst...),
 		Crashes:         append([]*pb.CrashRecord{}, m.suspects.crashOrder...),
 		EpochFloor:      m.epochFloor,
 		LoadSlotsUnixMs: append([]int64{}, m.orders.loadSlots...),
@@ -55,8 +56,7 @@
 	return s
 }
 
-// Restore implements replica.StateMachine. On an error the state stays as it
-// was.
+// Restore implements replica.StateMachine. On an error the state is unchanged.
 func (m *Machine) Restore(index uint64, data []byte) error {
 	state, err := decodeState(data)
 	if err != nil {
@@ -156,7 +156,7 @@
 	}
 }
 
-// replaceWith moves the whole state over from next.
+// replaceWith replaces the whole state by that of next.
 func (m *Machine) replaceWith(next *Machine) {
 	m.appliedIndex, m.effectIndex, m.clockUnixMs, m.viewNumber = next.appliedIndex, next.effectIndex, next.clockUnixMs, next.viewNumber
 	m.tree, m.documents, m.treeBytes = next.tree, next.documents, next.treeBytes
--- a/internal/control/suspects.go
+++ b/internal/control/suspects.go
@@ -9,15 +9,15 @@
 	"github.com/hyssopsail/hyssopsail/internal/suspect"
 )
 
-// crashKey names one death of an endpoint process.
+// crashKey identifies one crash of an endpoint process.
 type crashKey struct {
 	endpoint    string
 	incarnation uint64
 }
 
-// suspects holds the fingerprints that ran on endpoints which died, and the
-// reports seen, so that a repeated report counts once. The rule is that of
-// package suspect.
+// suspects keeps the fingerprints of requests that ran on endpoints that crashed,
+// and the reports received, so that a repeated report counts once. Package
+// suspect has the rules.
 type suspects struct {
 	records    map[fleet.Fingerprint]fleet.Suspect
 	crashes    map[crashKey]*pb.CrashRecord
@@ -31,7 +31,7 @@
 	}
 }
 
-// applyCrash counts a death against what ran there.
+// applyCrash counts a crash against the requests that ran on the endpoint.
 func (m *Machine) applyCrash(index uint64, c *pb.ReportCrash) string {
 	if !validName(c.GetEndpointId()) || len(c.GetFingerprints()) > maxFingerprints {
 		return refusalMalformed
@@ -46,7 +46,7 @@
 	return ""
 }
 
-// suspectLifeMs is how long a suspect is kept after its last death, in ms.
+// suspectLifeMs returns how long a suspect is kept after its last crash.
 func (m *Machine) suspectLifeMs() int64 {
 	life := m.tree.Fleet.Timeouts.QuarantineLife
 	if life <= 0 {
@@ -55,9 +55,10 @@
 	return life.Milliseconds()
 }
 
-// applyReport applies what is new in a report. A death may be reported twice, or in
-// parts by two homes of its endpoint; what an earlier part named isn't counted
-// again, and when that part had its suspect, later ones add nothing.
+// applyReport applies what is new in a report and returns the changed records. A
+// crash may be reported twice, or in parts by two homes of its endpoint.
+// Fingerprints of an earlier part are not counted again; if an earlier part
+// contained a suspect of several crashes, later parts add nothing.
 func (s *suspects) applyReport(index uint64, c *pb.ReportCrash, clock int64, limits suspect.Limits) []*pb.SuspectRecord {
 	earlier := s.recordCrash(index, c)
 	part := &pb.ReportCrash{EndpointId: c.EndpointId, EndpointIncarnation: c.EndpointIncarnation}
@@ -78,7 +79,8 @@
 	return records
 }
 
-// hasRepeatSuspect tells whether one of these was at more than one death.
+// hasRepeatSuspect reports whether one of the fingerprints was present at more
+// than one crash.
 func (s *suspects) hasRepeatSuspect(earlier map[fleet.Fingerprint]bool) bool {
 	for f := range earlier {
 		if s.records[f].Crashes >= suspect.AloneCrashes {
@@ -96,8 +98,8 @@
 	s.records[next.Fingerprint] = next
 }
 
-// recordCrash notes the report and gives the fingerprints that earlier reports of
-// the same death named.
+// recordCrash records the report and returns the fingerprints that earlier
+// reports of the same crash contained.
 func (s *suspects) recordCrash(index uint64, c *pb.ReportCrash) map[fleet.Fingerprint]bool {
 	known := make(map[fleet.Fingerprint]bool)
 	key := crashKey{c.EndpointId, c.EndpointIncarnation}
@@ -139,8 +141,8 @@
 	}
 }
 
-// expire drops suspects not reported for life, in ms, and those reported under
-// a clock that was further ahead than that.
+// expire removes suspects not reported for life, in ms, and those reported under
+// a clock that was further ahead than that. It returns their removals.
 func (s *suspects) expire(clock, life int64) []*pb.SuspectRecord {
 	var removed []*pb.SuspectRecord
 	for f, r := range s.records {
@@ -171,7 +173,7 @@
 	return all
 }
 
-// suspectProto tells of a suspect, or with no crashes of its removal.
+// suspectProto encodes a suspect, or its removal when it has no crashes.
 func suspectProto(s fleet.Suspect) *pb.SuspectRecord {
 	if s.Crashes == 0 {
 		return &pb.SuspectRecord{Fingerprint: s.Fingerprint[:]}
