--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -12,14 +12,14 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// The target's size.
+// Size of the target fleet.
 const (
 	benchTeams     = 2100
 	benchInstances = 1300
 )
 
-// largeFleet has benchTeams teams in seven zone classes and benchInstances
-// entries, with whole groups.
+// largeFleet returns a fleet with benchTeams teams in seven zone classes and
+// benchInstances entries.
 func largeFleet(b *testing.B) *testLog {
 	b.Helper()
 	l := newLog(b)
@@ -83,7 +83,8 @@
 	}
 }
 
-// BenchmarkPullDelta is one reader's cost of one change: reading and encoding.
+// BenchmarkPullDelta measures the cost of one change for one reader: reading and
+// encoding the delta.
 func BenchmarkPullDelta(b *testing.B) {
 	l := largeFleet(b)
 	b.ResetTimer()
--- a/internal/control/bytes_test.go
+++ b/internal/control/bytes_test.go
@@ -8,25 +8,25 @@
 	"gotest.tools/v3/assert"
 )
 
-// Message bytes of a daemon, before framing, TLS and TCP: under a third of the
-// 3 KB/s when idle and all of it at ten changes a second, and, idle, the same
-// beside 2 daemons as beside 24.
+// Message bytes per daemon, before framing, TLS and TCP, stay under 1 KB/s when
+// idle, a third of the limit of 3 KB/s, and under that limit at ten changes per
+// second. When idle they don't depend on the number of daemons.
 func TestDaemonTrafficIsBounded(t *testing.T) {
 	measure := func(daemons, changes int) (perDaemon float64) {
-		withHarness(t, func(b *daemonHarness) {
+		withHarness(t, func(h *daemonHarness) {
 			for n := range daemons {
-				b.start(fmt.Sprint("e", n), 1)
+				h.start(fmt.Sprint("e", n), 1)
 			}
 			time.Sleep(5 * time.Second)
 			const span = time.Minute
-			before := b.cluster.net.Bytes()
+			before := h.cluster.net.Bytes()
 			end := time.Now().Add(span)
 			for n := range changes {
-				b.apply("teams/sorters", uint64(n+1), teamYAML("sorters", "howrah"))
+				h.apply("teams/sorters", uint64(n+1), teamYAML("sorters", "howrah"))
 				time.Sleep(span / time.Duration(changes))
 			}
 			time.Sleep(time.Until(end))
-			after := b.cluster.net.Bytes()
+			after := h.cluster.net.Bytes()
 			perDaemon = float64(after-before) / span.Seconds() / float64(daemons)
 		})
 		return perDaemon
--- a/internal/control/change_test.go
+++ b/internal/control/change_test.go
@@ -49,10 +49,10 @@
 	}
 }
 
-// An operator's change is committed, the leader dies before it answers, and
-// the operator resends it, also after others have changed the subtree and
-// after the next leader started from a snapshot. The first result comes back
-// each time and the change is applied once.
+// The leader fails after it committed a change and before it answered, and the
+// operator repeats the change, also after others have changed the subtree and
+// after the next leader was restored from a snapshot. Each repeat must return
+// the first result, and the change must be applied only once.
 func TestRepeatedChangeGetsFirstResult(t *testing.T) {
 	l := newFleet(t)
 	change := subtree("teams/sorters", 1, "mine", teamYAML("sorters", "howrah"))
@@ -66,7 +66,7 @@
 	for round := range 3 {
 		l.accept("teams/sorters", uint64(2+round), teamYAML("sorters", "barasat"))
 		l.restoreFromSnapshot()
-		change.ProposedUnixMs++ // another send
+		change.ProposedUnixMs++ // differs between repeats
 		again := l.change(change)
 		assert.Assert(t, again.Repeated)
 		assert.Equal(t, again.Index, first.Index)
@@ -80,9 +80,9 @@
 	assert.Equal(t, l.change(change).Status, invalidChange)
 }
 
-// Two operators read the same version and both change it, a thousand times.
-// Exactly one wins each round and the other is shown the winner's document.
-// Operators of different teams never meet.
+// Two operators read the same version and both change it, a thousand times. In
+// each round exactly one change is accepted, and the other gets a conflict with
+// the accepted document. Changes of different teams never conflict.
 func TestConcurrentChangesConflict(t *testing.T) {
 	l := newFleet(t)
 	l.accept("teams/clerks", 0, teamYAML("clerks", "howrah"))
@@ -118,8 +118,8 @@
 	assert.Equal(t, len(l.machine.Documents(&pb.GetSettingsRequest{})), 2)
 }
 
-// A reader that 500 and more changes have passed by gets the whole state, one
-// just behind gets deltas, and both end with the same documents.
+// A reader behind the oldest kept delta gets the whole state; one just behind
+// gets deltas.
 func TestPullDeltasOrSnapshot(t *testing.T) {
 	l := newFleet(t)
 	for n := range uint64(maxRecentDeltas + 10) {
--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -17,7 +17,7 @@
 // Timeouts, backoffs and limits of the client.
 const (
 	attemptTimeout = 1500 * time.Millisecond // without a byte in one attempt at one member
-	renewTimeout   = 400 * time.Millisecond  // short, so that a lease outlasts one or two unreachable members
+	renewTimeout   = 400 * time.Millisecond  // lets a lease outlast one or two unreachable members
 	commandTimeout = proposeTimeout + attemptTimeout
 	minBackoff     = 20 * time.Millisecond
 	maxBackoff     = 400 * time.Millisecond
--- a/internal/control/clock_test.go
+++ b/internal/control/clock_test.go
@@ -7,9 +7,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// One leader's clock is years ahead. While it leads and after it, classes
-// retire, suspects age and loads wait for their turns by the clocks that are
-// right: nothing waits for years.
+// One leader's clock is years ahead. Under the next leader, whose clock is
+// right, classes and suspects must expire in time and loads must get slots of the
+// weight store without a wait of years.
 func TestLeaderClockFarAhead(t *testing.T) {
 	const years = 10 * 365 * 24 * time.Hour
 	l := fleetWithEntries(t, 3)
--- a/internal/control/crashscenario_test.go
+++ b/internal/control/crashscenario_test.go
@@ -12,12 +12,12 @@
 	"github.com/hyssopsail/hyssopsail/internal/quarantine"
 )
 
-// crashScenario is a guard instance over the replicated state: runs ask the one,
-// deaths are reported to the other.
+// crashScenario combines a quarantine register, which admits runs, with the
+// replicated state, which receives crash reports.
 type crashScenario struct {
 	*testLog
 	register *quarantine.Register
-	deaths   uint64
+	crashes  uint64
 	runs     int
 }
 
@@ -35,25 +35,25 @@
 	return attempt, s.register.Begin(time.UnixMilli(s.clockMs), run, s.shared()).Verdict
 }
 
-// crashEndpoint ends an endpoint on which these run, reports it twice, restarts the
-// machine from its snapshot, and moves the guard to another instance, which
-// knows the replicated state alone.
+// crashEndpoint crashes an endpoint with these runs and reports the crash twice,
+// each time followed by a restore from a snapshot. Then it replaces the register
+// by an empty one, which knows the replicated state alone.
 func (s *crashScenario) crashEndpoint(running map[byte]fleet.AttemptID) {
-	s.deaths++
+	s.crashes++
 	var on []byte
 	for f, attempt := range running {
 		on = append(on, f)
 		s.register.End(time.UnixMilli(s.clockMs), fleet.Fingerprint{f}, attempt, false, true, s.shared())
 	}
 	for range 2 {
-		assert.Equal(s.t, s.crash("bank", s.deaths, on...), "")
+		assert.Equal(s.t, s.crash("bank", s.crashes, on...), "")
 		s.restoreFromSnapshot()
 	}
 	s.clockMs += 1000
 	s.register = quarantine.NewRegister(quarantine.DefaultLimits)
 }
 
-// runToCompletion runs an innocent request again until it completes.
+// runToCompletion runs a request that does not cause crashes until it completes.
 func (s *crashScenario) runToCompletion(f byte) {
 	s.t.Helper()
 	attempt, verdict := s.beginRun(f)
@@ -61,10 +61,10 @@
 	s.register.End(time.UnixMilli(s.clockMs), fleet.Fingerprint{f}, attempt, true, false, s.shared())
 }
 
-// A request crashes each endpoint that runs it, and its caller sends it again
-// and again. Each time other requests run beside it, and a report is repeated.
-// Two endpoints die; then it is refused. Its neighbours are served, also when
-// another endpoint of theirs dies by itself.
+// A request crashes each endpoint that runs it, and its caller repeats it. Each
+// time other requests run on the same endpoint, and the report is sent twice.
+// After two crashes the request must be refused. The other requests must be
+// served, also when their endpoint crashes once more for another reason.
 func TestCrashingRequestIsQuarantinedAfterTwoCrashes(t *testing.T) {
 	const bad = byte(255)
 	s := &crashScenario{testLog: newFleet(t), register: quarantine.NewRegister(quarantine.DefaultLimits)}
@@ -87,9 +87,9 @@
 			}
 		}
 	}
-	assert.Equal(t, s.deaths, uint64(2))
-	assert.Equal(t, len(s.machine.suspects.records), 6) // with the neighbours of the first death
-	lone, _ := s.beginRun(6)                            // a neighbour of the second one
+	assert.Equal(t, s.crashes, uint64(2))
+	assert.Equal(t, len(s.machine.suspects.records), 6) // with the other requests of the first crash
+	lone, _ := s.beginRun(6)                            // ran beside it at the second crash
 	s.crashEndpoint(map[byte]fleet.AttemptID{6: lone})
 	s.runToCompletion(6)
 	for f, r := range s.machine.suspects.records {
--- a/internal/control/daemonharness_test.go
+++ b/internal/control/daemonharness_test.go
@@ -16,7 +16,7 @@
 	"github.com/hyssopsail/hyssopsail/internal/settings"
 )
 
-// daemonHarness is a control group with daemons, inside a synctest bubble.
+// daemonHarness is a control group with daemons in a synctest bubble.
 type daemonHarness struct {
 	t       testing.TB
 	ctx     context.Context
@@ -37,37 +37,37 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		c := newCluster(t, 3)
 		c.run(ctx)
-		b := &daemonHarness{t: t, ctx: ctx, cluster: c}
-		b.admin = NewClient(c.net.Dialer("admin"), c.addresses, logging.Part{})
-		b.apply("fleet", 0, []byte(fleetYAML))
-		b.apply("teams/sorters", 0, teamYAML("sorters", allZones...))
-		f(b)
+		h := &daemonHarness{t: t, ctx: ctx, cluster: c}
+		h.admin = NewClient(c.net.Dialer("admin"), c.addresses, logging.Part{})
+		h.apply("fleet", 0, []byte(fleetYAML))
+		h.apply("teams/sorters", 0, teamYAML("sorters", allZones...))
+		f(h)
 		cancel()
 		synctest.Wait()
 	})
 }
 
-// withEntry runs f five seconds after entry e0 has been started.
+// withEntry starts entry e0 and runs f five seconds later.
 func withEntry(t *testing.T, f func(*daemonHarness, *daemon)) {
-	withHarness(t, func(b *daemonHarness) {
-		d := b.start("e0", 1)
+	withHarness(t, func(h *daemonHarness) {
+		d := h.start("e0", 1)
 		time.Sleep(5 * time.Second)
-		f(b, d)
+		f(h, d)
 	})
 }
 
-func (b *daemonHarness) apply(name string, version uint64, yaml []byte) *pb.ChangeReply {
-	b.t.Helper()
-	return b.change(name, version, yaml, 0)
+func (h *daemonHarness) apply(name string, version uint64, yaml []byte) *pb.ChangeReply {
+	h.t.Helper()
+	return h.change(name, version, yaml, 0)
 }
 
-func (b *daemonHarness) change(name string, version uint64, yaml []byte, wait time.Duration) *pb.ChangeReply {
-	b.t.Helper()
-	return changeWith(b.t, b.admin, subtree(name, version, fmt.Sprint(name, version), yaml), wait)
+func (h *daemonHarness) change(name string, version uint64, yaml []byte, wait time.Duration) *pb.ChangeReply {
+	h.t.Helper()
+	return changeWith(h.t, h.admin, subtree(name, version, fmt.Sprint(name, version), yaml), wait)
 }
 
-// changeWith makes a change that must be accepted and waits until it is in
-// force everywhere.
+// changeWith sends a change that must be accepted and waits, up to wait, until it
+// is in force everywhere.
 func changeWith(t testing.TB, admin *Client, c *pb.ChangeSubtree, wait time.Duration) *pb.ChangeReply {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
@@ -78,13 +78,13 @@
 	return reply
 }
 
-func (b *daemonHarness) start(id string, incarnation fleet.Incarnation) *daemon {
-	ctx, stop := context.WithCancel(b.ctx)
+func (h *daemonHarness) start(id string, incarnation fleet.Incarnation) *daemon {
+	ctx, stop := context.WithCancel(h.ctx)
 	d := &daemon{ended: make(chan error, 1), stop: stop}
 	// As in a daemon, the client's addresses come from the agent's state too.
-	d.client = NewClient(b.cluster.net.Dialer(id), func() []string {
+	d.client = NewClient(h.cluster.net.Dialer(id), func() []string {
 		d.agent.State()
-		return b.cluster.addresses()
+		return h.cluster.addresses()
 	}, logging.Part{})
 	d.agent = newAgent(d.client, fleet.Instance{
 		ID: fleet.InstanceID(id), Incarnation: incarnation, Zone: "howrah", Entry: true,
@@ -100,10 +100,10 @@
 
 func (d *daemon) current() bool { return d.agent.Current(time.Now()) }
 
-func (b *daemonHarness) view() map[string]uint64 {
-	b.cluster.mu.Lock()
-	leader := b.cluster.members[max(b.cluster.leader, 0)]
-	b.cluster.mu.Unlock()
+func (h *daemonHarness) view() map[string]uint64 {
+	h.cluster.mu.Lock()
+	leader := h.cluster.members[max(h.cluster.leader, 0)]
+	h.cluster.mu.Unlock()
 	_, instances := leader.machine.Instances()
 	view := map[string]uint64{}
 	for _, i := range instances {
@@ -112,27 +112,27 @@
 	return view
 }
 
-func (b *daemonHarness) setPartitioned(id string, cut bool) {
-	b.cluster.net.SetCut(cut, id, b.cluster.addresses()...)
-	for _, a := range b.cluster.addresses() {
-		b.cluster.net.SetCut(cut, a, id)
+func (h *daemonHarness) setPartitioned(id string, partitioned bool) {
+	h.cluster.net.SetCut(partitioned, id, h.cluster.addresses()...)
+	for _, a := range h.cluster.addresses() {
+		h.cluster.net.SetCut(partitioned, a, id)
 	}
 }
 
-func (b *daemonHarness) groups() []*pb.LedgerGroup {
-	return b.cluster.members[0].machine.machineState().State.LedgerGroups
+func (h *daemonHarness) groups() []*pb.LedgerGroup {
+	return h.cluster.members[0].machine.machineState().State.LedgerGroups
 }
 
-// completeCopies reports all pending copies as done until there are none.
-func completeCopies(b *daemonHarness) {
+// completeCopies reports all pending copies as done until none is pending.
+func completeCopies(h *daemonHarness) {
 	for range 4 {
-		for _, g := range b.groups() {
+		for _, g := range h.groups() {
 			for _, r := range g.Replicas {
 				if r.Ready {
 					continue
 				}
-				_, err := b.admin.Ready(b.ctx, readyReport(r, g))
-				assert.NilError(b.t, err)
+				_, err := h.admin.Ready(h.ctx, readyReport(r, g))
+				assert.NilError(h.t, err)
 			}
 		}
 	}
--- a/internal/control/fakegroup_test.go
+++ b/internal/control/fakegroup_test.go
@@ -12,15 +12,15 @@
 	"github.com/hyssopsail/hyssopsail/internal/testkit"
 )
 
-// cluster is a control group in memory: one shared log, and members that
-// apply it unless they are cut off. Leadership moves when a test says so.
+// cluster is a control group in memory: one shared log, and members that apply it
+// unless they are partitioned. Only a test changes the leader.
 type cluster struct {
 	mu       sync.Mutex
 	members  []*fakeMember
 	leader   int // -1: none
 	term     uint64
 	commands [][]byte
-	// failNextReply makes the next proposal commit and its leader die before it
+	// failNextReply makes the next proposal commit and the leader change before it
 	// answers.
 	failNextReply bool
 	net           *testkit.Network
@@ -73,15 +73,15 @@
 	c.applyCommitted()
 }
 
-func (c *cluster) setPartitioned(number int, cut bool) {
+func (c *cluster) setPartitioned(number int, partitioned bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.members[number].partitioned = cut
+	c.members[number].partitioned = partitioned
 	c.applyCommitted()
 }
 
-// applyCommitted applies the log at all members that are not cut off. It gives the
-// leader's last result.
+// applyCommitted applies the log at all members that are not partitioned. It
+// returns the leader's last result.
 func (c *cluster) applyCommitted() []byte {
 	var last []byte
 	for _, m := range c.members {
@@ -142,8 +142,8 @@
 	return &pb.Membership{Members: []*pb.Member{member}}, nil
 }
 
-// Status implements replica.Group. A member that is cut off still takes
-// itself for what it was.
+// Status implements replica.Group. A partitioned member still reports its former
+// role.
 func (m *fakeMember) Status() replica.Status {
 	c := m.cluster
 	c.mu.Lock()
--- a/internal/control/fixture_test.go
+++ b/internal/control/fixture_test.go
@@ -36,7 +36,7 @@
 	return MachineOptions{Check: settings.CheckChange, Build: settings.Build}
 }
 
-// testLog drives a Machine as the replicated log would.
+// testLog applies commands to a Machine as the replicated log would.
 type testLog struct {
 	t       testing.TB
 	machine *Machine
@@ -96,7 +96,8 @@
 	return l.apply(&pb.Command{Body: &pb.Command_DrainInstance{DrainInstance: &pb.DrainInstance{Id: id}}}).Refusal
 }
 
-// advance moves the clock on, in milliseconds, by a command without effect.
+// advance moves the clock forward by ms milliseconds and applies a command
+// without effect.
 func (l *testLog) advance(ms int64) {
 	l.t.Helper()
 	l.clockMs += ms
@@ -108,7 +109,7 @@
 	return l.apply(&pb.Command{Body: &pb.Command_LedgerReady{LedgerReady: readyReport(r, g)}}).Refusal
 }
 
-// readyReport reports a replica's copy of the group's records as done.
+// readyReport returns the report that a replica has copied the group's records.
 func readyReport(r *pb.LedgerReplica, g *pb.LedgerGroup) *pb.LedgerReady {
 	shards := []*pb.LedgerShardEpoch{{ZoneClass: g.ZoneClass, Shard: g.Shard, Epoch: g.Epoch}}
 	return &pb.LedgerReady{InstanceId: r.InstanceId, Incarnation: r.Incarnation, Shards: shards}
@@ -128,7 +129,7 @@
 	assert.NilError(l.t, l.machine.Restore(l.index, snapshot))
 }
 
-// newFleet gives a log with the fleet subtree and one team in all zones.
+// newFleet returns a log with the fleet subtree and one team in all zones.
 func newFleet(t testing.TB) *testLog {
 	t.Helper()
 	l := newLog(t)
--- a/internal/control/former_test.go
+++ b/internal/control/former_test.go
@@ -10,7 +10,7 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// formerClassList lists a machine's former classes as "team class".
+// formerClassList returns a machine's former classes as "team class".
 func (l *testLog) formerClassList() []string {
 	found := []string{}
 	for _, f := range l.machine.fleetState().FormerClasses {
@@ -23,8 +23,9 @@
 	return l.machine.recentDeltas.deltas[len(l.machine.recentDeltas.deltas)-1]
 }
 
-// A team's zones change, and change back. Each class that it left stays known
-// through restarts, for two record lives from when it was left last.
+// A team's zones change, and change back. Each class that it left must be kept
+// for two record lives after the team left it last, also across restores from a
+// snapshot.
 func TestFormerClassesTable(t *testing.T) {
 	const all, one = "barasat+durgapur+howrah", "howrah"
 	l := newFleet(t)
@@ -52,8 +53,8 @@
 	assert.Assert(t, !l.machine.HasExpiredRecords(l.clockMs))
 }
 
-// The table of former classes is full: the change is refused, since a class
-// that is forgotten would let calls run twice.
+// When the table of former classes is full, a change must be refused: without the
+// record of a former class, calls would run twice.
 func TestFormerClassesAreBounded(t *testing.T) {
 	l := newFleet(t)
 	for n := range maxFormerClassesPerTeam {
@@ -66,8 +67,8 @@
 }
 
 // A call runs while its team's zones change, and ends minutes later. Its record
-// lives on from its end, and a repeat in that time must still find it, though
-// the change is more than one record life ago.
+// lives from the call's end, so a repeat must still find it when the change is
+// more than one record life ago.
 func TestFormerClassOutlivesLateRecords(t *testing.T) {
 	l := newFleet(t)
 	old := l.machine.zoneClasses.byTeam["sorters"]
--- a/internal/control/fuzz_test.go
+++ b/internal/control/fuzz_test.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// FuzzApply: no command, however malformed, may panic; its result is always
-// decodable and equal on a replica restored from a snapshot.
+// FuzzApply checks that no command, however malformed, panics, and that its
+// result is decodable and equal on two replicas restored from one snapshot.
 func FuzzApply(f *testing.F) {
 	seedCommands(f)
 	base := fleetWithEntries(f, 4)
@@ -50,7 +50,7 @@
 	})
 }
 
-// FuzzRestore: arbitrary bytes are an error or a state that works on.
+// FuzzRestore checks that arbitrary bytes give an error or a usable state.
 func FuzzRestore(f *testing.F) {
 	base := fleetWithEntries(f, 4)
 	encoded, err := proto.Marshal(base.machine.machineState())
--- a/internal/control/groups_test.go
+++ b/internal/control/groups_test.go
@@ -16,8 +16,8 @@
 	return l.machine.groups[fleet.LedgerShard{ZoneClass: allZonesClass, Shard: shard}]
 }
 
-// fleetWithEntries gives a fleet with n entries over the three zones, whose groups are
-// whole.
+// fleetWithEntries returns a fleet with n entries over the three zones, whose
+// replicas are all ready.
 func fleetWithEntries(t testing.TB, n int) *testLog {
 	l := newFleet(t)
 	for i := range n {
@@ -27,7 +27,7 @@
 	return l
 }
 
-// reportAllReady reports each copy as done.
+// reportAllReady reports each pending replica as ready.
 func (l *testLog) reportAllReady() {
 	for shard := range uint32(fleet.LedgerShards) {
 		for _, r := range l.group(shard).Replicas {
@@ -76,9 +76,9 @@
 	assert.Equal(t, l.group(0), before)
 }
 
-// One replica of a group dies; its place is repaired; right after that a
-// second one dies. Each time the two survivors still hold every decided
-// record, so no history is lost.
+// A replica of a group fails, is replaced, and right after the repair another one
+// fails. Each time the two survivors hold every decided record, so no history may
+// be lost.
 func TestSecondLossAfterRepairLosesNothing(t *testing.T) {
 	l := fleetWithEntries(t, 6)
 	for range 3 {
@@ -96,8 +96,9 @@
 	}
 }
 
-// Two replicas of a group die before a third has copied their records: a
-// decided record may be on neither survivor. The group says so.
+// Two replicas of a group fail before a replacement has copied their records. A
+// decided record may be on no surviving replica, so the group must be marked with
+// lost history.
 func TestTwoReplicasLostAtOnceSetHistoryLost(t *testing.T) {
 	l := fleetWithEntries(t, 6)
 	g := l.group(0)
@@ -109,21 +110,22 @@
 	assert.Assert(t, fullyReplicated(lost))
 }
 
-// A replica finishes copying, but its report names an epoch that has passed
-// meanwhile. Records decided since may be missing from its copy.
+// A replica finishes copying, but reports an epoch that is no longer current. The
+// report must be ignored, because records decided since may be missing from the
+// copy.
 func TestReadyOfAnOlderEpochIsDropped(t *testing.T) {
 	l := fleetWithEntries(t, 9)
 	l.expire(l.group(0).Replicas[0].InstanceId, 1)
 	older := l.group(0)
 	copying := older.Replicas[2]
-	l.drain(older.Replicas[0].InstanceId) // waits: the group is not whole
+	l.drain(older.Replicas[0].InstanceId) // not replaced yet: a replica is pending
 	assert.Equal(t, l.group(0).Epoch, older.Epoch)
 	stale := &pb.LedgerGroup{ZoneClass: allZonesClass, Epoch: older.Epoch - 1}
 	l.reportReady(copying, stale)
 	assert.Equal(t, l.group(0).Epoch, older.Epoch)
 	assert.Assert(t, !l.group(0).Replicas[2].Ready)
 	l.reportReady(copying, older)
-	// Whole again, so the draining one is replaced now and still a source.
+	// All replicas are ready, so the draining one is replaced now and stays a source.
 	next := l.group(0)
 	assert.Equal(t, next.Epoch, older.Epoch+1)
 	for _, r := range next.Replicas {
@@ -132,8 +134,8 @@
 	assert.Equal(t, next.Sources[0].InstanceId, older.Replicas[0].InstanceId)
 }
 
-// A history was lost. "Unknown" is answered for as long as the lost records
-// would have lived, by the control group's clocks, and no longer.
+// After a loss of history the group must stay marked for as long as the lost
+// records would have lived, by the control group's clocks, and no longer.
 func TestLostHistoryEnds(t *testing.T) {
 	l := fleetWithEntries(t, 3)
 	for _, id := range []string{"e0", "e1", "e2"} {
@@ -152,8 +154,8 @@
 	assert.Assert(t, !l.machine.HasExpiredRecords(l.clockMs))
 }
 
-// A class with two entries: each restart of one must not cost the history,
-// since with two replicas each holds every decided record.
+// In a class with two entries each replica holds every decided record, so
+// restarts of one entry after the other must not lose history.
 func TestTwoEntriesRestartInTurn(t *testing.T) {
 	l := fleetWithEntries(t, 2)
 	assert.Assert(t, l.group(0).Complete)
@@ -167,8 +169,9 @@
 	assert.Equal(t, len(readyReplicas(l.group(0).Replicas)), 2)
 }
 
-// A team leaves a zone class and comes back. Its groups are kept for two record
-// lives; after that the class begins anew above the old epochs.
+// A team leaves a zone class and returns. The class' groups must be kept for two
+// record lives; when they are created again, their epochs must be above the old
+// ones.
 func TestRetiredClassKeepsEpochsRising(t *testing.T) {
 	l := fleetWithEntries(t, 3)
 	l.accept("teams/sorters", 1, teamYAML("sorters", "howrah"))
--- a/internal/control/leases.go
+++ b/internal/control/leases.go
@@ -35,9 +35,9 @@
 	return &leaseTable{byInstance: make(map[fleet.InstanceID]*leaseState)}
 }
 
-// frozenGapDivisor sets the gap between ticks, lease / frozenGapDivisor, above
+// suspendedGapDivisor sets the gap between ticks, lease / suspendedGapDivisor, above
 // which this process is taken to have been suspended.
-const frozenGapDivisor = 4
+const suspendedGapDivisor = 4
 
 // tick updates the table for the current term and view, and returns the owners
 // whose lease has ended.
@@ -53,10 +53,10 @@
 	if newTerm {
 		l.byInstance = make(map[fleet.InstanceID]*leaseState)
 	}
-	frozen := now.Sub(l.lastTick) > lease/frozenGapDivisor
+	suspended := now.Sub(l.lastTick) > lease/suspendedGapDivisor
 	l.leading, l.term, l.lastTick = true, term, now
 	l.syncView(now, live)
-	if frozen {
+	if suspended {
 		l.extendAll(now)
 	}
 	return l.expired(now)
@@ -82,8 +82,8 @@
 	seen := make(map[fleet.InstanceID]bool, len(live))
 	for _, o := range live {
 		seen[o.Instance] = true
-		row := l.byInstance[o.Instance]
-		if row == nil || row.owner != o {
+		state := l.byInstance[o.Instance]
+		if state == nil || state.owner != o {
 			l.byInstance[o.Instance] = &leaseState{owner: o, renewedAt: now, expiresAt: now.Add(l.maxLease(now))}
 		}
 	}
@@ -95,21 +95,21 @@
 }
 
 func (l *leaseTable) extendAll(now time.Time) {
-	for _, row := range l.byInstance {
-		row.expiresAt = later(row.expiresAt, now.Add(l.maxLease(now)))
+	for _, state := range l.byInstance {
+		state.expiresAt = later(state.expiresAt, now.Add(l.maxLease(now)))
 	}
 }
 
 func (l *leaseTable) expired(now time.Time) []fleet.Owner {
 	var ended []fleet.Owner
-	for _, row := range l.byInstance {
-		if now.Before(row.expiresAt) && !row.expiring {
+	for _, state := range l.byInstance {
+		if now.Before(state.expiresAt) && !state.expiring {
 			continue
 		}
-		if row.proposalPending {
+		if state.proposalPending {
 			continue
 		}
-		ended = append(ended, row.owner)
+		ended = append(ended, state.owner)
 	}
 	return ended
 }
@@ -122,14 +122,14 @@
 func (l *leaseTable) beginExpiry(o fleet.Owner, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	row := l.byInstance[o.Instance]
-	if row == nil || row.owner != o || row.proposalPending {
+	state := l.byInstance[o.Instance]
+	if state == nil || state.owner != o || state.proposalPending {
 		return false
 	}
-	if now.Before(row.expiresAt) && !row.expiring {
+	if now.Before(state.expiresAt) && !state.expiring {
 		return false
 	}
-	row.expiring, row.proposalPending = true, true
+	state.expiring, state.proposalPending = true, true
 	return true
 }
 
@@ -137,8 +137,8 @@
 func (l *leaseTable) expiryProposalDone(o fleet.Owner) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if row := l.byInstance[o.Instance]; row != nil && row.owner == o {
-		row.proposalPending = false
+	if state := l.byInstance[o.Instance]; state != nil && state.owner == o {
+		state.proposalPending = false
 	}
 }
 
@@ -150,17 +150,17 @@
 	if !l.leading || l.term != term {
 		return 0, false
 	}
-	row := l.byInstance[o.Instance]
-	if row == nil || row.owner != o {
-		row = &leaseState{owner: o}
-		l.byInstance[o.Instance] = row
+	state := l.byInstance[o.Instance]
+	if state == nil || state.owner != o {
+		state = &leaseState{owner: o}
+		l.byInstance[o.Instance] = state
 	}
-	if row.expiring {
+	if state.expiring {
 		return 0, false
 	}
-	row.renewedAt = now
-	row.expiresAt = later(row.expiresAt, now.Add(l.lease))
-	row.appliedIndex = max(row.appliedIndex, applied)
+	state.renewedAt = now
+	state.expiresAt = later(state.expiresAt, now.Add(l.lease))
+	state.appliedIndex = max(state.appliedIndex, applied)
 	return l.lease, true
 }
 
@@ -178,8 +178,8 @@
 	defer l.mu.Unlock()
 	var pending []fleet.Owner
 	for _, o := range owners {
-		row := l.byInstance[o.Instance]
-		if row == nil || row.owner != o || row.appliedIndex < index {
+		state := l.byInstance[o.Instance]
+		if state == nil || state.owner != o || state.appliedIndex < index {
 			pending = append(pending, o)
 		}
 	}
@@ -190,11 +190,11 @@
 func (l *leaseTable) status(id fleet.InstanceID) (renewed time.Time, applied uint64, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	row := l.byInstance[id]
-	if row == nil {
+	state := l.byInstance[id]
+	if state == nil {
 		return time.Time{}, 0, false
 	}
-	return row.renewedAt, row.appliedIndex, true
+	return state.renewedAt, state.appliedIndex, true
 }
 
 func later(a, b time.Time) time.Time {
--- a/internal/control/leases_test.go
+++ b/internal/control/leases_test.go
@@ -18,7 +18,8 @@
 
 const tickInterval = 100 * time.Millisecond
 
-// firstExpiry runs ticks up to at, and gives when a1 was first due; -1: never.
+// firstExpiry runs ticks and returns the time at which a1's lease has first ended;
+// -1: never.
 func firstExpiry(l *leaseTable, from, to time.Duration, lease time.Duration) time.Duration {
 	for d := from; d <= to; d += tickInterval {
 		if len(l.tick(baseTime.Add(d), 1, lease, liveOwners)) > 0 {
@@ -28,7 +29,7 @@
 	return -1
 }
 
-// renewalGranted tells whether a1's renewal is granted.
+// renewalGranted reports whether a1's renewal is granted.
 func renewalGranted(l *leaseTable, term uint64, at time.Time) bool {
 	_, ok := l.renew(a1, term, 0, at)
 	return ok
@@ -41,18 +42,18 @@
 	assert.Equal(t, firstExpiry(l, time.Second, time.Minute, testInstanceLease), time.Second+testInstanceLease)
 }
 
-// The leader's process is stopped for longer than a lease and goes on as
-// leader. All renewals of that time were missed by its fault; expiring on its
-// old notes would throw out every healthy instance.
+// The leader's process is suspended for longer than a lease and continues as
+// leader. It has missed all renewals of that time, so expiry by the stored lease
+// times would remove every healthy instance.
 func TestFrozenLeaderExpiresNoInstanceAtOnce(t *testing.T) {
 	l := newLeaseTable()
 	firstExpiry(l, 0, time.Second, testInstanceLease)
-	woken := 10 * time.Second
-	assert.Equal(t, firstExpiry(l, woken, time.Minute, testInstanceLease), woken+testInstanceLease)
+	resumed := 10 * time.Second
+	assert.Equal(t, firstExpiry(l, resumed, time.Minute, testInstanceLease), resumed+testInstanceLease)
 }
 
-// A renewal arrives while the expiry is on its way to the log. Granted, the
-// instance would believe in a lease that the view no longer holds.
+// A renewal arrives while the expiry is being proposed. If it were granted, the
+// instance would hold a lease but be missing from the view.
 func TestRenewalDuringExpiryIsRefused(t *testing.T) {
 	l := newLeaseTable()
 	due := firstExpiry(l, 0, time.Minute, testInstanceLease)
@@ -60,13 +61,13 @@
 	assert.Assert(t, l.beginExpiry(a1, now))
 	assert.Assert(t, !l.beginExpiry(a1, now))
 	assert.Assert(t, !renewalGranted(l, 1, now))
-	l.expiryProposalDone(a1) // failed: it stays condemned and is proposed again
+	l.expiryProposalDone(a1) // failed: renewals stay refused and the expiry is proposed again
 	assert.Assert(t, !renewalGranted(l, 1, now))
 	assert.Assert(t, l.beginExpiry(a1, now))
 }
 
-// A renewal arrives between the tick that found a lease ended and its
-// condemnation: it wins.
+// A renewal between the tick that found a lease ended and the start of the expiry
+// must be granted and stop the expiry.
 func TestRenewalBeforeExpiryWins(t *testing.T) {
 	l := newLeaseTable()
 	now := baseTime.Add(firstExpiry(l, 0, time.Minute, testInstanceLease))
@@ -74,8 +75,8 @@
 	assert.Assert(t, !l.beginExpiry(a1, now))
 }
 
-// The operators shorten the instance lease. Instances still hold the longer
-// one that they were granted, so nobody may be expired before it has run out.
+// The operators shorten the instance lease. Instances still hold the longer lease
+// that they were granted, so none may be expired before that has ended.
 func TestShortenedLeaseWaitsForPreviousLease(t *testing.T) {
 	l := newLeaseTable()
 	firstExpiry(l, 0, time.Second, 10*time.Second)
@@ -83,9 +84,9 @@
 	assert.Equal(t, firstExpiry(l, time.Second, time.Minute, testInstanceLease), 11*time.Second)
 }
 
-// A leader loses its place and wins it back within a moment, just after the
-// lease was shortened. What another leader granted meanwhile is unknown here:
-// everyone keeps the longest lease that may be held.
+// Just after the lease was shortened, a member loses the leadership and is soon
+// elected again. It doesn't know what another leader granted meanwhile, so every
+// instance must get the longest lease that may be held.
 func TestNewTermStartsAllLeasesAnew(t *testing.T) {
 	l := newLeaseTable()
 	firstExpiry(l, 0, time.Second, 10*time.Second)
--- a/internal/control/ledgermodel_test.go
+++ b/internal/control/ledgermodel_test.go
@@ -14,14 +14,14 @@
 )
 
 // ledgerModel runs the replicas of one shard against the Machine's groups:
-// coordinators with old views decide records, replicas that were expired go on
-// answering, copies stop half way, instances die and return.
+// coordinators with stale views decide records, expired replicas still answer,
+// copies are interrupted, instances fail and return.
 type ledgerModel struct {
 	log             *testLog
 	random          *rand.Rand
 	versions        []*pb.LedgerGroup // each form of the group, oldest first
 	replicas        map[fleet.Owner]*modelReplica
-	owners          []fleet.Owner // keys of replicas, in order of their start
+	owners          []fleet.Owner // keys of replicas, in the order in which they were added
 	records         []*modelRecord
 	lastIncarnation uint64 // incarnations
 	reads           int
@@ -40,7 +40,7 @@
 	viewedGroup    *pb.LedgerGroup // its coordinator's view
 	acceptedBy     map[fleet.Owner]bool
 	decided        bool
-	reportedAbsent bool // a reader was told that it was never decided
+	reportedAbsent bool // a reader found that it was never decided
 }
 
 func modelOwner(r *pb.LedgerReplica) fleet.Owner {
@@ -62,8 +62,8 @@
 	}
 }
 
-// serves tells whether the replica answers for epoch: its own view has it
-// ready there, and no later copy has sealed it.
+// serves reports whether the replica answers for epoch: it is ready in its own
+// view of that epoch, and no copy of a later epoch has sealed it.
 func (m *ledgerModel) serves(o fleet.Owner, epoch uint64) bool {
 	r := m.replicas[o]
 	g := m.versions[r.versionIndex]
@@ -110,8 +110,8 @@
 	}
 }
 
-// readMajority asks a majority. It fails the test when a decided record is missing,
-// or one is decided that an earlier reader was told is absent.
+// readMajority reads from a majority. It fails the test when a decided record is
+// missing, or when a record was decided after an earlier reader found it absent.
 func (m *ledgerModel) readMajority() {
 	g := m.recentVersion()
 	seen := map[*modelRecord]bool{}
@@ -150,8 +150,8 @@
 	}
 }
 
-// lostSince tells whether history was lost after epoch, up to g: absent
-// records then mean "unknown".
+// lostSince reports whether history was lost after epoch, up to g: absent records
+// then mean "unknown".
 func (m *ledgerModel) lostSince(epoch uint64, g *pb.LedgerGroup) bool {
 	for n := 1; n < len(m.versions); n++ {
 		v := m.versions[n]
@@ -171,8 +171,8 @@
 	}
 }
 
-// stepCopy makes one step of a pending replica's copy, by its own view, which
-// may be old.
+// stepCopy makes one step of a pending replica's copy, by its own view, which may
+// be stale.
 func (m *ledgerModel) stepCopy() {
 	for _, p := range m.latestVersion().Replicas {
 		o := modelOwner(p)
@@ -219,21 +219,20 @@
 	}
 }
 
-// A request's intent is decided by a majority; then instances die, restart
-// and drain in any order, copies stop half way, coordinators work from views
-// up to three changes old, and expired replicas still answer. A later reader
-// that finds no record while the intent was decided would let the request run
-// twice. Over many seeds no majority ever misses one, unless the group has
-// said that its history is lost.
+// A request's intent is decided by a majority; then instances fail, restart and
+// drain in any order, copies are interrupted, coordinators use views up to three
+// changes old, and expired replicas still answer. A reader that misses a decided
+// intent would let the request run twice. Over many seeds no majority may miss
+// one, unless the group is marked with lost history.
 func TestLedgerGroupsKeepDecidedRecords(t *testing.T) {
 	const seeds, steps = 80, 3000
 	reads, decided, lost := 0, 0, 0
 	for seed := range uint64(seeds) {
 		m := &ledgerModel{log: newFleet(t), random: rand.New(rand.NewPCG(seed, 7)), replicas: map[fleet.Owner]*modelReplica{}}
-		calm := 40 + m.random.IntN(360) // steps between disturbances
+		disruptionInterval := 40 + m.random.IntN(360) // in steps
 		for step := range steps {
 			m.recordVersion()
-			if step%calm == 0 || step < 5 {
+			if step%disruptionInterval == 0 || step < 5 {
 				m.disruptInstance()
 				continue
 			}
@@ -257,6 +256,6 @@
 	}
 	t.Logf("%d majority reads, %d decided records, %d of %d seeds lost history", reads, decided, lost, seeds)
 	if reads < 1000 || decided < 200 || lost == seeds {
-		t.Fatal("the model hardly ran")
+		t.Fatal("too few reads or decided records, or every seed lost history")
 	}
 }
--- a/internal/control/orders_test.go
+++ b/internal/control/orders_test.go
@@ -59,8 +59,8 @@
 	assert.Equal(t, l.order(loadOrder("o3", "x")).Order.PreviousToken, second.Token)
 }
 
-// Loads of 10 GB over a store of 1 GB/s, two at a time: each takes 20 s, so
-// they start in pairs, and a load that would wait for hours is refused.
+// Loads of 10 GB from a store of 1 GB/s, two at a time, take 20 s each, so they
+// must start in pairs. A load that would wait for hours must be refused.
 func TestLoadsShareTheWeightStore(t *testing.T) {
 	l := fleetWithEntries(t, 1)
 	for n, want := range []uint64{0, 0, 20_000, 20_000, 40_000} {
--- a/internal/control/realgroup_test.go
+++ b/internal/control/realgroup_test.go
@@ -18,8 +18,8 @@
 	"github.com/hyssopsail/hyssopsail/internal/testkit"
 )
 
-// realGroup is three members with their own logs on disk, in real time, over
-// the network in memory.
+// realGroup is a control group of three members with logs on disk, in real time,
+// over an in-memory network.
 type realGroup struct {
 	t         testing.TB
 	ctx       context.Context
@@ -103,7 +103,7 @@
 	deadline := time.Now().Add(30 * time.Second)
 	for !done() {
 		if time.Now().After(deadline) {
-			g.t.Fatal("not in time")
+			g.t.Fatal("condition not met within 30 s")
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -118,9 +118,9 @@
 	return ""
 }
 
-// The leader of a group with real logs goes away while changes are made and
-// nine entries follow. The next change is accepted by another member, in
-// force at all nine, and the old ones are still there.
+// The leader of a group with logs on disk is removed while nine entries follow.
+// The next change must be accepted by another member and come into force at all
+// nine entries, and all nine must stay in the view.
 func TestDaemonsFollowARealGroupThroughALeaderLoss(t *testing.T) {
 	g := newRealGroup(t)
 	agents := g.startDaemons(9)
@@ -136,8 +136,8 @@
 	}
 }
 
-// BenchmarkInForce is the time from sending a change to the answer that nine
-// entries have it in force, with real logs and syncs, all in one process.
+// BenchmarkInForce measures the time from sending a change until nine entries
+// have applied it and until the answer, with logs synced to disk, in one process.
 func BenchmarkInForce(b *testing.B) {
 	g := newRealGroup(b)
 	agents := g.startDaemons(9)
--- a/internal/control/server_test.go
+++ b/internal/control/server_test.go
@@ -31,8 +31,8 @@
 	assert.ErrorContains(t, err, "knows none")
 }
 
-// A leader that was cut off still takes itself for the leader. It must answer
-// neither reads nor renewals from its old state.
+// A partitioned leader still reports that it is the leader. It must answer
+// neither reads nor renewals from its stale state.
 func TestPartitionedLeaderRefusesCalls(t *testing.T) {
 	ctx := context.Background()
 	c := newCluster(t, 3)
--- a/internal/control/suspects_test.go
+++ b/internal/control/suspects_test.go
@@ -21,31 +21,31 @@
 }
 
 func TestSuspectsTable(t *testing.T) {
-	type death struct {
+	type crash struct {
 		endpoint    string
 		incarnation uint64
 		on          []byte
 	}
 	cases := []struct {
 		name        string
-		deaths      []death
+		crashes     []crash
 		quarantined []byte
 		suspects    int
 	}{
-		{"one death", []death{{"x", 1, []byte{1, 2, 3}}}, nil, 3},
-		{"alone at a second death", []death{{"x", 1, []byte{1, 2}}, {"y", 1, []byte{1}}}, []byte{1}, 2},
-		{"the intersection", []death{{"x", 1, []byte{1, 2}}, {"y", 1, []byte{1, 3}}}, []byte{1}, 2},
-		{"two in common", []death{{"x", 1, []byte{1, 2}}, {"y", 1, []byte{1, 2}}}, nil, 2},
-		{"three deaths in company", []death{{"x", 1, []byte{1, 2}}, {"y", 1, []byte{1, 2}}, {"x", 2, []byte{1, 2}}}, []byte{1, 2}, 2},
-		{"one death reported twice", []death{{"x", 1, []byte{1}}, {"x", 1, []byte{1}}}, nil, 1},
-		{"one death reported in parts", []death{{"x", 1, []byte{1}}, {"x", 1, []byte{1, 2}}}, nil, 2},
-		{"a late part without the suspect", []death{{"x", 1, []byte{1}}, {"y", 1, []byte{1}}, {"y", 1, []byte{1, 2}}}, []byte{1}, 1},
-		{"a late part with the suspect", []death{{"x", 1, []byte{1}}, {"y", 1, []byte{2}}, {"y", 1, []byte{1}}}, []byte{1}, 2},
+		{"one crash", []crash{{"x", 1, []byte{1, 2, 3}}}, nil, 3},
+		{"alone at a second crash", []crash{{"x", 1, []byte{1, 2}}, {"y", 1, []byte{1}}}, []byte{1}, 2},
+		{"the intersection", []crash{{"x", 1, []byte{1, 2}}, {"y", 1, []byte{1, 3}}}, []byte{1}, 2},
+		{"two in common", []crash{{"x", 1, []byte{1, 2}}, {"y", 1, []byte{1, 2}}}, nil, 2},
+		{"three crashes, never alone", []crash{{"x", 1, []byte{1, 2}}, {"y", 1, []byte{1, 2}}, {"x", 2, []byte{1, 2}}}, []byte{1, 2}, 2},
+		{"one crash reported twice", []crash{{"x", 1, []byte{1}}, {"x", 1, []byte{1}}}, nil, 1},
+		{"one crash reported in parts", []crash{{"x", 1, []byte{1}}, {"x", 1, []byte{1, 2}}}, nil, 2},
+		{"a late part without the suspect", []crash{{"x", 1, []byte{1}}, {"y", 1, []byte{1}}, {"y", 1, []byte{1, 2}}}, []byte{1}, 1},
+		{"a late part with the suspect", []crash{{"x", 1, []byte{1}}, {"y", 1, []byte{2}}, {"y", 1, []byte{1}}}, []byte{1}, 2},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			l := newFleet(t)
-			for _, d := range c.deaths {
+			for _, d := range c.crashes {
 				assert.Equal(t, l.crash(d.endpoint, d.incarnation, d.on...), "")
 				l.restoreFromSnapshot()
 			}
