--- a/internal/control/change.go
+++ b/internal/control/change.go
@@ -11,22 +11,22 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// applyChange answers a change of one subtree.
+// applyChange applies a change of one subtree and returns its result.
 //
-// Failure guarded: a leader dies between the commit and the answer, and the
-// operator resends. Without the answers table the resent change would be
-// applied twice or, worse, be told "conflict" although it had won. The table
-// is replicated, so each later leader gives the first result.
+// If a leader fails between commit and answer, the operator repeats the change.
+// Without changeResults the repeated change would be applied twice or be
+// rejected as a conflict with itself. The table is replicated, so every later
+// leader returns the first result.
 func (m *Machine) applyChange(index uint64, c *pb.ChangeSubtree) *pb.ChangeResult {
 	if !validName(c.GetChangeId()) || !validName(c.GetName()) || len(c.GetAuthor()) > maxNameBytes {
 		return invalid(m.version(c.GetName()), "name, change ID or author is empty or too long")
 	}
 	digest := changeDigest(c)
-	if first, ok := m.answers.byID[c.ChangeId]; ok {
-		return m.repeatAnswer(first, digest)
+	if first, ok := m.changeResults.byID[c.ChangeId]; ok {
+		return m.repeatedResult(first, digest)
 	}
-	result := m.decideChange(index, c)
-	m.answers.add(&pb.AnsweredChange{
+	result := m.evaluateChange(index, c)
+	m.changeResults.add(&pb.AnsweredChange{
 		ChangeId:  c.ChangeId,
 		Name:      c.Name,
 		Digest:    digest,
@@ -39,23 +39,23 @@
 	return result
 }
 
-func (m *Machine) decideChange(index uint64, c *pb.ChangeSubtree) *pb.ChangeResult {
-	now := m.current[c.Name]
-	version := now.GetVersion()
+func (m *Machine) evaluateChange(index uint64, c *pb.ChangeSubtree) *pb.ChangeResult {
+	current := m.documents[c.Name]
+	version := current.GetVersion()
 	if c.ExpectedVersion != version {
-		return conflict(now)
+		return conflict(current)
 	}
-	if detail := m.boundChange(c, now); detail != "" {
+	if detail := m.checkSizeLimits(c, current); detail != "" {
 		return invalid(version, detail)
 	}
 	tree, err := m.check(m.tree, c.Name, c.Yaml)
 	if err != nil {
 		return invalid(version, err.Error())
 	}
-	if m.tooManyClasses(tree, c.Name) {
+	if m.exceedsClassLimit(tree, c.Name) {
 		return invalid(version, "too many different sets of permitted zones")
 	}
-	if m.tooManyFormer(tree, c.Name) {
+	if m.exceedsFormerClassLimit(tree, c.Name) {
 		return invalid(version, "the permitted zones were changed too often of late; try again when outcome records have aged")
 	}
 	accepted := &pb.SubtreeDocument{
@@ -64,23 +64,23 @@
 		Yaml:           c.Yaml,
 		ChangeId:       c.ChangeId,
 		Author:         c.Author,
-		AcceptedUnixMs: m.clock,
+		AcceptedUnixMs: m.clockUnixMs,
 	}
 	m.tree = tree
-	m.replaceDocument(now, accepted)
+	m.replaceDocument(current, accepted)
 	m.delta.Subtrees = append(m.delta.Subtrees, accepted)
 	m.updateClasses(c.Name)
 	return &pb.ChangeResult{Status: pb.ChangeStatus_CHANGE_STATUS_ACCEPTED, Version: accepted.Version, Index: index}
 }
 
-func (m *Machine) boundChange(c *pb.ChangeSubtree, now *pb.SubtreeDocument) string {
+func (m *Machine) checkSizeLimits(c *pb.ChangeSubtree, current *pb.SubtreeDocument) string {
 	if len(c.Yaml) > maxYAMLBytes {
 		return "the subtree is too large"
 	}
-	if m.treeBytes-len(now.GetYaml())+len(c.Yaml) > maxTreeBytes {
+	if m.treeBytes-len(current.GetYaml())+len(c.Yaml) > maxTreeBytes {
 		return "all settings together would be too large"
 	}
-	if now == nil && len(m.current) >= maxSubtrees {
+	if current == nil && len(m.documents) >= maxSubtrees {
 		return "too many subtrees"
 	}
 	return ""
@@ -91,12 +91,12 @@
 		m.history.add(old)
 	}
 	m.treeBytes += len(accepted.Yaml) - len(old.GetYaml())
-	m.current[accepted.Name] = accepted
+	m.documents[accepted.Name] = accepted
 }
 
-func (m *Machine) version(name string) uint64 { return m.current[name].GetVersion() }
+func (m *Machine) version(name string) uint64 { return m.documents[name].GetVersion() }
 
-func (m *Machine) repeatAnswer(first *pb.AnsweredChange, digest []byte) *pb.ChangeResult {
+func (m *Machine) repeatedResult(first *pb.AnsweredChange, digest []byte) *pb.ChangeResult {
 	if !bytes.Equal(first.Digest, digest) {
 		return invalid(m.version(first.Name), "this change ID was used for another change")
 	}
@@ -114,18 +114,18 @@
 }
 
 func (m *Machine) document(name string, version uint64) *pb.SubtreeDocument {
-	now := m.current[name]
-	if version == 0 || now.GetVersion() == version {
-		return now
+	current := m.documents[name]
+	if version == 0 || current.GetVersion() == version {
+		return current
 	}
 	return m.history.version(name, version)
 }
 
-func conflict(now *pb.SubtreeDocument) *pb.ChangeResult {
+func conflict(current *pb.SubtreeDocument) *pb.ChangeResult {
 	return &pb.ChangeResult{
 		Status:  pb.ChangeStatus_CHANGE_STATUS_CONFLICT,
-		Version: now.GetVersion(),
-		Current: now,
+		Version: current.GetVersion(),
+		Current: current,
 		Detail:  "the subtree has another version than expected",
 	}
 }
@@ -134,19 +134,19 @@
 	return &pb.ChangeResult{
 		Status:  pb.ChangeStatus_CHANGE_STATUS_INVALID,
 		Version: version,
-		Detail:  cutDetail(detail),
+		Detail:  truncateDetail(detail),
 	}
 }
 
-func cutDetail(s string) string {
+func truncateDetail(s string) string {
 	if len(s) > maxDetailBytes {
 		s = s[:maxDetailBytes]
 	}
 	return strings.ToValidUTF8(s, "")
 }
 
-// changeDigest covers what a change asks for; the time of the proposal
-// differs between sends of one change and is left out.
+// changeDigest returns a digest of a change's content. It leaves out the time of
+// the proposal, which differs between repeats of one change.
 func changeDigest(c *pb.ChangeSubtree) []byte {
 	h := sha256.New()
 	var length [8]byte
@@ -160,5 +160,5 @@
 	return h.Sum(nil)
 }
 
-// sameInstance compares all fields.
+// sameInstance reports whether all fields are equal.
 func sameInstance(a, b *pb.InstanceRecord) bool { return proto.Equal(a, b) }
--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -14,114 +14,116 @@
 	"github.com/hyssopsail/hyssopsail/internal/sleep"
 )
 
-// The client's time bounds.
+// Timeouts, backoffs and limits of the client.
 const (
-	attemptTimeout  = 1500 * time.Millisecond // without a byte in one try at one member
-	renewTimeout    = 400 * time.Millisecond  // so that a lease outlives a silent member or two
-	commandTimeout  = proposeTimeout + attemptTimeout
-	shortestBackoff = 20 * time.Millisecond
-	longestBackoff  = 400 * time.Millisecond
-	maxRedirects    = 2 // redirects in a row without a wait
+	attemptTimeout = 1500 * time.Millisecond // without a byte in one attempt at one member
+	renewTimeout   = 400 * time.Millisecond  // lets a lease outlast one or two unreachable members
+	commandTimeout = proposeTimeout + attemptTimeout
+	minBackoff     = 20 * time.Millisecond
+	maxBackoff     = 400 * time.Millisecond
+	maxRedirects   = 2 // consecutive redirects without a backoff
 )
 
-// Client calls the control group from other processes. It follows the leader
-// and repeats calls until one is answered or the context ends; all calls are
-// idempotent, by change ID, order ID, incarnation or content. Safe for use by
-// many goroutines.
+// Client calls the control group from other processes. It follows the leader and
+// retries a call until it is answered or the context ends; all calls are
+// idempotent, by change ID, order ID, incarnation or content. It is safe for
+// concurrent use.
 type Client struct {
 	dialer    rpc.Dialer
 	addresses func() []string
 	part      logging.Part
 
-	mu     sync.Mutex
-	random *rand.Rand
-	leader string        // last known; empty when not
-	moved  chan struct{} // closed when a leader becomes known
-	next   int           // of addresses, when there is no leader known
-	reader string        // where pulls go
+	mu            sync.Mutex
+	random        *rand.Rand
+	leader        string        // latest known; empty when unknown
+	leaderChanged chan struct{} // closed when a leader becomes known
+	addressIndex  int           // of the address last tried while no leader is known
+	pullMember    string        // address of the member that answers pulls
 }
 
-// NewClient makes a client of the control instances at addresses, which is
-// asked anew whenever the client has to look for another one.
+// NewClient returns a client of the control instances at addresses, which is
+// called again whenever the client has to choose a member.
 func NewClient(dialer rpc.Dialer, addresses func() []string, part logging.Part) *Client {
 	return &Client{
-		dialer:    dialer,
-		addresses: addresses,
-		part:      part,
-		random:    rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
-		moved:     make(chan struct{}),
+		dialer:        dialer,
+		addresses:     addresses,
+		part:          part,
+		random:        rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		leaderChanged: make(chan struct{}),
 	}
 }
 
-// attempt makes one call and gives the address to ask instead, if any.
-type attempt func(ctx context.Context, c pb.DRPCControlClient) (elsewhere string, err error)
+// attemptFunc makes one attempt of a call and returns the address of the leader
+// when the member redirects.
+type attemptFunc func(ctx context.Context, c pb.DRPCControlClient) (redirect string, err error)
 
-// follow repeats try at the leader, as far as it is known, until it is
-// answered there.
-func (c *Client) follow(ctx context.Context, timeout time.Duration, try attempt) error {
-	backoff := shortestBackoff
+// callLeader retries attempt, at the leader if it is known, until the leader has
+// answered.
+func (c *Client) callLeader(ctx context.Context, timeout time.Duration, attempt attemptFunc) error {
+	backoff := minBackoff
 	redirects := 0
 	for {
-		address := c.target()
-		elsewhere, err := c.once(ctx, timeout, address, try)
-		if err == nil && elsewhere == "" {
+		address := c.targetAddress()
+		redirect, err := c.attemptAt(ctx, timeout, address, attempt)
+		if err == nil && redirect == "" {
 			c.setLeader(address)
 			return nil
 		}
-		c.learn(address, elsewhere, err)
-		if elsewhere != "" && redirects < maxRedirects {
+		c.recordFailure(address, redirect, err)
+		if redirect != "" && redirects < maxRedirects {
 			redirects++
 			continue
 		}
 		redirects = 0
 		if !c.sleep(ctx, backoff) {
-			return givenUp(ctx, err)
+			return noAnswerError(ctx, err)
 		}
-		backoff = min(2*backoff, longestBackoff)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-// learn takes a try's failure. It forgets the leader only when that is who
-// failed: another call may have found the next one meanwhile.
-func (c *Client) learn(address, elsewhere string, err error) {
-	if elsewhere != "" {
-		c.setLeader(elsewhere)
+// recordFailure updates the known leader after a failed attempt. It forgets the
+// leader only if the attempt was made there: another call may have found the next
+// leader meanwhile.
+func (c *Client) recordFailure(address, redirect string, err error) {
+	if redirect != "" {
+		c.setLeader(redirect)
 		return
 	}
 	c.part.Debug("Call failed.", "address", address, "err", err)
-	c.loseLeader(address)
+	c.forgetLeader(address)
 }
 
-func givenUp(ctx context.Context, last error) error {
+func noAnswerError(ctx context.Context, last error) error {
 	if last == nil {
 		last = ctx.Err()
 	}
 	return trace.ConnectionProblem(last, "no answer from the control group")
 }
 
-func (c *Client) once(ctx context.Context, timeout time.Duration, address string, try attempt) (string, error) {
+func (c *Client) attemptAt(ctx context.Context, timeout time.Duration, address string, attempt attemptFunc) (string, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	ctx, transfer := rpc.WithTransfer(ctx, timeout)
-	client, err := c.at(ctx, address)
+	client, err := c.clientAt(ctx, address)
 	if err != nil {
 		return "", trace.Wrap(transfer.End(ctx, err))
 	}
-	go c.cancelWhenMoved(ctx, cancel, address)
-	elsewhere, err := try(ctx, client)
-	return elsewhere, transfer.End(ctx, err)
+	go c.cancelOnNewLeader(ctx, cancel, address)
+	redirect, err := attempt(ctx, client)
+	return redirect, transfer.End(ctx, err)
 }
 
-// cancelWhenMoved ends a try once another member is known to lead.
+// cancelOnNewLeader cancels an attempt once another member is known to lead.
 //
-// Failure: the leader is cut off silently while a change waits there for its
-// answer. It shows as an operator's command that hangs for the whole time of a
-// try, long after the others have a new leader. The lease renewals of this
-// process find the new leader within a second, and since all calls are
-// idempotent the try may be given up and made there.
-func (c *Client) cancelWhenMoved(ctx context.Context, cancel context.CancelFunc, address string) {
+// If the leader becomes unreachable while a change waits there for its answer,
+// an operator's command would hang for the whole timeout of the attempt, long
+// after the others have elected a new leader. The lease renewals of this process
+// find the new leader within a second, and since all calls are idempotent the
+// call can be retried there.
+func (c *Client) cancelOnNewLeader(ctx context.Context, cancel context.CancelFunc, address string) {
 	for {
-		leader, moved := c.known()
+		leader, moved := c.knownLeader()
 		if leader != "" && leader != address {
 			cancel()
 			return
@@ -134,13 +136,13 @@
 	}
 }
 
-func (c *Client) known() (leader string, moved <-chan struct{}) {
+func (c *Client) knownLeader() (leader string, moved <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.leader, c.moved
+	return c.leader, c.leaderChanged
 }
 
-func (c *Client) at(ctx context.Context, address string) (pb.DRPCControlClient, error) {
+func (c *Client) clientAt(ctx context.Context, address string) (pb.DRPCControlClient, error) {
 	if address == "" {
 		return nil, trace.BadParameter("no address of a control instance is known")
 	}
@@ -151,8 +153,9 @@
 	return pb.NewDRPCControlClient(conn), nil
 }
 
-// target gives the leader, or the next address in turn.
-func (c *Client) target() string {
+// targetAddress returns the leader's address or, when the leader is unknown, the
+// next address in turn.
+func (c *Client) targetAddress() string {
 	addresses := c.addresses()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -162,25 +165,25 @@
 	if len(addresses) == 0 {
 		return ""
 	}
-	if c.next == 0 {
-		c.next = 1 + c.random.IntN(len(addresses))
+	if c.addressIndex == 0 {
+		c.addressIndex = 1 + c.random.IntN(len(addresses))
 	}
-	c.next++
-	return addresses[c.next%len(addresses)]
+	c.addressIndex++
+	return addresses[c.addressIndex%len(addresses)]
 }
 
 func (c *Client) setLeader(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if address != "" && address != c.leader {
-		close(c.moved)
-		c.moved = make(chan struct{})
+		close(c.leaderChanged)
+		c.leaderChanged = make(chan struct{})
 	}
 	c.leader = address
 }
 
-// loseLeader forgets the leader if it is the one at address.
-func (c *Client) loseLeader(address string) {
+// forgetLeader forgets the leader if it is the one at address.
+func (c *Client) forgetLeader(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.leader == address {
@@ -188,7 +191,8 @@
 	}
 }
 
-// sleep waits for a random part of about backoff; false when ctx ended.
+// sleep waits for a random time between half and one and a half times backoff.
+// It returns false when ctx ended.
 func (c *Client) sleep(ctx context.Context, backoff time.Duration) bool {
 	c.mu.Lock()
 	wait := backoff/2 + time.Duration(c.random.Int64N(int64(backoff)))
--- a/internal/control/client_calls.go
+++ b/internal/control/client_calls.go
@@ -9,11 +9,11 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// RenewLease asks the leader for a lease. A reply that isn't granted has a
+// RenewLease asks the leader for a lease. A reply without a granted lease has a
 // final refusal, or none when the caller should try again or has left.
 func (c *Client) RenewLease(ctx context.Context, r *pb.RenewLeaseRequest) (*pb.RenewLeaseReply, error) {
 	var reply *pb.RenewLeaseReply
-	err := c.follow(ctx, renewTimeout, func(ctx context.Context, at pb.DRPCControlClient) (string, error) {
+	err := c.callLeader(ctx, renewTimeout, func(ctx context.Context, at pb.DRPCControlClient) (string, error) {
 		var err error
 		reply, err = at.RenewLease(ctx, r)
 		if err != nil {
@@ -30,12 +30,12 @@
 	return reply, err
 }
 
-// Change commits a change of settings. On an error the change may or may not
-// be accepted; sending it again with the same change ID tells.
+// Change commits a change of settings. After an error the change may or may not
+// have been accepted; a repeat with the same change ID returns the result.
 func (c *Client) Change(ctx context.Context, r *pb.ChangeRequest) (*pb.ChangeReply, error) {
 	var reply *pb.ChangeReply
 	timeout := commandTimeout + time.Duration(r.GetWaitInForceMs())*time.Millisecond
-	err := c.follow(ctx, timeout, func(ctx context.Context, at pb.DRPCControlClient) (string, error) {
+	err := c.callLeader(ctx, timeout, func(ctx context.Context, at pb.DRPCControlClient) (string, error) {
 		var err error
 		reply, err = at.Change(ctx, r)
 		return reply.GetLeaderAddress(), err
@@ -43,10 +43,10 @@
 	return reply, err
 }
 
-// GetSettings reads settings as of now.
+// GetSettings reads the current settings from the leader.
 func (c *Client) GetSettings(ctx context.Context, r *pb.GetSettingsRequest) (*pb.GetSettingsReply, error) {
 	var reply *pb.GetSettingsReply
-	err := c.follow(ctx, attemptTimeout, func(ctx context.Context, at pb.DRPCControlClient) (string, error) {
+	err := c.callLeader(ctx, attemptTimeout, func(ctx context.Context, at pb.DRPCControlClient) (string, error) {
 		var err error
 		reply, err = at.GetSettings(ctx, r)
 		return reply.GetLeaderAddress(), err
@@ -57,7 +57,7 @@
 // ChangeMember adds or removes a member of the group.
 func (c *Client) ChangeMember(ctx context.Context, r *pb.ChangeMemberRequest) (*pb.ChangeMemberReply, error) {
 	var reply *pb.ChangeMemberReply
-	err := c.follow(ctx, memberTimeout, func(ctx context.Context, at pb.DRPCControlClient) (string, error) {
+	err := c.callLeader(ctx, changeMemberTimeout, func(ctx context.Context, at pb.DRPCControlClient) (string, error) {
 		var err error
 		reply, err = at.ChangeMember(ctx, r)
 		return reply.GetLeaderAddress(), err
@@ -65,13 +65,13 @@
 	return reply, err
 }
 
-// memberTimeout allows for a learner that catches up first.
-const memberTimeout = time.Minute
+// changeMemberTimeout leaves time for a learner to catch up first.
+const changeMemberTimeout = time.Minute
 
-// Drain makes an instance drain.
+// Drain marks an instance as draining.
 func (c *Client) Drain(ctx context.Context, r *pb.DrainRequest) (*pb.DrainReply, error) {
 	var reply *pb.DrainReply
-	err := c.follow(ctx, commandTimeout, func(ctx context.Context, at pb.DRPCControlClient) (string, error) {
+	err := c.callLeader(ctx, commandTimeout, func(ctx context.Context, at pb.DRPCControlClient) (string, error) {
 		var err error
 		reply, err = at.Drain(ctx, r)
 		return reply.GetLeaderAddress(), err
@@ -82,7 +82,7 @@
 // Order gets a fencing token for an order.
 func (c *Client) Order(ctx context.Context, o *pb.IssueOrder) (*pb.OrderReply, error) {
 	var reply *pb.OrderReply
-	err := c.follow(ctx, commandTimeout, func(ctx context.Context, at pb.DRPCControlClient) (string, error) {
+	err := c.callLeader(ctx, commandTimeout, func(ctx context.Context, at pb.DRPCControlClient) (string, error) {
 		var err error
 		reply, err = at.Order(ctx, o)
 		return reply.GetLeaderAddress(), err
@@ -90,7 +90,7 @@
 	return reply, err
 }
 
-// Crash reports an endpoint's death.
+// Crash reports the crash of an endpoint.
 func (c *Client) Crash(ctx context.Context, r *pb.ReportCrash) (*pb.ReportReply, error) {
 	return c.report(ctx, func(ctx context.Context, at pb.DRPCControlClient) (*pb.ReportReply, error) {
 		return at.Crash(ctx, r)
@@ -108,7 +108,7 @@
 
 func (c *Client) report(ctx context.Context, send reportCall) (*pb.ReportReply, error) {
 	var reply *pb.ReportReply
-	err := c.follow(ctx, commandTimeout, func(ctx context.Context, at pb.DRPCControlClient) (string, error) {
+	err := c.callLeader(ctx, commandTimeout, func(ctx context.Context, at pb.DRPCControlClient) (string, error) {
 		var err error
 		reply, err = send(ctx, at)
 		return reply.GetLeaderAddress(), err
--- a/internal/control/client_members.go
+++ b/internal/control/client_members.go
@@ -10,67 +10,69 @@
 	"github.com/hyssopsail/hyssopsail/internal/rpc"
 )
 
-// Pull gets what follows the caller's state from one member, and goes to
-// another one when that fails. It makes one try; the caller repeats it.
+// Pull gets what follows the caller's state from one member. It makes one
+// attempt; after a failure the next Pull goes to another member.
 func (c *Client) Pull(ctx context.Context, r *pb.PullRequest) (*pb.PullReply, error) {
 	ctx, transfer := rpc.WithTransfer(ctx, attemptTimeout+time.Duration(r.GetWaitMs())*time.Millisecond)
-	address := c.pullAddress()
+	address := c.choosePullMember()
 	reply, err := c.pullAt(ctx, address, r)
 	if err = transfer.End(ctx, err); err != nil {
-		c.leaveReader(address)
+		c.switchPullMember(address)
 		return nil, trace.Wrap(err, "pull at %s", address)
 	}
 	return reply, nil
 }
 
 func (c *Client) pullAt(ctx context.Context, address string, r *pb.PullRequest) (*pb.PullReply, error) {
-	client, err := c.at(ctx, address)
+	client, err := c.clientAt(ctx, address)
 	if err != nil {
 		return nil, err
 	}
 	return client.Pull(ctx, r)
 }
 
-// Elsewhere makes the next Pull go to another member, because this one lags:
-// to the leader when it is known, since any other one may lag too.
+// Elsewhere makes the next Pull go to another member, because the current one
+// lags: to the leader if it is known, since any other member may lag too.
 func (c *Client) Elsewhere() {
 	c.mu.Lock()
-	address := c.reader
+	address := c.pullMember
 	if c.leader != "" && c.leader != address {
-		c.reader = c.leader
+		c.pullMember = c.leader
 	}
 	c.mu.Unlock()
-	c.leaveReader(address)
+	c.switchPullMember(address)
 }
 
-func (c *Client) pullAddress() string {
+func (c *Client) choosePullMember() string {
 	addresses := c.addresses()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.reader == "" && len(addresses) > 0 {
-		c.reader = addresses[c.random.IntN(len(addresses))]
+	if c.pullMember == "" && len(addresses) > 0 {
+		c.pullMember = addresses[c.random.IntN(len(addresses))]
 	}
-	return c.reader
+	return c.pullMember
 }
 
-// leaveReader takes the address after the one that failed.
-func (c *Client) leaveReader(address string) {
+// switchPullMember chooses the address after the given one, if pulls still go
+// there.
+func (c *Client) switchPullMember(address string) {
 	addresses := c.addresses()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.reader != address {
+	if c.pullMember != address {
 		return
 	}
-	c.reader = ""
+	c.pullMember = ""
 	for n, a := range addresses {
 		if a == address {
-			c.reader = addresses[(n+1)%len(addresses)]
+			c.pullMember = addresses[(n+1)%len(addresses)]
 		}
 	}
 }
 
-// Status asks the member at address; empty: the leader if it is known, or any
-// other one that answers. Whoever answers is not taken for the leader.
+// Status returns the status of the member at address; if address is empty, of
+// the leader if known, or of any other member that answers. The member that
+// answers is not recorded as the leader.
 func (c *Client) Status(ctx context.Context, address string) (*pb.StatusReply, error) {
 	if address != "" {
 		return c.statusAt(ctx, address)
@@ -83,22 +85,22 @@
 		}
 		last = err
 	}
-	return nil, givenUp(ctx, last)
+	return nil, noAnswerError(ctx, last)
 }
 
 func (c *Client) tryStatus(ctx context.Context) (*pb.StatusReply, error) {
-	address := c.target()
+	address := c.targetAddress()
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	reply, err := c.statusAt(ctx, address)
 	if err != nil {
-		c.loseLeader(address)
+		c.forgetLeader(address)
 	}
 	return reply, err
 }
 
 func (c *Client) statusAt(ctx context.Context, address string) (*pb.StatusReply, error) {
-	client, err := c.at(ctx, address)
+	client, err := c.clientAt(ctx, address)
 	if err != nil {
 		return nil, err
 	}
@@ -106,9 +108,9 @@
 	return reply, trace.Wrap(err)
 }
 
-// Init starts a fleet through the member at address. It makes one try.
+// Init starts a fleet through the member at address. It makes one attempt.
 func (c *Client) Init(ctx context.Context, address string, r *pb.InitRequest) (*pb.InitReply, error) {
-	client, err := c.at(ctx, address)
+	client, err := c.clientAt(ctx, address)
 	if err != nil {
 		return nil, err
 	}
@@ -116,9 +118,9 @@
 	return reply, trace.Wrap(err)
 }
 
-// DiskIdentity asks the instance at address for its disk's identity.
+// DiskIdentity returns the disk identity of the instance at address.
 func (c *Client) DiskIdentity(ctx context.Context, address string) (*pb.Member, error) {
-	client, err := c.at(ctx, address)
+	client, err := c.clientAt(ctx, address)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/control/fakegroup_test.go
+++ b/internal/control/fakegroup_test.go
@@ -12,27 +12,27 @@
 	"github.com/hyssopsail/hyssopsail/internal/testkit"
 )
 
-// cluster is a control group in memory: one shared log, and members that
-// apply it unless they are cut off. Leadership moves when a test says so.
+// cluster is a control group in memory: one shared log, and members that apply it
+// unless they are partitioned. Only a test changes the leader.
 type cluster struct {
 	mu       sync.Mutex
 	members  []*fakeMember
 	leader   int // -1: none
 	term     uint64
 	commands [][]byte
-	// loseReply makes the next proposal commit and its leader die before it
+	// failNextReply makes the next proposal commit and the leader change before it
 	// answers.
-	loseReply bool
-	net       *testkit.Network
+	failNextReply bool
+	net           *testkit.Network
 }
 
 type fakeMember struct {
-	cluster *cluster
-	number  int
-	cut     bool // from the other members
-	applied int
-	machine *Machine
-	server  *Server
+	cluster     *cluster
+	number      int
+	partitioned bool // from the other members
+	applied     int
+	machine     *Machine
+	server      *Server
 }
 
 var _ replica.Group = (*fakeMember)(nil)
@@ -43,7 +43,7 @@
 		m := &fakeMember{cluster: c, number: n, machine: NewMachine(testOptions())}
 		m.server = NewServer(ServerOptions{Group: m, Machine: m.machine, Self: m.instance(), Dialer: c.net.Dialer(m.address())})
 		c.members = append(c.members, m)
-		serve(c.net, m.address(), m.server)
+		serveControl(c.net, m.address(), m.server)
 	}
 	return c
 }
@@ -70,22 +70,22 @@
 	defer c.mu.Unlock()
 	c.leader = number
 	c.term++
-	c.catchUp()
+	c.applyCommitted()
 }
 
-func (c *cluster) setCut(number int, cut bool) {
+func (c *cluster) setPartitioned(number int, partitioned bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.members[number].cut = cut
-	c.catchUp()
+	c.members[number].partitioned = partitioned
+	c.applyCommitted()
 }
 
-// catchUp applies the log at all members that are not cut off. It gives the
-// leader's last result.
-func (c *cluster) catchUp() []byte {
+// applyCommitted applies the log at all members that are not partitioned. It
+// returns the leader's last result.
+func (c *cluster) applyCommitted() []byte {
 	var last []byte
 	for _, m := range c.members {
-		for !m.cut && m.applied < len(c.commands) {
+		for !m.partitioned && m.applied < len(c.commands) {
 			result := m.machine.Apply(uint64(m.applied+1), c.commands[m.applied])
 			m.applied++
 			if m.number == c.leader {
@@ -112,13 +112,13 @@
 	if c.leader != m.number {
 		return replica.Applied{}, replica.ErrNotLeader
 	}
-	if m.cut {
+	if m.partitioned {
 		return replica.Applied{}, replica.ErrUncertain
 	}
 	c.commands = append(c.commands, command)
-	result := c.catchUp()
-	if c.loseReply {
-		c.loseReply = false
+	result := c.applyCommitted()
+	if c.failNextReply {
+		c.failNextReply = false
 		c.leader = (c.leader + 1) % len(c.members)
 		c.term++
 		return replica.Applied{}, replica.ErrUncertain
@@ -131,7 +131,7 @@
 	c := m.cluster
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.leader != m.number || m.cut {
+	if c.leader != m.number || m.partitioned {
 		return replica.ErrNotLeader
 	}
 	return nil
@@ -142,8 +142,8 @@
 	return &pb.Membership{Members: []*pb.Member{member}}, nil
 }
 
-// Status implements replica.Group. A member that is cut off still takes
-// itself for what it was.
+// Status implements replica.Group. A partitioned member still reports its former
+// role.
 func (m *fakeMember) Status() replica.Status {
 	c := m.cluster
 	c.mu.Lock()
--- a/internal/control/fuzz_test.go
+++ b/internal/control/fuzz_test.go
@@ -16,7 +16,7 @@
 	bodies := []*pb.Command{
 		{Body: &pb.Command_JoinInstance{JoinInstance: &pb.JoinInstance{Instance: instance}}},
 		{Body: &pb.Command_ExpireInstance{ExpireInstance: &pb.ExpireInstance{Id: "e0", Incarnation: 1}}},
-		{Body: &pb.Command_IssueOrder{IssueOrder: load("o", "x")}},
+		{Body: &pb.Command_IssueOrder{IssueOrder: loadOrder("o", "x")}},
 		{Body: &pb.Command_ReportCrash{ReportCrash: &pb.ReportCrash{EndpointId: "x", Fingerprints: [][]byte{make([]byte, 16)}}}},
 		{Body: &pb.Command_ChangeSubtree{ChangeSubtree: &pb.ChangeSubtree{Name: "teams/x", ChangeId: "c", Yaml: teamYAML("x", "howrah")}}},
 	}
@@ -27,11 +27,11 @@
 	}
 }
 
-// FuzzApply: no command, however malformed, may panic; its result is always
-// decodable and equal on a replica restored from a snapshot.
+// FuzzApply checks that no command, however malformed, panics, and that its
+// result is decodable and equal on two replicas restored from one snapshot.
 func FuzzApply(f *testing.F) {
 	seedCommands(f)
-	base := grown(f, 4)
+	base := fleetWithEntries(f, 4)
 	snapshot, err := base.machine.Snapshot()
 	assert.NilError(f, err)
 	f.Fuzz(func(t *testing.T, command []byte) {
@@ -50,9 +50,9 @@
 	})
 }
 
-// FuzzRestore: arbitrary bytes are an error or a state that works on.
+// FuzzRestore checks that arbitrary bytes give an error or a usable state.
 func FuzzRestore(f *testing.F) {
-	base := grown(f, 4)
+	base := fleetWithEntries(f, 4)
 	encoded, err := proto.Marshal(base.machine.machineState())
 	assert.NilError(f, err)
 	f.Add(encoded)
--- a/internal/control/groups.go
+++ b/internal/control/groups.go
@@ -13,13 +13,13 @@
 	return fleet.LedgerShard{ZoneClass: g.ZoneClass, Shard: g.Shard}
 }
 
-// repairGroups follows a change of the view.
+// repairGroups updates the replica sets after a change of the view.
 func (m *Machine) repairGroups() {
-	planner := m.planner()
+	planner := m.newGroupPlanner()
 	for _, shard := range m.sortedShards() {
 		next, changed := planner.repair(m.groups[shard])
 		if changed {
-			m.putGroup(next)
+			m.setGroup(next)
 		}
 	}
 }
@@ -38,15 +38,15 @@
 	return shards
 }
 
-func (m *Machine) putGroup(g *pb.LedgerGroup) {
+func (m *Machine) setGroup(g *pb.LedgerGroup) {
 	m.groups[shardOf(g)] = g
-	m.noteGroup(g)
+	m.addGroupToDelta(g)
 }
 
-// noteGroup puts the group into the delta once, with its last form.
-func (m *Machine) noteGroup(g *pb.LedgerGroup) {
-	for n, noted := range m.delta.LedgerGroups {
-		if shardOf(noted) == shardOf(g) {
+// addGroupToDelta puts the group into the delta, in place of an earlier form.
+func (m *Machine) addGroupToDelta(g *pb.LedgerGroup) {
+	for n, added := range m.delta.LedgerGroups {
+		if shardOf(added) == shardOf(g) {
 			m.delta.LedgerGroups[n] = g
 			return
 		}
@@ -54,33 +54,33 @@
 	m.delta.LedgerGroups = append(m.delta.LedgerGroups, g)
 }
 
-// applyReady marks a replica that has copied its shards. A report for another
-// epoch than the current one is dropped: that copy may lack what was decided
-// since.
-func (m *Machine) applyReady(l *pb.LedgerReady) string {
+// applyLedgerReady marks a replica that has copied its shards as ready. A report
+// for an epoch other than the current one is ignored: that copy may lack records
+// decided since.
+func (m *Machine) applyLedgerReady(l *pb.LedgerReady) string {
 	live := m.instances[l.GetInstanceId()]
 	if live == nil || live.Incarnation != l.GetIncarnation() {
 		return refusalUnknown
 	}
-	planner := m.planner()
+	planner := m.newGroupPlanner()
 	for _, s := range l.GetShards() {
 		g := m.groups[fleet.LedgerShard{ZoneClass: s.GetZoneClass(), Shard: s.GetShard()}]
 		if g == nil || g.Epoch != s.GetEpoch() {
 			continue
 		}
-		next, changed := withReady(g, live)
+		next, changed := markReplicaReady(g, live)
 		if !changed {
 			continue
 		}
 		if repaired, again := planner.repair(next); again {
 			next = repaired
 		}
-		m.putGroup(next)
+		m.setGroup(next)
 	}
 	return ""
 }
 
-func withReady(g *pb.LedgerGroup, i *pb.InstanceRecord) (next *pb.LedgerGroup, changed bool) {
+func markReplicaReady(g *pb.LedgerGroup, i *pb.InstanceRecord) (next *pb.LedgerGroup, changed bool) {
 	next = proto.Clone(g).(*pb.LedgerGroup)
 	for _, r := range next.Replicas {
 		if r.InstanceId == i.Id && r.Incarnation == i.Incarnation && !r.Ready {
@@ -88,6 +88,6 @@
 			changed = true
 		}
 	}
-	next.Complete = next.Complete && len(ready(next.Replicas)) <= completeLimit
+	next.Complete = next.Complete && len(readyReplicas(next.Replicas)) <= maxCompleteReplicas
 	return next, changed
 }
--- a/internal/control/leases.go
+++ b/internal/control/leases.go
@@ -7,192 +7,194 @@
 	"github.com/hyssopsail/hyssopsail/internal/fleet"
 )
 
-// leases are the leader's volatile lease times. They are not replicated: a
-// new leader gives everyone a full lease from the start of its leadership,
-// which ends later than any lease that an earlier leader gave.
-type leases struct {
-	mu       sync.Mutex
-	leading  bool
-	term     uint64
-	lastTick time.Time
-	lease    time.Duration
-	longer   time.Duration // an earlier, longer lease that may still be held
-	longerBy time.Time     // until then
-	rows     map[fleet.InstanceID]*leaseRow
-}
-
-type leaseRow struct {
-	owner     fleet.Owner
-	renewed   time.Time
-	until     time.Time
-	applied   uint64
-	condemned bool // its end is proposed: no renewal any more
-	proposing bool
-}
-
-func newLeases() *leases {
-	return &leases{rows: make(map[fleet.InstanceID]*leaseRow)}
-}
-
-// frozenPart of a lease without a tick means that this process stood still.
-const frozenPart = 4
-
-// tick follows leadership and the view, and gives the owners whose lease has
-// ended.
+// leaseTable holds the leader's lease times. They are not replicated: a new
+// leader grants every instance a full lease from the start of its leadership,
+// which ends later than any lease that an earlier leader granted. It is safe for
+// concurrent use.
+type leaseTable struct {
+	mu               sync.Mutex
+	leading          bool
+	term             uint64
+	lastTick         time.Time
+	lease            time.Duration
+	previousLease    time.Duration // earlier, longer lease that may still be held
+	previousLeaseEnd time.Time     // previousLease is not held after this time
+	byInstance       map[fleet.InstanceID]*leaseState
+}
+
+type leaseState struct {
+	owner           fleet.Owner
+	renewedAt       time.Time
+	expiresAt       time.Time
+	appliedIndex    uint64
+	expiring        bool // expiry is being proposed: no more renewals
+	proposalPending bool
+}
+
+func newLeaseTable() *leaseTable {
+	return &leaseTable{byInstance: make(map[fleet.InstanceID]*leaseState)}
+}
+
+// suspendedGapDivisor sets the gap between ticks, lease / suspendedGapDivisor, above
+// which this process is taken to have been suspended.
+const suspendedGapDivisor = 4
+
+// tick updates the table for the current term and view, and returns the owners
+// whose lease has ended.
 //
-// Failures guarded: a new leader knows no renewals, and a leader that was
-// frozen has missed them; either would expire healthy instances. Both are
-// told by a new term, or by a long gap between ticks, and wait a full lease.
-func (l *leases) tick(now time.Time, term uint64, lease time.Duration, live []fleet.Owner) []fleet.Owner {
+// A new leader knows no renewals, and a leader whose process was suspended has
+// missed some; either could expire healthy instances. A new term or a long gap
+// between ticks shows these cases, and every instance then gets a full lease.
+func (l *leaseTable) tick(now time.Time, term uint64, lease time.Duration, live []fleet.Owner) []fleet.Owner {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.setLease(now, lease)
-	fresh := !l.leading || l.term != term
-	if fresh {
-		l.rows = make(map[fleet.InstanceID]*leaseRow)
+	newTerm := !l.leading || l.term != term
+	if newTerm {
+		l.byInstance = make(map[fleet.InstanceID]*leaseState)
 	}
-	frozen := now.Sub(l.lastTick) > lease/frozenPart
+	suspended := now.Sub(l.lastTick) > lease/suspendedGapDivisor
 	l.leading, l.term, l.lastTick = true, term, now
-	l.followView(now, live)
-	if frozen {
+	l.syncView(now, live)
+	if suspended {
 		l.extendAll(now)
 	}
-	return l.ended(now)
+	return l.expired(now)
 }
 
-func (l *leases) setLease(now time.Time, lease time.Duration) {
+func (l *leaseTable) setLease(now time.Time, lease time.Duration) {
 	if lease < l.lease {
-		l.longer = l.lease
-		l.longerBy = now.Add(l.lease)
+		l.previousLease = l.lease
+		l.previousLeaseEnd = now.Add(l.lease)
 	}
 	l.lease = lease
 }
 
-// full is the longest lease that anyone may hold.
-func (l *leases) full(now time.Time) time.Duration {
-	if now.Before(l.longerBy) {
-		return max(l.lease, l.longer)
+// maxLease returns the longest lease that any instance may hold.
+func (l *leaseTable) maxLease(now time.Time) time.Duration {
+	if now.Before(l.previousLeaseEnd) {
+		return max(l.lease, l.previousLease)
 	}
 	return l.lease
 }
 
-func (l *leases) followView(now time.Time, live []fleet.Owner) {
+func (l *leaseTable) syncView(now time.Time, live []fleet.Owner) {
 	seen := make(map[fleet.InstanceID]bool, len(live))
 	for _, o := range live {
 		seen[o.Instance] = true
-		row := l.rows[o.Instance]
-		if row == nil || row.owner != o {
-			l.rows[o.Instance] = &leaseRow{owner: o, renewed: now, until: now.Add(l.full(now))}
+		state := l.byInstance[o.Instance]
+		if state == nil || state.owner != o {
+			l.byInstance[o.Instance] = &leaseState{owner: o, renewedAt: now, expiresAt: now.Add(l.maxLease(now))}
 		}
 	}
-	for id := range l.rows {
+	for id := range l.byInstance {
 		if !seen[id] {
-			delete(l.rows, id)
+			delete(l.byInstance, id)
 		}
 	}
 }
 
-func (l *leases) extendAll(now time.Time) {
-	for _, row := range l.rows {
-		row.until = later(row.until, now.Add(l.full(now)))
+func (l *leaseTable) extendAll(now time.Time) {
+	for _, state := range l.byInstance {
+		state.expiresAt = later(state.expiresAt, now.Add(l.maxLease(now)))
 	}
 }
 
-func (l *leases) ended(now time.Time) []fleet.Owner {
+func (l *leaseTable) expired(now time.Time) []fleet.Owner {
 	var ended []fleet.Owner
-	for _, row := range l.rows {
-		if now.Before(row.until) && !row.condemned {
+	for _, state := range l.byInstance {
+		if now.Before(state.expiresAt) && !state.expiring {
 			continue
 		}
-		if row.proposing {
+		if state.proposalPending {
 			continue
 		}
-		ended = append(ended, row.owner)
+		ended = append(ended, state.owner)
 	}
 	return ended
 }
 
-// condemn stops renewals of o, whose end is about to be proposed. It fails
-// when o has renewed since.
+// beginExpiry stops renewals of o, whose expiry is about to be proposed. It
+// returns false when o has renewed meanwhile or a proposal is pending.
 //
-// Failure guarded: a renewal granted while the expiry is on its way to the
-// log would leave a process that believes in its lease and a view without it.
-func (l *leases) condemn(o fleet.Owner, now time.Time) bool {
+// A renewal granted between the proposal of the expiry and its commit would
+// leave a process that holds a lease but is missing from the view.
+func (l *leaseTable) beginExpiry(o fleet.Owner, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	row := l.rows[o.Instance]
-	if row == nil || row.owner != o || row.proposing {
+	state := l.byInstance[o.Instance]
+	if state == nil || state.owner != o || state.proposalPending {
 		return false
 	}
-	if now.Before(row.until) && !row.condemned {
+	if now.Before(state.expiresAt) && !state.expiring {
 		return false
 	}
-	row.condemned, row.proposing = true, true
+	state.expiring, state.proposalPending = true, true
 	return true
 }
 
-// proposed tells that the proposal of o's end has returned.
-func (l *leases) proposed(o fleet.Owner) {
+// expiryProposalDone records that the proposal of o's expiry has returned.
+func (l *leaseTable) expiryProposalDone(o fleet.Owner) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if row := l.rows[o.Instance]; row != nil && row.owner == o {
-		row.proposing = false
+	if state := l.byInstance[o.Instance]; state != nil && state.owner == o {
+		state.proposalPending = false
 	}
 }
 
-// renew grants o a lease from now. It fails when leadership has changed since
-// term, or o is condemned.
-func (l *leases) renew(o fleet.Owner, term uint64, applied uint64, now time.Time) (lease time.Duration, ok bool) {
+// renew grants o a lease from now. It returns false when the leadership has
+// changed since term, or o is being expired.
+func (l *leaseTable) renew(o fleet.Owner, term uint64, applied uint64, now time.Time) (lease time.Duration, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.leading || l.term != term {
 		return 0, false
 	}
-	row := l.rows[o.Instance]
-	if row == nil || row.owner != o {
-		row = &leaseRow{owner: o}
-		l.rows[o.Instance] = row
+	state := l.byInstance[o.Instance]
+	if state == nil || state.owner != o {
+		state = &leaseState{owner: o}
+		l.byInstance[o.Instance] = state
 	}
-	if row.condemned {
+	if state.expiring {
 		return 0, false
 	}
-	row.renewed = now
-	row.until = later(row.until, now.Add(l.lease))
-	row.applied = max(row.applied, applied)
+	state.renewedAt = now
+	state.expiresAt = later(state.expiresAt, now.Add(l.lease))
+	state.appliedIndex = max(state.appliedIndex, applied)
 	return l.lease, true
 }
 
-// resign forgets all times: this is not the leader.
-func (l *leases) resign() {
+// stepDown clears the table, because this member is not the leader.
+func (l *leaseTable) stepDown() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.leading = false
-	l.rows = make(map[fleet.InstanceID]*leaseRow)
+	l.byInstance = make(map[fleet.InstanceID]*leaseState)
 }
 
-// behind lists those of owners that have not reported index as applied.
-func (l *leases) behind(index uint64, owners []fleet.Owner) []fleet.Owner {
+// notApplied returns those of owners that have not reported index as applied.
+func (l *leaseTable) notApplied(index uint64, owners []fleet.Owner) []fleet.Owner {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var behind []fleet.Owner
+	var pending []fleet.Owner
 	for _, o := range owners {
-		row := l.rows[o.Instance]
-		if row == nil || row.owner != o || row.applied < index {
-			behind = append(behind, o)
+		state := l.byInstance[o.Instance]
+		if state == nil || state.owner != o || state.appliedIndex < index {
+			pending = append(pending, o)
 		}
 	}
-	return behind
+	return pending
 }
 
-// report gives an instance's last renewal and applied index.
-func (l *leases) report(id fleet.InstanceID) (renewed time.Time, applied uint64, ok bool) {
+// status returns an instance's last renewal and applied index.
+func (l *leaseTable) status(id fleet.InstanceID) (renewed time.Time, applied uint64, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	row := l.rows[id]
-	if row == nil {
+	state := l.byInstance[id]
+	if state == nil {
 		return time.Time{}, 0, false
 	}
-	return row.renewed, row.applied, true
+	return state.renewedAt, state.appliedIndex, true
 }
 
 func later(a, b time.Time) time.Time {
--- a/internal/control/losthistory.go
+++ b/internal/control/losthistory.go
@@ -6,18 +6,17 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// lostHistoryMargin is added to the record life for which a lost history
-// counts, in ms: two leaders' clocks may differ by as much.
-const lostHistoryMargin = 10_000
+// lostHistoryMarginMs is added to the record life for which the mark of a lost
+// history stays, because two leaders' clocks may differ by as much.
+const lostHistoryMarginMs = 10_000
 
-// endLostHistory clears the mark of groups whose lost records have outlived
-// their life.
+// clearExpiredLostHistory clears the lost-history mark of groups whose lost
+// records would have expired by now.
 //
-// Failure guarded: were each entry to compare the time of the loss with its
-// own wall clock, one with a clock ahead would take lost records for absent
-// ones, and run a call a second time. So the state ends the mark, by the
-// clocks of the control group alone.
-func (m *Machine) endLostHistory() {
+// The state clears the mark, by the control group's clocks alone. If each entry
+// compared the time of the loss with its own wall clock, an entry whose clock is
+// ahead would take lost records for absent ones and run a call a second time.
+func (m *Machine) clearExpiredLostHistory() {
 	if !m.anyLostHistory() {
 		return
 	}
@@ -26,12 +25,12 @@
 		if g.HistoryLostUnixMs == 0 {
 			continue
 		}
-		age := m.clock - g.HistoryLostUnixMs
-		switch life := m.recordLife() + lostHistoryMargin; {
+		age := m.clockUnixMs - g.HistoryLostUnixMs
+		switch life := m.recordLifeMs() + lostHistoryMarginMs; {
 		case age < -life:
-			m.putGroup(withLostHistory(g, m.clock)) // lost by a clock far ahead
+			m.setGroup(withLostHistory(g, m.clockUnixMs)) // marked under a clock far ahead
 		case age > life:
-			m.putGroup(withLostHistory(g, 0))
+			m.setGroup(withLostHistory(g, 0))
 		}
 	}
 }
@@ -45,9 +44,9 @@
 	return false
 }
 
-func (m *Machine) lostHistoryDue(clock int64) bool {
+func (m *Machine) lostHistoryExpired(clock int64) bool {
 	for _, g := range m.groups {
-		if g.HistoryLostUnixMs != 0 && clock-g.HistoryLostUnixMs > m.recordLife()+lostHistoryMargin {
+		if g.HistoryLostUnixMs != 0 && clock-g.HistoryLostUnixMs > m.recordLifeMs()+lostHistoryMarginMs {
 			return true
 		}
 	}
--- a/internal/control/machine.go
+++ b/internal/control/machine.go
@@ -11,39 +11,39 @@
 	"github.com/hyssopsail/hyssopsail/internal/settings"
 )
 
-// Machine is the replicated state. Apply and Restore come from one goroutine,
-// in log order; all reads may come from any goroutine. Records that it hands
-// out are shared and must not be changed.
+// Machine is the replicated state. Apply and Restore must be called from one
+// goroutine, in log order; the reading methods may be called from any goroutine.
+// Returned records are shared and must not be modified.
 type Machine struct {
 	check CheckFunc
 	build BuildFunc
 
-	mu         sync.RWMutex
-	applied    uint64 // last applied index
-	effect     uint64 // index of the last delta
-	clock      int64  // the last proposer's clock, unix ms
-	viewNumber uint64
-	tree       *settings.Tree
-	current    map[string]*pb.SubtreeDocument
-	treeBytes  int
-	history    *history
-	answers    *answers
-	instances  map[string]*pb.InstanceRecord
-	seen       *incarnations
-	classes    *classes
-	former     *former
-	groups     map[fleet.LedgerShard]*pb.LedgerGroup
-	epochFloor uint64
-	orders     *orders
-	suspects   *suspects
-	recent     *deltaRing
-	delta      *pb.Delta // effect of the command being applied
-	changed    chan struct{}
+	mu               sync.RWMutex
+	appliedIndex     uint64
+	effectIndex      uint64 // index of the last delta
+	clockUnixMs      int64  // the last proposer's clock
+	viewNumber       uint64
+	tree             *settings.Tree
+	documents        map[string]*pb.SubtreeDocument
+	treeBytes        int
+	history          *subtreeHistory
+	changeResults    *changeResults
+	instances        map[string]*pb.InstanceRecord
+	seenIncarnations *incarnations
+	zoneClasses      *zoneClasses
+	formerClasses    *formerClasses
+	groups           map[fleet.LedgerShard]*pb.LedgerGroup
+	epochFloor       uint64
+	orders           *orders
+	suspects         *suspects
+	recentDeltas     *deltaRing
+	delta            *pb.Delta // effect of the command being applied
+	changed          chan struct{}
 }
 
 var _ replica.StateMachine = (*Machine)(nil)
 
-// NewMachine makes an empty state.
+// NewMachine returns an empty state.
 func NewMachine(o MachineOptions) *Machine {
 	m := &Machine{check: o.Check, build: o.Build, changed: make(chan struct{})}
 	m.reset()
@@ -51,40 +51,40 @@
 }
 
 func (m *Machine) reset() {
-	m.applied, m.effect, m.clock, m.viewNumber = 0, 0, 0, 0
+	m.appliedIndex, m.effectIndex, m.clockUnixMs, m.viewNumber = 0, 0, 0, 0
 	m.tree = settings.EmptyTree()
-	m.current = make(map[string]*pb.SubtreeDocument)
+	m.documents = make(map[string]*pb.SubtreeDocument)
 	m.treeBytes = 0
-	m.history = newHistory()
-	m.answers = newAnswers()
+	m.history = newSubtreeHistory()
+	m.changeResults = newChangeResults()
 	m.instances = make(map[string]*pb.InstanceRecord)
-	m.seen = newIncarnations()
-	m.former = newFormer()
-	m.classes = newClasses(m.former)
+	m.seenIncarnations = newIncarnations()
+	m.formerClasses = newFormerClasses()
+	m.zoneClasses = newZoneClasses(m.formerClasses)
 	m.groups = make(map[fleet.LedgerShard]*pb.LedgerGroup)
 	m.epochFloor = 0
 	m.orders = newOrders()
 	m.suspects = newSuspects()
-	m.recent = newDeltaRing()
+	m.recentDeltas = newDeltaRing()
 	m.delta = &pb.Delta{}
 }
 
 // Apply implements replica.StateMachine. The result is an encoded
-// pb.CommandResult; a malformed command is a refusal.
+// pb.CommandResult; a malformed command gives a refusal.
 func (m *Machine) Apply(index uint64, command []byte) []byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	result := m.applyLocked(index, command)
 	encoded, err := proto.Marshal(result)
 	if err != nil {
-		// All strings were checked on the way in, so this is a broken invariant.
+		// All strings were validated before, so this is a broken invariant.
 		panic("control: result can't be encoded: " + err.Error())
 	}
 	return encoded
 }
 
 func (m *Machine) applyLocked(index uint64, command []byte) *pb.CommandResult {
-	m.applied = index
+	m.appliedIndex = index
 	var c pb.Command
 	if err := proto.Unmarshal(command, &c); err != nil {
 		return &pb.CommandResult{Refusal: refusalMalformed}
@@ -92,20 +92,20 @@
 	m.setClock(c.GetUnixMs())
 	m.delta = &pb.Delta{}
 	result := m.dispatch(index, &c)
-	m.expireOld(index)
-	m.publish(index)
+	m.expireRecords(index)
+	m.publishDelta(index)
 	return result
 }
 
-// setClock takes the proposer's clock as it is, also when it goes back.
+// setClock sets the clock to the proposer's, even if it goes back.
 //
-// Failure guarded: one leader's clock is set years ahead. Were the highest
-// clock kept, ages would stand still until the world has caught up: the weight
-// store's turns would never come. So the next leader's clock heals the state,
-// and ages that no right clock can give are cut where they are used.
+// If a leader's clock is years ahead and the highest clock were kept, no age
+// would grow until real time has caught up, and waits for the weight store would
+// never end. Instead the next leader's clock corrects the state, and ages that no
+// correct clock can give are corrected where they are used.
 func (m *Machine) setClock(unixMs int64) {
 	if unixMs > 0 {
-		m.clock = unixMs
+		m.clockUnixMs = unixMs
 	}
 }
 
@@ -124,24 +124,24 @@
 	case *pb.Command_ReportCrash:
 		return refused(m.applyCrash(index, body.ReportCrash))
 	case *pb.Command_LedgerReady:
-		return refused(m.applyReady(body.LedgerReady))
+		return refused(m.applyLedgerReady(body.LedgerReady))
 	}
 	return refused(refusalMalformed)
 }
 
-// expireOld drops records whose age, in log entries or by the proposers'
-// clock, has passed.
-func (m *Machine) expireOld(index uint64) {
-	m.answers.expire(index)
-	m.dropRetired()
-	m.endLostHistory()
-	m.former.expire(m.clock, m.formerLife())
-	m.delta.Suspects = append(m.delta.Suspects, m.suspects.expire(m.clock, m.suspectLife())...)
+// expireRecords removes records that have expired, by log entries or by the
+// proposers' clock.
+func (m *Machine) expireRecords(index uint64) {
+	m.changeResults.expire(index)
+	m.removeExpiredClasses()
+	m.clearExpiredLostHistory()
+	m.formerClasses.expire(m.clockUnixMs, m.formerClassLifeMs())
+	m.delta.Suspects = append(m.delta.Suspects, m.suspects.expire(m.clockUnixMs, m.suspectLifeMs())...)
 }
 
-func (m *Machine) publish(index uint64) {
+func (m *Machine) publishDelta(index uint64) {
 	d := m.delta
-	d.FormerClasses = m.former.take()
+	d.FormerClasses = m.formerClasses.takePendingDelta()
 	if len(d.Subtrees)+len(d.Joined)+len(d.Left)+len(d.LedgerGroups)+len(d.Suspects)+len(d.FormerClasses) == 0 {
 		return
 	}
@@ -150,12 +150,12 @@
 	}
 	d.Index = index
 	d.ViewNumber = m.viewNumber
-	m.recent.add(d, m.effect)
-	m.effect = index
-	m.wake()
+	m.recentDeltas.add(d, m.effectIndex)
+	m.effectIndex = index
+	m.notifyChanged()
 }
 
-func (m *Machine) wake() {
+func (m *Machine) notifyChanged() {
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -6,39 +6,39 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// orders keeps issued orders by ID for repeats, and the last one of each
-// endpoint, oldest first and bounded.
+// orders keeps a bounded number of issued orders: by ID, to recognise repeats,
+// and the latest one of each endpoint.
 type orders struct {
-	byID       map[string]*pb.OrderRecord
-	byEndpoint map[string]*pb.OrderRecord
-	sequence   []*pb.OrderRecord
-	slots      loadSlots
+	byID             map[string]*pb.OrderRecord
+	latestByEndpoint map[string]*pb.OrderRecord
+	oldestFirst      []*pb.OrderRecord
+	loadSlots        loadSlots
 }
 
 func newOrders() *orders {
-	return &orders{byID: make(map[string]*pb.OrderRecord), byEndpoint: make(map[string]*pb.OrderRecord)}
+	return &orders{byID: make(map[string]*pb.OrderRecord), latestByEndpoint: make(map[string]*pb.OrderRecord)}
 }
 
 func (o *orders) add(r *pb.OrderRecord) {
 	o.byID[r.GetOrder().GetOrderId()] = r
-	o.byEndpoint[r.GetOrder().GetEndpointId()] = r
-	o.sequence = append(o.sequence, r)
-	if len(o.sequence) <= maxOrders {
+	o.latestByEndpoint[r.GetOrder().GetEndpointId()] = r
+	o.oldestFirst = append(o.oldestFirst, r)
+	if len(o.oldestFirst) <= maxOrders {
 		return
 	}
-	oldest := o.sequence[0]
-	o.sequence = o.sequence[1:]
+	oldest := o.oldestFirst[0]
+	o.oldestFirst = o.oldestFirst[1:]
 	if o.byID[oldest.GetOrder().GetOrderId()] == oldest {
 		delete(o.byID, oldest.GetOrder().GetOrderId())
 	}
-	if o.byEndpoint[oldest.GetOrder().GetEndpointId()] == oldest {
-		delete(o.byEndpoint, oldest.GetOrder().GetEndpointId())
+	if o.latestByEndpoint[oldest.GetOrder().GetEndpointId()] == oldest {
+		delete(o.latestByEndpoint, oldest.GetOrder().GetEndpointId())
 	}
 }
 
-// applyOrder gives an order its fencing token: the log index, so that a later
-// order to any endpoint always has a higher one. An issuer that is no longer
-// in the view gets none.
+// applyOrder assigns an order its fencing token: the log index, so that a later
+// order to any endpoint always has a higher token. An issuer that is not in the
+// view gets none.
 func (m *Machine) applyOrder(index uint64, o *pb.IssueOrder) *pb.CommandResult {
 	if !validOrder(o) {
 		return refused(refusalMalformed)
@@ -47,21 +47,21 @@
 		if !proto.Equal(first.Order, o) {
 			return refused(refusalOrderID)
 		}
-		return &pb.CommandResult{Order: first, NewestOrder: m.orders.byEndpoint[o.EndpointId]}
+		return &pb.CommandResult{Order: first, NewestOrder: m.orders.latestByEndpoint[o.EndpointId]}
 	}
 	issuer := m.instances[o.IssuerInstance]
 	if issuer == nil || issuer.Incarnation != o.IssuerIncarnation {
 		return refused(refusalIssuer)
 	}
-	record := &pb.OrderRecord{Order: o, Token: index, IssuedUnixMs: m.clock}
-	if previous := m.orders.byEndpoint[o.EndpointId]; previous != nil {
+	record := &pb.OrderRecord{Order: o, Token: index, IssuedUnixMs: m.clockUnixMs}
+	if previous := m.orders.latestByEndpoint[o.EndpointId]; previous != nil {
 		record.PreviousToken = previous.Token
 		record.PreviousIssuer = previous.GetOrder().GetIssuerInstance()
 		record.PreviousIssuerIncarnation = previous.GetOrder().GetIssuerIncarnation()
 		record.PreviousUnixMs = previous.IssuedUnixMs
 	}
 	if o.Kind == pb.OrderKind_ORDER_KIND_LOAD {
-		delay, ok := m.orders.slots.reserve(m.clock, m.loadPlan(o))
+		delay, ok := m.orders.loadSlots.reserve(m.clockUnixMs, m.loadPlan(o))
 		if !ok {
 			return refused(refusalFull)
 		}
--- a/internal/control/server_lease.go
+++ b/internal/control/server_lease.go
@@ -12,11 +12,11 @@
 	"github.com/hyssopsail/hyssopsail/internal/replica"
 )
 
-// RenewLease implements pb.DRPCControlServer. Only the leader grants.
+// RenewLease implements pb.DRPCControlServer. Only the leader grants leases.
 //
-// Failure guarded: a leader frozen or cut off past its leadership would grant
-// leases and call old state current. The barrier comes before both: it fails
-// without a live leader lease or a quorum's answer.
+// A leader that was suspended or partitioned beyond its leadership could grant
+// leases and report stale state as current. The read barrier prevents both: it
+// fails without a valid leader lease or a quorum's answer.
 func (s *Server) RenewLease(ctx context.Context, r *pb.RenewLeaseRequest) (*pb.RenewLeaseReply, error) {
 	reply, err := s.renewLease(ctx, r)
 	if err == nil {
@@ -29,19 +29,19 @@
 	if !validInstance(r.GetInstance()) {
 		return &pb.RenewLeaseReply{Refusal: refusalMalformed}, nil
 	}
-	term, leading := s.observe()
+	term, leading := s.leadership()
 	if !leading {
-		return s.notLeading(), nil
+		return s.notLeaderReply(), nil
 	}
 	if err := s.group.ReadBarrier(ctx); err != nil {
-		return s.refuseLease(err)
+		return s.leaseRefusal(err)
 	}
 	if r.Leaving {
-		return s.leave(ctx, r.Instance)
+		return s.endLease(ctx, r.Instance)
 	}
 	refusal, err := s.ensureJoined(ctx, r.Instance)
 	if err != nil {
-		return s.refuseLease(err)
+		return s.leaseRefusal(err)
 	}
 	if refusal != "" {
 		return &pb.RenewLeaseReply{Refusal: refusal}, nil
@@ -49,7 +49,7 @@
 	owner := ownerOf(r.Instance)
 	lease, ok := s.leases.renew(owner, term, r.AppliedIndex, s.now())
 	if !ok {
-		return &pb.RenewLeaseReply{}, nil // try again: its fate is being decided
+		return &pb.RenewLeaseReply{}, nil // try again: its expiry is pending or the leadership changed
 	}
 	return &pb.RenewLeaseReply{
 		Granted:     true,
@@ -63,14 +63,14 @@
 	return fleet.Owner{Instance: fleet.InstanceID(i.Id), Incarnation: fleet.Incarnation(i.Incarnation)}
 }
 
-// ensureJoined proposes a join when the view lacks the process or holds it
-// with other fields.
+// ensureJoined proposes a join when the view lacks the process or has it with
+// other fields.
 func (s *Server) ensureJoined(ctx context.Context, i *pb.InstanceRecord) (refusal string, err error) {
 	live := s.machine.Instance(fleet.InstanceID(i.Id))
 	if live.GetIncarnation() > i.Incarnation {
 		return refusalIncarnation, nil
 	}
-	if live != nil && sameButDraining(live, i) {
+	if live != nil && sameExceptDraining(live, i) {
 		return "", nil
 	}
 	result, leader, err := s.propose(ctx, &pb.Command{Body: &pb.Command_JoinInstance{
@@ -85,41 +85,41 @@
 	return result.Refusal, nil
 }
 
-// sameButDraining takes an instance that the operators drain, but that does
-// not know yet, as unchanged.
-func sameButDraining(live, now *pb.InstanceRecord) bool {
-	if !live.Draining || now.Draining {
-		return sameInstance(live, now)
+// sameExceptDraining reports whether the instance is unchanged. An instance that
+// the operators drain, but that does not know it yet, counts as unchanged.
+func sameExceptDraining(live, updated *pb.InstanceRecord) bool {
+	if !live.Draining || updated.Draining {
+		return sameInstance(live, updated)
 	}
-	draining := proto.Clone(now).(*pb.InstanceRecord)
+	draining := proto.Clone(updated).(*pb.InstanceRecord)
 	draining.Draining = true
 	return sameInstance(live, draining)
 }
 
-// leave ends the lease of a planned stop. The reply is not granted and has no
-// refusal.
-func (s *Server) leave(ctx context.Context, i *pb.InstanceRecord) (*pb.RenewLeaseReply, error) {
+// endLease removes an instance that stops as planned. The reply grants no lease
+// and has no refusal.
+func (s *Server) endLease(ctx context.Context, i *pb.InstanceRecord) (*pb.RenewLeaseReply, error) {
 	_, leader, err := s.propose(ctx, expireCommand(ownerOf(i), "left"))
 	if err != nil {
-		return s.refuseLease(err)
+		return s.leaseRefusal(err)
 	}
 	if leader != "" {
-		return s.notLeading(), nil
+		return s.notLeaderReply(), nil
 	}
 	return &pb.RenewLeaseReply{}, nil
 }
 
-func (s *Server) refuseLease(err error) (*pb.RenewLeaseReply, error) {
+func (s *Server) leaseRefusal(err error) (*pb.RenewLeaseReply, error) {
 	switch {
 	case errors.Is(err, replica.ErrNotInitialised):
 		return &pb.RenewLeaseReply{Refusal: refusalNotInitialised}, nil
 	case errors.Is(err, replica.ErrNotLeader), errors.Is(err, errNoLeader):
-		return s.notLeading(), nil
+		return s.notLeaderReply(), nil
 	}
 	return nil, err
 }
 
-func (s *Server) notLeading() *pb.RenewLeaseReply {
+func (s *Server) notLeaderReply() *pb.RenewLeaseReply {
 	if !s.group.Status().Initialised {
 		return &pb.RenewLeaseReply{Refusal: refusalNotInitialised}
 	}
--- a/internal/control/server_status.go
+++ b/internal/control/server_status.go
@@ -7,8 +7,8 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// Status implements pb.DRPCControlServer: what this member knows, current or
-// not. Renewals are known to the leader alone.
+// Status implements pb.DRPCControlServer. It returns this member's own state,
+// which may be stale. Only the leader knows lease renewals.
 func (s *Server) Status(context.Context, *pb.StatusRequest) (*pb.StatusReply, error) {
 	status := s.group.Status()
 	view, instances := s.machine.Instances()
@@ -39,7 +39,7 @@
 
 func (s *Server) instanceStatus(i *pb.InstanceRecord) *pb.InstanceStatus {
 	status := &pb.InstanceStatus{Instance: i, LastRenewalMs: -1}
-	renewed, applied, ok := s.leases.report(fleet.InstanceID(i.Id))
+	renewed, applied, ok := s.leases.status(fleet.InstanceID(i.Id))
 	if ok {
 		status.AppliedIndex = applied
 		status.LastRenewalMs = s.now().Sub(renewed).Milliseconds()
