--- a/internal/endpoint/bench_test.go
+++ b/internal/endpoint/bench_test.go
@@ -17,8 +17,8 @@
 	"github.com/hyssopsail/hyssopsail/internal/testkit"
 )
 
-// bigFleet follows some of 1,300 homes in 10 zones, which have 12,000 endpoints
-// of 5 models; this daemon has those of the followed homes.
+// bigFleet returns a follower in a fleet of 1,300 homes in 10 zones with 12,000
+// endpoints of 5 models. It knows the endpoints of the homes that it follows.
 func bigFleet(b *testing.B) *HomeClient {
 	const daemons, endpoints, zones = 1300, 12000, 10
 	var list []fleet.Instance
@@ -35,10 +35,10 @@
 		home := list[n%daemons].Owner()
 		byHome[home] = append(byHome[home], d)
 	}
-	for _, home := range followed(list[0], view, DefaultHomes) {
-		f.peers.take(time.Now().Add(time.Hour), home.Owner(), listOf(home.Owner(), 1, byHome[home.Owner()]...))
+	for _, home := range homesToFollow(list[0], view, DefaultMaxHomes) {
+		f.homes.mergeReply(time.Now().Add(time.Hour), home.Owner(), listOf(home.Owner(), 1, byHome[home.Owner()]...))
 	}
-	f.index.Store(newIndex(f.peers.rows()))
+	f.index.Store(newIndex(f.homes.endpoints()))
 	b.Logf("%d of %d endpoints followed", len(f.index.Load().byID), endpoints)
 	return f
 }
@@ -64,47 +64,47 @@
 }
 
 func BenchmarkGrantAndRelease(b *testing.B) {
-	c := soleHome(b, 20, guards{})
+	c := homeOfOne(b, 20, testFaults{})
 	for n := range 19 {
-		c.grant(epoch, askFor(fmt.Sprint("y", n), epoch))
+		c.grant(epoch, requestFor(fmt.Sprint("y", n), epoch))
 	}
 	b.ReportAllocs()
 	for n := 0; b.Loop(); n++ {
 		id := fmt.Sprint("x", n)
-		c.grant(epoch, askFor(id, epoch))
+		c.grant(epoch, requestFor(id, epoch))
 		finish(c, epoch, id)
-		clear(c.endpoints["e1"].released)
-		c.drain()
+		clear(c.endpoints["e1"].releasedAt)
+		c.takeEffects()
 	}
 }
 
-// TestControlBytes prints how large the messages between homes and followers
-// are; docs/design/endpoints.md works out the slopes from it. The bounds keep
-// a change from making them much larger unseen.
+// TestControlBytes logs the sizes of the messages between homes and followers,
+// from which docs/design/endpoints.md computes how traffic grows. The bounds
+// keep a change from making them much larger unnoticed.
 func TestControlBytes(t *testing.T) {
 	self := instance("instance-0001", zoneNear)
-	c := coreAt(epoch, self, viewOf(1, self, instance("owner", zoneFar)), guards{})
+	c := coreAt(epoch, self, viewOf(1, self, instance("owner", zoneFar)), testFaults{})
 	for n := range 9 {
 		a := announcement(fmt.Sprintf("engine-%05d", n), 20)
-		beatCore(c, epoch, a, 1)
+		heartbeatTo(c, epoch, a, 1)
 		for m := range 12 {
-			q := askFor(fmt.Sprintf("%032d", m), epoch)
+			q := requestFor(fmt.Sprintf("%032d", m), epoch)
 			q.endpoint = a.ID
 			c.grant(epoch, q)
 		}
 	}
 	whole := c.digests(epoch, 0, 0)
-	brief := c.digests(epoch, c.statics, c.caches)
-	request := &pb.DigestRequest{Owner: self.Owner().Proto(), StaticVersion: c.statics, CacheVersion: c.caches}
+	brief := c.digests(epoch, c.staticVersion, c.cacheVersion)
+	request := &pb.DigestRequest{Owner: self.Owner().Proto(), StaticVersion: c.staticVersion, CacheVersion: c.cacheVersion}
 	grant := &pb.GrantRequest{EndpointId: "engine-00001", AttemptId: fmt.Sprintf("%032d", 1), Owner: self.Owner().Proto(),
 		Team: "sorters", Kind: "decode", PromptTokens: 1000, ExpectedTokens: 300, WaitMs: 900, Share: 1,
 		Fingerprint: make([]byte, 16), ViewNumber: 900, Model: model.String()}
 	granted := &pb.GrantReply{Status: statusGranted, EndpointIncarnation: 1, ExpiresMs: 2000, Home: self.Owner().Proto(),
-		Digests: c.one(epoch, "engine-00001")}
+		Digests: c.briefDigest(epoch, "engine-00001")}
 	for _, m := range []struct {
-		name string
-		m    proto.Message
-		most int
+		name     string
+		m        proto.Message
+		maxBytes int
 	}{
 		{"digest request", request, 40},
 		{"digest reply, 9 endpoints, whole", whole, 1200},
@@ -114,33 +114,33 @@
 	} {
 		size := proto.Size(m.m)
 		t.Logf("%s: %d bytes", m.name, size)
-		assert.Assert(t, size <= m.most, "%s has %d bytes", m.name, size)
+		assert.Assert(t, size <= m.maxBytes, "%s has %d bytes", m.name, size)
 	}
 }
 
-// BenchmarkTick is one tick of a home of nine full endpoints, each with a full
-// queue; there are 20 ticks a second.
+// BenchmarkTick measures one tick of a home of nine full endpoints, each with a
+// full queue; there are 20 ticks a second.
 func BenchmarkTick(b *testing.B) {
-	c := emptyHome(guards{})
+	c := emptyHome(testFaults{})
 	for n := range 9 {
 		a := announcement(fmt.Sprint("e", n), 20)
-		beatCore(c, epoch, a, 1)
+		heartbeatTo(c, epoch, a, 1)
 		for m := range 20 + maxQueue {
-			q := askFor(fmt.Sprint("x", m), epoch)
-			q.endpoint, q.wait, q.team = a.ID, maxWait, fleet.Team(fmt.Sprint("team", m%7))
+			q := requestFor(fmt.Sprint("x", m), epoch)
+			q.endpoint, q.maxWait, q.team = a.ID, maxWait, fleet.Team(fmt.Sprint("team", m%7))
 			c.grant(epoch, q)
 		}
 	}
-	c.drain()
+	c.takeEffects()
 	b.ReportAllocs()
 	for b.Loop() {
 		c.tick(epoch.Add(time.Millisecond))
-		c.drain()
+		c.takeEffects()
 	}
 }
 
-// TestPollTraffic prints what following costs: daemons of nine busy engines
-// each poll one another for 12 s. Bytes are those of drpc, without TLS and
+// TestPollTraffic logs the traffic of following: daemons with nine busy engines
+// each poll one another for 12 s. The bytes are those of drpc, without TLS and
 // TCP; each is sent by one daemon and received by another.
 func TestPollTraffic(t *testing.T) {
 	for _, daemons := range []int{3, 16} {
@@ -153,7 +153,7 @@
 			view := viewOf(1, list...)
 			var all []*daemon
 			for _, i := range list {
-				d := start(t, net, i, view)
+				d := startDaemon(t, net, i, view)
 				defer d.stop()
 				all = append(all, d)
 			}
@@ -164,7 +164,7 @@
 				for n := range 9 * daemons {
 					a := announcement(fmt.Sprintf("engine-%05d", n), 20)
 					home, _ := fleet.HomeOf(a.ID, a.Zone, view)
-					all[slices.IndexFunc(list, func(i fleet.Instance) bool { return i.ID == home.ID })].beat(a, sequence,
+					all[slices.IndexFunc(list, func(i fleet.Instance) bool { return i.ID == home.ID })].heartbeat(a, sequence,
 						heldBy(fmt.Sprint("h", n), list[0].Owner()), heldBy(fmt.Sprint("k", n), list[1].Owner()))
 				}
 				time.Sleep(300 * time.Millisecond)
@@ -185,15 +185,15 @@
 	}
 }
 
-// BenchmarkHeartbeat is one heartbeat with 20 holds, through the HTTP handler,
-// in a fleet of 1,300 daemons.
+// BenchmarkHeartbeat measures one heartbeat with 20 holds through the HTTP
+// handler, in a fleet of 1,300 daemons.
 func BenchmarkHeartbeat(b *testing.B) {
-	d := lone()
+	d := singleDaemon()
 	list := []fleet.Instance{d.source.Self()}
 	for n := range 1299 {
 		list = append(list, instance(fmt.Sprint("i", n), zoneFar))
 	}
-	d.see(viewOf(1, list...))
+	d.setView(viewOf(1, list...))
 	beat := engineapi.Heartbeat{Announcement: announcement("e1", 20)}
 	for n := range 20 {
 		beat.Held = append(beat.Held, heldBy(fmt.Sprintf("%032d", n), list[n].Owner()))
--- a/internal/endpoint/cacheindex.go
+++ b/internal/endpoint/cacheindex.go
@@ -6,38 +6,38 @@
 	"github.com/hyssopsail/hyssopsail/internal/engineapi"
 )
 
-// cacheIndex follows one endpoint incarnation's prefix cache by its numbered
-// events. Pure.
+// cacheIndex tracks the prefix cache of one endpoint incarnation by its
+// numbered events. It does no I/O.
 //
-// The failure: an event is lost on its way, the index goes on as if nothing
-// was missing, and prompts are sent for a prefix that was evicted long ago. The
-// guard: an event that isn't the next in number stops the index until a whole
-// snapshot has come; a snapshot older than the events seen is not taken.
+// If a lost event went unnoticed, prompts would be sent for a prefix that was
+// evicted long ago. So an event whose number isn't the next one stops the index
+// until a full snapshot arrives, and a snapshot older than the last event is
+// rejected.
 type cacheIndex struct {
 	sequence uint64
-	gap      bool
-	prefixes map[uint64]uint64 // prefix to the sequence that stored it
-	version  uint64            // rises at each change
+	hasGap   bool
+	prefixes map[uint64]uint64 // prefix to the sequence number that stored it
+	version  uint64            // incremented by each change
 }
 
-// apply takes events in order; it tells whether a resync is needed. Events
-// already seen are skipped.
+// apply applies events in order and reports whether a resync is needed. Events
+// that were applied before are skipped.
 func (c *cacheIndex) apply(events []engineapi.CacheEvent) (resync bool) {
 	for _, e := range events {
 		if e.Sequence <= c.sequence {
 			continue
 		}
-		if c.gap || e.Sequence != c.sequence+1 {
-			c.gap = true
+		if c.hasGap || e.Sequence != c.sequence+1 {
+			c.hasGap = true
 			return true
 		}
 		c.sequence = e.Sequence
-		c.change(e)
+		c.applyEvent(e)
 	}
-	return c.gap
+	return c.hasGap
 }
 
-func (c *cacheIndex) change(e engineapi.CacheEvent) {
+func (c *cacheIndex) applyEvent(e engineapi.CacheEvent) {
 	c.version++
 	if !e.Stored {
 		delete(c.prefixes, e.Prefix)
@@ -63,13 +63,14 @@
 	delete(c.prefixes, oldest)
 }
 
-// resync takes a snapshot unless it is older than what was seen.
+// resync applies a snapshot and reports whether it was new enough: one older
+// than the last event is rejected.
 func (c *cacheIndex) resync(s engineapi.CacheSnapshot) bool {
 	if s.Sequence < c.sequence {
 		return false
 	}
 	c.sequence = s.Sequence
-	c.gap = false
+	c.hasGap = false
 	c.version++
 	c.prefixes = make(map[uint64]uint64, min(len(s.Prefixes), maxPrefixes))
 	for _, p := range s.Prefixes {
@@ -81,10 +82,10 @@
 	return true
 }
 
-// newest gives the limit last stored prefixes, newest first; none while a gap
-// is open.
+// newest returns up to limit prefixes, the last stored first; none while events
+// are missing.
 func (c *cacheIndex) newest(limit int) []uint64 {
-	if c.gap || len(c.prefixes) == 0 {
+	if c.hasGap || len(c.prefixes) == 0 {
 		return nil
 	}
 	list := make([]uint64, 0, len(c.prefixes))
--- a/internal/endpoint/cacheindex_test.go
+++ b/internal/endpoint/cacheindex_test.go
@@ -12,8 +12,9 @@
 	return engineapi.CacheEvent{Sequence: sequence, Prefix: prefix, Stored: stored}
 }
 
-// Prompts go to an engine for a prefix that it evicted, because the event was
-// lost. The index says nothing from the gap on, until a whole list has come.
+// When an event is lost, prompts would go to an engine for a prefix that it has
+// evicted. From the gap on the index returns nothing, until a full snapshot has
+// arrived.
 func TestCacheGap(t *testing.T) {
 	var c cacheIndex
 	assert.Assert(t, !c.apply([]engineapi.CacheEvent{event(1, 10, true), event(2, 20, true)}))
--- a/internal/endpoint/concurrent_test.go
+++ b/internal/endpoint/concurrent_test.go
@@ -14,19 +14,19 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// Forty callers at two entries take, wait for, renew and give back the three
-// slots of one engine at the same time. At no moment do more than three have
-// one, nobody waits beyond its patience, and in the end all are free.
+// Forty callers at two entries concurrently acquire, wait for, renew and
+// release the three slots of one engine. At no moment do more than three have
+// one, nobody waits longer than its maximum wait, and in the end all are free.
 func TestManyCallersAtOnce(t *testing.T) {
-	inPair(t, 3, func(t *testing.T, _ *fakeNet, home, other *daemon) {
-		var inUse, most, served, overdue atomic.Int32
+	withPair(t, 3, func(t *testing.T, _ *fakeNet, home, other *daemon) {
+		var inUse, maxInUse, served, overdue atomic.Int32
 		var callers sync.WaitGroup
 		for n := range 40 {
 			client := []*daemon{home, other}[n%2].client
 			random := rand.New(rand.NewPCG(uint64(n), 5))
 			callers.Go(func() {
 				for m := range 20 {
-					r := take("e1", fmt.Sprint("x", n, "-", m), time.Duration(random.IntN(3000))*time.Millisecond)
+					r := grantRequest("e1", fmt.Sprint("x", n, "-", m), time.Duration(random.IntN(3000))*time.Millisecond)
 					r.Team = []fleet.Team{"sorters", "archive"}[n%2]
 					began := time.Now()
 					grant, _, err := client.Take(t.Context(), r)
@@ -38,7 +38,7 @@
 						continue
 					}
 					now := inUse.Add(1)
-					for old := most.Load(); now > old && !most.CompareAndSwap(old, now); old = most.Load() {
+					for old := maxInUse.Load(); now > old && !maxInUse.CompareAndSwap(old, now); old = maxInUse.Load() {
 					}
 					served.Add(1)
 					time.Sleep(time.Duration(random.IntN(2500)) * time.Millisecond)
@@ -55,7 +55,7 @@
 				case <-stop:
 					return
 				case <-time.After(300 * time.Millisecond):
-					home.beat(announcement("e1", 3), sequence)
+					home.heartbeat(announcement("e1", 3), sequence)
 				}
 			}
 		})
@@ -63,8 +63,8 @@
 		time.Sleep(500 * time.Millisecond)
 		close(stop)
 		beating.Wait()
-		t.Logf("%d served, at most %d at once", served.Load(), most.Load())
-		assert.Equal(t, most.Load(), int32(3))
+		t.Logf("%d served, at most %d at once", served.Load(), maxInUse.Load())
+		assert.Equal(t, maxInUse.Load(), int32(3))
 		assert.Equal(t, overdue.Load(), int32(0))
 		assert.Equal(t, home.used("e1"), 0)
 		assert.Assert(t, served.Load() > 40)
--- a/internal/endpoint/contract.go
+++ b/internal/endpoint/contract.go
@@ -9,8 +9,8 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// Candidate is an endpoint as a follower knows it now: the home's digest,
-// corrected by this daemon's own grants since.
+// Candidate describes an endpoint as a follower currently sees it: the home's
+// last digest, corrected by this daemon's own grants since then.
 type Candidate struct {
 	ID             fleet.EndpointID
 	Incarnation    fleet.Incarnation
@@ -23,13 +23,13 @@
 	Granted        int
 	Queued         int
 	NextFree       time.Duration // predicted wait for a slot
-	QueuedWork     time.Duration // prefill work ahead
-	TokenTime      time.Duration // time between tokens at its batch
+	QueuedWork     time.Duration // predicted prefill work ahead
+	TokenTime      time.Duration // time between tokens at its current batch
 	CachedPrefixes map[uint64]struct{}
 }
 
 // Query selects candidates. Model is empty for plain services, Service for
-// model work.
+// model requests.
 type Query struct {
 	Kind      fleet.EndpointRole // RolePrefill, RoleDecode or RolePlain
 	Model     engineapi.ModelRef
@@ -46,18 +46,19 @@
 	Model          engineapi.ModelRef
 	PromptTokens   int
 	ExpectedTokens int
-	Wait           time.Duration // longest wait in the home's queue
-	Lead           time.Duration // grant so long before the slot is free
-	// MostAhead has the home refuse when more is predicted to be ahead: a slot's
-	// wait, and for a prefill the work before it. 0: the follower alone decides.
-	MostAhead   time.Duration
-	Share       float64
-	Priority    int
-	Fingerprint fleet.Fingerprint
-	Alone       bool
+	Wait           time.Duration // maximum time in the home's queue
+	Lead           time.Duration // how long before the slot is free it may be granted
+	// MaxPredictedWait makes the home refuse the request if it predicts a
+	// longer wait: for a slot, and for a prefill also for the work before it.
+	// With 0, only the follower's own bound applies.
+	MaxPredictedWait time.Duration
+	Share            float64
+	Priority         int
+	Fingerprint      fleet.Fingerprint
+	Alone            bool // a suspect: not granted while another suspect runs there
 }
 
-// Grant is a slot at an endpoint, held until released or its life ends.
+// Grant is a slot at an endpoint, held until it is released or expires.
 type Grant struct {
 	Endpoint    fleet.EndpointID
 	Incarnation fleet.Incarnation
@@ -66,18 +67,18 @@
 	Attempt     fleet.AttemptID
 	Kind        fleet.EndpointRole
 	ReadyIn     time.Duration // predicted wait until the slot is free
-	// Expires is until when work may begin on the grant, unless the follower
-	// has renewed it; Follower.Valid knows of renewals.
+	// Expires is the time until which work may start, unless the follower has
+	// renewed the grant; Follower.Valid takes renewals into account.
 	Expires time.Time
 }
 
-// Refusal is a grant that was not given.
+// Refusal reports why a slot was not granted.
 type Refusal struct {
 	Status     pb.GrantStatus
-	RetryAfter time.Duration // from the drain rate; 0: not known
+	RetryAfter time.Duration // from the release rate; 0: unknown
 }
 
-// Release gives a slot back.
+// Release describes a slot to release.
 type Release struct {
 	Grant        Grant
 	Reason       pb.ReleaseReason
@@ -85,23 +86,24 @@
 	Busy         time.Duration
 }
 
-// Follower is how a request finds endpoints and takes their slots.
+// Follower finds endpoints for a request, and acquires and releases their
+// slots.
 type Follower interface {
 	Candidates(q Query) []Candidate
-	// Surveyed gives when each followed home had been asked for the first time
-	// since this process joined; false: not yet, and the lack of a candidate
-	// says nothing.
+	// Surveyed returns when the first poll of all followed homes ended after
+	// this process joined. It returns false before that; a lack of candidates
+	// then means nothing.
 	Surveyed() (time.Time, bool)
-	// Take asks the home; exactly one of grant and refusal is set when err is
-	// nil.
+	// Take requests a slot from the endpoint's home. If err is nil, exactly one
+	// of grant and refusal is set.
 	Take(ctx context.Context, r GrantRequest) (grant *Grant, refusal *Refusal, err error)
-	// Give never blocks; it retries in the background until the home has
-	// confirmed or the grant's life has ended.
+	// Give releases a slot without blocking. It retries in the background until
+	// the home has confirmed, for at most two grant lifetimes.
 	Give(r Release)
-	// Running lists the attempts that this daemon still runs; the home's sweep
-	// asks for it.
+	// Running reports whether this daemon still runs the attempt. The home's
+	// sweep uses it.
 	Running(attempt fleet.AttemptID) bool
-	// Valid tells whether work may begin on a grant at now; renewals count. It
-	// is asked directly before bytes leave.
+	// Valid reports whether work may start on a grant at now, taking renewals
+	// into account. It is checked directly before a request is sent.
 	Valid(now time.Time, g Grant) bool
 }
--- a/internal/endpoint/core.go
+++ b/internal/endpoint/core.go
@@ -9,68 +9,68 @@
 	"github.com/hyssopsail/hyssopsail/internal/timeline"
 )
 
-// core decides for all endpoints of one home. Pure: each step takes now and
-// typed input; what is to be done outside is left in effects. Not safe for
-// concurrent use.
+// core decides for all endpoints of one home. It does no I/O and reads no
+// clock: each step takes the time and typed input, and leaves what is to be
+// done in effects. It is not safe for concurrent use.
 type core struct {
-	self      fleet.Owner
-	limits    Limits
-	view      fleet.View
-	current   bool // this instance's leases hold
-	tenure    *tenure
-	handed    map[fleet.EndpointID]handedAt
-	predictor *Predictor
-	endpoints map[fleet.EndpointID]*record
-	crashed   map[fleet.EndpointID]fleet.Incarnation // reported
-	left      map[fleet.EndpointID]fleet.Incarnation // said that they leave, here or to another entry
-	out       effects
-	order     uint64
-	sequence  uint64 // of digests
-	statics   uint64 // version of what brief digests leave out
-	caches    uint64 // version of the cache indexes together
-	lastTick  time.Time
-	awake     time.Time // since when this process has run without a stall
-	guards    guards
+	self           fleet.Owner
+	limits         Limits
+	view           fleet.View
+	current        bool // this instance's leases are valid
+	viewHistory    *viewHistory
+	handovers      map[fleet.EndpointID]receivedHandover
+	predictor      *Predictor
+	endpoints      map[fleet.EndpointID]*record
+	crashed        map[fleet.EndpointID]fleet.Incarnation // whose crash was reported
+	left           map[fleet.EndpointID]fleet.Incarnation // that sent a leave, here or to another entry
+	effects        effects
+	arrivals       uint64
+	digestSequence uint64
+	staticVersion  uint64 // of the data that brief digests omit
+	cacheVersion   uint64 // of all cache indexes together
+	lastTick       time.Time
+	runningSince   time.Time // since when this process has run without a stall
+	faults         testFaults
 }
 
-// guards switches protections off in proofs that need to fail without them.
-type guards struct {
-	noQuiet, noSweep, noReleasedNote, noStallGuard, anyHandover, noDoubt, earlyLapse bool
+// testFaults disables protections, for tests that must fail without them.
+type testFaults struct {
+	noGrantDelay, noSweep, noReleaseRecord, noStallGuard, anyHandover, noMissedViewCheck, earlyExpiry bool
 }
 
 func newCore(now time.Time, self fleet.Owner, limits Limits, seed uint64) *core {
 	return &core{
-		self:      self,
-		limits:    limits,
-		tenure:    newTenure(now, self, limits),
-		predictor: NewPredictor(rand.New(rand.NewPCG(seed, 1))),
-		endpoints: make(map[fleet.EndpointID]*record),
-		crashed:   make(map[fleet.EndpointID]fleet.Incarnation),
-		left:      make(map[fleet.EndpointID]fleet.Incarnation),
-		lastTick:  now,
-		awake:     now,
-		handed:    make(map[fleet.EndpointID]handedAt),
-		statics:   1,
-		caches:    1,
+		self:          self,
+		limits:        limits,
+		viewHistory:   newViewHistory(now, self, limits),
+		predictor:     NewPredictor(rand.New(rand.NewPCG(seed, 1))),
+		endpoints:     make(map[fleet.EndpointID]*record),
+		crashed:       make(map[fleet.EndpointID]fleet.Incarnation),
+		left:          make(map[fleet.EndpointID]fleet.Incarnation),
+		lastTick:      now,
+		runningSince:  now,
+		handovers:     make(map[fleet.EndpointID]receivedHandover),
+		staticVersion: 1,
+		cacheVersion:  1,
 	}
 }
 
-// drain hands the effects over.
-func (c *core) drain() effects {
-	out := c.out
-	c.out = effects{}
+// takeEffects returns the effects so far and clears them.
+func (c *core) takeEffects() effects {
+	out := c.effects
+	c.effects = effects{}
 	return out
 }
 
-// observe takes the daemon's view and whether its leases hold. Endpoints whose
-// home is elsewhere by the new view lose their queue and get no grant from
-// here on.
+// observe applies the daemon's view and whether its leases are valid. Endpoints
+// whose home is elsewhere by the new view lose their queue and get no more
+// grants here.
 func (c *core) observe(now time.Time, view fleet.View, current bool) {
 	if current && !c.current {
-		c.awake = now
+		c.runningSince = now
 	}
 	c.current = current
-	fresh, missed := c.tenure.observe(now, view)
+	fresh, missed := c.viewHistory.observe(now, view)
 	if !fresh {
 		return
 	}
@@ -80,41 +80,42 @@
 	}
 	c.view = view
 	for _, r := range c.endpoints {
-		// The failure: this instance slept through a view in which another was
-		// home, and goes on granting beside what that one granted. The guard:
-		// nothing is granted until the next heartbeat tells; see resolveDoubt.
-		r.doubt = (r.doubt || missed) && !c.guards.noDoubt
-		if r.doubt && c.skippedLately(now, r) {
-			r.complete = false
+		// In a view that this instance missed, another one may have been the
+		// home and have granted slots. Nothing is granted until the next
+		// heartbeat shows whether that was so; see resolveMissedView.
+		r.missedView = (r.missedView || missed) && !c.faults.noMissedViewCheck
+		if r.missedView && c.hadRecentGap(now, r) {
+			r.knowsAllGrants = false
 		}
-		c.moved(now, r, was[r], c.isHome(r))
+		c.homeChanged(now, r, was[r], c.isHome(r))
 	}
 }
 
-// moved takes note that r has another home. What an earlier home knows of it
-// is no longer whole, so an endpoint that comes back is rebuilt like a new one.
-func (c *core) moved(now time.Time, r *record, was, is bool) {
+// homeChanged handles a change of r's home. What an earlier home knows of an
+// endpoint is no longer complete, so an endpoint that comes back is treated
+// like a new one.
+func (c *core) homeChanged(now time.Time, r *record, was, is bool) {
 	if was == is {
 		return
 	}
-	c.statics++
+	c.staticVersion++
 	if was {
 		c.refuseAll(r, c.notHome(r))
 		c.handOver(now, r)
 		return
 	}
-	c.rebuild(r)
+	c.resetRecord(r)
 }
 
-// rebuild treats r like an endpoint that has just come.
-func (c *core) rebuild(r *record) {
-	r.beat = false
-	r.complete = false
-	r.quiet = later(r.quiet, c.tenure.quiet(r.announced.ID, r.announced.Zone))
-	c.statics++
+// resetRecord treats r like an endpoint that has just joined.
+func (c *core) resetRecord(r *record) {
+	r.hasHeldList = false
+	r.knowsAllGrants = false
+	r.noGrantsBefore = later(r.noGrantsBefore, c.viewHistory.noGrantsBefore(r.announced.ID, r.announced.Zone))
+	c.staticVersion++
 }
 
-// homeOf gives the home of r by the present view.
+// homeOf returns the home of r by the current view.
 func (c *core) homeOf(r *record) (fleet.Instance, bool) {
 	if !r.homeKnown || r.homeView != c.view.Number {
 		home, ok := fleet.HomeOf(r.announced.ID, r.announced.Zone, c.view)
@@ -128,7 +129,7 @@
 	return ok && home.Owner() == c.self
 }
 
-func (c *core) notHome(r *record) answer {
+func (c *core) notHome(r *record) response {
 	a := refused(pb.GrantStatus_GRANT_STATUS_NOT_HOME)
 	if home, ok := c.homeOf(r); ok && home.Owner() != c.self {
 		a.homeAddress = home.RPCAddress
@@ -136,107 +137,106 @@
 	return a
 }
 
-// refuseAll ends the queue of r with one answer.
-func (c *core) refuseAll(r *record, a answer) {
+// refuseAll sends one response to all queued requests of r.
+func (c *core) refuseAll(r *record, a response) {
 	for _, w := range r.queue.all() {
-		c.end(r, w, a)
+		c.respondQueued(r, w, a)
 	}
 }
 
-func (c *core) end(r *record, w *waiting, a answer) {
+func (c *core) respondQueued(r *record, w *queuedRequest, a response) {
 	r.queue.remove(w)
-	c.out.answers = append(c.out.answers, answered{to: w, answer: a})
+	c.effects.responses = append(c.effects.responses, queuedResponse{to: w, response: a})
 }
 
-// tick does what time brings: leases and grants that ran out, waits that can't
-// be kept, and sweeps.
+// tick handles the passing of time: expired leases and grants, queued requests
+// that can't be served in time, and sweeps.
 func (c *core) tick(now time.Time) {
 	if now.Sub(c.lastTick) > c.limits.EndpointLease/2 {
-		// The failure: this process was frozen; on waking it finds every
-		// endpoint silent and reports all that ran there as suspects. The
-		// guard: silence is judged only after a whole lease of running.
-		c.awake = now
+		// After a stall of this process every endpoint seems silent, and all
+		// requests running there would be reported as suspects. So silence
+		// counts only after this process has run for a whole lease.
+		c.runningSince = now
 	}
 	c.lastTick = now
-	c.dropHanded(now)
+	c.dropOldHandovers(now)
 	for id, r := range c.endpoints {
 		c.tickRecord(now, id, r)
 	}
 }
 
 func (c *core) tickRecord(now time.Time, id fleet.EndpointID, r *record) {
-	silence := now.Sub(r.heard)
+	silence := now.Sub(r.lastContact)
 	if silence >= c.limits.EndpointLease && c.isHome(r) {
-		c.fallSilent(now, r)
+		c.expireLease(now, r)
 	}
-	if silence >= c.limits.EndpointLease+2*c.limits.GrantLife && now.Sub(c.awake) > c.limits.EndpointLease {
+	if silence >= c.limits.EndpointLease+2*c.limits.GrantLife && now.Sub(c.runningSince) > c.limits.EndpointLease {
 		c.refuseAll(r, refused(pb.GrantStatus_GRANT_STATUS_UNKNOWN_ENDPOINT))
 		delete(c.endpoints, id)
-		c.statics++
+		c.staticVersion++
 		return
 	}
-	if !r.crashAt.IsZero() && !now.Before(r.crashAt) {
-		c.died(now, r)
+	if !r.crashReportAt.IsZero() && !now.Before(r.crashReportAt) {
+		c.reportDeath(now, r)
 	}
-	if c.guards.earlyLapse {
-		c.lapse(now, r)
+	if c.faults.earlyExpiry {
+		c.freeExpired(now, r)
 	}
 	c.sweep(now, r)
-	c.pump(now, r)
-	c.shed(now, r)
-	for key, at := range r.released {
+	c.dispatchQueued(now, r)
+	c.refuseOverdue(now, r)
+	for key, at := range r.releasedAt {
 		if now.Sub(at) > 2*c.limits.GrantLife+c.limits.releaseGrace() {
-			delete(r.released, key)
+			delete(r.releasedAt, key)
 		}
 	}
 }
 
-// fallSilent stops grants and, once it is sure that not this process was the
-// one that slept, asks for a probe: only an endpoint that doesn't answer it is
-// taken for crashed.
-func (c *core) fallSilent(now time.Time, r *record) {
-	if !r.silent {
-		r.silent = true
-		c.statics++
+// expireLease stops grants. Unless this process itself was stalled, it also
+// requests a probe: only an endpoint that doesn't answer it counts as crashed.
+func (c *core) expireLease(now time.Time, r *record) {
+	if !r.unreachable {
+		r.unreachable = true
+		c.staticVersion++
 		c.refuseAll(r, refused(pb.GrantStatus_GRANT_STATUS_UNKNOWN_ENDPOINT))
-		c.note(timeline.KindEndpointLost, r, "", "lease ran out")
+		c.recordEvent(timeline.KindEndpointLost, r, "", "lease ran out")
 	}
-	stalled := !c.current || now.Sub(c.awake) < c.limits.EndpointLease
-	if stalled && !c.guards.noStallGuard {
+	stalled := !c.current || now.Sub(c.runningSince) < c.limits.EndpointLease
+	if stalled && !c.faults.noStallGuard {
 		return
 	}
 	c.probe(now, r)
 }
 
-const probeEvery = time.Second
+const minProbeInterval = time.Second
 
 func (c *core) probe(now time.Time, r *record) {
-	if now.Sub(r.probed) < probeEvery || c.crashed[r.announced.ID] >= r.announced.Incarnation {
+	if now.Sub(r.probedAt) < minProbeInterval || c.crashed[r.announced.ID] >= r.announced.Incarnation {
 		return
 	}
-	r.probed = now
-	c.out.probes = append(c.out.probes, r.target())
+	r.probedAt = now
+	c.effects.probes = append(c.effects.probes, r.target())
 }
 
-// ready tells whether r may be granted at now.
-func (c *core) ready(now time.Time, r *record) bool {
-	if !c.current || !c.isHome(r) || r.leaving || r.silent || r.doubt || !r.beat {
+// mayGrant reports whether slots of r may be granted at now.
+func (c *core) mayGrant(now time.Time, r *record) bool {
+	if !c.current || !c.isHome(r) || r.leaving || r.unreachable || r.missedView || !r.hasHeldList {
 		return false
 	}
-	if r.beatAt.Before(r.quiet) && !c.guards.noQuiet {
-		return false // what began last isn't in the held list yet
+	if r.heldListAt.Before(r.noGrantsBefore) && !c.faults.noGrantDelay {
+		return false // the held list doesn't include the latest work yet
 	}
-	return now.Sub(r.heard) < c.limits.EndpointLease
+	return now.Sub(r.lastContact) < c.limits.EndpointLease
 }
 
-func (c *core) note(kind timeline.Kind, r *record, attempt fleet.AttemptID, detail string) {
-	c.out.events = append(c.out.events, timeline.Event{
+func (c *core) recordEvent(kind timeline.Kind, r *record, attempt fleet.AttemptID, detail string) {
+	c.effects.events = append(c.effects.events, timeline.Event{
 		Kind: kind, Endpoint: r.announced.ID, Attempt: attempt, Detail: detail,
 	})
 }
 
-// known finds the record of an endpoint incarnation.
-func (c *core) known(id fleet.EndpointID, incarnation fleet.Incarnation) (*record, bool) {
+// lookup returns the record of an endpoint incarnation.
+func (c *core) lookup(id fleet.EndpointID, incarnation fleet.Incarnation) (*record, bool) {
 	r, ok := c.endpoints[id]
 	if !ok || r.announced.Incarnation != incarnation {
 		return nil, false
@@ -244,31 +244,31 @@
 	return r, true
 }
 
-// leave stops grants of an endpoint at once, and those of its next
-// incarnations not. It tells whether this instance is the home, and so whether
-// no more grants are given. Another instance keeps the note for the time when
-// it becomes home: a leaving endpoint still sends heartbeats, which don't say
-// that it leaves.
+// leave stops all grants of an endpoint incarnation; later incarnations aren't
+// affected. It reports whether this instance is the home, so that no more
+// grants are given. Other instances remember the leave in case they become the
+// home: a leaving endpoint still sends heartbeats, which don't mention the
+// leave.
 func (c *core) leave(id fleet.EndpointID, incarnation fleet.Incarnation) (confirmed bool) {
-	c.noteLeft(id, incarnation)
+	c.rememberLeft(id, incarnation)
 	r, ok := c.endpoints[id]
 	if !ok || r.announced.Incarnation > incarnation {
 		return false
 	}
 	if !r.leaving {
 		r.leaving = true
-		c.statics++
+		c.staticVersion++
 		c.refuseAll(r, refused(pb.GrantStatus_GRANT_STATUS_LEAVING))
-		c.note(timeline.KindEndpointLeave, r, "", "")
+		c.recordEvent(timeline.KindEndpointLeave, r, "", "")
 	}
 	return c.isHome(r)
 }
 
-func (c *core) noteLeft(id fleet.EndpointID, incarnation fleet.Incarnation) {
+func (c *core) rememberLeft(id fleet.EndpointID, incarnation fleet.Incarnation) {
 	if c.left[id] >= incarnation {
 		return
 	}
-	if len(c.left) >= maxCrashNotes {
+	if len(c.left) >= maxRememberedIncarnations {
 		for old := range c.left {
 			if _, here := c.endpoints[old]; !here {
 				delete(c.left, old)
--- a/internal/endpoint/core_digest.go
+++ b/internal/endpoint/core_digest.go
@@ -9,39 +9,39 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// digests lists the endpoints that this home grants, by ID. For a follower
-// that has the same statics, which number the set and all that doesn't change
-// from moment to moment, the list is brief and the place tells the endpoint.
-// Cache prefixes go only where they changed since caches.
-func (c *core) digests(now time.Time, statics, caches uint64) *pb.DigestReply {
-	c.sequence++
-	reply := &pb.DigestReply{Home: c.self.Proto(), Sequence: c.sequence}
+// digests lists this home's endpoints by ID. staticVersion numbers the set of
+// endpoints and the data that rarely changes. A follower that already has it
+// gets brief digests, each identified by its position in the list. Cache
+// prefixes are included only if they changed since cacheVersion.
+func (c *core) digests(now time.Time, staticVersion, cacheVersion uint64) *pb.DigestReply {
+	c.digestSequence++
+	reply := &pb.DigestReply{Home: c.self.Proto(), Sequence: c.digestSequence}
 	if !c.current {
 		return reply
 	}
-	reply.StaticVersion = c.statics
-	reply.CacheVersion = c.caches
-	for _, r := range c.listed() {
-		d := c.figures(now, r)
-		if statics != c.statics {
+	reply.StaticVersion = c.staticVersion
+	reply.CacheVersion = c.cacheVersion
+	for _, r := range c.publishedRecords() {
+		d := c.dynamicDigest(now, r)
+		if staticVersion != c.staticVersion {
 			fillStatic(d, r)
-			d.Sequence = c.sequence
+			d.Sequence = c.digestSequence
 		}
-		if r.cacheAt > caches {
-			d.CachedPrefixes = r.cache.newest(maxDigestPrefix)
-			d.CacheSequence = r.cacheAt
+		if r.cacheVersion > cacheVersion {
+			d.CachedPrefixes = r.cache.newest(maxDigestPrefixes)
+			d.CacheSequence = r.cacheVersion
 		}
 		reply.Digests = append(reply.Digests, d)
 	}
 	return reply
 }
 
-// listed gives the endpoints that digests tell of. Whatever changes the set
-// raises statics.
-func (c *core) listed() []*record {
+// publishedRecords returns the endpoints that digests list. Whatever changes
+// the set increments staticVersion.
+func (c *core) publishedRecords() []*record {
 	list := make([]*record, 0, len(c.endpoints))
 	for _, r := range c.endpoints {
-		if c.isHome(r) && !r.silent && r.beat {
+		if c.isHome(r) && !r.unreachable && r.hasHeldList {
 			list = append(list, r)
 		}
 	}
@@ -49,24 +49,25 @@
 	return list
 }
 
-// one gives the brief digest of one endpoint, for a piggyback.
-func (c *core) one(now time.Time, id fleet.EndpointID) []*pb.EndpointDigest {
+// briefDigest returns the brief digest of one endpoint, to attach to another
+// reply.
+func (c *core) briefDigest(now time.Time, id fleet.EndpointID) []*pb.EndpointDigest {
 	r, ok := c.endpoints[id]
-	if !ok || !c.isHome(r) || r.silent || !r.beat {
+	if !ok || !c.isHome(r) || r.unreachable || !r.hasHeldList {
 		return nil
 	}
-	c.sequence++
-	d := c.figures(now, r)
+	c.digestSequence++
+	d := c.dynamicDigest(now, r)
 	d.Id = string(id)
 	d.Incarnation = uint64(r.announced.Incarnation)
-	d.Sequence = c.sequence
+	d.Sequence = c.digestSequence
 	return []*pb.EndpointDigest{d}
 }
 
-// figures is a brief digest.
-func (c *core) figures(now time.Time, r *record) *pb.EndpointDigest {
+// dynamicDigest returns a brief digest, without the endpoint's identity.
+func (c *core) dynamicDigest(now time.Time, r *record) *pb.EndpointDigest {
 	return &pb.EndpointDigest{
-		Granted:      uint32(r.used() + len(r.promised())),
+		Granted:      uint32(r.used() + len(r.pending())),
 		Queued:       uint32(r.queue.size),
 		NextFreeMs:   uint64(c.freeIn(now, r, r.queue.size).Milliseconds()),
 		QueuedWorkMs: uint64(c.queuedWork(now, r).Milliseconds()),
@@ -92,7 +93,7 @@
 	}
 }
 
-// tokenTime prefers the engine's own figure, which knows its batch.
+// tokenTime prefers the engine's own value, which reflects its current batch.
 func (c *core) tokenTime(r *record) time.Duration {
 	if t := r.load.TokenTimeMs; t > 0 && t < 10_000 {
 		return millis(t)
@@ -103,29 +104,29 @@
 	return c.predictor.TokenTime(r.announced.Models[0].String())
 }
 
-// cacheEvents takes numbered events; it tells whether the endpoint's whole
-// cache has to be asked for.
+// cacheEvents applies numbered events and reports whether the endpoint's full
+// cache has to be requested.
 func (c *core) cacheEvents(e engineapi.CacheEvents) (resync bool) {
-	r, ok := c.known(e.ID, e.Incarnation)
+	r, ok := c.lookup(e.ID, e.Incarnation)
 	if !ok {
 		return false
 	}
 	before := r.cache.version
 	resync = r.cache.apply(e.Events)
 	if resync {
-		c.out.resyncs = append(c.out.resyncs, r.target())
+		c.effects.resyncs = append(c.effects.resyncs, r.target())
 	}
 	if resync || r.cache.version != before {
-		c.caches++
-		r.cacheAt = c.caches
+		c.cacheVersion++
+		r.cacheVersion = c.cacheVersion
 	}
 	return resync
 }
 
 func (c *core) cacheSnapshot(id fleet.EndpointID, incarnation fleet.Incarnation, s engineapi.CacheSnapshot) {
-	r, ok := c.known(id, incarnation)
+	r, ok := c.lookup(id, incarnation)
 	if ok && r.cache.resync(s) {
-		c.caches++
-		r.cacheAt = c.caches
+		c.cacheVersion++
+		r.cacheVersion = c.cacheVersion
 	}
 }
--- a/internal/endpoint/core_grant.go
+++ b/internal/endpoint/core_grant.go
@@ -12,12 +12,12 @@
 	statusFull    = pb.GrantStatus_GRANT_STATUS_FULL
 )
 
-// minRetryAfter keeps refused callers from coming back at once.
+// minRetryAfter keeps refused callers from retrying at once.
 const minRetryAfter = 20 * time.Millisecond
 
-// grant answers an ask at once, or queues it: then queued is set and the
-// answer comes with a later step's effects.
-func (c *core) grant(now time.Time, a *ask) (now_ answer, queued *waiting) {
+// grant answers a request at once or queues it. If queued is set, the response
+// follows in a later step's effects.
+func (c *core) grant(now time.Time, a *slotRequest) (immediate response, queued *queuedRequest) {
 	r, ok := c.endpoints[a.endpoint]
 	if !ok {
 		return refused(pb.GrantStatus_GRANT_STATUS_UNKNOWN_ENDPOINT), nil
@@ -26,87 +26,87 @@
 		return c.notHome(r), nil
 	}
 	if r.leaving {
-		return c.whileLeaving(now, r, a), nil
+		return c.renewWhileLeaving(now, r, a), nil
 	}
-	if r.silent || now.Sub(r.heard) >= c.limits.EndpointLease || !r.announced.Role.Takes(a.kind) {
+	if r.unreachable || now.Sub(r.lastContact) >= c.limits.EndpointLease || !r.announced.Role.Takes(a.kind) {
 		return refused(pb.GrantStatus_GRANT_STATUS_UNKNOWN_ENDPOINT), nil
 	}
 	if h, ok := r.holds[a.key()]; ok {
 		return c.renew(now, r, h, a), nil
 	}
-	if _, ended := r.released[a.key()]; ended && !c.guards.noReleasedNote {
-		// A copy of a request whose slot was given back: late on its way.
-		return answer{status: statusFull}, nil
+	if _, ended := r.releasedAt[a.key()]; ended && !c.faults.noReleaseRecord {
+		// A late copy of a request whose slot was released.
+		return response{status: statusFull}, nil
 	}
-	if a.mostAhead > 0 && c.ahead(now, r) > a.mostAhead {
-		return c.full(now, r, r.queue.size), nil
+	if a.maxPredictedWait > 0 && c.predictedWait(now, r) > a.maxPredictedWait {
+		return c.refuseFull(now, r, r.queue.size), nil
 	}
-	return c.queueAsk(now, r, a)
+	return c.enqueue(now, r, a)
 }
 
-// ahead predicts what a new request waits for at an endpoint: a slot, and for
-// a prefill the work before it.
-func (c *core) ahead(now time.Time, r *record) time.Duration {
+// predictedWait predicts how long a new request waits at an endpoint: for a
+// slot, and for a prefill also for the work before it.
+func (c *core) predictedWait(now time.Time, r *record) time.Duration {
 	return c.freeIn(now, r, r.queue.size) + c.queuedWork(now, r)
 }
 
-// whileLeaving lets confirmed work be renewed and gives nothing new.
-func (c *core) whileLeaving(now time.Time, r *record, a *ask) answer {
+// renewWhileLeaving renews confirmed holds and refuses new requests.
+func (c *core) renewWhileLeaving(now time.Time, r *record, a *slotRequest) response {
 	if h, ok := r.holds[a.key()]; ok && h.confirmed() {
 		return c.renew(now, r, h, a)
 	}
 	return refused(pb.GrantStatus_GRANT_STATUS_LEAVING)
 }
 
-// renew answers a request that is repeated: its slot is held longer. A hold
-// that only the endpoint had told of becomes the owner's again.
-func (c *core) renew(now time.Time, r *record, h *hold, a *ask) answer {
-	if h.owner != a.owner || h.state == holdReleased || !h.cancelled.IsZero() {
-		return answer{status: statusFull}
+// renew answers a repeated request by extending its hold. A hold that only the
+// endpoint had reported becomes active.
+func (c *core) renew(now time.Time, r *record, h *hold, a *slotRequest) response {
+	if h.owner != a.owner || h.state == holdReleased || !h.cancelledAt.IsZero() {
+		return response{status: statusFull}
 	}
 	if h.state == holdReported {
-		c.fill(h, a)
-		h.state = holdFirm
+		c.applyRequest(h, a)
+		h.state = holdActive
 	}
-	h.lapse = later(h.lapse, now.Add(c.limits.GrantLife))
+	h.expiresAt = later(h.expiresAt, now.Add(c.limits.GrantLife))
 	return c.granted(now, r, h)
 }
 
-func (c *core) fill(h *hold, a *ask) {
+func (c *core) applyRequest(h *hold, a *slotRequest) {
 	h.team = a.team
 	h.model = a.model
 	h.fingerprint = a.fingerprint
 	h.alone = a.alone
-	h.expected = a.expected
-	h.prompt = a.prompt
+	h.expectedTokens = a.expectedTokens
+	h.promptTokens = a.promptTokens
 }
 
-func (c *core) granted(now time.Time, r *record, h *hold) answer {
+func (c *core) granted(now time.Time, r *record, h *hold) response {
 	ready := time.Duration(0)
-	if h.state == holdPromised {
-		ready = r.promiseReady(now, c.predictor, h)
+	if h.state == holdPending {
+		ready = r.pendingReadyIn(now, c.predictor, h)
 	}
-	return answer{
+	return response{
 		status:      statusGranted,
 		incarnation: r.announced.Incarnation,
 		address:     r.announced.Address,
 		zone:        r.announced.Zone,
-		expires:     c.mayBeginFor(now, r, h),
+		expires:     c.validFor(now, r, h),
 		readyIn:     ready,
 		confirmed:   h.confirmed(),
 	}
 }
 
-// mayBeginFor gives how long work may begin on a hold; see NewWorkBound.
-func (c *core) mayBeginFor(now time.Time, r *record, h *hold) time.Duration {
-	silence := r.heard.Add(NewWorkBound - newWorkMargin).Sub(now)
-	return max(min(h.lapse.Sub(now), silence), 0)
+// validFor returns for how long work may start on a hold; see NewWorkBound.
+func (c *core) validFor(now time.Time, r *record, h *hold) time.Duration {
+	silence := r.lastContact.Add(NewWorkBound - clockRateMargin).Sub(now)
+	return max(min(h.expiresAt.Sub(now), silence), 0)
 }
 
-// promiseReady predicts when the slot that h waits for is free.
-func (r *record) promiseReady(now time.Time, p *Predictor, h *hold) time.Duration {
+// pendingReadyIn predicts when the slot that h waits for is free.
+func (r *record) pendingReadyIn(now time.Time, p *Predictor, h *hold) time.Duration {
 	f := r.forecast(now, p)
-	for n, other := range r.promised() {
+	for n, other := range r.pending() {
 		if other == h && f.used > 0 {
 			return f.release(min(n, f.used-1), likelyPart)
 		}
@@ -114,168 +114,172 @@
 	return 0
 }
 
-func (c *core) queueAsk(now time.Time, r *record, a *ask) (answer, *waiting) {
-	c.order++
-	work := c.predictor.Remaining(a.finished(), a.expected, 0, medianQuantile)
-	w := &waiting{ask: a, order: c.order, work: max(float64(work)/float64(time.Millisecond), 1)}
+func (c *core) enqueue(now time.Time, r *record, a *slotRequest) (response, *queuedRequest) {
+	c.arrivals++
+	work := c.predictor.Remaining(a.finished(), a.expectedTokens, 0, medianQuantile)
+	w := &queuedRequest{request: a, arrival: c.arrivals, workMs: max(float64(work)/float64(time.Millisecond), 1)}
 	if dropped := r.queue.push(w); dropped != nil {
 		if dropped == w {
-			return c.full(now, r, r.queue.size), nil
+			return c.refuseFull(now, r, r.queue.size), nil
 		}
-		c.end(r, dropped, c.full(now, r, r.queue.size))
+		c.respondQueued(r, dropped, c.refuseFull(now, r, r.queue.size))
 	}
-	c.pump(now, r)
+	c.dispatchQueued(now, r)
 	if h, ok := r.holds[a.key()]; ok {
-		c.forgetAnswer(w)
+		c.dropResponse(w)
 		return c.granted(now, r, h), nil
 	}
 	ahead := r.queue.ahead(w)
-	if c.freeIn(now, r, ahead)-a.lead > a.wait {
+	if c.freeIn(now, r, ahead)-a.lead > a.maxWait {
 		r.queue.remove(w)
-		return c.full(now, r, ahead), nil
+		return c.refuseFull(now, r, ahead), nil
 	}
-	return answer{}, w
+	return response{}, w
 }
 
-// forgetAnswer takes back a dispatch's answer, which is given directly.
-func (c *core) forgetAnswer(w *waiting) {
-	for n, e := range c.out.answers {
+// dropResponse removes the response that dispatch queued for w, which is sent
+// directly.
+func (c *core) dropResponse(w *queuedRequest) {
+	for n, e := range c.effects.responses {
 		if e.to == w {
-			c.out.answers = append(c.out.answers[:n], c.out.answers[n+1:]...)
+			c.effects.responses = append(c.effects.responses[:n], c.effects.responses[n+1:]...)
 			return
 		}
 	}
 }
 
-// full refuses with the time after which ahead requests have drained.
-func (c *core) full(now time.Time, r *record, ahead int) answer {
-	after := r.drain.clear(ahead + 1)
+// refuseFull refuses a request. It may be retried after the predicted time in
+// which ahead requests are served.
+func (c *core) refuseFull(now time.Time, r *record, ahead int) response {
+	after := r.releaseRate.timeFor(ahead + 1)
 	if after == 0 {
 		after = r.forecast(now, c.predictor).freeIn(ahead)
 	}
-	after = max(after, r.limited.freeIn(now, ahead))
-	return answer{status: statusFull, retryAfter: max(after, minRetryAfter)}
+	after = max(after, r.rateLimit.freeIn(now, ahead))
+	return response{status: statusFull, retryAfter: max(after, minRetryAfter)}
 }
 
-// abandon takes a queued ask out whose caller has gone; if it was granted
-// meanwhile the hold is freed.
-func (c *core) abandon(now time.Time, w *waiting) {
-	r, ok := c.endpoints[w.ask.endpoint]
+// abandon removes a queued request whose caller is gone. If it was granted
+// meanwhile, the hold is freed.
+func (c *core) abandon(now time.Time, w *queuedRequest) {
+	r, ok := c.endpoints[w.request.endpoint]
 	if !ok {
 		return
 	}
 	if r.queue.remove(w) {
 		return
 	}
-	if h, ok := r.holds[w.ask.key()]; ok && h.owner == w.ask.owner && !h.confirmed() {
-		r.released[h.key] = now
+	if h, ok := r.holds[w.request.key()]; ok && h.owner == w.request.owner && !h.confirmed() {
+		r.releasedAt[h.key] = now
 		c.free(now, r, h)
-		c.pump(now, r)
+		c.dispatchQueued(now, r)
 	}
 }
 
-// pump grants free slots, then slots that are soon free, to those who wait.
-func (c *core) pump(now time.Time, r *record) {
-	if !c.ready(now, r) {
+// dispatchQueued grants free slots, and then slots that will soon be free, to
+// queued requests.
+func (c *core) dispatchQueued(now time.Time, r *record) {
+	if !c.mayGrant(now, r) {
 		return
 	}
-	r.complete = true
+	r.knowsAllGrants = true
 	for {
-		c.settlePromises(now, r)
-		w := r.queue.next(func(w *waiting) bool { return !w.ask.alone || !r.aloneTaken(w.ask.key().attempt) })
+		c.assignFreeSlots(now, r)
+		w := r.queue.next(func(w *queuedRequest) bool { return !w.request.alone || !r.runsOtherSuspect(w.request.key().attempt) })
 		if w == nil {
 			return
 		}
-		if r.used()+len(r.promised()) < r.announced.Slots {
-			if !r.limited.take(now) {
+		if r.used()+len(r.pending()) < r.announced.Slots {
+			if !r.rateLimit.take(now) {
 				return
 			}
-			c.dispatch(now, r, w, holdFirm, 0)
+			c.dispatch(now, r, w, holdActive, 0)
 			continue
 		}
 		ready := r.forecast(now, c.predictor).likelyFreeIn(0)
-		if len(r.promised()) >= maxPromised(r.announced.Slots) || ready > w.ask.lead || !r.limited.take(now) {
+		if len(r.pending()) >= maxPending(r.announced.Slots) || ready > w.request.lead || !r.rateLimit.take(now) {
 			return
 		}
-		c.dispatch(now, r, w, holdPromised, ready)
+		c.dispatch(now, r, w, holdPending, ready)
 	}
 }
 
-// maxPromised bounds the slots granted before they are free.
-func maxPromised(slots int) int { return (slots + 3) / 4 }
+// maxPending bounds the slots that are granted before they are free.
+func maxPending(slots int) int { return (slots + 3) / 4 }
 
-// settlePromises gives free slots to promises, oldest first.
-func (c *core) settlePromises(now time.Time, r *record) {
+// assignFreeSlots assigns free slots to pending holds, oldest first.
+func (c *core) assignFreeSlots(now time.Time, r *record) {
 	free := r.announced.Slots - r.used()
-	for _, h := range r.promised() {
+	for _, h := range r.pending() {
 		if free <= 0 {
 			return
 		}
-		h.state = holdFirm
-		h.lapse = later(h.lapse, now.Add(c.limits.GrantLife))
+		h.state = holdActive
+		h.expiresAt = later(h.expiresAt, now.Add(c.limits.GrantLife))
 		free--
 	}
 }
 
-func (c *core) dispatch(now time.Time, r *record, w *waiting, state holdState, ready time.Duration) {
+func (c *core) dispatch(now time.Time, r *record, w *queuedRequest, state holdState, ready time.Duration) {
 	r.queue.dispatch(w)
 	h := &hold{
-		key:       w.ask.key(),
+		key:       w.request.key(),
 		state:     state,
-		owner:     w.ask.owner,
-		granted:   now,
-		lapse:     now.Add(ready + c.limits.GrantLife),
-		ownerSeen: c.view.Holds(w.ask.owner),
+		owner:     w.request.owner,
+		grantedAt: now,
+		expiresAt: now.Add(ready + c.limits.GrantLife),
+		ownerSeen: c.view.Holds(w.request.owner),
 	}
-	c.fill(h, w.ask)
+	c.applyRequest(h, w.request)
 	r.holds[h.key] = h
 	a := c.granted(now, r, h)
-	a.queued = now.Sub(w.ask.arrived)
-	c.out.answers = append(c.out.answers, answered{to: w, answer: a})
-	c.out.events = append(c.out.events, timeline.Event{
+	a.queued = now.Sub(w.request.arrived)
+	c.effects.responses = append(c.effects.responses, queuedResponse{to: w, response: a})
+	c.effects.events = append(c.effects.events, timeline.Event{
 		Kind: timeline.KindGranted, Endpoint: r.announced.ID, Attempt: h.key.attempt, Team: h.team,
 	})
 }
 
-// shed refuses those whose wait can't be kept, before their patience is over.
-func (c *core) shed(now time.Time, r *record) {
+// refuseOverdue refuses queued requests that can't be served within their
+// maximum wait, before it is over.
+func (c *core) refuseOverdue(now time.Time, r *record) {
 	if r.queue.size == 0 {
 		return
 	}
 	f := r.forecast(now, c.predictor)
 	ahead := 0
 	for _, w := range r.queue.ordered() {
-		left := w.ask.wait - now.Sub(w.ask.arrived)
-		if left <= 0 || max(f.freeIn(ahead), r.limited.freeIn(now, ahead))-w.ask.lead > left {
-			c.end(r, w, c.full(now, r, ahead))
+		left := w.request.maxWait - now.Sub(w.request.arrived)
+		if left <= 0 || max(f.freeIn(ahead), r.rateLimit.freeIn(now, ahead))-w.request.lead > left {
+			c.respondQueued(r, w, c.refuseFull(now, r, ahead))
 			continue
 		}
 		ahead++
 	}
 }
 
-// free takes a hold out.
+// free removes a hold.
 func (c *core) free(now time.Time, r *record, h *hold) {
 	if r.holds[h.key] != h {
 		return
 	}
 	delete(r.holds, h.key)
-	r.drain.released(now)
+	r.releaseRate.released(now)
 }
 
-// heartbeatDelay is how long a held list may have been on its way.
-const heartbeatDelay = 100 * time.Millisecond
+// maxHeartbeatDelay is how long a held list may have been in transit.
+const maxHeartbeatDelay = 100 * time.Millisecond
 
-// lapse frees grants whose life has ended and that a held list of a later time
-// doesn't show.
+// freeExpired frees expired holds that a later held list doesn't show.
 //
-// The failure: work begins at the end of a grant's life; the slot is given
-// again before a heartbeat could tell, and the engine refuses one of the two as
-// full. The guard: only the arrival of a held list frees, and not one that may
-// be older than the grant's end.
-func (c *core) lapse(now time.Time, r *record) {
+// It runs only when a held list arrives, and only frees holds that expired
+// before the list can have been sent. Work may start at the very end of a
+// grant's lifetime. If time alone freed the hold, its slot could be granted
+// again before a heartbeat shows that work, and the engine would refuse one of
+// the two as full.
+func (c *core) freeExpired(now time.Time, r *record) {
 	for _, h := range r.holds {
-		if now.Before(h.lapse.Add(heartbeatDelay)) || h.state == holdReleased {
+		if now.Before(h.expiresAt.Add(maxHeartbeatDelay)) || h.state == holdReleased {
 			continue
 		}
 		c.free(now, r, h)
--- a/internal/endpoint/core_release.go
+++ b/internal/endpoint/core_release.go
@@ -8,36 +8,36 @@
 	"github.com/hyssopsail/hyssopsail/internal/timeline"
 )
 
-// releaseAsk is a slot given back.
-type releaseAsk struct {
-	endpoint    fleet.EndpointID
-	key         holdKey
-	owner       fleet.Owner
-	reason      pb.ReleaseReason
-	tokens      int
-	busy        time.Duration
-	fingerprint fleet.Fingerprint
+// slotRelease is a validated release of a slot.
+type slotRelease struct {
+	endpoint     fleet.EndpointID
+	key          holdKey
+	owner        fleet.Owner
+	reason       pb.ReleaseReason
+	outputTokens int
+	busy         time.Duration
+	fingerprint  fleet.Fingerprint
 }
 
-func releaseFromProto(p *pb.ReleaseRequest) (releaseAsk, bool) {
+func releaseFromProto(p *pb.ReleaseRequest) (slotRelease, bool) {
 	if len(p.GetEndpointId()) > maxNameLen || len(p.GetAttemptId()) > maxNameLen || p.GetAttemptId() == "" {
-		return releaseAsk{}, false
-	}
-	print, _ := fleet.FingerprintFromBytes(p.GetFingerprint())
-	return releaseAsk{
-		endpoint:    fleet.EndpointID(p.GetEndpointId()),
-		key:         holdKey{fleet.AttemptID(p.GetAttemptId()), fleet.EndpointRole(p.GetKind())},
-		owner:       fleet.OwnerFromProto(p.GetOwner()),
-		reason:      p.GetReason(),
-		tokens:      int(p.GetOutputTokens()),
-		busy:        boundedMs(p.GetBusyMs(), time.Hour),
-		fingerprint: print,
+		return slotRelease{}, false
+	}
+	fingerprint, _ := fleet.FingerprintFromBytes(p.GetFingerprint())
+	return slotRelease{
+		endpoint:     fleet.EndpointID(p.GetEndpointId()),
+		key:          holdKey{fleet.AttemptID(p.GetAttemptId()), fleet.EndpointRole(p.GetKind())},
+		owner:        fleet.OwnerFromProto(p.GetOwner()),
+		reason:       p.GetReason(),
+		outputTokens: int(p.GetOutputTokens()),
+		busy:         boundedMs(p.GetBusyMs(), time.Hour),
+		fingerprint:  fingerprint,
 	}, true
 }
 
 // release frees a slot at once. The status is GRANTED when done, also for a
-// repeat, and NOT_HOME when another instance is home.
-func (c *core) release(now time.Time, q releaseAsk) answer {
+// repeated release, and NOT_HOME if another instance is the home.
+func (c *core) release(now time.Time, q slotRelease) response {
 	r, ok := c.endpoints[q.endpoint]
 	if !ok {
 		return refused(pb.GrantStatus_GRANT_STATUS_UNKNOWN_ENDPOINT)
@@ -47,97 +47,100 @@
 	}
 	h, there := r.holds[q.key]
 	if there && h.owner != q.owner {
-		return answer{status: statusGranted}
+		return response{status: statusGranted}
 	}
 	if there && h.state != holdReleased {
-		c.learn(now, r, h, q)
+		c.learnFromRelease(now, r, h, q)
 		c.free(now, r, h)
-		c.out.events = append(c.out.events, timeline.Event{
+		c.effects.events = append(c.effects.events, timeline.Event{
 			Kind: timeline.KindReleased, Endpoint: q.endpoint, Attempt: q.key.attempt, Team: h.team,
 		})
 	}
-	if _, before := r.released[q.key]; !before {
-		r.released[q.key] = now
+	if _, before := r.releasedAt[q.key]; !before {
+		r.releasedAt[q.key] = now
 	}
 	if q.reason == pb.ReleaseReason_RELEASE_REASON_ENDPOINT_FAILED {
 		c.endpointFailed(now, r, q)
 	}
-	c.pump(now, r)
-	return answer{status: statusGranted}
+	c.dispatchQueued(now, r)
+	return response{status: statusGranted}
 }
 
-func (c *core) learn(now time.Time, r *record, h *hold, q releaseAsk) {
+func (c *core) learnFromRelease(now time.Time, r *record, h *hold, q slotRelease) {
 	if q.reason != pb.ReleaseReason_RELEASE_REASON_COMPLETED {
 		return
 	}
 	f := h.finished()
-	f.OutputTokens = q.tokens
+	f.OutputTokens = q.outputTokens
 	f.Busy = q.busy
-	if h.key.kind == fleet.RoleDecode && !h.entered.IsZero() {
-		ahead := h.entered.Sub(h.granted)
-		c.predictor.sawLeadIn(h.model, ahead)
+	if h.key.kind == fleet.RoleDecode && !h.enteredAt.IsZero() {
+		ahead := h.enteredAt.Sub(h.grantedAt)
+		c.predictor.observeStartDelay(h.model, ahead)
 		f.Busy -= ahead
 	}
 	c.predictor.Observe(f)
-	c.predictor.sawAllowed(f, h.expected)
-	c.learnService(now, r, h)
+	c.predictor.observeFullLength(f, h.expectedTokens)
+	c.learnPrefillTime(now, r, h)
 }
 
-// endpointFailed keeps what ran and has the endpoint probed.
-func (c *core) endpointFailed(now time.Time, r *record, q releaseAsk) {
-	if q.fingerprint != (fleet.Fingerprint{}) && len(r.failed) < maxSlots {
-		r.failed[q.fingerprint] = now
+// endpointFailed records which request failed and requests a probe of the
+// endpoint.
+func (c *core) endpointFailed(now time.Time, r *record, q slotRelease) {
+	if q.fingerprint != (fleet.Fingerprint{}) && len(r.failedFingerprints) < maxSlots {
+		r.failedFingerprints[q.fingerprint] = now
 	}
 	c.probe(now, r)
 }
 
-// probeFailed takes an endpoint incarnation for dead. The report waits for
-// one heartbeat's time: owners whose connections broke still tell what they
-// ran, and an endpoint that is alive after all still says so.
+// probeFailed treats an endpoint incarnation as crashed. The report is delayed
+// by one heartbeat interval: owners whose connections broke can still report
+// what they ran, and an endpoint that is alive after all can still send a
+// heartbeat.
 func (c *core) probeFailed(now time.Time, id fleet.EndpointID, incarnation fleet.Incarnation) {
-	r, ok := c.known(id, incarnation)
-	if !ok || !c.current || !r.crashAt.IsZero() {
+	r, ok := c.lookup(id, incarnation)
+	if !ok || !c.current || !r.crashReportAt.IsZero() {
 		return
 	}
-	if !r.silent {
-		r.silent = true
-		c.statics++
+	if !r.unreachable {
+		r.unreachable = true
+		c.staticVersion++
 		c.refuseAll(r, refused(pb.GrantStatus_GRANT_STATUS_UNKNOWN_ENDPOINT))
-		c.note(timeline.KindEndpointLost, r, "", "probe failed")
+		c.recordEvent(timeline.KindEndpointLost, r, "", "probe failed")
 	}
 	for _, h := range r.holds {
-		if h.fingerprint != (fleet.Fingerprint{}) && h.state != holdPromised {
-			r.failed[h.fingerprint] = now
+		if h.fingerprint != (fleet.Fingerprint{}) && h.state != holdPending {
+			r.failedFingerprints[h.fingerprint] = now
 		}
 	}
-	r.crashAt = now.Add(c.limits.Heartbeat)
+	r.crashReportAt = now.Add(c.limits.Heartbeat)
 }
 
-// died reports what ran on an endpoint incarnation, once, and frees it all.
-func (c *core) died(now time.Time, r *record) {
+// reportDeath reports once what ran on an endpoint incarnation, and frees all
+// its holds.
+func (c *core) reportDeath(now time.Time, r *record) {
 	id := r.announced.ID
 	if c.crashed[id] >= r.announced.Incarnation {
 		return
 	}
-	prints := make(map[fleet.Fingerprint]struct{})
-	for f := range r.failed {
-		prints[f] = struct{}{}
+	fingerprints := make(map[fleet.Fingerprint]struct{})
+	for f := range r.failedFingerprints {
+		fingerprints[f] = struct{}{}
 	}
 	for _, h := range r.holds {
-		if h.fingerprint != (fleet.Fingerprint{}) && h.state != holdPromised {
-			prints[h.fingerprint] = struct{}{}
+		if h.fingerprint != (fleet.Fingerprint{}) && h.state != holdPending {
+			fingerprints[h.fingerprint] = struct{}{}
 		}
 	}
-	c.noteCrash(id, r.announced.Incarnation)
+	c.rememberCrash(id, r.announced.Incarnation)
 	r.holds = make(map[holdKey]*hold)
-	r.failed = make(map[fleet.Fingerprint]time.Time)
-	r.crashAt = time.Time{}
-	// If it lives after all, grants that were forgotten here end before new
-	// ones are given.
-	r.beat = false
-	r.complete = false
-	r.quiet = later(r.quiet, now.Add(c.limits.GrantLife))
-	if len(prints) == 0 {
+	r.failedFingerprints = make(map[fleet.Fingerprint]time.Time)
+	r.crashReportAt = time.Time{}
+	// If the endpoint is alive after all, grants that were dropped here must
+	// expire before new ones are given.
+	r.hasHeldList = false
+	r.knowsAllGrants = false
+	r.noGrantsBefore = later(r.noGrantsBefore, now.Add(c.limits.GrantLife))
+	if len(fingerprints) == 0 {
 		return
 	}
 	report := &pb.ReportCrash{
@@ -145,14 +148,14 @@
 		EndpointIncarnation: uint64(r.announced.Incarnation),
 		UnixMs:              now.UnixMilli(),
 	}
-	for f := range prints {
+	for f := range fingerprints {
 		report.Fingerprints = append(report.Fingerprints, f[:])
 	}
-	c.out.crashes = append(c.out.crashes, report)
+	c.effects.crashes = append(c.effects.crashes, report)
 }
 
-func (c *core) noteCrash(id fleet.EndpointID, incarnation fleet.Incarnation) {
-	if len(c.crashed) >= maxCrashNotes {
+func (c *core) rememberCrash(id fleet.EndpointID, incarnation fleet.Incarnation) {
+	if len(c.crashed) >= maxRememberedIncarnations {
 		for old := range c.crashed {
 			if _, here := c.endpoints[old]; !here {
 				delete(c.crashed, old)
--- a/internal/endpoint/core_sweep.go
+++ b/internal/endpoint/core_sweep.go
@@ -8,25 +8,24 @@
 	"github.com/hyssopsail/hyssopsail/internal/timeline"
 )
 
-// How often a live owner is asked after its holds: soon for those that this
-// home has not granted, seldom for the others, whose owner's release is
-// retried until this home has it.
+// Intervals at which a live owner is asked about a hold. Holds that this home
+// has not granted are asked about often. The others need it seldom, because
+// their owner retries the release until this home has it.
 const (
-	askReportedEvery = 2 * time.Second
-	askGrantedEvery  = 10 * time.Second
-	recancelEvery    = 2 * time.Second
+	reportedQueryInterval = 2 * time.Second
+	grantedQueryInterval  = 10 * time.Second
+	recancelInterval      = 2 * time.Second
 )
 
-// sweep cancels holds that nobody waits for.
+// sweep cancels orphaned holds.
 //
-// The failure: a caller has gone, the cancel was lost or its entry was killed,
-// and the engine's memory stays taken until the output ends. The guards: a
-// hold whose owner's process has left the view, one that its owner has
-// released and the endpoint still lists, and one that its owner disowns, are
-// cancelled; the cancel goes with each reply to the endpoint until it lists
-// the hold no more.
+// When a caller is gone and the cancel was lost or its entry was killed, the
+// engine's memory would stay taken until the output ends. So a hold is
+// cancelled if its owner's process has left the view, if its owner has released
+// it and the endpoint still lists it, or if its owner disowns it. Each reply to
+// the endpoint repeats the cancel until the endpoint no longer lists the hold.
 func (c *core) sweep(now time.Time, r *record) {
-	if c.guards.noSweep || !c.isHome(r) {
+	if c.faults.noSweep || !c.isHome(r) {
 		return
 	}
 	for _, h := range r.holds {
@@ -34,22 +33,22 @@
 			h.ownerSeen = true
 		}
 		switch {
-		case c.ownerGone(now, h):
+		case c.ownerLeft(now, h):
 			c.cancel(now, r, h, "owner gone")
 		case h.state == holdReleased:
-			if now.Sub(h.released) > c.limits.releaseGrace() {
+			if now.Sub(h.releasedAt) > c.limits.releaseGrace() {
 				c.cancel(now, r, h, "released")
 			}
 		default:
-			c.askOwner(now, r, h)
+			c.queryOwner(now, r, h)
 		}
 	}
 }
 
-// ownerGone tells whether the process that owns h has left the view for good.
-// An owner that this home has never seen may have joined by a view that is
-// still on its way, for no longer than SettingsLease.
-func (c *core) ownerGone(now time.Time, h *hold) bool {
+// ownerLeft reports whether the process that owns h has left the view for good.
+// An owner that this home has never seen may have joined by a view that has not
+// arrived here yet, for no longer than SettingsLease.
+func (c *core) ownerLeft(now time.Time, h *hold) bool {
 	if !c.current || c.view.Holds(h.owner) {
 		return false
 	}
@@ -57,37 +56,37 @@
 	if h.ownerSeen || (there && i.Incarnation > h.owner.Incarnation) {
 		return true
 	}
-	return now.Sub(h.granted) > c.limits.SettingsLease && now.Sub(c.awake) > c.limits.SettingsLease
+	return now.Sub(h.grantedAt) > c.limits.SettingsLease && now.Sub(c.runningSince) > c.limits.SettingsLease
 }
 
 func (c *core) cancel(now time.Time, r *record, h *hold, why string) {
-	if !h.cancelled.IsZero() && now.Sub(h.cancelled) < recancelEvery {
+	if !h.cancelledAt.IsZero() && now.Sub(h.cancelledAt) < recancelInterval {
 		return
 	}
-	if h.cancelled.IsZero() {
-		c.note(timeline.KindHoldSwept, r, h.key.attempt, why)
+	if h.cancelledAt.IsZero() {
+		c.recordEvent(timeline.KindHoldSwept, r, h.key.attempt, why)
 	}
-	h.cancelled = now
-	c.out.cancels = append(c.out.cancels, cancelOrder{target: r.target(), attempt: h.key.attempt})
+	h.cancelledAt = now
+	c.effects.cancels = append(c.effects.cancels, cancelOrder{target: r.target(), attempt: h.key.attempt})
 }
 
-func (c *core) askOwner(now time.Time, r *record, h *hold) {
-	every := askGrantedEvery
+func (c *core) queryOwner(now time.Time, r *record, h *hold) {
+	every := grantedQueryInterval
 	if h.state == holdReported {
-		every = askReportedEvery
+		every = reportedQueryInterval
 	}
-	if !h.confirmed() || !c.current || now.Sub(h.granted) < c.limits.disownGrace() || now.Sub(h.asked) < every {
+	if !h.confirmed() || !c.current || now.Sub(h.grantedAt) < c.limits.minDisownAge() || now.Sub(h.ownerAskedAt) < every {
 		return
 	}
-	if h.asked.IsZero() && h.state != holdReported && now.Sub(h.granted) < every {
+	if h.ownerAskedAt.IsZero() && h.state != holdReported && now.Sub(h.grantedAt) < every {
 		return
 	}
-	h.asked = now
-	c.out.disowns = append(c.out.disowns, disownAsk{target: r.target(), owner: h.owner, held: &pb.HeldAttempt{
+	h.ownerAskedAt = now
+	c.effects.ownerQueries = append(c.effects.ownerQueries, ownerQuery{target: r.target(), owner: h.owner, held: &pb.HeldAttempt{
 		AttemptId: string(h.key.attempt),
 		Owner:     h.owner.Proto(),
 		Stage:     string(h.stage),
-		AgeMs:     uint64(now.Sub(h.granted).Milliseconds()),
+		AgeMs:     uint64(now.Sub(h.grantedAt).Milliseconds()),
 	}})
 }
 
--- a/internal/endpoint/crash_test.go
+++ b/internal/endpoint/crash_test.go
@@ -13,28 +13,29 @@
 )
 
 var (
-	bad  = fleet.Fingerprint{1}
-	good = fleet.Fingerprint{2}
+	suspect   = fleet.Fingerprint{1}
+	bystander = fleet.Fingerprint{2}
 )
 
-// running is a home at which two requests run.
-func running(t *testing.T, g guards) *core {
-	c := soleHome(t, 4, g)
-	for n, f := range []fleet.Fingerprint{bad, good} {
-		a := askFor([]string{"x1", "x2"}[n], epoch)
+// homeRunningTwo returns a home whose endpoint runs two requests.
+func homeRunningTwo(t *testing.T, g testFaults) *core {
+	c := homeOfOne(t, 4, g)
+	for n, f := range []fleet.Fingerprint{suspect, bystander} {
+		a := requestFor([]string{"x1", "x2"}[n], epoch)
 		a.fingerprint = f
 		c.grant(epoch, a)
 	}
-	c.drain()
+	c.takeEffects()
 	return c
 }
 
-// crashes plays on for ten seconds in which each probe fails.
-func crashes(c *core, from time.Duration) []*pb.ReportCrash {
+// crashReports simulates ten seconds in which each probe fails, and returns the
+// crash reports.
+func crashReports(c *core, from time.Duration) []*pb.ReportCrash {
 	var reports []*pb.ReportCrash
 	for d := from; d < from+10*time.Second; d += 50 * time.Millisecond {
 		c.tick(at(d))
-		out := c.drain()
+		out := c.takeEffects()
 		reports = append(reports, out.crashes...)
 		for _, p := range out.probes {
 			c.probeFailed(at(d), p.ID, p.Incarnation)
@@ -43,33 +44,33 @@
 	return reports
 }
 
-// A request crashes the engine that runs it, and its caller sends it again:
-// only when each death is reported once, with all that ran, can it be told
-// from the innocent ones beside it.
+// A request crashes the engine that runs it, and its caller repeats it. It can
+// be told from the requests beside it only if each crash is reported once, with
+// all that ran.
 func TestCrashIsReportedOncePerIncarnation(t *testing.T) {
 	for name, death := range map[string]func(c *core) (after time.Duration){
 		"silence": func(*core) time.Duration { return 0 },
 		"connections broke": func(c *core) time.Duration {
-			giveBack(c, at(time.Second), "x1", pb.ReleaseReason_RELEASE_REASON_ENDPOINT_FAILED, bad)
-			giveBack(c, at(time.Second), "x2", pb.ReleaseReason_RELEASE_REASON_ENDPOINT_FAILED, good)
+			releaseSlot(c, at(time.Second), "x1", pb.ReleaseReason_RELEASE_REASON_ENDPOINT_FAILED, suspect)
+			releaseSlot(c, at(time.Second), "x2", pb.ReleaseReason_RELEASE_REASON_ENDPOINT_FAILED, bystander)
 			return time.Second
 		},
 		"one caller gave up as it died": func(c *core) time.Duration {
-			giveBack(c, at(time.Second), "x1", pb.ReleaseReason_RELEASE_REASON_ENDPOINT_FAILED, bad)
+			releaseSlot(c, at(time.Second), "x1", pb.ReleaseReason_RELEASE_REASON_ENDPOINT_FAILED, suspect)
 			c.probeFailed(at(time.Second), "e1", 1)
-			giveBack(c, at(time.Second), "x2", pb.ReleaseReason_RELEASE_REASON_CANCELLED, good)
+			releaseSlot(c, at(time.Second), "x2", pb.ReleaseReason_RELEASE_REASON_CANCELLED, bystander)
 			return time.Second
 		},
 		"restarted": func(c *core) time.Duration {
 			again := announcement("e1", 4)
 			again.Incarnation = 2
-			beatCore(c, at(time.Second), again, 1)
+			heartbeatTo(c, at(time.Second), again, 1)
 			return time.Second
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := running(t, guards{})
-			reports := crashes(c, death(c))
+			c := homeRunningTwo(t, testFaults{})
+			reports := crashReports(c, death(c))
 			assert.Equal(t, len(reports), 1)
 			assert.Equal(t, reports[0].EndpointIncarnation, uint64(1))
 			assert.Equal(t, len(reports[0].Fingerprints), 2)
@@ -77,80 +78,81 @@
 	}
 }
 
-// An engine that was taken for dead by mistake lives on, runs the same requests
-// and goes silent again. One incarnation dies once: a second report would make
-// two crashes of it.
-func TestSecondSilenceOfAnIncarnation(t *testing.T) {
-	c := running(t, guards{})
-	assert.Equal(t, len(crashes(c, 0)), 1)
-	// A request under way to it has the home keep a record; it speaks again.
+// An engine that was wrongly treated as crashed goes on running the same
+// requests and becomes unreachable again. A second report of the same
+// incarnation would count as a second crash.
+func TestIncarnationIsReportedCrashedOnce(t *testing.T) {
+	c := homeRunningTwo(t, testFaults{})
+	assert.Equal(t, len(crashReports(c, 0)), 1)
+	// A request on its way to the engine makes the home keep a record of it;
+	// then its heartbeats arrive again.
 	back := at(11 * time.Second)
-	beatCore(c, back, announcement("e1", 4), 40)
-	beatCore(c, back.Add(6*time.Second), announcement("e1", 4), 41)
-	a := askFor("x3", back.Add(6*time.Second))
-	a.fingerprint = bad
+	heartbeatTo(c, back, announcement("e1", 4), 40)
+	heartbeatTo(c, back.Add(6*time.Second), announcement("e1", 4), 41)
+	a := requestFor("x3", back.Add(6*time.Second))
+	a.fingerprint = suspect
 	got, _ := c.grant(back.Add(6*time.Second), a)
 	assert.Equal(t, got.status, statusGranted)
-	assert.Equal(t, len(crashes(c, 17*time.Second)), 0)
+	assert.Equal(t, len(crashReports(c, 17*time.Second)), 0)
 }
 
-// A connection breaks though the engine lives: the probe is answered, the next
-// heartbeat comes, nothing is a suspect.
+// A connection breaks although the engine is alive: the probe is answered, the
+// next heartbeat arrives, and no request becomes a suspect.
 func TestBrokenConnectionIsNoCrash(t *testing.T) {
-	c := running(t, guards{})
-	giveBack(c, at(time.Second), "x1", pb.ReleaseReason_RELEASE_REASON_ENDPOINT_FAILED, bad)
-	out := c.drain()
+	c := homeRunningTwo(t, testFaults{})
+	releaseSlot(c, at(time.Second), "x1", pb.ReleaseReason_RELEASE_REASON_ENDPOINT_FAILED, suspect)
+	out := c.takeEffects()
 	assert.Equal(t, len(out.probes), 1)
-	beatCore(c, at(1300*time.Millisecond), announcement("e1", 4), 2)
-	assert.Equal(t, len(c.endpoints["e1"].failed), 1)
-	beatCore(c, at(1600*time.Millisecond), announcement("e1", 4), 3)
-	assert.Equal(t, len(c.endpoints["e1"].failed), 0)
-	assert.Equal(t, len(c.drain().crashes), 0)
+	heartbeatTo(c, at(1300*time.Millisecond), announcement("e1", 4), 2)
+	assert.Equal(t, len(c.endpoints["e1"].failedFingerprints), 1)
+	heartbeatTo(c, at(1600*time.Millisecond), announcement("e1", 4), 3)
+	assert.Equal(t, len(c.endpoints["e1"].failedFingerprints), 0)
+	assert.Equal(t, len(c.takeEffects().crashes), 0)
 }
 
-// A home is frozen for some seconds. When it wakes all its engines seem silent
-// and their requests would be suspects, though it was the home that slept; the
-// probes of a host that was just thawed fail too.
+// A home is frozen for some seconds. When it resumes, all its engines seem
+// silent and their requests would become suspects, although only the home was
+// stalled. The probes of a host that has just resumed fail too.
 func TestFrozenHomeReportsNoCrash(t *testing.T) {
-	run := func(g guards) int {
-		c := running(t, g)
+	run := func(g testFaults) int {
+		c := homeRunningTwo(t, g)
 		c.tick(at(100 * time.Millisecond))
 		c.tick(at(8 * time.Second))
-		for _, p := range c.drain().probes {
+		for _, p := range c.takeEffects().probes {
 			c.probeFailed(at(8*time.Second), p.ID, p.Incarnation)
 		}
 		c.tick(at(8400 * time.Millisecond))
-		return len(c.drain().crashes)
+		return len(c.takeEffects().crashes)
 	}
-	assert.Equal(t, run(guards{}), 0)
-	assert.Equal(t, run(guards{noStallGuard: true}), 1, "the proof must fail without its guard")
+	assert.Equal(t, run(testFaults{}), 0)
+	assert.Equal(t, run(testFaults{noStallGuard: true}), 1, "the test must fail without the protection")
 }
 
-// An engine that was taken for dead speaks again under the same incarnation.
-// What was granted before must have ended before anything is granted anew.
+// An engine that was treated as crashed sends heartbeats again under the same
+// incarnation. Its earlier grants must have expired before new ones are given.
 func TestRevivedEndpointWaitsOutForgottenGrants(t *testing.T) {
-	c := running(t, guards{})
-	assert.Equal(t, len(crashes(c, 0)), 1)
+	c := homeRunningTwo(t, testFaults{})
+	assert.Equal(t, len(crashReports(c, 0)), 1)
 	back := at(10 * time.Second)
 	c.endpoints["e1"] = newRecord(back, announcement("e1", 4), back.Add(-time.Second))
-	c.endpoints["e1"].crashAt = back
+	c.endpoints["e1"].crashReportAt = back
 	c.crashed = map[fleet.EndpointID]fleet.Incarnation{}
 	c.tick(back)
-	beatCore(c, back, announcement("e1", 4), 40)
+	heartbeatTo(c, back, announcement("e1", 4), 40)
 	assert.Equal(t, statusAt(c, back, "x9"), statusFull)
-	beatCore(c, back.Add(2*time.Second), announcement("e1", 4), 41)
+	heartbeatTo(c, back.Add(2*time.Second), announcement("e1", 4), 41)
 	assert.Equal(t, statusAt(c, back.Add(2*time.Second), "x9"), statusGranted)
 }
 
 // An engine's heartbeats stop reaching its home. While it answers the home's
-// probe it isn't taken for dead; when it doesn't, the control group hears of
-// it once, though its first two answers are lost.
-func TestProbeDecides(t *testing.T) {
+// probe it does not count as crashed. When it doesn't, the control group gets
+// one report, although its first two replies are lost.
+func TestProbeDecidesWhetherEndpointCrashed(t *testing.T) {
 	for name, dead := range map[string]bool{"alive": false, "dead": true} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				self := instance("a", zoneNear)
-				d := start(t, newFakeNet(t), self, viewOf(1, self))
+				d := startDaemon(t, newFakeNet(t), self, viewOf(1, self))
 				defer d.stop()
 				lost := 2
 				reports := 0
@@ -163,11 +165,11 @@
 				}
 				a := announcement("e1", 4)
 				d.engine.state, d.engine.dead = a, dead
-				d.beat(a, 1)
-				time.Sleep(2 * pollEvery)
-				d.beat(a, 2)
-				r := take("e1", "x", 0)
-				r.Fingerprint = bad
+				d.heartbeat(a, 1)
+				time.Sleep(2 * minPollInterval)
+				d.heartbeat(a, 2)
+				r := grantRequest("e1", "x", 0)
+				r.Fingerprint = suspect
 				grant, _, err := d.client.Take(t.Context(), r)
 				assert.NilError(t, err)
 				assert.Assert(t, grant != nil)
--- a/internal/endpoint/doc.go
+++ b/internal/endpoint/doc.go
@@ -1,5 +1,5 @@
-// Package endpoint is both sides of endpoint homes: the home, which keeps an
-// endpoint's lease, grants its slots exactly, sweeps holds without owner and
-// follows its cache events; and the follower, which knows a bounded set of
-// endpoints by digest and asks their homes for grants.
+// Package endpoint implements both sides of endpoint homes. Home keeps an
+// endpoint's lease, grants its slots exactly, cancels orphaned holds and tracks
+// its cache events. HomeClient follows a bounded number of homes by polling
+// digests of their endpoints, and requests grants from them.
 package endpoint
--- a/internal/endpoint/effects.go
+++ b/internal/endpoint/effects.go
@@ -7,22 +7,22 @@
 	"github.com/hyssopsail/hyssopsail/internal/timeline"
 )
 
-// effects is what the shell has to do after a step of the core.
+// effects are the actions that Home executes after a step of the core.
 type effects struct {
-	answers   []answered
-	cancels   []cancelOrder
-	probes    []engine.Target
-	crashes   []*pb.ReportCrash
-	resyncs   []engine.Target
-	disowns   []disownAsk
-	handovers []handover
-	events    []timeline.Event
+	responses    []queuedResponse
+	cancels      []cancelOrder
+	probes       []engine.Target
+	crashes      []*pb.ReportCrash
+	resyncs      []engine.Target
+	ownerQueries []ownerQuery
+	handovers    []handover
+	events       []timeline.Event
 }
 
-// answered ends a queued ask.
-type answered struct {
-	to     *waiting
-	answer answer
+// queuedResponse is the response to a queued request.
+type queuedResponse struct {
+	to       *queuedRequest
+	response response
 }
 
 // cancelOrder frees an attempt's memory at an endpoint.
@@ -31,8 +31,8 @@
 	attempt fleet.AttemptID
 }
 
-// disownAsk asks a live owner after a hold.
-type disownAsk struct {
+// ownerQuery asks a live owner whether it still runs a hold.
+type ownerQuery struct {
 	target engine.Target
 	owner  fleet.Owner
 	held   *pb.HeldAttempt
--- a/internal/endpoint/fakes_test.go
+++ b/internal/endpoint/fakes_test.go
@@ -59,14 +59,14 @@
 	return engineapi.CacheSnapshot{}, nil
 }
 
-// fakeNet carries drpc over in-memory pipes between the daemons of one test.
+// fakeNet connects the daemons of one test by drpc over in-memory pipes.
 type fakeNet struct {
 	ctx  context.Context
 	mu   sync.Mutex
 	mux  map[string]*drpcmux.Mux
-	cut  map[string]bool // addresses that can't be reached
+	cut  map[string]bool // unreachable addresses
 	pool *drpcpool.Pool[string, drpcpool.Conn]
-	// bytes counts what all calls have carried, both ways.
+	// bytes counts what all calls have transferred, both ways.
 	bytes atomic.Int64
 }
 
@@ -114,7 +114,7 @@
 	return drpcconn.New(ours), nil
 }
 
-// serve has address answered by home from now on.
+// serve makes home answer the calls to address from now on.
 func (n *fakeNet) serve(t *testing.T, address string, home pb.DRPCHomeServer) {
 	t.Helper()
 	mux := drpcmux.New()
@@ -124,8 +124,8 @@
 	n.mux[address] = mux
 }
 
-// currentMux answers by what stands at an address when a call comes, so that a
-// test which puts another home there is heeded on open connections too.
+// currentMux looks up the home at an address at each call, so that a test can
+// replace it also for open connections.
 type currentMux struct {
 	net     *fakeNet
 	address string
@@ -166,14 +166,15 @@
 	return v
 }
 
-// see shows d another view.
-func (d *daemon) see(view fleet.View) { d.source.Set(&membership.State{View: view}) }
+// setView changes the view that d has.
+func (d *daemon) setView(view fleet.View) { d.source.Set(&membership.State{View: view}) }
 
-// rpcAddress is where d answers other daemons.
+// rpcAddress is the address at which other daemons call d.
 func (d *daemon) rpcAddress() string { return d.source.Self().RPCAddress }
 
-// start runs a daemon; it must be stopped before the test's bubble ends.
-func start(t *testing.T, n *fakeNet, self fleet.Instance, view fleet.View) *daemon {
+// startDaemon starts a daemon; it must be stopped before the test's synctest
+// bubble ends.
+func startDaemon(t *testing.T, n *fakeNet, self fleet.Instance, view fleet.View) *daemon {
 	t.Helper()
 	d := &daemon{source: testkit.NewSource(self, &membership.State{View: view}), engine: &fakeEngine{}}
 	d.home = NewHome(HomeOptions{
@@ -214,33 +215,33 @@
 		Role: fleet.RoleDecode, Models: []engineapi.ModelRef{model}, Slots: slots}
 }
 
-// beat sends a heartbeat with these holds to d.
-func (d *daemon) beat(a engineapi.Announcement, sequence uint64, held ...engineapi.Held) (engineapi.AnnounceReply, int) {
+// heartbeat sends a heartbeat with the given holds to d.
+func (d *daemon) heartbeat(a engineapi.Announcement, sequence uint64, held ...engineapi.Held) (engineapi.AnnounceReply, int) {
 	var reply engineapi.AnnounceReply
 	code := d.post("/v1/endpoints/heartbeat", engineapi.Heartbeat{Announcement: a, Sequence: sequence, Held: held}, &reply)
 	return reply, code
 }
 
-func take(endpoint, attempt string, wait time.Duration) GrantRequest {
+func grantRequest(endpoint, attempt string, wait time.Duration) GrantRequest {
 	return GrantRequest{Endpoint: fleet.EndpointID(endpoint), Kind: fleet.RoleDecode, Attempt: fleet.AttemptID(attempt),
 		Team: "sorters", Model: model, ExpectedTokens: 100, Wait: wait, Share: 1}
 }
 
-// mustTake takes a slot of e1 that must be free.
-func (d *daemon) mustTake(t *testing.T, attempt string) *Grant {
+// mustAcquire acquires a slot of e1, which must be free.
+func (d *daemon) mustAcquire(t *testing.T, attempt string) *Grant {
 	t.Helper()
-	grant, refusal, err := d.client.Take(t.Context(), take("e1", attempt, 0))
+	grant, refusal, err := d.client.Take(t.Context(), grantRequest("e1", attempt, 0))
 	assert.NilError(t, err)
 	assert.Assert(t, grant != nil, "refused: %v", refusal)
 	return grant
 }
 
-// finish gives back a grant whose answer is complete.
+// finish releases a grant whose output is complete.
 func (d *daemon) finish(g *Grant) {
 	d.client.Give(Release{Grant: *g, Reason: pb.ReleaseReason_RELEASE_REASON_COMPLETED})
 }
 
-// candidates counts the endpoints that d would send to in the near zone.
+// candidates counts d's candidates in the near zone.
 func (d *daemon) candidates() int { return len(d.client.Candidates(query(zoneNear))) }
 
 func query(zones ...fleet.AvailabilityZone) Query {
--- a/internal/endpoint/peers_test.go
+++ b/internal/endpoint/followedhomes_test.go
@@ -20,38 +20,38 @@
 	return &pb.DigestReply{Home: home.Proto(), Sequence: sequence, StaticVersion: 5, CacheVersion: 5, Digests: digests}
 }
 
-// A dead engine is used again, because an old digest came late, crossed with a
-// newer one, or from the home's process before its restart.
-func TestLateDigestsBringNothingBack(t *testing.T) {
+// A crashed engine would be used again because an old digest arrived late,
+// after a newer one, or from the home's process before its restart.
+func TestLateDigestsDoNotRestoreEndpoints(t *testing.T) {
 	home := fleet.Owner{Instance: "a", Incarnation: 2}
 	earlier := fleet.Owner{Instance: "a", Incarnation: 1}
-	for name, late := range map[string]func(p *peers){
-		"late list":                  func(p *peers) { p.take(epoch, home, listOf(home, 3, digestOf("e1", 1, 3))) },
-		"the same list again":        func(p *peers) { p.take(epoch, home, listOf(home, 10, digestOf("e1", 1, 10))) },
-		"list of an earlier process": func(p *peers) { p.take(epoch, earlier, listOf(earlier, 99, digestOf("e1", 1, 99))) },
-		"list of another than asked": func(p *peers) {
+	for name, late := range map[string]func(p *followedHomes){
+		"late list":                  func(p *followedHomes) { p.mergeReply(epoch, home, listOf(home, 3, digestOf("e1", 1, 3))) },
+		"the same list again":        func(p *followedHomes) { p.mergeReply(epoch, home, listOf(home, 10, digestOf("e1", 1, 10))) },
+		"list of an earlier process": func(p *followedHomes) { p.mergeReply(epoch, earlier, listOf(earlier, 99, digestOf("e1", 1, 99))) },
+		"list of another than asked": func(p *followedHomes) {
 			other := fleet.Owner{Instance: "b", Incarnation: 1}
-			p.take(epoch, home, listOf(other, 99, digestOf("e1", 1, 99)))
+			p.mergeReply(epoch, home, listOf(other, 99, digestOf("e1", 1, 99)))
 		},
-		"brief digest of a dead one": func(p *peers) {
+		"brief digest of a dead one": func(p *followedHomes) {
 			brief := digestOf("e1", 1, 11)
 			brief.Brief = true
-			p.take(epoch, home, listOf(home, 11, brief))
+			p.mergeReply(epoch, home, listOf(home, 11, brief))
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := newPeers()
-			p.take(epoch, home, listOf(home, 5, digestOf("e1", 1, 5)))
-			assert.Equal(t, len(p.rows()), 1)
-			p.take(epoch, home, listOf(home, 10))
+			p := newFollowedHomes()
+			p.mergeReply(epoch, home, listOf(home, 5, digestOf("e1", 1, 5)))
+			assert.Equal(t, len(p.endpoints()), 1)
+			p.mergeReply(epoch, home, listOf(home, 10))
 			late(p)
-			assert.Equal(t, len(p.rows()), 0)
+			assert.Equal(t, len(p.endpoints()), 0)
 		})
 	}
 }
 
-func TestFiguresKeepTheirOrder(t *testing.T) {
-	r := newRow(digestOf("e1", 2, 0), fleet.Owner{})
+func TestLateDigestsAreIgnored(t *testing.T) {
+	r := newFollowedEndpoint(digestOf("e1", 2, 0), fleet.Owner{})
 	with := func(incarnation, sequence uint64, granted uint32) *pb.EndpointDigest {
 		d := digestOf("e1", incarnation, sequence)
 		d.Granted = granted
@@ -63,25 +63,25 @@
 	var c Candidate
 	assert.Assert(t, r.fill(epoch, &c))
 	assert.Equal(t, c.Granted, 3)
-	r.underway.Add(1)
+	r.inFlight.Add(1)
 	r.fill(epoch, &c)
 	assert.Equal(t, c.Granted, 4)
-	assert.Assert(t, !r.fill(epoch.Add(digestLife+time.Millisecond), &c))
+	assert.Assert(t, !r.fill(epoch.Add(maxDigestAge+time.Millisecond), &c))
 }
 
-// A home that was restarted counts its versions anew; a brief list from it
-// must not be taken for one that leaves known things out.
-func TestRestartedHomeIsAskedForAll(t *testing.T) {
-	p := newPeers()
+// A restarted home counts its versions anew. A brief list from it must not be
+// applied to the endpoints that its earlier process listed.
+func TestRestartedHomeIsAskedForTheFullList(t *testing.T) {
+	p := newFollowedHomes()
 	old, restarted := fleet.Owner{Instance: "a", Incarnation: 1}, fleet.Owner{Instance: "a", Incarnation: 2}
-	p.take(epoch, old, listOf(old, 5, digestOf("e1", 1, 5)))
+	p.mergeReply(epoch, old, listOf(old, 5, digestOf("e1", 1, 5)))
 	statics, _ := p.versions(restarted)
 	assert.Equal(t, statics, uint64(0))
 	brief := digestOf("e1", 1, 6)
 	brief.Brief = true
-	p.take(epoch, restarted, listOf(restarted, 1, brief))
+	p.mergeReply(epoch, restarted, listOf(restarted, 1, brief))
 	statics, _ = p.versions(restarted)
-	assert.Equal(t, statics, uint64(0), "a list that lacks rows is asked for again")
+	assert.Equal(t, statics, uint64(0), "an incomplete list is requested again")
 }
 
 func TestFollowedHomes(t *testing.T) {
@@ -90,7 +90,7 @@
 		list = append(list, instance(fmt.Sprint("near", n), zoneNear), instance(fmt.Sprint("far", n), zoneFar))
 	}
 	self := instance("self", zoneNear)
-	homes := followed(self, viewOf(1, list...), 64)
+	homes := homesToFollow(self, viewOf(1, list...), 64)
 	near := 0
 	for _, h := range homes {
 		if h.Zone == zoneNear {
@@ -99,5 +99,5 @@
 	}
 	assert.Equal(t, len(homes), 64)
 	assert.Assert(t, near >= 32 && near < 64, "%d of 64 near", near)
-	assert.Equal(t, len(followed(self, viewOf(1, list[:9]...), 64)), 9)
+	assert.Equal(t, len(homesToFollow(self, viewOf(1, list[:9]...), 64)), 9)
 }
--- a/internal/endpoint/follower.go
+++ b/internal/endpoint/follower.go
@@ -10,52 +10,53 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// HomeClient is the Follower that asks homes by RPC: the shell that follows
-// them and takes and gives their slots.
+// HomeClient is the Follower that calls homes by RPC: it polls their digests,
+// and acquires and releases slots.
 //
-// Locks: mu guards peers; attemptsMu guards attempts. Neither is held during a
-// call, and neither is taken while the other is held. Candidates takes none.
+// Locks: mu guards homes; slotsMu guards slots, slotsByAttempt and
+// refusalCounts. Neither is held during a call or while the other is taken.
+// Candidates takes none.
 type HomeClient struct {
 	options FollowerOptions
 	metrics *followerMetrics
 	index   atomic.Pointer[index]
-	// surveyed is when the first poll of all homes ended; nil: it has not.
-	surveyed atomic.Pointer[time.Time]
-	gives    chan give
+	// firstPollEnd is when the first poll of all homes ended; nil before that.
+	firstPollEnd atomic.Pointer[time.Time]
+	releases     chan pendingRelease
 
 	mu    sync.Mutex
-	peers *peers
+	homes *followedHomes
 
-	attemptsMu sync.Mutex
-	attempts   map[takenKey]*taken
-	byAttempt  map[fleet.AttemptID]int
-	doubts     doubts
+	slotsMu        sync.Mutex
+	slots          map[slotKey]*trackedSlot
+	slotsByAttempt map[fleet.AttemptID]int
+	refusalCounts  refusalCounts
 }
 
 const (
-	pollEvery      = 500 * time.Millisecond // each home, when there are few
-	pollLongest    = 1500 * time.Millisecond
-	pollEachHome   = 100 * time.Millisecond // ten polls a second at most
-	pollWorkers    = 8
-	giveWorkers    = 4
-	giveQueue      = 4096
-	renewEvery     = 250 * time.Millisecond
-	maxRenewWorker = 4
+	minPollInterval     = 500 * time.Millisecond // for each home, when there are few
+	maxPollInterval     = 1500 * time.Millisecond
+	pollIntervalPerHome = 100 * time.Millisecond // ten polls a second at most
+	pollWorkers         = 8
+	releaseWorkers      = 4
+	releaseQueueSize    = 4096
+	renewInterval       = 250 * time.Millisecond
+	maxRenewWorkers     = 4
 )
 
-// NewFollower makes a follower that knows no endpoint yet.
+// NewFollower returns a HomeClient that knows no endpoint yet.
 func NewFollower(o FollowerOptions) *HomeClient {
 	if o.Homes <= 0 {
-		o.Homes = DefaultHomes
+		o.Homes = DefaultMaxHomes
 	}
 	f := &HomeClient{
-		options:   o,
-		metrics:   newFollowerMetrics(o.Registerer),
-		gives:     make(chan give, giveQueue),
-		peers:     newPeers(),
-		attempts:  make(map[takenKey]*taken),
-		byAttempt: make(map[fleet.AttemptID]int),
-		doubts:    make(doubts),
+		options:        o,
+		metrics:        newFollowerMetrics(o.Registerer),
+		releases:       make(chan pendingRelease, releaseQueueSize),
+		homes:          newFollowedHomes(),
+		slots:          make(map[slotKey]*trackedSlot),
+		slotsByAttempt: make(map[fleet.AttemptID]int),
+		refusalCounts:  make(refusalCounts),
 	}
 	f.index.Store(newIndex(nil))
 	return f
@@ -70,18 +71,18 @@
 
 // Surveyed implements Follower.
 func (f *HomeClient) Surveyed() (time.Time, bool) {
-	at := f.surveyed.Load()
+	at := f.firstPollEnd.Load()
 	if at == nil {
 		return time.Time{}, false
 	}
 	return *at, true
 }
 
-// Run polls, renews and gives back until ctx ends.
+// Run polls homes, renews grants and sends releases until ctx ends.
 func (f *HomeClient) Run(ctx context.Context) error {
 	var workers sync.WaitGroup
-	for range giveWorkers {
-		workers.Go(func() { f.giveLoop(ctx) })
+	for range releaseWorkers {
+		workers.Go(func() { f.releaseLoop(ctx) })
 	}
 	workers.Go(func() { f.renewLoop(ctx) })
 	f.pollLoop(ctx)
@@ -97,18 +98,18 @@
 	}
 }
 
-// awaitPoll waits until the next poll is due or the view is another than the
-// one that was polled.
+// awaitPoll waits until the next poll is due or the view is no longer
+// polledView.
 //
-// Failure guarded: each change of settings wakes all followers. When they
-// polled all homes for it, ten changes a second in a fleet of nine daemons made
-// five times the polls, and nothing in a digest depends on settings.
-func (f *HomeClient) awaitPoll(ctx context.Context, polled uint64) {
+// A change of settings wakes all followers but must not cause a poll, since
+// nothing in a digest depends on settings. When it did, ten changes a second in
+// a fleet of nine daemons made five times the polls.
+func (f *HomeClient) awaitPoll(ctx context.Context, polledView uint64) {
 	timer := time.NewTimer(f.pollInterval())
 	defer timer.Stop()
 	for {
 		changed := f.options.Source.Changed()
-		if f.options.Source.State().View.Number != polled {
+		if f.options.Source.State().View.Number != polledView {
 			return
 		}
 		select {
@@ -121,17 +122,17 @@
 	}
 }
 
-// pollInterval keeps polls under ten a second, whatever is followed, and
-// digests younger than digestLife.
+// pollInterval keeps polls at ten a second or fewer and digests younger than
+// maxDigestAge.
 func (f *HomeClient) pollInterval() time.Duration {
 	entries := len(f.options.Source.State().View.Instances)
 	homes := min(entries, f.options.Homes)
-	return min(max(time.Duration(homes)*pollEachHome, pollEvery), pollLongest)
+	return min(max(time.Duration(homes)*pollIntervalPerHome, minPollInterval), maxPollInterval)
 }
 
-// pollAll asks the followed homes once, a few at a time.
+// pollAll polls the followed homes once, pollWorkers at a time.
 func (f *HomeClient) pollAll(ctx context.Context) {
-	homes := followed(f.options.Source.Self(), f.options.Source.State().View, f.options.Homes)
+	homes := homesToFollow(f.options.Source.Self(), f.options.Source.State().View, f.options.Homes)
 	f.dropUnfollowed(homes)
 	limit := make(chan struct{}, pollWorkers)
 	var calls sync.WaitGroup
@@ -148,17 +149,17 @@
 		})
 	}
 	calls.Wait()
-	f.noteSurvey(homes)
+	f.recordFirstPoll(homes)
 }
 
-// noteSurvey keeps when the first poll of any home ended. A home that did not
-// answer counts as asked: it may be gone.
-func (f *HomeClient) noteSurvey(homes []fleet.Instance) {
-	if len(homes) == 0 || f.surveyed.Load() != nil {
+// recordFirstPoll records when the first poll of any home ended. A home that
+// did not answer counts as polled: it may have failed.
+func (f *HomeClient) recordFirstPoll(homes []fleet.Instance) {
+	if len(homes) == 0 || f.firstPollEnd.Load() != nil {
 		return
 	}
 	now := time.Now()
-	f.surveyed.Store(&now)
+	f.firstPollEnd.Store(&now)
 }
 
 func (f *HomeClient) dropUnfollowed(homes []fleet.Instance) {
@@ -168,38 +169,38 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.peers.keep(owners) {
-		f.index.Store(newIndex(f.peers.rows()))
+	if f.homes.retain(owners) {
+		f.index.Store(newIndex(f.homes.endpoints()))
 	}
 }
 
 func (f *HomeClient) poll(ctx context.Context, home fleet.Instance) {
-	ctx, cancel := context.WithTimeout(ctx, pollEvery)
+	ctx, cancel := context.WithTimeout(ctx, minPollInterval)
 	defer cancel()
 	f.mu.Lock()
-	statics, caches := f.peers.versions(home.Owner())
+	statics, caches := f.homes.versions(home.Owner())
 	f.mu.Unlock()
 	request := &pb.DigestRequest{
 		Owner:         f.options.Source.Self().Owner().Proto(),
 		StaticVersion: statics,
 		CacheVersion:  caches,
 	}
-	asked := time.Now()
-	reply, err := f.askDigest(ctx, home, request)
+	sentAt := time.Now()
+	reply, err := f.requestDigest(ctx, home, request)
 	if err != nil {
 		f.metrics.failedPolls.Inc()
 		return
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	// The age counts from the question: an answer may have been under way for
+	// The age counts from the request: the reply may have been in transit for
 	// as long as the call took.
-	if f.peers.take(asked, home.Owner(), reply) {
-		f.index.Store(newIndex(f.peers.rows()))
+	if f.homes.mergeReply(sentAt, home.Owner(), reply) {
+		f.index.Store(newIndex(f.homes.endpoints()))
 	}
 }
 
-func (f *HomeClient) askDigest(ctx context.Context, home fleet.Instance, request *pb.DigestRequest) (*pb.DigestReply, error) {
+func (f *HomeClient) requestDigest(ctx context.Context, home fleet.Instance, request *pb.DigestRequest) (*pb.DigestReply, error) {
 	client, err := f.client(ctx, home.RPCAddress)
 	if err != nil {
 		return nil, err
@@ -207,15 +208,15 @@
 	return client.Digest(ctx, request)
 }
 
-// caller is the part of the home service that followers use; the local home
-// and the drpc client both have it.
-type caller interface {
+// homeCaller is the part of the home service that followers use. The local home
+// and the drpc client implement it.
+type homeCaller interface {
 	Grant(ctx context.Context, in *pb.GrantRequest) (*pb.GrantReply, error)
 	Release(ctx context.Context, in *pb.ReleaseRequest) (*pb.ReleaseReply, error)
 	Digest(ctx context.Context, in *pb.DigestRequest) (*pb.DigestReply, error)
 }
 
-func (f *HomeClient) client(ctx context.Context, address string) (caller, error) {
+func (f *HomeClient) client(ctx context.Context, address string) (homeCaller, error) {
 	if f.options.Home != nil && address == f.options.Source.Self().RPCAddress {
 		return f.options.Home, nil
 	}
@@ -226,9 +227,9 @@
 	return pb.NewDRPCHomeClient(conn), nil
 }
 
-// piggyback takes the digests of another answer: newer figures for endpoints
-// that are known.
-func (f *HomeClient) piggyback(at time.Time, digests []*pb.EndpointDigest) {
+// applyPiggybacked applies the digests attached to another reply, for endpoints
+// that are already known.
+func (f *HomeClient) applyPiggybacked(at time.Time, digests []*pb.EndpointDigest) {
 	x := f.index.Load()
 	for _, d := range digests {
 		if r, ok := x.byID[fleet.EndpointID(d.GetId())]; ok {
--- a/internal/endpoint/follower_metrics.go
+++ b/internal/endpoint/follower_metrics.go
@@ -3,11 +3,11 @@
 import "github.com/prometheus/client_golang/prometheus"
 
 type followerMetrics struct {
-	failedPolls  prometheus.Counter
-	takes        *prometheus.CounterVec
-	droppedGives prometheus.Counter
-	renewals     prometheus.Counter
-	distrusted   prometheus.Counter
+	failedPolls     prometheus.Counter
+	acquisitions    *prometheus.CounterVec
+	droppedReleases prometheus.Counter
+	renewals        prometheus.Counter
+	staleHomes      prometheus.Counter
 }
 
 func newFollowerMetrics(r prometheus.Registerer) *followerMetrics {
@@ -15,21 +15,21 @@
 		failedPolls: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "hyssopsail_follower_failed_polls_total", Help: "Homes that didn't answer a poll.",
 		}),
-		takes: prometheus.NewCounterVec(prometheus.CounterOpts{
+		acquisitions: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "hyssopsail_follower_takes_total", Help: "Slots asked for, by how it ended.",
 		}, []string{"outcome"}),
-		droppedGives: prometheus.NewCounter(prometheus.CounterOpts{
+		droppedReleases: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "hyssopsail_follower_dropped_releases_total", Help: "Releases left to the home's own bounds: too many waited, or the home didn't confirm in time.",
 		}),
 		renewals: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "hyssopsail_follower_renewals_total", Help: "Grants renewed before the endpoint had confirmed them.",
 		}),
-		distrusted: prometheus.NewCounter(prometheus.CounterOpts{
+		staleHomes: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "hyssopsail_follower_distrusted_homes_total", Help: "Homes whose endpoints were set aside since a call to them failed.",
 		}),
 	}
 	if r != nil {
-		r.MustRegister(m.failedPolls, m.takes, m.droppedGives, m.renewals, m.distrusted)
+		r.MustRegister(m.failedPolls, m.acquisitions, m.droppedReleases, m.renewals, m.staleHomes)
 	}
 	return m
 }
--- a/internal/endpoint/follower_options.go
+++ b/internal/endpoint/follower_options.go
@@ -9,7 +9,7 @@
 	"github.com/hyssopsail/hyssopsail/internal/timeline"
 )
 
-// FollowerOptions are what a follower needs. Source and Dialer must be set.
+// FollowerOptions configures a HomeClient. Source and Dialer must be set.
 type FollowerOptions struct {
 	Source     membership.Source
 	Dialer     rpc.Dialer
@@ -17,10 +17,10 @@
 	Recorder   timeline.Recorder
 	Part       logging.Part
 	Registerer prometheus.Registerer
-	Homes      int // how many homes to follow, default DefaultHomes
+	Homes      int // maximum number of homes to follow, default DefaultMaxHomes
 	Seed       uint64
 }
 
-// DefaultHomes is how many homes a follower follows. Each costs a poll every
-// 1.5 s at most; docs/design/endpoints.md has the bytes.
-const DefaultHomes = 15
+// DefaultMaxHomes is how many homes a follower follows by default. Each costs a
+// poll every 1.5 s at most; docs/design/endpoints.md lists the message sizes.
+const DefaultMaxHomes = 15
--- /dev/null
+++ b/internal/endpoint/follower_release.go
@@ -0,0 +1,217 @@
+package endpoint
+
+import (
+	"context"
+	"time"
+
+	"github.com/hyssopsail/hyssopsail/internal/fleet"
+	"github.com/hyssopsail/hyssopsail/internal/pb"
+	"github.com/hyssopsail/hyssopsail/internal/sleep"
+)
+
+// pendingRelease is a release that the home has not confirmed yet.
+type pendingRelease struct {
+	request  *pb.ReleaseRequest
+	address  string
+	deadline time.Time
+	endpoint *followedEndpoint
+}
+
+const (
+	releaseTimeout         = 500 * time.Millisecond
+	minReleasePause        = 20 * time.Millisecond
+	maxReleasePause        = 400 * time.Millisecond
+	releaseRetryGrantLives = 2 // grant lifetimes after which the home knows without the release
+)
+
+// Give implements Follower.
+func (f *HomeClient) Give(r Release) {
+	key := slotKey{r.Grant.Endpoint, holdKey{r.Grant.Attempt, r.Grant.Kind}}
+	t := f.untrack(key)
+	if t == nil {
+		return // already released
+	}
+	limits := limitsFrom(f.options.Source.State().Tree)
+	g := pendingRelease{
+		request:  f.releaseMessage(r, t),
+		address:  t.address,
+		deadline: time.Now().Add(releaseRetryGrantLives * limits.GrantLife),
+		endpoint: f.index.Load().byID[r.Grant.Endpoint],
+	}
+	if g.endpoint != nil {
+		g.endpoint.inFlight.Add(-1)
+	}
+	select {
+	case f.releases <- g:
+	default:
+		// The home frees the slot when the endpoint no longer lists it.
+		g.endCorrection()
+		f.metrics.droppedReleases.Inc()
+	}
+}
+
+func (f *HomeClient) releaseMessage(r Release, t *trackedSlot) *pb.ReleaseRequest {
+	return &pb.ReleaseRequest{
+		EndpointId:   string(r.Grant.Endpoint),
+		AttemptId:    string(r.Grant.Attempt),
+		Owner:        t.request.Owner,
+		Reason:       r.Reason,
+		OutputTokens: uint32(max(r.OutputTokens, 0)),
+		BusyMs:       uint64(max(r.Busy, 0).Milliseconds()),
+		Fingerprint:  t.request.Fingerprint,
+		Kind:         string(r.Grant.Kind),
+	}
+}
+
+// endCorrection ends the correction of inFlight for g.
+func (g pendingRelease) endCorrection() {
+	if g.endpoint != nil {
+		g.endpoint.inFlight.Add(1)
+	}
+}
+
+func (f *HomeClient) releaseLoop(ctx context.Context) {
+	for {
+		select {
+		case <-ctx.Done():
+			f.releaseRemaining()
+			return
+		case g := <-f.releases:
+			f.releaseUntilConfirmed(ctx, g)
+		}
+	}
+}
+
+// releaseRemaining sends each remaining release once when the daemon stops. Its
+// calls don't end with the loop's context, but all of them together within
+// releaseTimeout.
+func (f *HomeClient) releaseRemaining() {
+	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
+	defer cancel()
+	for {
+		select {
+		case g := <-f.releases:
+			f.releaseOnce(ctx, &g)
+			g.endCorrection()
+		default:
+			return
+		}
+	}
+}
+
+func (f *HomeClient) releaseUntilConfirmed(ctx context.Context, g pendingRelease) {
+	defer g.endCorrection()
+	pause := minReleasePause
+	for time.Now().Before(g.deadline) {
+		if f.releaseOnce(ctx, &g) {
+			return
+		}
+		if ctx.Err() != nil {
+			break
+		}
+		sleep.For(ctx, pause)
+		pause = min(2*pause, maxReleasePause)
+	}
+	f.metrics.droppedReleases.Inc()
+}
+
+// releaseOnce reports whether the home has freed the slot or doesn't have it.
+func (f *HomeClient) releaseOnce(ctx context.Context, g *pendingRelease) bool {
+	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
+	defer cancel()
+	sentAt := time.Now()
+	client, err := f.client(ctx, g.address)
+	if err != nil {
+		return false
+	}
+	reply, err := client.Release(ctx, g.request)
+	if err != nil {
+		g.address = f.currentHomeAddress(g)
+		return false
+	}
+	f.applyPiggybacked(sentAt, reply.GetDigests())
+	if reply.GetStatus() == pb.GrantStatus_GRANT_STATUS_NOT_HOME && reply.GetHomeAddress() != "" {
+		g.address = reply.GetHomeAddress()
+		return false
+	}
+	return true
+}
+
+// currentHomeAddress returns the address to try next: an unreachable home may
+// have been replaced.
+func (f *HomeClient) currentHomeAddress(g *pendingRelease) string {
+	if g.endpoint == nil {
+		return g.address
+	}
+	home, ok := fleet.HomeOf(g.endpoint.static.ID, g.endpoint.static.Zone, f.options.Source.State().View)
+	if !ok {
+		return g.address
+	}
+	return home.RPCAddress
+}
+
+// renewLoop renews grants that the endpoint has not listed yet, such as a
+// decode slot that waits for a long prefill.
+func (f *HomeClient) renewLoop(ctx context.Context) {
+	limit := make(chan struct{}, maxRenewWorkers)
+	ticker := time.NewTicker(renewInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+		}
+		for key, t := range f.dueRenewals(time.Now()) {
+			select {
+			case limit <- struct{}{}:
+				go func() {
+					f.renew(ctx, key, t)
+					<-limit
+				}()
+			case <-ctx.Done():
+				return
+			}
+		}
+	}
+}
+
+func (f *HomeClient) dueRenewals(now time.Time) map[slotKey]*trackedSlot {
+	life := limitsFrom(f.options.Source.State().Tree).GrantLife
+	due := make(map[slotKey]*trackedSlot)
+	f.slotsMu.Lock()
+	defer f.slotsMu.Unlock()
+	for key, t := range f.slots {
+		if t.renewedAt.IsZero() || t.confirmed || t.refused {
+			continue
+		}
+		if now.Sub(t.renewedAt) >= life/2 {
+			t.renewedAt = now
+			due[key] = t
+		}
+	}
+	return due
+}
+
+func (f *HomeClient) renew(ctx context.Context, key slotKey, t *trackedSlot) {
+	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
+	defer cancel()
+	f.metrics.renewals.Inc()
+	asked := time.Now()
+	reply, err := f.requestGrant(ctx, t)
+	if err != nil {
+		f.options.Part.Debug("Renewing a grant failed.", "endpoint", key.endpoint, "err", err)
+		return
+	}
+	if reply.GetStatus() == pb.GrantStatus_GRANT_STATUS_NOT_HOME && reply.GetHomeAddress() != "" {
+		f.setAddress(t, reply.GetHomeAddress())
+		return
+	}
+	if reply.GetStatus() == statusGranted {
+		f.storeGrant(t, asked, reply)
+		return
+	}
+	f.slotsMu.Lock()
+	defer f.slotsMu.Unlock()
+	t.refused = true
+}
--- a/internal/endpoint/handover_test.go
+++ b/internal/endpoint/handover_test.go
@@ -11,24 +11,24 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// handedOver is an old home with one unconfirmed grant, the next home, and the
-// handover between them after the old home's last heartbeat, number 20.
-func handedOver(t *testing.T, g guards) (old, next *core, message *pb.HandoverRequest, now time.Time) {
-	old, next, _, after := joining(g)
+// handedOver returns an old home with one unconfirmed grant, the next home, and
+// the handover between them after the old home's last heartbeat, number 20.
+func handedOver(t *testing.T, g testFaults) (old, next *core, message *pb.HandoverRequest, now time.Time) {
+	old, next, _, after := joiningHomes(g)
 	now = at(10 * time.Second)
 	old.tick(now)
-	beatCore(old, now, announcement("e1", 2), 20)
+	heartbeatTo(old, now, announcement("e1", 2), 20)
 	assert.Equal(t, statusAt(old, now, "x"), statusGranted)
-	old.drain()
+	old.takeEffects()
 	old.observe(now, after, true)
 	next.observe(now, after, true)
-	out := old.drain()
+	out := old.takeEffects()
 	assert.Equal(t, len(out.handovers), 1)
 	return old, next, out.handovers[0].message, now
 }
 
-// granted counts how many slots of e1 a core gives away at now.
-func granted(c *core, now time.Time) int {
+// countGrants returns how many slots of e1 a core grants at now.
+func countGrants(c *core, now time.Time) int {
 	n := 0
 	for _, id := range []string{"n1", "n2", "n3"} {
 		if statusAt(c, now, id) == statusGranted {
@@ -38,33 +38,33 @@
 	return n
 }
 
-// A daemon joins and becomes home of some engines. Without a word from the old
-// home they would take nothing new for five seconds.
-func TestHandoverSparesTheWait(t *testing.T) {
-	_, next, message, now := handedOver(t, guards{})
+// A daemon joins and becomes the home of some engines. Without a handover from
+// the old home they would take no new requests for five seconds.
+func TestHandoverAvoidsTheGrantDelay(t *testing.T) {
+	_, next, message, now := handedOver(t, testFaults{})
 	assert.Assert(t, next.takeHandover(now, message))
-	beatCore(next, now, announcement("e1", 2), 21)
-	assert.Equal(t, granted(next, now), 1, "two slots, one of them granted by the old home")
+	heartbeatTo(next, now, announcement("e1", 2), 21)
+	assert.Equal(t, countGrants(next, now), 1, "two slots, one of them granted by the old home")
 
-	_, next, message, now = handedOver(t, guards{})
-	beatCore(next, now, announcement("e1", 2), 21)
-	assert.Equal(t, granted(next, now), 0, "nothing is known yet")
+	_, next, message, now = handedOver(t, testFaults{})
+	heartbeatTo(next, now, announcement("e1", 2), 21)
+	assert.Equal(t, countGrants(next, now), 0, "nothing is known yet")
 	next.takeHandover(now, message)
-	assert.Equal(t, granted(next, now), 1, "the handover may come after the heartbeat")
+	assert.Equal(t, countGrants(next, now), 1, "the handover may come after the heartbeat")
 }
 
-// Between the old home and this one a third had the engine for a moment, and
-// granted. The old home's word isn't the last; to take it for whole gives
-// slots twice.
-func TestHandoverOfAnEarlierHomeIsNotEnough(t *testing.T) {
-	run := func(g guards) int {
+// Between the old home and this one, a third instance was briefly the home and
+// granted slots. The old home's handover is therefore incomplete; relying on it
+// would grant slots twice.
+func TestHandoverFromAnOlderHomeIsNotEnough(t *testing.T) {
+	run := func(g testFaults) int {
 		_, next, message, now := handedOver(t, g)
 		next.takeHandover(now, message)
-		beatCore(next, now, announcement("e1", 2), 22) // 21 went to a third home
-		return granted(next, now)
+		heartbeatTo(next, now, announcement("e1", 2), 22) // 21 went to a third home
+		return countGrants(next, now)
 	}
-	assert.Equal(t, run(guards{}), 0)
-	assert.Equal(t, run(guards{anyHandover: true}), 1, "the proof must fail without its guard")
+	assert.Equal(t, run(testFaults{}), 0)
+	assert.Equal(t, run(testFaults{anyHandover: true}), 1, "the test must fail without the protection")
 }
 
 func TestHandoverMessages(t *testing.T) {
@@ -83,86 +83,86 @@
 		"nameless hold":        {func(m *pb.HandoverRequest) { m.Holds[0] = &pb.HandedHold{LapseMs: 9000} }, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, next, message, now := handedOver(t, guards{})
+			_, next, message, now := handedOver(t, testFaults{})
 			test.change(message)
 			next.takeHandover(now, message)
-			beatCore(next, now, announcement("e1", 2), 21)
-			assert.Equal(t, granted(next, now), test.want)
+			heartbeatTo(next, now, announcement("e1", 2), 21)
+			assert.Equal(t, countGrants(next, now), test.want)
 		})
 	}
 }
 
-// A home sleeps through two view changes: by the first another instance became
-// home and granted, by the second it is home again. From its own views nothing
-// has changed, and it would grant beside the other's grants.
+// A home misses a view by which another instance became the home and granted
+// slots; by the next view it is the home again. Its own views show no change,
+// and it would grant the slots that the other one has granted.
 func TestHomeThatMissedAView(t *testing.T) {
-	run := func(g guards, sequence uint64) int {
+	run := func(g testFaults, sequence uint64) int {
 		a, b := homes("e1")
 		owner := instance("owner", zoneFar)
 		c := coreAt(epoch, b, viewOf(1, a, b, owner), g)
 		now := at(10 * time.Second)
-		beatCore(c, now, announcement("e1", 2), 20)
+		heartbeatTo(c, now, announcement("e1", 2), 20)
 		c.observe(now, viewOf(3, a, b, owner), true)
-		n := granted(c, now)
-		beatCore(c, now, announcement("e1", 2), sequence)
-		return n + granted(c, now)
+		n := countGrants(c, now)
+		heartbeatTo(c, now, announcement("e1", 2), sequence)
+		return n + countGrants(c, now)
 	}
-	assert.Equal(t, run(guards{}, 21), 2, "no other home has heard the endpoint")
-	assert.Equal(t, run(guards{}, 22), 0, "another may have granted")
-	assert.Assert(t, run(guards{noDoubt: true}, 22) > 0, "the proof must fail without its guard")
+	assert.Equal(t, run(testFaults{}, 21), 2, "no other home has heard the endpoint")
+	assert.Equal(t, run(testFaults{}, 22), 0, "another may have granted")
+	assert.Assert(t, run(testFaults{noMissedViewCheck: true}, 22) > 0, "the test must fail without the protection")
 }
 
-// A fleet starts: an endpoint has announced itself, another daemon joins and
+// While a fleet starts, an endpoint announces itself, another daemon joins and
 // becomes its home, and the endpoint's first heartbeat still goes to the first
-// one. Its next would be the first that its home hears, and callers would wait
-// five seconds for nothing.
+// daemon. The home receives only the second one, and without a handover callers
+// would wait five seconds for nothing.
 func TestFirstHeartbeatAtAnotherInstance(t *testing.T) {
 	for name, announced := range map[string]bool{"announced there": true, "unknown there": false} {
 		t.Run(name, func(t *testing.T) {
-			old, next, _, after := joining(guards{})
+			old, next, _, after := joiningHomes(testFaults{})
 			if announced {
 				old.announce(epoch, announcement("e1", 2))
 			}
 			now := at(200 * time.Millisecond)
 			old.observe(now, after, true)
 			next.observe(now, after, true)
-			old.redirected(now, engineapi.Heartbeat{Announcement: announcement("e1", 2), Sequence: 1})
-			for _, m := range old.drain().handovers {
+			old.misdirectedHeartbeat(now, engineapi.Heartbeat{Announcement: announcement("e1", 2), Sequence: 1})
+			for _, m := range old.takeEffects().handovers {
 				next.takeHandover(now, m.message)
 			}
-			beatCore(next, now, announcement("e1", 2), 2)
-			assert.Equal(t, granted(next, now), 2)
+			heartbeatTo(next, now, announcement("e1", 2), 2)
+			assert.Equal(t, countGrants(next, now), 2)
 			old.tick(at(10 * time.Second))
-			assert.Equal(t, len(old.drain().probes), 0, "an instance probes only endpoints that it is home of")
+			assert.Equal(t, len(old.takeEffects().probes), 0, "an instance probes only endpoints that it is home of")
 		})
 	}
 }
 
-// The whole way: a daemon joins, the engine is sent on by its old home, and is
-// granted by the new one within a second, counting the old grant.
+// A daemon joins, the engine is redirected by its old home, and the new one
+// grants its slots within a second, counting the old home's grant.
 func TestHandoverBetweenDaemons(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		net := newFakeNet(t)
 		first, second := homes("e1")
 		before, after := viewOf(1, first), viewOf(2, first, second)
-		old, next := start(t, net, first, before), start(t, net, second, before)
+		old, next := startDaemon(t, net, first, before), startDaemon(t, net, second, before)
 		defer old.stop()
 		defer next.stop()
 		a := announcement("e1", 2)
 		for n := range 10 {
-			old.beat(a, uint64(n+1))
+			old.heartbeat(a, uint64(n+1))
 			time.Sleep(300 * time.Millisecond)
 		}
-		old.mustTake(t, "x")
-		old.see(after)
+		old.mustAcquire(t, "x")
+		old.setView(after)
 		time.Sleep(50 * time.Millisecond)
-		next.see(after)
-		reply, _ := old.beat(a, 11)
+		next.setView(after)
+		reply, _ := old.heartbeat(a, 11)
 		assert.Equal(t, reply.Home, next.source.Self().EndpointAddress)
 		time.Sleep(200 * time.Millisecond)
-		next.beat(a, 12)
+		next.heartbeat(a, 12)
 		count := 0
-		next.home.step(func(c *core, now time.Time) { count = granted(c, now) })
+		next.home.step(func(c *core, now time.Time) { count = countGrants(c, now) })
 		assert.Equal(t, count, 1, "two slots, one granted by the old home")
 	})
 }
--- a/internal/endpoint/home.go
+++ b/internal/endpoint/home.go
@@ -13,54 +13,54 @@
 	"github.com/hyssopsail/hyssopsail/internal/timeline"
 )
 
-// Home is the shell around the decisions for the endpoints whose home this
-// daemon is. It implements pb.DRPCHomeServer.
+// Home serves the endpoints whose home this daemon is, and executes the
+// decisions of its core. It implements pb.DRPCHomeServer.
 //
-// Locks: mu guards core and state. Nothing is called with mu held but the core
-// and membership.Source; effects are carried out after it is released.
+// Locks: mu guards core and state. Only the core and membership.Source are
+// called with mu held; effects are executed after it is released.
 type Home struct {
 	options HomeOptions
 	metrics *homeMetrics
 	jobs    chan job
 	crashes chan *pb.ReportCrash
-	replies announceReplies
+	replies announceReplyCache
 
 	mu    sync.Mutex
 	core  *core
-	state *membership.State // that core has observed
+	state *membership.State // last one that core observed
 }
 
-// job is one piece of I/O that a step of the core has asked for. A job that
-// finds the queue full is dropped: the core asks again.
+// job is I/O that a step of the core has requested. A job that finds the queue
+// full is dropped; the core requests it again.
 type job func(ctx context.Context)
 
 const (
-	jobWorkers  = 4
-	jobQueue    = 256
-	crashQueue  = 256
-	tickEvery   = 50 * time.Millisecond
-	callTimeout = time.Second
-	probeWait   = 300 * time.Millisecond
-	crashRetry  = 500 * time.Millisecond
+	jobWorkers      = 4
+	jobQueueSize    = 256
+	crashQueueSize  = 256
+	tickInterval    = 50 * time.Millisecond
+	callTimeout     = time.Second
+	probeTimeout    = 300 * time.Millisecond
+	crashRetryPause = 500 * time.Millisecond
 )
 
-// NewHome makes a home; Run does its work over time.
+// NewHome returns a Home; Run does its periodic work.
 func NewHome(o HomeOptions) *Home {
 	limits := limitsFrom(o.Source.State().Tree)
 	return &Home{
 		options: o,
 		metrics: newHomeMetrics(o.Registerer),
-		jobs:    make(chan job, jobQueue),
-		crashes: make(chan *pb.ReportCrash, crashQueue),
+		jobs:    make(chan job, jobQueueSize),
+		crashes: make(chan *pb.ReportCrash, crashQueueSize),
 		core:    newCore(time.Now(), o.Source.Self().Owner(), limits, o.Seed),
 	}
 }
 
-// Run ticks until ctx ends.
+// Run executes ticks, jobs and crash reports until ctx ends.
 func (h *Home) Run(ctx context.Context) error {
 	var workers sync.WaitGroup
 	for range jobWorkers {
-		workers.Go(func() { h.work(ctx) })
+		workers.Go(func() { h.runJobs(ctx) })
 	}
 	workers.Go(func() { h.reportCrashes(ctx) })
 	h.tickLoop(ctx)
@@ -69,7 +69,7 @@
 }
 
 func (h *Home) tickLoop(ctx context.Context) {
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		changed := h.options.Source.Changed()
@@ -83,21 +83,21 @@
 	}
 }
 
-// step runs f on the core with the daemon's present state, then carries the
-// effects out.
+// step runs f on the core with the daemon's current state, then executes the
+// effects.
 func (h *Home) step(f func(c *core, now time.Time)) {
 	h.mu.Lock()
 	now := time.Now()
 	h.observe(now)
 	f(h.core, now)
-	out := h.core.drain()
-	for _, a := range out.answers {
-		if a.to.answers != nil {
-			a.to.answers <- a.answer
+	out := h.core.takeEffects()
+	for _, a := range out.responses {
+		if a.to.responses != nil {
+			a.to.responses <- a.response
 		}
 	}
 	h.mu.Unlock()
-	h.carryOut(out)
+	h.execute(out)
 }
 
 func (h *Home) observe(now time.Time) {
@@ -105,20 +105,20 @@
 	current := h.options.Source.Current(now)
 	if state != h.state {
 		h.core.limits = limitsFrom(state.Tree)
-		h.core.tenure.limits = h.core.limits
+		h.core.viewHistory.limits = h.core.limits
 		h.state = state
 	}
 	h.core.observe(now, state.View, current)
 }
 
-func (h *Home) carryOut(out effects) {
+func (h *Home) execute(out effects) {
 	for _, e := range out.events {
 		if h.options.Recorder != nil {
 			h.options.Recorder.Record(e)
 		}
 	}
 	for _, c := range out.cancels {
-		h.metrics.swept.Inc()
+		h.metrics.sweptHolds.Inc()
 		h.options.Engine.Cancel(c.target, c.attempt)
 	}
 	for _, r := range out.crashes {
@@ -133,7 +133,7 @@
 	for _, m := range out.handovers {
 		h.enqueue(func(ctx context.Context) { h.handOver(ctx, m) })
 	}
-	h.askOwners(out.disowns)
+	h.queryOwners(out.ownerQueries)
 }
 
 func (h *Home) enqueue(j job) {
@@ -144,7 +144,7 @@
 	}
 }
 
-func (h *Home) work(ctx context.Context) {
+func (h *Home) runJobs(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -155,16 +155,16 @@
 	}
 }
 
-// probe asks an endpoint whether it lives. One that answers under another
-// incarnation has died as the one asked for.
+// probe checks whether an endpoint is alive. If it answers under another
+// incarnation, the one that was probed has died.
 func (h *Home) probe(ctx context.Context, t engine.Target) {
-	ctx, cancel := context.WithTimeout(ctx, probeWait)
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	state, err := h.options.Engine.State(ctx, t)
 	if err == nil && state.ID == t.ID && state.Incarnation == t.Incarnation {
 		return
 	}
-	h.options.Part.Warn("Endpoint doesn't answer.", "endpoint", t.ID, "incarnation", t.Incarnation, "err", err)
+	h.options.Part.Warn("Endpoint did not answer a probe.", "endpoint", t.ID, "incarnation", t.Incarnation, "err", err)
 	h.step(func(c *core, now time.Time) { c.probeFailed(now, t.ID, t.Incarnation) })
 }
 
@@ -173,7 +173,7 @@
 	defer cancel()
 	snapshot, err := h.options.Engine.Cache(ctx, t)
 	if err != nil {
-		h.options.Part.Debug("No cache snapshot.", "endpoint", t.ID, "err", err)
+		h.options.Part.Debug("Fetching a cache snapshot failed.", "endpoint", t.ID, "err", err)
 		return
 	}
 	h.step(func(c *core, _ time.Time) { c.cacheSnapshot(t.ID, t.Incarnation, snapshot) })
@@ -209,12 +209,13 @@
 		if err == nil {
 			return
 		}
-		h.options.Part.Warn("Crash report not taken.", "endpoint", r.EndpointId, "err", err)
-		sleep.For(ctx, crashRetry)
+		h.options.Part.Warn("Sending a crash report failed; retrying.", "endpoint", r.EndpointId, "err", err)
+		sleep.For(ctx, crashRetryPause)
 	}
 }
 
-// recordSuspects tells the time line which requests ran on a dead endpoint.
+// recordSuspects records in the timeline which requests ran on a crashed
+// endpoint.
 func (h *Home) recordSuspects(r *pb.ReportCrash) {
 	if h.options.Recorder == nil {
 		return
@@ -232,25 +233,25 @@
 	}
 }
 
-// askOwners asks each owner once for all its holds of one sweep.
-func (h *Home) askOwners(asks []disownAsk) {
-	byOwner := make(map[fleet.Owner][]disownAsk)
+// queryOwners asks each owner once about all its holds of one sweep.
+func (h *Home) queryOwners(asks []ownerQuery) {
+	byOwner := make(map[fleet.Owner][]ownerQuery)
 	for _, a := range asks {
 		byOwner[a.owner] = append(byOwner[a.owner], a)
 	}
 	for owner, list := range byOwner {
-		h.enqueue(func(ctx context.Context) { h.askOwner(ctx, owner, list) })
+		h.enqueue(func(ctx context.Context) { h.queryOwner(ctx, owner, list) })
 	}
 }
 
-func (h *Home) askOwner(ctx context.Context, owner fleet.Owner, list []disownAsk) {
+func (h *Home) queryOwner(ctx context.Context, owner fleet.Owner, list []ownerQuery) {
 	request := &pb.DisownRequest{}
 	for _, a := range list {
 		request.Held = append(request.Held, a.held)
 	}
 	reply, err := h.callOwner(ctx, owner, request)
 	if err != nil {
-		h.options.Part.Debug("Owner not asked.", "owner", owner, "err", err)
+		h.options.Part.Debug("Asking an owner about its holds failed.", "owner", owner, "err", err)
 		return
 	}
 	disowned := make(map[string]struct{}, len(reply.GetDisowned()))
--- a/internal/endpoint/home_announce.go
+++ b/internal/endpoint/home_announce.go
@@ -8,16 +8,16 @@
 	"github.com/hyssopsail/hyssopsail/internal/membership"
 )
 
-// maxAddresses bounds the other entries named in a reply.
-const maxAddresses = 5
+// maxOtherAddresses bounds the other entries named in a reply.
+const maxOtherAddresses = 5
 
-// announceReplies remembers what endpoints were told under one state: ranking
+// announceReplyCache keeps the replies to endpoints under one state: ranking
 // all entries for each heartbeat would cost a home of a large fleet more than
-// all else it does. mu is taken with no other lock held.
-type announceReplies struct {
-	mu    sync.Mutex
-	state *membership.State
-	known map[replyKey]engineapi.AnnounceReply
+// everything else it does. mu is taken with no other lock held.
+type announceReplyCache struct {
+	mu      sync.Mutex
+	state   *membership.State
+	replies map[replyKey]engineapi.AnnounceReply
 }
 
 type replyKey struct {
@@ -25,30 +25,30 @@
 	zone fleet.AvailabilityZone
 }
 
-func (m *announceReplies) get(state *membership.State, key replyKey) (engineapi.AnnounceReply, bool) {
+func (m *announceReplyCache) get(state *membership.State, key replyKey) (engineapi.AnnounceReply, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.state != state {
 		return engineapi.AnnounceReply{}, false
 	}
-	reply, ok := m.known[key]
+	reply, ok := m.replies[key]
 	return reply, ok
 }
 
-func (m *announceReplies) put(state *membership.State, key replyKey, reply engineapi.AnnounceReply) {
+func (m *announceReplyCache) put(state *membership.State, key replyKey, reply engineapi.AnnounceReply) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.state != state {
 		m.state = state
-		m.known = make(map[replyKey]engineapi.AnnounceReply)
+		m.replies = make(map[replyKey]engineapi.AnnounceReply)
 	}
-	if len(m.known) < maxEndpoints {
-		m.known[key] = reply
+	if len(m.replies) < maxEndpoints {
+		m.replies[key] = reply
 	}
 }
 
-// announceReply tells an endpoint where its home is; found is false when the
-// view has no entry.
+// announceReply returns where an endpoint's home is; found is false if the view
+// has no entry.
 func (h *Home) announceReply(a engineapi.Announcement) (reply engineapi.AnnounceReply, found bool) {
 	state := h.options.Source.State()
 	key := replyKey{id: a.ID, zone: a.Zone}
@@ -73,7 +73,7 @@
 		return reply, false
 	}
 	reply.Home = ranked[0].EndpointAddress
-	for _, i := range ranked[1:min(len(ranked), maxAddresses+1)] {
+	for _, i := range ranked[1:min(len(ranked), maxOtherAddresses+1)] {
 		reply.Addresses = append(reply.Addresses, i.EndpointAddress)
 	}
 	return reply, true
--- a/internal/endpoint/home_http.go
+++ b/internal/endpoint/home_http.go
@@ -16,11 +16,12 @@
 	"github.com/hyssopsail/hyssopsail/internal/fleet"
 )
 
-// maxBody bounds what an endpoint may send in one request, bytes.
-const maxBody = 1 << 20
+// maxBodyBytes bounds the body of one request of an endpoint.
+const maxBodyBytes = 1 << 20
 
-// Handler serves the endpoints' listener. Any entry takes an announcement or
-// heartbeat; only the home acts on it, the others say who the home is.
+// Handler serves the endpoints' listener. Any entry accepts an announcement or
+// heartbeat; only the home acts on it, the others reply with the home's
+// address.
 func (h *Home) Handler() http.Handler {
 	r := chi.NewRouter()
 	r.Use(h.authenticate)
@@ -38,7 +39,7 @@
 			writeError(w, http.StatusUnauthorized, engineapi.CodeBadRequest, "unknown endpoint key")
 			return
 		}
-		r.Body = http.MaxBytesReader(w, r.Body, maxBody)
+		r.Body = http.MaxBytesReader(w, r.Body, maxBodyBytes)
 		next.ServeHTTP(w, r)
 	})
 }
@@ -55,7 +56,7 @@
 	ok := true
 	reply, found := h.announceReply(a)
 	h.step(func(c *core, now time.Time) {
-		if c.homeHere(a) {
+		if c.isHomeFor(a) {
 			var known *record
 			known, ok = c.announce(now, a)
 			reply.CacheAfter = known.cacheAfter()
@@ -76,18 +77,19 @@
 	ok := true
 	reply, found := h.announceReply(b.Announcement)
 	h.step(func(c *core, now time.Time) {
-		if c.homeHere(b.Announcement) {
+		if c.isHomeFor(b.Announcement) {
 			reply.Cancel, ok = c.heartbeat(now, b)
 			reply.CacheAfter = c.endpoints[b.Announcement.ID].cacheAfter()
 		} else {
-			c.redirected(now, b)
+			c.misdirectedHeartbeat(now, b)
 		}
 	})
 	h.answerAnnounce(w, reply, found, ok)
 }
 
-// homeHere tells whether this instance is home of what a names.
-func (c *core) homeHere(a engineapi.Announcement) bool {
+// isHomeFor reports whether this instance is the home of the announced
+// endpoint.
+func (c *core) isHomeFor(a engineapi.Announcement) bool {
 	if r, ok := c.endpoints[a.ID]; ok && r.announced.Zone == a.Zone {
 		return c.isHome(r)
 	}
@@ -161,13 +163,13 @@
 	if _, _, err := net.SplitHostPort(a.Address); err != nil {
 		return trace.BadParameter("address is not host:port")
 	}
-	if err := checkWork(a); err != nil {
+	if err := checkModelsAndRole(a); err != nil {
 		return err
 	}
 	return h.checkZone(a.Zone)
 }
 
-func checkWork(a engineapi.Announcement) error {
+func checkModelsAndRole(a engineapi.Announcement) error {
 	if len(a.Models) > maxModels {
 		return trace.LimitExceeded("%d models, at most %d", len(a.Models), maxModels)
 	}
@@ -188,7 +190,7 @@
 	return trace.BadParameter("role must be prefill, decode, both or plain")
 }
 
-// checkZone refuses a zone that the settings don't declare: no team may have
+// checkZone rejects a zone that the settings don't declare: no team can have
 // permitted it.
 func (h *Home) checkZone(zone fleet.AvailabilityZone) error {
 	tree := h.options.Source.State().Tree
@@ -217,7 +219,7 @@
 	return false
 }
 
-// decode takes one JSON value and nothing after it.
+// decode reads one JSON value and rejects anything after it.
 func decode(r io.Reader, into any) error {
 	d := json.NewDecoder(r)
 	if err := d.Decode(into); err != nil {
@@ -235,7 +237,8 @@
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// A reply that can't be written is repeated by the endpoint's next beat.
+	// A reply that can't be written is made up for by the one to the next
+	// heartbeat.
 	_ = json.NewEncoder(w).Encode(body)
 }
 
--- a/internal/endpoint/home_leave.go
+++ b/internal/endpoint/home_leave.go
@@ -11,14 +11,14 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// leaveCopies is how many instances in each zone are told of a leave: the home
-// and those that would be home after it.
-const leaveCopies = 2
+// leaveRecipientsPerZone is how many instances in each zone are told of a
+// leave: the home and those that would be home after it.
+const leaveRecipientsPerZone = 2
 
-// spreadLeave notes a leave here and tells the endpoint's possible homes. A
-// leave doesn't name the zone, so the first of each zone is asked: one of them
-// is the home. It tells whether the home has confirmed; when not, the endpoint
-// tells another entry.
+// spreadLeave records a leave here and forwards it to the endpoint's possible
+// homes. A leave doesn't name the zone, so the first instances of each zone are
+// told: one of them is the home. It reports whether the home has confirmed; if
+// not, the endpoint tells another entry.
 func (h *Home) spreadLeave(ctx context.Context, l engineapi.Leave) bool {
 	var confirmed atomic.Bool
 	h.step(func(c *core, _ time.Time) { confirmed.Store(c.leave(l.ID, l.Incarnation)) })
@@ -36,7 +36,8 @@
 	return confirmed.Load()
 }
 
-// possibleHomes lists RPC addresses, at most leaveCopies for each zone.
+// possibleHomes returns RPC addresses, at most leaveRecipientsPerZone for each
+// zone.
 func (h *Home) possibleHomes(id fleet.EndpointID) []string {
 	self := h.options.Source.Self().ID
 	byZone := make(map[fleet.AvailabilityZone][]fleet.Instance)
@@ -48,7 +49,7 @@
 	var list []string
 	for zone, instances := range byZone {
 		ranked := fleet.RankInstances(string(id), zone, instances)
-		for _, i := range ranked[:min(leaveCopies, len(ranked))] {
+		for _, i := range ranked[:min(leaveRecipientsPerZone, len(ranked))] {
 			if i.ID != self {
 				list = append(list, i.RPCAddress)
 			}
@@ -67,7 +68,7 @@
 		EndpointIncarnation: uint64(l.Incarnation),
 	})
 	if err != nil {
-		h.options.Part.Debug("Leave not forwarded.", "endpoint", l.ID, "address", address, "err", err)
+		h.options.Part.Debug("Forwarding a leave failed.", "endpoint", l.ID, "address", address, "err", err)
 		return false
 	}
 	return reply.GetConfirmed()
--- a/internal/endpoint/home_metrics.go
+++ b/internal/endpoint/home_metrics.go
@@ -2,10 +2,10 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// homeMetrics are the home's own; labels have bounded values.
+// homeMetrics are the metrics of a home. Label values are bounded.
 type homeMetrics struct {
 	grants      *prometheus.CounterVec
-	swept       prometheus.Counter
+	sweptHolds  prometheus.Counter
 	crashes     prometheus.Counter
 	droppedJobs prometheus.Counter
 	queueWait   prometheus.Histogram
@@ -16,7 +16,7 @@
 		grants: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "hyssopsail_home_grants_total", Help: "Grant requests answered, by status.",
 		}, []string{"status"}),
-		swept: prometheus.NewCounter(prometheus.CounterOpts{
+		sweptHolds: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "hyssopsail_home_swept_holds_total", Help: "Cancels sent for holds without a live owner.",
 		}),
 		crashes: prometheus.NewCounter(prometheus.CounterOpts{
@@ -31,7 +31,7 @@
 		}),
 	}
 	if r != nil {
-		r.MustRegister(m.grants, m.swept, m.crashes, m.droppedJobs, m.queueWait)
+		r.MustRegister(m.grants, m.sweptHolds, m.crashes, m.droppedJobs, m.queueWait)
 	}
 	return m
 }
--- a/internal/endpoint/home_options.go
+++ b/internal/endpoint/home_options.go
@@ -15,8 +15,8 @@
 	"github.com/hyssopsail/hyssopsail/internal/timeline"
 )
 
-// HomeOptions are what a Home needs. Source, Engine, Dialer and CheckKey must
-// be set; the others may be left out.
+// HomeOptions configures a Home. Source, Engine, Dialer and CheckKey must be
+// set; the others are optional.
 type HomeOptions struct {
 	Source     membership.Source
 	Engine     engine.Client
@@ -25,16 +25,18 @@
 	Part       logging.Part
 	Registerer prometheus.Registerer
 	Seed       uint64
-	// Crash tells the control group; it is retried until it gives nil.
+	// Crash reports a crash to the control group. It is retried until it
+	// returns nil.
 	Crash func(ctx context.Context, report *pb.ReportCrash) error
-	// CheckKey tells whether a Bearer key is the fleet's endpoint key.
+	// CheckKey reports whether a bearer key is the fleet's endpoint key.
 	CheckKey func(key string) bool
-	// Running tells whether this daemon still runs an attempt (its Follower
-	// knows). Without it no hold is ever disowned.
+	// Running reports whether this daemon still runs an attempt, as
+	// Follower.Running does. If nil, no hold of this process is disowned.
 	Running func(attempt fleet.AttemptID) bool
 }
 
-// limitsFrom takes the settings' timeouts; those not set get the default.
+// limitsFrom returns the timeouts of the settings, with the default for those
+// that are not set.
 func limitsFrom(tree *settings.Tree) Limits {
 	l := DefaultLimits()
 	if tree == nil {
--- a/internal/endpoint/home_rpc.go
+++ b/internal/endpoint/home_rpc.go
@@ -10,68 +10,68 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// Home serves the other daemons.
+// Home implements the RPCs for other daemons.
 var _ pb.DRPCHomeServer = (*Home)(nil)
 
-// Grant answers at once, or when the endpoint's queue has come to the request.
-// When ctx ends first, the request leaves the queue and what it may have got
-// is freed.
+// Grant answers at once, or when the queued request is granted or refused. If
+// ctx ends first, the request leaves the queue, and the slot that it may have
+// been granted is freed.
 func (h *Home) Grant(ctx context.Context, in *pb.GrantRequest) (*pb.GrantReply, error) {
 	began := time.Now()
-	a, ok := askFromProto(in, began)
+	a, ok := slotRequestFromProto(in, began)
 	if !ok {
 		return nil, trace.BadParameter("malformed grant request")
 	}
-	given, err := h.grant(ctx, a)
+	result, err := h.grant(ctx, a)
 	if err != nil {
 		return nil, err
 	}
-	h.metrics.grants.WithLabelValues(given.status.String()).Inc()
+	h.metrics.grants.WithLabelValues(result.status.String()).Inc()
 	h.metrics.queueWait.Observe(time.Since(began).Seconds())
-	return h.reply(a, given), nil
+	return h.reply(a, result), nil
 }
 
-func (h *Home) grant(ctx context.Context, a *ask) (answer, error) {
-	answers := make(chan answer, 1)
-	var given answer
-	var queued *waiting
+func (h *Home) grant(ctx context.Context, a *slotRequest) (response, error) {
+	answers := make(chan response, 1)
+	var result response
+	var queued *queuedRequest
 	h.step(func(c *core, now time.Time) {
-		given, queued = c.grant(now, a)
+		result, queued = c.grant(now, a)
 		if queued != nil {
-			queued.answers = answers
+			queued.responses = answers
 		}
 	})
 	if queued == nil {
-		return given, nil
+		return result, nil
 	}
 	select {
-	case given = <-answers:
-		return given, nil
+	case result = <-answers:
+		return result, nil
 	case <-ctx.Done():
 		h.step(func(c *core, now time.Time) { c.abandon(now, queued) })
-		return answer{}, trace.Wrap(ctx.Err())
+		return response{}, trace.Wrap(ctx.Err())
 	}
 }
 
-func (h *Home) reply(a *ask, given answer) *pb.GrantReply {
+func (h *Home) reply(a *slotRequest, result response) *pb.GrantReply {
 	reply := &pb.GrantReply{
-		Status:              given.status,
-		EndpointIncarnation: uint64(given.incarnation),
-		ExpiresMs:           uint64(given.expires.Milliseconds()),
-		SlotReadyMs:         uint64(given.readyIn.Milliseconds()),
-		RetryAfterMs:        uint64(given.retryAfter.Milliseconds()),
-		HomeAddress:         given.homeAddress,
-		QueuedMs:            uint64(given.queued.Milliseconds()),
-		Confirmed:           given.confirmed,
+		Status:              result.status,
+		EndpointIncarnation: uint64(result.incarnation),
+		ExpiresMs:           uint64(result.expires.Milliseconds()),
+		SlotReadyMs:         uint64(result.readyIn.Milliseconds()),
+		RetryAfterMs:        uint64(result.retryAfter.Milliseconds()),
+		HomeAddress:         result.homeAddress,
+		QueuedMs:            uint64(result.queued.Milliseconds()),
+		Confirmed:           result.confirmed,
 	}
 	h.step(func(c *core, now time.Time) {
 		reply.Home = c.self.Proto()
-		reply.Digests = c.one(now, a.endpoint)
+		reply.Digests = c.briefDigest(now, a.endpoint)
 	})
 	return reply
 }
 
-// Release frees a slot; repeats do no harm.
+// Release frees a slot. It is idempotent.
 func (h *Home) Release(_ context.Context, in *pb.ReleaseRequest) (*pb.ReleaseReply, error) {
 	q, ok := releaseFromProto(in)
 	if !ok {
@@ -83,12 +83,12 @@
 		reply.Status = a.status
 		reply.HomeAddress = a.homeAddress
 		reply.Home = c.self.Proto()
-		reply.Digests = c.one(now, q.endpoint)
+		reply.Digests = c.briefDigest(now, q.endpoint)
 	})
 	return reply, nil
 }
 
-// Digest lists this home's endpoints.
+// Digest returns the digests of this home's endpoints.
 func (h *Home) Digest(_ context.Context, in *pb.DigestRequest) (*pb.DigestReply, error) {
 	var reply *pb.DigestReply
 	h.step(func(c *core, now time.Time) {
@@ -97,8 +97,8 @@
 	return reply, nil
 }
 
-// Disown answers for this daemon's own attempts. Those of an earlier process
-// of this instance are all disowned.
+// Disown returns which attempts this daemon doesn't run. Those of an earlier
+// process of this instance are all disowned.
 func (h *Home) Disown(_ context.Context, in *pb.DisownRequest) (*pb.DisownReply, error) {
 	reply := &pb.DisownReply{}
 	if len(in.GetHeld()) > maxHeld {
@@ -124,8 +124,8 @@
 	return h.options.Running != nil && !h.options.Running(fleet.AttemptID(held.GetAttemptId()))
 }
 
-// Leave takes a leave that another entry was told, or notes it for the time
-// when this instance becomes home.
+// Leave applies a leave that another entry received, or records it in case this
+// instance becomes the home.
 func (h *Home) Leave(_ context.Context, in *pb.LeaveRequest) (*pb.LeaveReply, error) {
 	if in.GetEndpointId() == "" || len(in.GetEndpointId()) > maxNameLen {
 		return nil, trace.BadParameter("malformed leave")
@@ -137,7 +137,7 @@
 	return reply, nil
 }
 
-// Handover takes what the last home of an endpoint has granted.
+// Handover receives what the previous home of an endpoint has granted.
 func (h *Home) Handover(_ context.Context, in *pb.HandoverRequest) (*pb.HandoverReply, error) {
 	if in.GetEndpointId() == "" || len(in.GetEndpointId()) > maxNameLen || len(in.GetHolds()) > maxHeld {
 		return nil, trace.BadParameter("malformed handover")
--- a/internal/endpoint/http_test.go
+++ b/internal/endpoint/http_test.go
@@ -20,8 +20,9 @@
 	"github.com/hyssopsail/hyssopsail/internal/testkit"
 )
 
-// lone makes a daemon that is home of everything, without its loops.
-func lone() *daemon {
+// singleDaemon returns a daemon that is the home of all endpoints, without its
+// loops.
+func singleDaemon() *daemon {
 	self := instance("a", zoneNear)
 	tree := &settings.Tree{Fleet: settings.Fleet{Zones: []settings.Zone{{Name: zoneNear}, {Name: zoneFar}}}}
 	d := &daemon{source: testkit.NewSource(self, &membership.State{View: viewOf(1, self), Tree: tree}), engine: &fakeEngine{}}
@@ -29,10 +30,10 @@
 	return d
 }
 
-const goodBeat = `{"announcement":{"id":"e1","incarnation":2,"availability_zone":"howrah","address":"127.0.0.1:9","role":"decode","slots":4},"held":[],"sequence":1}`
+const validHeartbeat = `{"announcement":{"id":"e1","incarnation":2,"availability_zone":"howrah","address":"127.0.0.1:9","role":"decode","slots":4},"held":[],"sequence":1}`
 
 func TestEndpointListenerContract(t *testing.T) {
-	swap := func(old, new string) string { return strings.Replace(goodBeat, old, new, 1) }
+	swap := func(old, new string) string { return strings.Replace(validHeartbeat, old, new, 1) }
 	for name, test := range map[string]struct {
 		path string
 		body string
@@ -40,16 +41,16 @@
 		want int
 		code engineapi.Code
 	}{
-		"good":                {body: goodBeat, want: 200},
-		"repeated":            {body: goodBeat, want: 200},
+		"good":                {body: validHeartbeat, want: 200},
+		"repeated":            {body: validHeartbeat, want: 200},
 		"late sequence":       {body: swap(`"sequence":1`, `"sequence":0`), want: 200},
 		"earlier incarnation": {body: swap(`"incarnation":2`, `"incarnation":1`), want: 409, code: engineapi.CodeStale},
-		"no key":              {body: goodBeat, key: "-", want: 401, code: engineapi.CodeBadRequest},
-		"wrong key":           {body: goodBeat, key: "other", want: 401, code: engineapi.CodeBadRequest},
-		"truncated":           {body: goodBeat[:40], want: 400, code: engineapi.CodeBadRequest},
+		"no key":              {body: validHeartbeat, key: "-", want: 401, code: engineapi.CodeBadRequest},
+		"wrong key":           {body: validHeartbeat, key: "other", want: 401, code: engineapi.CodeBadRequest},
+		"truncated":           {body: validHeartbeat[:40], want: 400, code: engineapi.CodeBadRequest},
 		"not JSON":            {body: "slots: 4", want: 400, code: engineapi.CodeBadRequest},
-		"two values":          {body: goodBeat + goodBeat, want: 400, code: engineapi.CodeBadRequest},
-		"oversized":           {body: swap(`"held":[]`, `"held":[`+strings.Repeat(" ", maxBody)+`]`), want: 413, code: engineapi.CodeBadRequest},
+		"two values":          {body: validHeartbeat + validHeartbeat, want: 400, code: engineapi.CodeBadRequest},
+		"oversized":           {body: swap(`"held":[]`, `"held":[`+strings.Repeat(" ", maxBodyBytes)+`]`), want: 413, code: engineapi.CodeBadRequest},
 		"no id":               {body: swap(`"e1"`, `""`), want: 400, code: engineapi.CodeBadRequest},
 		"long id":             {body: swap(`e1`, strings.Repeat("e", maxNameLen+1)), want: 400, code: engineapi.CodeBadRequest},
 		"no slots":            {body: swap(`"slots":4`, `"slots":0`), want: 400, code: engineapi.CodeBadRequest},
@@ -69,8 +70,8 @@
 		"no such path":           {path: "hold", body: `{}`, want: 404},
 	} {
 		t.Run(name, func(t *testing.T) {
-			d := lone()
-			assert.Equal(t, d.post("/v1/endpoints/heartbeat", []byte(goodBeat), nil), 200)
+			d := singleDaemon()
+			assert.Equal(t, d.post("/v1/endpoints/heartbeat", []byte(validHeartbeat), nil), 200)
 			path, key := "heartbeat", "key"
 			if test.path != "" {
 				path = test.path
@@ -90,11 +91,11 @@
 	}
 }
 
-// A daemon that is in no view can name no home; an endpoint asks elsewhere.
+// A daemon without a view can name no home; the endpoint asks another one.
 func TestAnnounceWithoutAView(t *testing.T) {
-	d := lone()
+	d := singleDaemon()
 	d.source.Set(&membership.State{})
-	assert.Equal(t, d.post("/v1/endpoints/heartbeat", []byte(goodBeat), nil), 503)
+	assert.Equal(t, d.post("/v1/endpoints/heartbeat", []byte(validHeartbeat), nil), 503)
 }
 
 func TestGrantMessageContract(t *testing.T) {
@@ -119,12 +120,12 @@
 		t.Run(name, func(t *testing.T) {
 			r := good()
 			test.change(r)
-			a, ok := askFromProto(r, epoch)
+			a, ok := slotRequestFromProto(r, epoch)
 			assert.Equal(t, ok, test.ok)
 			if ok {
-				assert.Assert(t, a.wait <= maxWait && a.share >= minShare && a.priority <= 9)
+				assert.Assert(t, a.maxWait <= maxWait && a.share >= minShare && a.priority <= 9)
 			}
-			d := lone()
+			d := singleDaemon()
 			_, err := d.home.Grant(t.Context(), r)
 			assert.Equal(t, err == nil, test.ok)
 		})
@@ -132,7 +133,7 @@
 }
 
 func TestDisownContract(t *testing.T) {
-	d := lone()
+	d := singleDaemon()
 	d.home.options.Running = func(a fleet.AttemptID) bool { return a == "mine" }
 	held := func(attempt, instance string, incarnation uint64) *pb.HeldAttempt {
 		return &pb.HeldAttempt{AttemptId: attempt, Owner: &pb.Owner{InstanceId: instance, Incarnation: incarnation}}
@@ -146,14 +147,14 @@
 	assert.Assert(t, err != nil)
 }
 
-// A caller hangs up while its request waits for a slot: the slot that comes
-// free goes to the next one.
-func TestCallerGoneFromTheQueue(t *testing.T) {
-	inPair(t, 1, func(t *testing.T, _ *fakeNet, home, other *daemon) {
-		first := other.mustTake(t, "x1")
+// A caller disconnects while its request waits for a slot. It must not get the
+// slot that is released later.
+func TestCancelledRequestLeavesTheQueue(t *testing.T) {
+	withPair(t, 1, func(t *testing.T, _ *fakeNet, home, other *daemon) {
+		first := other.mustAcquire(t, "x1")
 		hurried, stop := context.WithTimeout(t.Context(), 50*time.Millisecond)
 		defer stop()
-		_, _, err := other.client.Take(hurried, take("e1", "x2", 3*time.Second))
+		_, _, err := other.client.Take(hurried, grantRequest("e1", "x2", 3*time.Second))
 		assert.Assert(t, err != nil)
 		time.Sleep(50 * time.Millisecond)
 		other.finish(first)
@@ -163,7 +164,7 @@
 }
 
 func FuzzEndpointListener(f *testing.F) {
-	f.Add("heartbeat", []byte(goodBeat))
+	f.Add("heartbeat", []byte(validHeartbeat))
 	f.Add("announce", []byte(`{"id":"e2","availability_zone":"howrah","address":"127.0.0.1:9","role":"both","slots":1}`))
 	f.Add("leave", []byte(`{"id":"e1","incarnation":1}`))
 	f.Add("cache-events", []byte(`{"id":"e1","incarnation":2,"events":[{"sequence":1,"prefix":5,"stored":true}]}`))
@@ -172,8 +173,8 @@
 		if strings.ContainsAny(path, " /?#%\\") || !isPlain(path) {
 			return
 		}
-		d := lone()
-		d.post("/v1/endpoints/heartbeat", []byte(goodBeat), nil)
+		d := singleDaemon()
+		d.post("/v1/endpoints/heartbeat", []byte(validHeartbeat), nil)
 		code := d.post("/v1/endpoints/"+path, body, nil)
 		if code >= 500 {
 			t.Fatalf("%s gave %d", path, code)
--- a/internal/endpoint/index.go
+++ b/internal/endpoint/index.go
@@ -8,33 +8,33 @@
 	"github.com/hyssopsail/hyssopsail/internal/fleet"
 )
 
-// maxCandidates bounds one answer: a choice looks at a random part of a large
-// subset, at all of a small one.
+// maxCandidates bounds the result of one query: all of a small group, a random
+// part of a large one.
 const maxCandidates = 16
 
-// indexKey names a group of endpoints that can do the same work.
+// indexKey identifies a group of endpoints that can do the same work.
 type indexKey struct {
 	kind    fleet.EndpointRole
 	model   engineapi.ModelRef
 	service string
 }
 
-// zoneRows are the endpoints of one group in one zone.
-type zoneRows struct {
-	zone fleet.AvailabilityZone
-	rows []*row
+// zoneEndpoints are the endpoints of one group in one zone.
+type zoneEndpoints struct {
+	zone      fleet.AvailabilityZone
+	endpoints []*followedEndpoint
 }
 
 // index is an immutable view of the followed endpoints.
 type index struct {
-	groups map[indexKey][]zoneRows
-	byID   map[fleet.EndpointID]*row
+	groups map[indexKey][]zoneEndpoints
+	byID   map[fleet.EndpointID]*followedEndpoint
 }
 
-func newIndex(rows map[fleet.EndpointID]*row) *index {
-	x := &index{groups: make(map[indexKey][]zoneRows), byID: rows}
+func newIndex(rows map[fleet.EndpointID]*followedEndpoint) *index {
+	x := &index{groups: make(map[indexKey][]zoneEndpoints), byID: rows}
 	for _, r := range rows {
-		for _, key := range keysOf(r.fixed) {
+		for _, key := range keysOf(r.static) {
 			x.add(key, r)
 		}
 	}
@@ -57,25 +57,25 @@
 	return keys
 }
 
-func (x *index) add(key indexKey, r *row) {
+func (x *index) add(key indexKey, r *followedEndpoint) {
 	zones := x.groups[key]
 	for n := range zones {
-		if zones[n].zone == r.fixed.Zone {
-			zones[n].rows = append(zones[n].rows, r)
+		if zones[n].zone == r.static.Zone {
+			zones[n].endpoints = append(zones[n].endpoints, r)
 			return
 		}
 	}
-	x.groups[key] = append(zones, zoneRows{zone: r.fixed.Zone, rows: []*row{r}})
+	x.groups[key] = append(zones, zoneEndpoints{zone: r.static.Zone, endpoints: []*followedEndpoint{r}})
 }
 
-// candidates gives up to maxCandidates endpoints in permitted zones, from a
-// random start in each zone, a like part of each.
+// candidates returns up to maxCandidates endpoints in permitted zones. Each
+// zone contributes in proportion to its size, from a random start.
 func (x *index) candidates(now time.Time, q Query) []Candidate {
 	zones := x.groups[indexKey{kind: q.Kind, model: q.Model, service: q.Service}]
 	total := 0
 	for n := range zones {
 		if q.Permitted.Permits(zones[n].zone) {
-			total += len(zones[n].rows)
+			total += len(zones[n].endpoints)
 		}
 	}
 	if total == 0 {
@@ -85,14 +85,15 @@
 	filled := 0
 	for n := range zones {
 		if q.Permitted.Permits(zones[n].zone) {
-			filled += fillPart(now, zones[n].rows, total, list[filled:])
+			filled += fillFromZone(now, zones[n].endpoints, total, list[filled:])
 		}
 	}
 	return list[:filled]
 }
 
-// fillPart fills a zone's part of the answer and tells how many it wrote.
-func fillPart(now time.Time, rows []*row, total int, into []Candidate) int {
+// fillFromZone writes a zone's part of the result and returns how many it
+// wrote.
+func fillFromZone(now time.Time, rows []*followedEndpoint, total int, into []Candidate) int {
 	part := len(rows)
 	if total > maxCandidates {
 		part = (len(rows)*maxCandidates + total - 1) / total
--- a/internal/endpoint/leaving_test.go
+++ b/internal/endpoint/leaving_test.go
@@ -12,15 +12,15 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// usable tells whether an entry may begin new work on the endpoint now: with a
-// fresh slot, or with one of its grants.
-func (d *daemon) usable(t *testing.T, attempt string, earlier ...*Grant) bool {
-	grant, _, _ := d.client.Take(t.Context(), take("e1", attempt, 0))
+// usable reports whether an entry may start new work on the endpoint now: with
+// a new slot, or with one of its earlier grants.
+func (d *daemon) usable(t *testing.T, attempt string, earlierGrants ...*Grant) bool {
+	grant, _, _ := d.client.Take(t.Context(), grantRequest("e1", attempt, 0))
 	if grant != nil {
 		d.client.Give(Release{Grant: *grant, Reason: pb.ReleaseReason_RELEASE_REASON_UNUSED})
 		return true
 	}
-	for _, g := range earlier {
+	for _, g := range earlierGrants {
 		if d.client.Valid(time.Now(), *g) {
 			return true
 		}
@@ -28,8 +28,8 @@
 	return false
 }
 
-// lastUsable plays five seconds and gives the last moment, from now, at which
-// any of the entries could begin work.
+// lastUsable simulates five seconds and returns the last moment, from now, at
+// which any of the entries could start work.
 func lastUsable(t *testing.T, earlier *Grant, each func(), entries ...*daemon) time.Duration {
 	began := time.Now()
 	last := time.Duration(0)
@@ -47,15 +47,15 @@
 	return last
 }
 
-// An engine's host is cut off; callers are sent to it until their patience
-// ends. It went silent without a word, and one entry, cut off from the engine's
-// home, holds a grant from just before.
-func TestSilentEndpointGetsNoNewWorkWithinTheBound(t *testing.T) {
-	inPair(t, 4, func(t *testing.T, net *fakeNet, home, other *daemon) {
-		home.beat(announcement("e1", 4), 2)
+// An engine's host is cut off without a leave, and callers would be sent to it
+// until their deadlines. One entry, cut off from the engine's home, holds a
+// grant from just before.
+func TestUnreachableEndpointGetsNoNewWorkAfterTheBound(t *testing.T) {
+	withPair(t, 4, func(t *testing.T, net *fakeNet, home, other *daemon) {
+		home.heartbeat(announcement("e1", 4), 2)
 		silent := time.Now()
 		time.Sleep(DefaultLimits().EndpointLease - 50*time.Millisecond)
-		grant := other.mustTake(t, "x")
+		grant := other.mustAcquire(t, "x")
 		net.setCut(home.rpcAddress(), true)
 		before := time.Since(silent)
 		last := before + lastUsable(t, grant, nil, home, other)
@@ -65,17 +65,17 @@
 	})
 }
 
-// An engine says that it leaves, to an entry that is killed in that moment. It
-// gets no answer and tells the next entry, as its contract says; from then on
-// no entry may begin work there, though it sends heartbeats while it finishes.
-func TestLeaveToldToAnEntryThatDies(t *testing.T) {
-	inPair(t, 4, func(t *testing.T, net *fakeNet, home, other *daemon) {
+// An engine sends its leave to an entry that is killed at that moment. It gets
+// no answer and tells the next entry, as its contract says. From then on no
+// entry may start work there, although it sends heartbeats while it finishes.
+func TestLeaveSentToAnEntryThatDies(t *testing.T) {
+	withPair(t, 4, func(t *testing.T, net *fakeNet, home, other *daemon) {
 		sequence := uint64(1)
 		beat := func() {
 			sequence++
-			home.beat(announcement("e1", 4), sequence)
+			home.heartbeat(announcement("e1", 4), sequence)
 		}
-		grant := other.mustTake(t, "x")
+		grant := other.mustAcquire(t, "x")
 		net.setCut(home.rpcAddress(), true)
 		var reply engineapi.LeaveReply
 		other.post("/v1/endpoints/leave", engineapi.Leave{ID: "e1", Incarnation: 1}, &reply)
@@ -90,101 +90,103 @@
 	})
 }
 
-// A leave told to any entry reaches the home and stops it at once.
+// A leave sent to any entry reaches the home and stops its grants at once.
 func TestLeaveThroughAnotherEntry(t *testing.T) {
-	inPair(t, 4, func(t *testing.T, _ *fakeNet, home, other *daemon) {
+	withPair(t, 4, func(t *testing.T, _ *fakeNet, home, other *daemon) {
 		var reply engineapi.LeaveReply
 		other.post("/v1/endpoints/leave", engineapi.Leave{ID: "e1", Incarnation: 1}, &reply)
 		assert.Assert(t, reply.Spread)
-		_, refusal, err := other.client.Take(t.Context(), take("e1", "x", 0))
+		_, refusal, err := other.client.Take(t.Context(), grantRequest("e1", "x", 0))
 		assert.NilError(t, err)
 		assert.Equal(t, refusal.Status, pb.GrantStatus_GRANT_STATUS_LEAVING)
-		time.Sleep(pollEvery + 10*time.Millisecond)
+		time.Sleep(minPollInterval + 10*time.Millisecond)
 		assert.Equal(t, other.candidates(), 0)
 	})
 }
 
-// An entry is cut off from an engine's home. It may not go on by what it knew:
-// its digests are too old after two seconds, and it has no slot to give.
+// An entry is cut off from an engine's home. It must not go on with what it
+// knew: its digests are too old after two seconds, and it can't grant slots
+// itself.
 func TestEntryCutOffFromTheHome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		net := newFakeNet(t)
-		home, other := pair(t, net, "e1")
+		home, other := startPair(t, net, "e1")
 		defer home.stop()
 		defer other.stop()
 		sequence := uint64(0)
 		for range 10 {
 			sequence++
-			home.beat(announcement("e1", 4), sequence)
+			home.heartbeat(announcement("e1", 4), sequence)
 			time.Sleep(200 * time.Millisecond)
 		}
 		assert.Equal(t, other.candidates(), 1)
 		net.setCut(home.rpcAddress(), true)
-		_, _, err := other.client.Take(t.Context(), take("e1", "x", 0))
+		_, _, err := other.client.Take(t.Context(), grantRequest("e1", "x", 0))
 		assert.Assert(t, err != nil)
-		time.Sleep(digestLife + pollEvery)
+		time.Sleep(maxDigestAge + minPollInterval)
 		assert.Equal(t, other.candidates(), 0)
 		assert.Assert(t, !other.client.Running("x"))
 	})
 }
 
-// The home of some engines is killed. Its last digests say that they are empty;
-// requests would try them first, again and again, until their retries are spent.
-func TestEndpointsOfAKilledHomeAreSetAside(t *testing.T) {
-	inPair(t, 4, func(t *testing.T, net *fakeNet, home, other *daemon) {
+// The home of some engines is killed. By its last digests they are empty, so
+// requests would try them first, again and again, until their retries are
+// spent.
+func TestEndpointsOfAKilledHomeAreNoCandidates(t *testing.T) {
+	withPair(t, 4, func(t *testing.T, net *fakeNet, home, other *daemon) {
 		net.setCut(home.rpcAddress(), true)
 		assert.Equal(t, other.candidates(), 1)
-		_, _, err := other.client.Take(t.Context(), take("e1", "x", 0))
+		_, _, err := other.client.Take(t.Context(), grantRequest("e1", "x", 0))
 		assert.Assert(t, err != nil)
 		assert.Equal(t, other.candidates(), 0)
 		net.setCut(home.rpcAddress(), false)
-		home.beat(announcement("e1", 4), 2)
-		time.Sleep(pollEvery + 10*time.Millisecond)
+		home.heartbeat(announcement("e1", 4), 2)
+		time.Sleep(minPollInterval + 10*time.Millisecond)
 		assert.Equal(t, other.candidates(), 1, "it answers again")
 	})
 }
 
-// The engine's home changes between a request's digest and its take: the old
-// home names the new one, which the request then asks.
-func TestTakeFollowsTheHome(t *testing.T) {
+// The engine's home changes between a request's digest and its acquisition. The
+// old home names the new one, which is asked next.
+func TestAcquireFollowsAHomeChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		net := newFakeNet(t)
 		first, second := homes("e1")
 		before := viewOf(1, first)
-		old, next := start(t, net, first, before), start(t, net, second, before)
+		old, next := startDaemon(t, net, first, before), startDaemon(t, net, second, before)
 		defer old.stop()
 		defer next.stop()
-		old.beat(announcement("e1", 4), 1)
-		time.Sleep(pollEvery + 10*time.Millisecond)
+		old.heartbeat(announcement("e1", 4), 1)
+		time.Sleep(minPollInterval + 10*time.Millisecond)
 		after := viewOf(2, first, second)
-		next.see(after)
-		next.beat(announcement("e1", 4), 2)
+		next.setView(after)
+		next.heartbeat(announcement("e1", 4), 2)
 		synctest.Wait()
-		next.home.step(func(c *core, now time.Time) { c.endpoints["e1"].quiet = now })
+		next.home.step(func(c *core, now time.Time) { c.endpoints["e1"].noGrantsBefore = now })
 		// old's follower still has the digest of its own home.
-		old.see(after)
-		grant := old.mustTake(t, "x")
+		old.setView(after)
+		grant := old.mustAcquire(t, "x")
 		old.client.Give(Release{Grant: *grant, Reason: pb.ReleaseReason_RELEASE_REASON_UNUSED})
 		synctest.Wait()
 		assert.Equal(t, next.used("e1"), 0)
 	})
 }
 
-// A decode slot waits for a long prefill: it is renewed until the engine lists
-// the request, and is another's soon after its owner is killed.
+// A decode slot waits for a long prefill. It is renewed until the engine lists
+// the request, and is free for others soon after its owner is killed.
 func TestGrantIsRenewedUntilConfirmed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		home, other := pair(t, newFakeNet(t), "e1")
+		home, other := startPair(t, newFakeNet(t), "e1")
 		defer home.stop()
 		sequence := uint64(0)
 		beat := func() {
 			sequence++
-			home.beat(announcement("e1", 1), sequence)
+			home.heartbeat(announcement("e1", 1), sequence)
 			time.Sleep(300 * time.Millisecond)
 		}
 		beat()
 		beat()
-		grant := other.mustTake(t, "x")
+		grant := other.mustAcquire(t, "x")
 		for range 20 {
 			beat()
 		}
--- a/internal/endpoint/messages_test.go
+++ b/internal/endpoint/messages_test.go
@@ -14,15 +14,15 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// lossyHome does what it is asked and loses so many of its replies.
+// lossyHome does what it is asked and loses the next repliesToLose replies.
 type lossyHome struct {
 	*Home
-	lose atomic.Int32
+	repliesToLose atomic.Int32
 }
 
 var errReplyLost = errors.New("connection closed")
 
-func (l *lossyHome) lost() bool { return l.lose.Add(-1) >= 0 }
+func (l *lossyHome) lost() bool { return l.repliesToLose.Add(-1) >= 0 }
 
 func (l *lossyHome) Grant(ctx context.Context, in *pb.GrantRequest) (*pb.GrantReply, error) {
 	reply, err := l.Home.Grant(ctx, in)
@@ -40,15 +40,15 @@
 	return reply, err
 }
 
-// inLossyPair is inPair, with one slot and a home that loses replies.
-func inLossyPair(t *testing.T, play func(t *testing.T, home, other *daemon, lossy *lossyHome)) {
+// withLossyPair is withPair, with one slot and a home that loses replies.
+func withLossyPair(t *testing.T, play func(t *testing.T, home, other *daemon, lossy *lossyHome)) {
 	t.Helper()
 	lossy := &lossyHome{}
 	serve := func(h *Home) pb.DRPCHomeServer {
 		lossy.Home = h
 		return lossy
 	}
-	inServedPair(t, 1, serve, func(t *testing.T, _ *fakeNet, home, other *daemon) {
+	withServedPair(t, 1, serve, func(t *testing.T, _ *fakeNet, home, other *daemon) {
 		play(t, home, other, lossy)
 	})
 }
@@ -58,12 +58,12 @@
 	return n
 }
 
-// The reply to a take is lost: the home has given the slot, the entry doesn't
-// know. The entry gives it back, though it never had it.
-func TestReplyToATakeIsLost(t *testing.T) {
-	inLossyPair(t, func(t *testing.T, home, other *daemon, lossy *lossyHome) {
-		lossy.lose.Store(1)
-		grant, refusal, err := other.client.Take(t.Context(), take("e1", "x", 0))
+// The reply to a grant request is lost: the home has granted the slot, and the
+// entry doesn't know. The entry releases it in any case.
+func TestLostGrantReply(t *testing.T) {
+	withLossyPair(t, func(t *testing.T, home, other *daemon, lossy *lossyHome) {
+		lossy.repliesToLose.Store(1)
+		grant, refusal, err := other.client.Take(t.Context(), grantRequest("e1", "x", 0))
 		assert.Assert(t, err != nil && grant == nil && refusal == nil)
 		time.Sleep(100 * time.Millisecond)
 		assert.Equal(t, home.used("e1"), 0)
@@ -71,32 +71,34 @@
 	})
 }
 
-// The reply to a release is lost several times: it is sent again until it is
-// confirmed, and a slot that was taken anew meanwhile isn't freed by a repeat.
-func TestReplyToAReleaseIsLost(t *testing.T) {
-	inLossyPair(t, func(t *testing.T, home, other *daemon, lossy *lossyHome) {
-		grant := other.mustTake(t, "x")
-		lossy.lose.Store(4)
+// The reply to a release is lost several times. The release is repeated until
+// it is confirmed, and a repeat doesn't free a slot that was granted anew
+// meanwhile.
+func TestLostReleaseReply(t *testing.T) {
+	withLossyPair(t, func(t *testing.T, home, other *daemon, lossy *lossyHome) {
+		grant := other.mustAcquire(t, "x")
+		lossy.repliesToLose.Store(4)
 		other.finish(grant)
 		other.finish(grant)
 		synctest.Wait()
-		home.mustTake(t, "y")
+		home.mustAcquire(t, "y")
 		time.Sleep(time.Second)
 		assert.Equal(t, home.used("e1"), 1)
-		assert.Assert(t, lossy.lose.Load() < 0, "the release must have been repeated until confirmed")
+		assert.Assert(t, lossy.repliesToLose.Load() < 0, "the release must have been repeated until confirmed")
 	})
 }
 
-// Messages about one attempt arrive late, twice and crossed; whatever their
-// order, a slot that was given back is free, and no other's is touched.
-func TestCrossedMessages(t *testing.T) {
-	grant := func(c *core) { c.grant(epoch, askFor("x", epoch)) }
+// Messages about one attempt arrive late, twice and out of order. Whatever
+// their order, a released slot is free, and no other attempt's slot is
+// affected.
+func TestReorderedMessages(t *testing.T) {
+	grant := func(c *core) { c.grant(epoch, requestFor("x", epoch)) }
 	release := func(c *core) {
 		finish(c, epoch, "x")
 	}
-	other := func(c *core) { c.grant(epoch, askFor("y", epoch)) }
+	other := func(c *core) { c.grant(epoch, requestFor("y", epoch)) }
 	stranger := func(c *core) {
-		c.release(epoch, releaseAsk{endpoint: "e1", key: holdKey{"x", fleet.RoleDecode}, owner: fleet.Owner{Instance: "owner", Incarnation: 7}})
+		c.release(epoch, slotRelease{endpoint: "e1", key: holdKey{"x", fleet.RoleDecode}, owner: fleet.Owner{Instance: "owner", Incarnation: 7}})
 	}
 	for name, test := range map[string]struct {
 		steps []func(*core)
@@ -110,7 +112,7 @@
 		"release by other incarnation": {[]func(*core){grant, stranger}, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := soleHome(t, 2, guards{})
+			c := homeOfOne(t, 2, testFaults{})
 			for _, step := range test.steps {
 				step(c)
 			}
--- a/internal/endpoint/orphantimes_test.go
+++ b/internal/endpoint/orphantimes_test.go
@@ -14,20 +14,21 @@
 )
 
 // orphanBound is the stated bound for a lost cancel and for a killed owner,
-// counted from the loss; forgottenBound that for a live owner that forgets.
+// counted from the loss; forgottenBound is that for a live owner that has
+// forgotten the request.
 const (
 	orphanBound    = 4500 * time.Millisecond
 	forgottenBound = 11 * time.Second
 )
 
-// orphanTime plays one loss at a random moment in the heartbeat's rhythm until
-// the engine has freed the hold. Half of the home's direct cancels and a tenth
-// of the replies get lost. A killed owner is out of the view after its lease of
-// 2 s and up to a second more.
-func orphanTime(t *testing.T, random *rand.Rand, cause string) time.Duration {
-	c := soleHome(t, 2, guards{})
-	owner := askFor("x", epoch).owner
-	c.grant(epoch, askFor("x", epoch))
+// timeToFree simulates one loss at a random moment between heartbeats, and
+// returns the time until the engine has freed the hold. Half of the home's
+// direct cancels and a tenth of the replies are lost. A killed owner leaves the
+// view after its lease of 2 s and up to a second more.
+func timeToFree(t *testing.T, random *rand.Rand, cause string) time.Duration {
+	c := homeOfOne(t, 2, testFaults{})
+	owner := requestFor("x", epoch).owner
+	c.grant(epoch, requestFor("x", epoch))
 	loss := 600*time.Millisecond + time.Duration(random.IntN(10_000))*time.Millisecond
 	gone := loss + 2*time.Second + time.Duration(random.IntN(1000))*time.Millisecond
 	phase := random.IntN(30)
@@ -36,7 +37,7 @@
 		d := time.Duration(n) * 10 * time.Millisecond
 		now := at(d)
 		if cause == "released" && d/(10*time.Millisecond) == loss/(10*time.Millisecond) {
-			giveBack(c, now, "x", pb.ReleaseReason_RELEASE_REASON_CANCELLED, fleet.Fingerprint{})
+			releaseSlot(c, now, "x", pb.ReleaseReason_RELEASE_REASON_CANCELLED, fleet.Fingerprint{})
 		}
 		if cause == "killed" && d >= gone {
 			c.observe(now, viewOf(2, instance("a", zoneNear)), true)
@@ -44,14 +45,14 @@
 		var cancel []fleet.AttemptID
 		if n%30 == phase {
 			sequence++
-			cancel = beatCore(c, now, announcement("e1", 2), sequence, engineapi.Held{Attempt: "x", Owner: owner,
+			cancel = heartbeatTo(c, now, announcement("e1", 2), sequence, engineapi.Held{Attempt: "x", Owner: owner,
 				Stage: engineapi.StageDecode, AgeMs: d.Milliseconds()})
 		}
 		if n%5 == 0 {
 			c.tick(now)
 		}
-		out := c.drain()
-		for _, a := range out.disowns {
+		out := c.takeEffects()
+		for _, a := range out.ownerQueries {
 			if cause == "forgotten" && d > loss {
 				c.disowned(now, "e1", a.owner, fleet.AttemptID(a.held.AttemptId))
 			}
@@ -72,7 +73,7 @@
 		random := rand.New(rand.NewPCG(11, 11))
 		var list []time.Duration
 		for range 500 {
-			list = append(list, orphanTime(t, random, cause))
+			list = append(list, timeToFree(t, random, cause))
 		}
 		slices.Sort(list)
 		t.Logf("%s: p50 %v, p99 %v, most %v", cause, list[250], list[495], list[499])
--- a/internal/endpoint/pollpace_test.go
+++ b/internal/endpoint/pollinterval_test.go
@@ -23,33 +23,33 @@
 	return p.Home.Digest(ctx, in)
 }
 
-// An operator applies many settings in a row. Each is a new state at every
-// daemon; when each made all followers poll all homes, the daemons' traffic
-// for control grew by the product of changes and followed homes.
-func TestSettingsChangesMakeNoPolls(t *testing.T) {
+// An operator applies many settings in a row, and each is a new state at every
+// daemon. When each made all followers poll all homes, the control traffic
+// between daemons grew with the product of changes and followed homes.
+func TestSettingsChangesCauseNoPolls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const span = 10 * time.Second
 		net := newFakeNet(t)
-		home, other := pair(t, net, "e1")
+		home, other := startPair(t, net, "e1")
 		defer home.stop()
 		defer other.stop()
 		polled := &polledHome{Home: home.home}
 		net.serve(t, home.rpcAddress(), polled)
 
 		for range span / (100 * time.Millisecond) {
-			other.see(other.source.State().View)
+			other.setView(other.source.State().View)
 			time.Sleep(100 * time.Millisecond)
 		}
-		most := int32(span/pollEvery) + 1
-		assert.Assert(t, polled.polls.Load() <= most, "%d polls in %v, at most %d", polled.polls.Load(), span, most)
-		assert.Assert(t, polled.polls.Load() >= most-2)
+		maxPolls := int32(span/minPollInterval) + 1
+		assert.Assert(t, polled.polls.Load() <= maxPolls, "%d polls in %v, at most %d", polled.polls.Load(), span, maxPolls)
+		assert.Assert(t, polled.polls.Load() >= maxPolls-2)
 
-		// A new view is polled at once, and not only when the next poll is due.
-		time.Sleep(pollEvery / 2)
+		// A new view causes a poll at once, not only when the next one is due.
+		time.Sleep(minPollInterval / 2)
 		before := polled.polls.Load()
 		view := other.source.State().View
 		view.Number++
-		other.see(view)
+		other.setView(view)
 		time.Sleep(10 * time.Millisecond)
 		assert.Equal(t, polled.polls.Load(), before+1)
 	})
--- a/internal/endpoint/predictor.go
+++ b/internal/endpoint/predictor.go
@@ -9,17 +9,18 @@
 	"github.com/hyssopsail/hyssopsail/internal/leastsquares"
 )
 
-// Predictor learns from finished work how long a hold will last: output
-// lengths by team and model, token time by model, and busy time by kind of
-// work. Pure but for its injected random source. Not safe for concurrent use.
+// Predictor learns from finished work how long a hold will last: output lengths
+// by team and model, token time by model, and busy time by kind of work. It is
+// deterministic except for its injected random source, and not safe for
+// concurrent use.
 type Predictor struct {
-	random  *rand.Rand
-	lengths map[predictorKey]*sample      // output tokens
-	busy    map[predictorKey]*sample      // ms, for work that isn't decode
-	tokens  map[string]float64            // ms a token, by model
-	usedUp  map[predictorKey]float64      // share of outputs as long as is allowed
-	leadIns map[string]float64            // ms from the grant of a decode slot to its use, by model
-	service map[string]*leastsquares.Sums // ms of engine work over prompt tokens, by model
+	random          *rand.Rand
+	outputLengths   map[predictorKey]*sample      // tokens
+	busyMs          map[predictorKey]*sample      // of work other than decode
+	tokenTimeMs     map[string]float64            // by model
+	fullLengthShare map[predictorKey]float64      // share of outputs as long as allowed
+	startDelayMs    map[string]float64            // from the grant of a decode slot to its use, by model
+	prefillTimes    map[string]*leastsquares.Sums // engine ms over prompt tokens, by model
 }
 
 type predictorKey struct {
@@ -28,7 +29,7 @@
 	kind  fleet.EndpointRole
 }
 
-// The predictor's constants. The fallbacks hold until something has finished.
+// The defaults apply until some work has finished.
 const (
 	sampleSize         = 64
 	tokenTimeGain      = 0.1
@@ -39,21 +40,21 @@
 	medianQuantile     = 0.5
 )
 
-// NewPredictor makes one that has seen nothing.
+// NewPredictor returns a Predictor that has observed nothing.
 func NewPredictor(random *rand.Rand) *Predictor {
 	return &Predictor{
-		random:  random,
-		lengths: make(map[predictorKey]*sample),
-		busy:    make(map[predictorKey]*sample),
-		tokens:  make(map[string]float64),
-		usedUp:  make(map[predictorKey]float64),
-		leadIns: make(map[string]float64),
-		service: make(map[string]*leastsquares.Sums),
+		random:          random,
+		outputLengths:   make(map[predictorKey]*sample),
+		busyMs:          make(map[predictorKey]*sample),
+		tokenTimeMs:     make(map[string]float64),
+		fullLengthShare: make(map[predictorKey]float64),
+		startDelayMs:    make(map[string]float64),
+		prefillTimes:    make(map[string]*leastsquares.Sums),
 	}
 }
 
-// Finished is one ended use of a slot.
-type Finished struct {
+// FinishedWork is one completed use of a slot.
+type FinishedWork struct {
 	Team         fleet.Team
 	Model        string
 	Kind         fleet.EndpointRole
@@ -62,23 +63,23 @@
 }
 
 // Observe learns from f.
-func (p *Predictor) Observe(f Finished) {
+func (p *Predictor) Observe(f FinishedWork) {
 	if f.Busy <= 0 {
 		return
 	}
 	ms := float64(f.Busy) / float64(time.Millisecond)
 	if f.Kind != fleet.RoleDecode {
-		p.learn(p.busy, f, ms)
+		p.learn(p.busyMs, f, ms)
 		return
 	}
 	if f.OutputTokens <= 0 {
 		return
 	}
-	p.learn(p.lengths, f, float64(f.OutputTokens))
+	p.learn(p.outputLengths, f, float64(f.OutputTokens))
 	p.learnTokenTime(f.Model, ms/float64(f.OutputTokens))
 }
 
-func (p *Predictor) learn(m map[predictorKey]*sample, f Finished, value float64) {
+func (p *Predictor) learn(m map[predictorKey]*sample, f FinishedWork, value float64) {
 	for _, key := range []predictorKey{{f.Team, f.Model, f.Kind}, {"", f.Model, f.Kind}} {
 		s, ok := m[key]
 		if !ok {
@@ -93,40 +94,41 @@
 }
 
 func (p *Predictor) learnTokenTime(model string, ms float64) {
-	old, ok := p.tokens[model]
+	old, ok := p.tokenTimeMs[model]
 	if !ok {
-		if len(p.tokens) < maxPredictorKeys {
-			p.tokens[model] = ms
+		if len(p.tokenTimeMs) < maxPredictorKeys {
+			p.tokenTimeMs[model] = ms
 		}
 		return
 	}
-	p.tokens[model] = old + tokenTimeGain*(ms-old)
+	p.tokenTimeMs[model] = old + tokenTimeGain*(ms-old)
 }
 
-// TokenTime gives the learned time between tokens of a model.
+// TokenTime returns the learned time between tokens of a model.
 func (p *Predictor) TokenTime(model string) time.Duration {
-	ms, ok := p.tokens[model]
+	ms, ok := p.tokenTimeMs[model]
 	if !ok {
 		return defaultTokenTime
 	}
 	return millis(ms)
 }
 
-// Remaining gives the predicted rest of work that has run for elapsed: the
-// quantile of what finished work of its kind still needed after so long.
-// expected is the output tokens that the caller allows, 0 if not known.
-func (p *Predictor) Remaining(f Finished, expected int, elapsed time.Duration, quantile float64) time.Duration {
+// Remaining predicts the remaining time of work that has run for elapsed: the
+// quantile of what finished work of its kind still needed after that time.
+// expected is the number of output tokens that the caller allows, or 0 if
+// unknown.
+func (p *Predictor) Remaining(f FinishedWork, expected int, elapsed time.Duration, quantile float64) time.Duration {
 	if f.Kind != fleet.RoleDecode {
 		return p.remainingBusy(f, elapsed, quantile)
 	}
 	each := p.TokenTime(f.Model)
 	done := float64(elapsed) / float64(each)
-	total, ok := find(p.lengths, f).above(done, quantile)
+	total, ok := sampleFor(p.outputLengths, f).quantileAbove(done, quantile)
 	if !ok {
 		total = fallbackLength(expected, done)
 	}
 	if expected > 0 {
-		if quantile >= 1-p.usedUp[predictorKey{f.Team, f.Model, f.Kind}] {
+		if quantile >= 1-p.fullLengthShare[predictorKey{f.Team, f.Model, f.Kind}] {
 			total = float64(expected)
 		}
 		total = capLength(total, float64(expected), done)
@@ -134,74 +136,75 @@
 	return time.Duration((total - done) * float64(each))
 }
 
-// overdueShare of the allowed length is expected of work that should have
-// ended by the learned token time, which was wrong then.
+// overdueShare is the share of the allowed length that is still expected of
+// work that should have ended by the learned token time.
 const overdueShare = 0.05
 
-// capLength bounds a length by what the caller allows.
-func capLength(length, most, done float64) float64 {
-	if done >= most {
-		return done + overdueShare*most
+// capLength limits a predicted length to what the caller allows.
+func capLength(length, limit, done float64) float64 {
+	if done >= limit {
+		return done + overdueShare*limit
 	}
-	return min(length, most)
+	return min(length, limit)
 }
 
-// rests appends restParts equally likely remaining times of a hold. A decode
-// slot is taken before its prefill runs, and so its hold begins with a time in
-// which nothing is decoded.
-func (p *Predictor) rests(list []time.Duration, h *hold, now time.Time) []time.Duration {
+// appendRemaining appends remainingQuantiles equally likely remaining times of
+// a hold. A decode slot is acquired before its prefill runs, so at first
+// nothing is decoded in it.
+func (p *Predictor) appendRemaining(list []time.Duration, h *hold, now time.Time) []time.Duration {
 	f := h.finished()
-	elapsed, before := now.Sub(h.granted), time.Duration(0)
+	elapsed, before := now.Sub(h.grantedAt), time.Duration(0)
 	if h.key.kind == fleet.RoleDecode {
-		if h.entered.IsZero() {
-			usual := p.leadIn(f.Model)
-			elapsed, before = max(elapsed-usual, 0), max(usual-elapsed, 0)
+		if h.enteredAt.IsZero() {
+			typical := p.startDelay(f.Model)
+			elapsed, before = max(elapsed-typical, 0), max(typical-elapsed, 0)
 		} else {
-			elapsed = now.Sub(h.entered)
+			elapsed = now.Sub(h.enteredAt)
 		}
 	}
-	for part := range restParts {
-		quantile := (float64(part) + 0.5) / restParts
-		list = append(list, before+max(p.Remaining(f, h.expected, elapsed, quantile), time.Millisecond))
+	for part := range remainingQuantiles {
+		quantile := (float64(part) + 0.5) / remainingQuantiles
+		list = append(list, before+max(p.Remaining(f, h.expectedTokens, elapsed, quantile), time.Millisecond))
 	}
 	return list
 }
 
-// sawAllowed learns how often outputs are as long as is allowed. Where nearly
-// all are, what a caller allows tells the length better than other lengths do.
-func (p *Predictor) sawAllowed(f Finished, allowed int) {
+// observeFullLength learns how often outputs are as long as allowed. Where
+// nearly all are, the allowed length predicts better than other outputs do.
+func (p *Predictor) observeFullLength(f FinishedWork, allowed int) {
 	if f.OutputTokens <= 0 || allowed <= 0 {
 		return
 	}
 	key := predictorKey{f.Team, f.Model, f.Kind}
-	old, ok := p.usedUp[key]
-	if !ok && len(p.usedUp) >= maxPredictorKeys {
+	old, ok := p.fullLengthShare[key]
+	if !ok && len(p.fullLengthShare) >= maxPredictorKeys {
 		return
 	}
 	used := 0.0
 	if f.OutputTokens >= allowed {
 		used = 1
 	}
-	p.usedUp[key] = old + tokenTimeGain*(used-old)
+	p.fullLengthShare[key] = old + tokenTimeGain*(used-old)
 }
 
-// leadIn is the usual time from the grant of a decode slot until the engine
-// holds the request.
-func (p *Predictor) leadIn(model string) time.Duration { return millis(p.leadIns[model]) }
+// startDelay returns the typical time from the grant of a decode slot until the
+// engine has the request.
+func (p *Predictor) startDelay(model string) time.Duration { return millis(p.startDelayMs[model]) }
 
-// sawLeadIn learns from one decode that has ended.
-func (p *Predictor) sawLeadIn(model string, took time.Duration) {
-	old, ok := p.leadIns[model]
+// observeStartDelay learns from one decode that has ended.
+func (p *Predictor) observeStartDelay(model string, took time.Duration) {
+	old, ok := p.startDelayMs[model]
 	ms := float64(took) / float64(time.Millisecond)
 	switch {
 	case ok:
-		p.leadIns[model] = old + tokenTimeGain*(ms-old)
-	case len(p.leadIns) < maxPredictorKeys:
-		p.leadIns[model] = ms
+		p.startDelayMs[model] = old + tokenTimeGain*(ms-old)
+	case len(p.startDelayMs) < maxPredictorKeys:
+		p.startDelayMs[model] = ms
 	}
 }
 
-// fallbackLength expects the allowed length, and what has none to double.
+// fallbackLength returns the allowed length or the default. Work that has
+// already reached it is expected to double.
 func fallbackLength(expected int, done float64) float64 {
 	length := float64(expected)
 	if expected <= 0 {
@@ -213,22 +216,22 @@
 	return length
 }
 
-func (p *Predictor) remainingBusy(f Finished, elapsed time.Duration, quantile float64) time.Duration {
+func (p *Predictor) remainingBusy(f FinishedWork, elapsed time.Duration, quantile float64) time.Duration {
 	done := float64(elapsed) / float64(time.Millisecond)
-	if total, ok := find(p.busy, f).above(done, quantile); ok {
+	if total, ok := sampleFor(p.busyMs, f).quantileAbove(done, quantile); ok {
 		return millis(total - done)
 	}
-	usual := defaultCallTime
+	typical := defaultCallTime
 	if f.Kind == fleet.RolePrefill {
-		usual = defaultPrefillTime
+		typical = defaultPrefillTime
 	}
-	if elapsed >= usual {
+	if elapsed >= typical {
 		return elapsed
 	}
-	return usual - elapsed
+	return typical - elapsed
 }
 
-func find(m map[predictorKey]*sample, f Finished) *sample {
+func sampleFor(m map[predictorKey]*sample, f FinishedWork) *sample {
 	if s, ok := m[predictorKey{f.Team, f.Model, f.Kind}]; ok {
 		return s
 	}
@@ -237,8 +240,8 @@
 
 func millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// sample is a sorted set of recent values. A new one takes the place of a
-// random old one, so that old values fade out.
+// sample is a sorted set of recent values. A new value replaces a random old
+// one, so that old values fade out.
 type sample struct{ sorted []float64 }
 
 func (s *sample) add(value float64, random *rand.Rand) {
@@ -252,8 +255,9 @@
 	s.sorted[at] = value
 }
 
-// above gives the quantile of the values over floor; ok is false without any.
-func (s *sample) above(floor, quantile float64) (value float64, ok bool) {
+// quantileAbove returns the quantile of the values above floor; ok is false if
+// there are none.
+func (s *sample) quantileAbove(floor, quantile float64) (value float64, ok bool) {
 	if s == nil {
 		return 0, false
 	}
--- a/internal/endpoint/predictor_test.go
+++ b/internal/endpoint/predictor_test.go
@@ -12,8 +12,8 @@
 
 func TestPredictor(t *testing.T) {
 	p := NewPredictor(rand.New(rand.NewPCG(1, 1)))
-	decode := Finished{Team: "sorters", Model: "m@1", Kind: fleet.RoleDecode}
-	assert.Equal(t, p.Remaining(decode, 50, 0, 0.5), 50*defaultTokenTime, "nothing learned: what is allowed")
+	decode := FinishedWork{Team: "sorters", Model: "m@1", Kind: fleet.RoleDecode}
+	assert.Equal(t, p.Remaining(decode, 50, 0, 0.5), 50*defaultTokenTime, "nothing learned: the allowed length")
 	for n := range 40 {
 		f := decode
 		f.OutputTokens = 100 + n%2*200 // half 100 tokens, half 300
@@ -27,25 +27,25 @@
 	other := decode
 	other.Team = "archive"
 	assert.Equal(t, p.Remaining(other, 0, 0, 0.5), time.Second, "a new team begins with the model's lengths")
-	p.Observe(Finished{Team: "x", Model: "m@1", Kind: fleet.RoleDecode, OutputTokens: 0, Busy: time.Hour})
-	p.Observe(Finished{Team: "x", Model: "m@1", Kind: fleet.RoleDecode, OutputTokens: 5, Busy: -1})
-	assert.Equal(t, p.TokenTime("m@1"), 10*time.Millisecond, "nonsense isn't learned")
+	p.Observe(FinishedWork{Team: "x", Model: "m@1", Kind: fleet.RoleDecode, OutputTokens: 0, Busy: time.Hour})
+	p.Observe(FinishedWork{Team: "x", Model: "m@1", Kind: fleet.RoleDecode, OutputTokens: 5, Busy: -1})
+	assert.Equal(t, p.TokenTime("m@1"), 10*time.Millisecond, "invalid values aren't learned")
 }
 
 func TestPredictorIsBoundedAndSeeded(t *testing.T) {
 	run := func(seed uint64) time.Duration {
 		p := NewPredictor(rand.New(rand.NewPCG(seed, 1)))
 		for n := range 5 * maxPredictorKeys {
-			p.Observe(Finished{Team: fleet.Team(string(rune('a' + n%26))), Model: "m@1", Kind: fleet.RolePrefill, Busy: time.Duration(n+1) * time.Millisecond})
+			p.Observe(FinishedWork{Team: fleet.Team(string(rune('a' + n%26))), Model: "m@1", Kind: fleet.RolePrefill, Busy: time.Duration(n+1) * time.Millisecond})
 		}
 		for n := range 2 * maxPredictorKeys {
-			p.Observe(Finished{Team: fleet.Team(time.Duration(n).String()), Model: "m@1", Kind: fleet.RolePrefill, Busy: time.Second})
+			p.Observe(FinishedWork{Team: fleet.Team(time.Duration(n).String()), Model: "m@1", Kind: fleet.RolePrefill, Busy: time.Second})
 		}
-		assert.Assert(t, len(p.busy) <= maxPredictorKeys)
-		for _, s := range p.busy {
+		assert.Assert(t, len(p.busyMs) <= maxPredictorKeys)
+		for _, s := range p.busyMs {
 			assert.Assert(t, len(s.sorted) <= sampleSize)
 		}
-		return p.Remaining(Finished{Team: "b", Model: "m@1", Kind: fleet.RolePrefill}, 0, 0, 0.5)
+		return p.Remaining(FinishedWork{Team: "b", Model: "m@1", Kind: fleet.RolePrefill}, 0, 0, 0.5)
 	}
 	assert.Equal(t, run(4), run(4))
 }
--- a/internal/endpoint/prefillqueue.go
+++ b/internal/endpoint/prefillqueue.go
@@ -10,30 +10,31 @@
 )
 
 const (
-	serviceMemory = 100.0 // prefills that weigh, about
-	serviceEnough = 4.0   // prefills before what was learned is used
-	// leastRest is the share of a prefill's work that is still expected of one
-	// that should have ended.
-	leastRest = 0.1
+	prefillSampleWindow = 100.0 // approximate number of prefills that count
+	minPrefillSamples   = 4.0   // prefills before the learned time is used
+	// minRemainingShare is the share of a prefill's work that is still expected
+	// of one that is overdue.
+	minRemainingShare = 0.1
 )
 
-// observeService learns the engine work of one prefill.
-func (p *Predictor) observeService(model string, prompt int, work time.Duration) {
-	s, ok := p.service[model]
+// observePrefillTime learns the engine time of one prefill.
+func (p *Predictor) observePrefillTime(model string, prompt int, work time.Duration) {
+	s, ok := p.prefillTimes[model]
 	if !ok {
-		if len(p.service) >= maxPredictorKeys {
+		if len(p.prefillTimes) >= maxPredictorKeys {
 			return
 		}
 		s = &leastsquares.Sums{}
-		p.service[model] = s
+		p.prefillTimes[model] = s
 	}
-	s.Add(float64(prompt), float64(work)/float64(time.Millisecond), serviceMemory)
+	s.Add(float64(prompt), float64(work)/float64(time.Millisecond), prefillSampleWindow)
 }
 
-// Service predicts the engine work of one prefill, its queue not included.
-func (p *Predictor) Service(model string, prompt int) time.Duration {
-	s, ok := p.service[model]
-	if !ok || s.Weight() < serviceEnough {
+// PrefillTime predicts the engine time of one prefill, without its time in the
+// queue.
+func (p *Predictor) PrefillTime(model string, prompt int) time.Duration {
+	s, ok := p.prefillTimes[model]
+	if !ok || s.Weight() < minPrefillSamples {
 		return defaultPrefillTime
 	}
 	line, ok := s.Line()
@@ -43,58 +44,58 @@
 	return millis(line.At(float64(prompt)))
 }
 
-// learnService learns from a prefill that has ended at now. An engine computes
-// one prefill after another, so that its own work began when it was granted or
-// when the one before it ended, whichever was later.
-func (c *core) learnService(now time.Time, r *record, h *hold) {
+// learnPrefillTime learns from a prefill that ended at now. An engine computes
+// one prefill at a time, so this one began when it was granted or when the
+// previous one ended, whichever was later.
+func (c *core) learnPrefillTime(now time.Time, r *record, h *hold) {
 	if h.key.kind != fleet.RolePrefill {
 		return
 	}
-	began := later(h.granted, r.prefilled)
-	r.prefilled = now
+	began := later(h.grantedAt, r.lastPrefillEnd)
+	r.lastPrefillEnd = now
 	if work := now.Sub(began); work > 0 {
-		c.predictor.observeService(h.model, h.prompt, work)
+		c.predictor.observePrefillTime(h.model, h.promptTokens, work)
 	}
 }
 
-// queuedWork predicts the work ahead of a new prefill: what is left of the
-// first one in the engine's order and all of the others. The engine's report
-// is late: what it told has gone on since, and what was granted since is not
-// in it. Where the home's own books say more, they are right.
+// queuedWork predicts the work ahead of a new prefill: the rest of the first
+// one in the engine's order and all of the others. The engine's report is out
+// of date: the work reported has progressed since, and prefills granted since
+// aren't included. Where the home's own estimate is higher, it is used.
 func (c *core) queuedWork(now time.Time, r *record) time.Duration {
-	own, since := time.Duration(0), time.Duration(0)
-	began := r.prefilled
+	ownEstimate, sinceReport := time.Duration(0), time.Duration(0)
+	began := r.lastPrefillEnd
 	for _, h := range r.prefills() {
-		work := c.predictor.Service(h.model, h.prompt)
-		if h.granted.After(r.loadAt) {
-			since += work
+		work := c.predictor.PrefillTime(h.model, h.promptTokens)
+		if h.grantedAt.After(r.loadAt) {
+			sinceReport += work
 		}
-		if own == 0 {
-			done := now.Sub(later(h.granted, began))
-			work = max(work-done, time.Duration(leastRest*float64(work)))
+		if ownEstimate == 0 {
+			done := now.Sub(later(h.grantedAt, began))
+			work = max(work-done, time.Duration(minRemainingShare*float64(work)))
 		}
-		own += work
+		ownEstimate += work
 	}
 	for _, w := range r.queue.all() {
-		if w.ask.kind == fleet.RolePrefill {
-			own += c.predictor.Service(w.ask.model, w.ask.prompt)
+		if w.request.kind == fleet.RolePrefill {
+			ownEstimate += c.predictor.PrefillTime(w.request.model, w.request.promptTokens)
 		}
 	}
 	if r.load.PrefillQueueMs <= 0 {
-		return own
+		return ownEstimate
 	}
-	told := millis(min(r.load.PrefillQueueMs, float64(maxWait.Milliseconds())))
-	return max(own, told+since-now.Sub(r.loadAt))
+	reported := millis(min(r.load.PrefillQueueMs, float64(maxWait.Milliseconds())))
+	return max(ownEstimate, reported+sinceReport-now.Sub(r.loadAt))
 }
 
-// prefills gives the prefills that the engine hasn't ended, oldest first.
+// prefills returns the prefills that the engine hasn't finished, oldest first.
 func (r *record) prefills() []*hold {
 	var list []*hold
 	for _, h := range r.holds {
-		if h.key.kind == fleet.RolePrefill && h.state != holdPromised && h.stage != engineapi.StageExported {
+		if h.key.kind == fleet.RolePrefill && h.state != holdPending && h.stage != engineapi.StageExported {
 			list = append(list, h)
 		}
 	}
-	slices.SortFunc(list, func(a, b *hold) int { return a.granted.Compare(b.granted) })
+	slices.SortFunc(list, func(a, b *hold) int { return a.grantedAt.Compare(b.grantedAt) })
 	return list
 }
