--- a/internal/endpoint/queue.go
+++ b/internal/endpoint/queue.go
@@ -7,47 +7,47 @@
 	"github.com/hyssopsail/hyssopsail/internal/fleet"
 )
 
-// waiting is one grant request in an endpoint's queue.
-type waiting struct {
-	ask     *ask
-	order   uint64  // arrival
-	work    float64 // predicted engine work, ms
-	answers chan<- answer
-}
-
-// fairQueue orders waiting grants: start-time fair queueing over teams in
-// units of predicted engine work, and by priority, then arrival, inside a
-// team. Priority doesn't reach over teams, since a team sets its own. Pure.
+// queuedRequest is one grant request in an endpoint's queue.
+type queuedRequest struct {
+	request   *slotRequest
+	arrival   uint64  // order of arrival
+	workMs    float64 // predicted engine work
+	responses chan<- response
+}
+
+// fairQueue orders queued grant requests: start-time fair queueing over teams
+// in units of predicted engine work, and by priority, then arrival, within a
+// team. Priority has no effect between teams, since each team sets its own. It
+// does no I/O.
 //
-// The failure: one team sends ten times its share, its requests fill the
-// queue, and another team's callers wait or are refused for it. The guards:
-// a team's next start tag moves on by work over share at each dispatch, and a
-// full queue drops the newest request of the team that waits with most work
-// for its share.
+// Without fairness, a team that sends ten times its share fills the queue, and
+// another team's callers wait or are refused. So each dispatch moves a team's
+// next start tag on by work divided by share, and a full queue drops the last
+// request of the team with the most queued work for its share.
 type fairQueue struct {
-	limit   int
-	size    int
-	virtual float64 // start tag of the last dispatch
-	teams   map[fleet.Team]*teamQueue
+	limit       int
+	size        int
+	virtualTime float64 // start tag of the last dispatch
+	teams       map[fleet.Team]*teamQueue
 }
 
 type teamQueue struct {
-	team   fleet.Team
-	share  float64
-	finish float64 // tag at which the team's last dispatch ends
-	items  []*waiting
+	team      fleet.Team
+	share     float64
+	finishTag float64 // tag at which the team's last dispatch ends
+	items     []*queuedRequest
 }
 
 func newFairQueue(limit int) *fairQueue {
 	return &fairQueue{limit: limit, teams: make(map[fleet.Team]*teamQueue)}
 }
 
-// push adds w. When the queue is full it gives the request that had to go,
+// push adds w. If the queue is full, it returns the request that was dropped,
 // which may be w.
-func (q *fairQueue) push(w *waiting) (dropped *waiting) {
-	t := q.team(w.ask.team)
-	t.share = w.ask.share
-	at := sort.Search(len(t.items), func(n int) bool { return before(w, t.items[n]) })
+func (q *fairQueue) push(w *queuedRequest) (dropped *queuedRequest) {
+	t := q.team(w.request.team)
+	t.share = w.request.share
+	at := sort.Search(len(t.items), func(n int) bool { return dispatchedBefore(w, t.items[n]) })
 	t.items = append(t.items, nil)
 	copy(t.items[at+1:], t.items[at:])
 	t.items[at] = w
@@ -55,19 +55,19 @@
 	if q.size <= q.limit {
 		return nil
 	}
-	return q.dropLast()
+	return q.dropFromLargestBacklog()
 }
 
-func before(a, b *waiting) bool {
-	if a.ask.priority != b.ask.priority {
-		return a.ask.priority > b.ask.priority
+func dispatchedBefore(a, b *queuedRequest) bool {
+	if a.request.priority != b.request.priority {
+		return a.request.priority > b.request.priority
 	}
-	return a.order < b.order
+	return a.arrival < b.arrival
 }
 
-// dropLast removes the last request of the team with most waiting work for
-// its share.
-func (q *fairQueue) dropLast() *waiting {
+// dropFromLargestBacklog removes the last request of the team with the most
+// queued work for its share.
+func (q *fairQueue) dropFromLargestBacklog() *queuedRequest {
 	var worst *teamQueue
 	var most float64
 	for _, t := range q.teams {
@@ -84,20 +84,20 @@
 func (t *teamQueue) backlog() float64 {
 	sum := 0.0
 	for _, w := range t.items {
-		sum += w.work
+		sum += w.workMs
 	}
 	return sum
 }
 
-func (t *teamQueue) start(virtual float64) float64 { return max(virtual, t.finish) }
+func (t *teamQueue) start(virtual float64) float64 { return max(virtual, t.finishTag) }
 
-// next gives the request to dispatch first among those that may is true for;
-// nil when there is none.
-func (q *fairQueue) next(may func(*waiting) bool) *waiting {
-	var best *waiting
+// next returns the request to dispatch first among the eligible ones, or nil if
+// there is none.
+func (q *fairQueue) next(eligible func(*queuedRequest) bool) *queuedRequest {
+	var best *queuedRequest
 	var bestTeam *teamQueue
 	for _, t := range q.teams {
-		w := t.first(may)
+		w := t.first(eligible)
 		if w == nil {
 			continue
 		}
@@ -108,9 +108,9 @@
 	return best
 }
 
-func (t *teamQueue) first(may func(*waiting) bool) *waiting {
+func (t *teamQueue) first(eligible func(*queuedRequest) bool) *queuedRequest {
 	for _, w := range t.items {
-		if may(w) {
+		if eligible(w) {
 			return w
 		}
 	}
@@ -118,7 +118,7 @@
 }
 
 func (q *fairQueue) goesBefore(a, b *teamQueue) bool {
-	x, y := a.start(q.virtual), b.start(q.virtual)
+	x, y := a.start(q.virtualTime), b.start(q.virtualTime)
 	if x != y {
 		return x < y
 	}
@@ -126,17 +126,17 @@
 }
 
 // dispatch removes w and charges its team.
-func (q *fairQueue) dispatch(w *waiting) {
-	t := q.team(w.ask.team)
-	start := t.start(q.virtual)
-	q.virtual = start
-	t.finish = start + w.work/t.share
+func (q *fairQueue) dispatch(w *queuedRequest) {
+	t := q.team(w.request.team)
+	start := t.start(q.virtualTime)
+	q.virtualTime = start
+	t.finishTag = start + w.workMs/t.share
 	q.remove(w)
 }
 
-// remove takes w out without a charge; it tells whether w was there.
-func (q *fairQueue) remove(w *waiting) bool {
-	t, ok := q.teams[w.ask.team]
+// remove removes w without a charge and reports whether w was queued.
+func (q *fairQueue) remove(w *queuedRequest) bool {
+	t, ok := q.teams[w.request.team]
 	if !ok {
 		return false
 	}
@@ -144,16 +144,16 @@
 		if o == w {
 			t.items = append(t.items[:n], t.items[n+1:]...)
 			q.size--
-			q.forget(t)
+			q.dropIdle(t)
 			return true
 		}
 	}
 	return false
 }
 
-// forget drops a team that has no tag to remember.
-func (q *fairQueue) forget(t *teamQueue) {
-	if len(t.items) == 0 && t.finish <= q.virtual {
+// dropIdle removes a team that has no queued request and no finish tag to keep.
+func (q *fairQueue) dropIdle(t *teamQueue) {
+	if len(t.items) == 0 && t.finishTag <= q.virtualTime {
 		delete(q.teams, t.team)
 	}
 }
@@ -164,15 +164,16 @@
 		return t
 	}
 	if len(q.teams) >= maxTeams {
-		q.shrink()
+		q.dropIdleTeams()
 	}
 	t = &teamQueue{team: name, share: 1}
 	q.teams[name] = t
 	return t
 }
 
-// shrink forgets idle teams; those with requests waiting are fewer than limit.
-func (q *fairQueue) shrink() {
+// dropIdleTeams removes teams without queued requests; the others are fewer
+// than limit.
+func (q *fairQueue) dropIdleTeams() {
 	for name, t := range q.teams {
 		if len(t.items) == 0 {
 			delete(q.teams, name)
@@ -180,24 +181,24 @@
 	}
 }
 
-// ahead tells how many requests go before w if none comes after.
-func (q *fairQueue) ahead(w *waiting) int { return slices.Index(q.ordered(), w) }
+// ahead returns how many requests go before w if no more arrive.
+func (q *fairQueue) ahead(w *queuedRequest) int { return slices.Index(q.ordered(), w) }
 
-// ordered gives all requests in the order in which they go if none comes.
-func (q *fairQueue) ordered() []*waiting {
-	list := make([]*waiting, 0, q.size)
-	virtual := q.virtual
+// ordered returns all requests in order of dispatch if no more arrive.
+func (q *fairQueue) ordered() []*queuedRequest {
+	list := make([]*queuedRequest, 0, q.size)
+	virtual := q.virtualTime
 	finish := make(map[*teamQueue]float64, len(q.teams))
 	taken := make(map[*teamQueue]int, len(q.teams))
 	for _, t := range q.teams {
-		finish[t] = t.finish
+		finish[t] = t.finishTag
 	}
 	for len(list) < q.size {
 		t := firstTeam(q.teams, finish, taken, virtual)
 		w := t.items[taken[t]]
 		taken[t]++
 		virtual = max(virtual, finish[t])
-		finish[t] = virtual + w.work/t.share
+		finish[t] = virtual + w.workMs/t.share
 		list = append(list, w)
 	}
 	return list
@@ -218,9 +219,9 @@
 	return best
 }
 
-// all gives every waiting request, in no set order.
-func (q *fairQueue) all() []*waiting {
-	list := make([]*waiting, 0, q.size)
+// all returns every queued request, in no particular order.
+func (q *fairQueue) all() []*queuedRequest {
+	list := make([]*queuedRequest, 0, q.size)
 	for _, t := range q.teams {
 		list = append(list, t.items...)
 	}
--- a/internal/endpoint/limited_test.go
+++ b/internal/endpoint/ratelimit_test.go
@@ -11,26 +11,26 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// beatLimited is a heartbeat that names a limit.
-func beatLimited(c *core, now time.Time, sequence uint64, perSecond float64) {
+// heartbeatWithLimit sends a heartbeat with a rate limit.
+func heartbeatWithLimit(c *core, now time.Time, sequence uint64, perSecond float64) {
 	_, _ = c.heartbeat(now, engineapi.Heartbeat{Announcement: announcement("e1", 20), Sequence: sequence, LimitPerSecond: &perSecond})
 }
 
-// Guards against an endpoint in need that gets as many requests as it has slots: its home
-// gives no more grants than it takes, over any home changes.
-func TestLimitedEndpointGetsNoMoreGrants(t *testing.T) {
+// An endpoint that needs fewer requests must not get as many as it has slots:
+// its home gives no more grants than the limit allows, over any home changes.
+func TestGrantsStayWithinTheRateLimit(t *testing.T) {
 	const window, bound = 4 * time.Second, 1.5*2*4 + 5
-	c := soleHome(t, 20, guards{})
+	c := homeOfOne(t, 20, testFaults{})
 	var granted []time.Duration
 	sequence := uint64(1)
 	for now := time.Duration(0); now < 30*time.Second; now += 30 * time.Millisecond {
 		if now == 15*time.Second {
-			c = emptyHome(guards{})
+			c = emptyHome(testFaults{})
 			c.observe(at(now), viewOf(2, instance("a", zoneNear), instance("owner", zoneFar)), true)
 		}
 		if now%(300*time.Millisecond) == 0 {
 			sequence++
-			beatLimited(c, at(now), sequence, 2)
+			heartbeatWithLimit(c, at(now), sequence, 2)
 		}
 		attempt := fmt.Sprint("a", now)
 		if statusAt(c, at(now), attempt) == pb.GrantStatus_GRANT_STATUS_GRANTED {
@@ -50,12 +50,13 @@
 	assert.Assert(t, len(granted) > 40, "%d grants: the limit is used", len(granted))
 }
 
-// Guards against callers that wait where nothing will be given in their time.
-func TestLimitedEndpointRefusesAtOnce(t *testing.T) {
-	c := soleHome(t, 20, guards{})
-	beatLimited(c, at(time.Second), 2, 0)
-	a := askFor("a1", at(time.Second))
-	a.wait = 2 * time.Second
+// Callers must not wait where the limit allows no grant within their maximum
+// wait.
+func TestRateLimitRefusesLongWaitsAtOnce(t *testing.T) {
+	c := homeOfOne(t, 20, testFaults{})
+	heartbeatWithLimit(c, at(time.Second), 2, 0)
+	a := requestFor("a1", at(time.Second))
+	a.maxWait = 2 * time.Second
 	got, queued := c.grant(at(time.Second), a)
 	assert.Assert(t, queued == nil)
 	assert.Equal(t, got.status, pb.GrantStatus_GRANT_STATUS_FULL)
@@ -64,17 +65,17 @@
 	assert.Equal(t, statusAt(c, at(2*time.Second), "a2"), pb.GrantStatus_GRANT_STATUS_GRANTED)
 }
 
-// Guards against a faulty endpoint that lifts its limit, or takes itself out, by what is
-// no limit.
-func TestUnreadableLimitChangesNothing(t *testing.T) {
-	var l limited
+// A faulty endpoint must not lift its limit, or stop its own traffic, with an
+// invalid one.
+func TestInvalidRateLimitIsIgnored(t *testing.T) {
+	var l rateLimit
 	for _, bad := range []float64{-1, 1e300} {
-		l.said(at(0), &bad)
-		assert.Assert(t, !l.named)
+		l.update(at(0), &bad)
+		assert.Assert(t, !l.set)
 	}
 	good := 3.0
-	l.said(at(0), &good)
+	l.update(at(0), &good)
 	bad := -1.0
-	l.said(at(0), &bad)
-	assert.Assert(t, l.named && l.perSecond == good)
+	l.update(at(0), &bad)
+	assert.Assert(t, l.set && l.perSecond == good)
 }
--- a/internal/endpoint/record.go
+++ b/internal/endpoint/record.go
@@ -9,47 +9,47 @@
 	"github.com/hyssopsail/hyssopsail/internal/fleet"
 )
 
-// record is all that a home knows of one endpoint incarnation.
+// record is what a home knows of one endpoint incarnation.
 type record struct {
-	announced engineapi.Announcement
-	heard     time.Time // arrival of the last announcement or heartbeat
-	beat      bool      // a held list has come
-	beatAt    time.Time // when the last held list came
-	sequence  uint64    // of the last heartbeat
-	first     uint64    // sequence of the first heartbeat since this is its home
-	skipped   time.Time // when a heartbeat last came whose number wasn't the next
-	doubt     bool      // a view was missed: another home may have granted
-	complete  bool      // this home has granted, or may, with full knowledge
-	quiet     time.Time // nothing is granted before: see tenure
-	leaving   bool
-	silent    bool // the lease ran out
-	holds     map[holdKey]*hold
-	released  map[holdKey]time.Time
-	failed    map[fleet.Fingerprint]time.Time // ended by ENDPOINT_FAILED since the last heartbeat
-	queue     *fairQueue
-	limited   limited
-	load      engineapi.Load
-	loadAt    time.Time // the moment that load speaks of
-	cache     cacheIndex
-	cacheAt   uint64 // the home's cache version at the last change
-	drain     drainRate
-	prefilled time.Time      // when the last prefill ended
-	home      fleet.Instance // by the view numbered homeView
-	homeKnown bool
-	homeView  uint64
-	probed    time.Time
-	crashAt   time.Time // when the death is reported; zero: it isn't dead
+	announced              engineapi.Announcement
+	lastContact            time.Time // arrival of the last announcement or heartbeat
+	hasHeldList            bool      // a held list has arrived since the last reset
+	heldListAt             time.Time // arrival of the last held list
+	heartbeatSequence      uint64    // of the last heartbeat
+	firstHeartbeatSequence uint64    // of the first heartbeat since this instance is its home
+	lastGapAt              time.Time // arrival of the last heartbeat whose number wasn't the next
+	missedView             bool      // a view was missed: another home may have granted
+	knowsAllGrants         bool      // this home knows all outstanding grants
+	noGrantsBefore         time.Time // see viewHistory
+	leaving                bool
+	unreachable            bool // the lease expired or a probe failed
+	holds                  map[holdKey]*hold
+	releasedAt             map[holdKey]time.Time
+	failedFingerprints     map[fleet.Fingerprint]time.Time // ended by ENDPOINT_FAILED since the last heartbeat
+	queue                  *fairQueue
+	rateLimit              rateLimit
+	load                   engineapi.Load
+	loadAt                 time.Time // the time that load describes
+	cache                  cacheIndex
+	cacheVersion           uint64 // the home's cacheVersion at the last change
+	releaseRate            releaseRate
+	lastPrefillEnd         time.Time
+	home                   fleet.Instance // by the view numbered homeView
+	homeKnown              bool
+	homeView               uint64
+	probedAt               time.Time
+	crashReportAt          time.Time // when to report the crash; zero: none to report
 }
 
-func newRecord(now time.Time, a engineapi.Announcement, quiet time.Time) *record {
+func newRecord(now time.Time, a engineapi.Announcement, noGrantsBefore time.Time) *record {
 	return &record{
-		announced: a,
-		heard:     now,
-		quiet:     quiet,
-		holds:     make(map[holdKey]*hold),
-		released:  make(map[holdKey]time.Time),
-		failed:    make(map[fleet.Fingerprint]time.Time),
-		queue:     newFairQueue(maxQueue),
+		announced:          a,
+		lastContact:        now,
+		noGrantsBefore:     noGrantsBefore,
+		holds:              make(map[holdKey]*hold),
+		releasedAt:         make(map[holdKey]time.Time),
+		failedFingerprints: make(map[fleet.Fingerprint]time.Time),
+		queue:              newFairQueue(maxQueue),
 	}
 }
 
@@ -62,36 +62,37 @@
 	}
 }
 
-// used counts the slots that are taken, by this home's grants and by what the
-// endpoint reports beyond them. Promises count once a slot has become theirs.
+// used counts the slots that are taken, by this home's grants and by other
+// holds that the endpoint reports. A pending hold counts once it has its slot.
 func (r *record) used() int {
 	n := 0
 	for _, h := range r.holds {
-		if h.state != holdPromised {
+		if h.state != holdPending {
 			n++
 		}
 	}
 	return n
 }
 
-func (r *record) promised() []*hold {
+// pending returns the pending holds, oldest first.
+func (r *record) pending() []*hold {
 	var list []*hold
 	for _, h := range r.holds {
-		if h.state == holdPromised {
+		if h.state == holdPending {
 			list = append(list, h)
 		}
 	}
-	slices.SortFunc(list, func(a, b *hold) int { return a.granted.Compare(b.granted) })
+	slices.SortFunc(list, func(a, b *hold) int { return a.grantedAt.Compare(b.grantedAt) })
 	return list
 }
 
-// aloneTaken tells whether another suspect than attempt runs here, or something
-// runs here of which this home doesn't know whether it is a suspect.
+// runsOtherSuspect reports whether the endpoint runs another suspect than
+// attempt, or a hold of which this home doesn't know whether it is a suspect.
 //
-// Failure: a suspect gets its decode slot and its prefill at one endpoint of
-// both roles, waits there for itself, and fails at its deadline. Its own grant
-// is no other suspect.
-func (r *record) aloneTaken(attempt fleet.AttemptID) bool {
+// The attempt's own hold doesn't count: at an endpoint of both roles a suspect
+// gets its decode slot before its prefill, and would wait for itself until its
+// deadline.
+func (r *record) runsOtherSuspect(attempt fleet.AttemptID) bool {
 	for key, h := range r.holds {
 		if key.attempt == attempt {
 			continue
@@ -103,7 +104,7 @@
 	return false
 }
 
-// byAttempt finds a hold of the attempt in either kind.
+// byAttempt returns the attempt's holds of any kind.
 func (r *record) byAttempt(attempt fleet.AttemptID) []*hold {
 	var list []*hold
 	for _, kind := range []fleet.EndpointRole{fleet.RolePrefill, fleet.RoleDecode, fleet.RolePlain} {
@@ -114,24 +115,24 @@
 	return list
 }
 
-// drainRate is how often slots are freed, learned from releases.
-type drainRate struct {
-	last time.Time
-	gap  float64 // ms between releases, smoothed
+// releaseRate measures how often slots are released.
+type releaseRate struct {
+	lastRelease time.Time
+	intervalMs  float64 // between releases, smoothed
 }
 
-const drainGain = 0.2
+const releaseIntervalGain = 0.2
 
-func (d *drainRate) released(now time.Time) {
-	if !d.last.IsZero() {
-		gap := float64(now.Sub(d.last)) / float64(time.Millisecond)
-		if d.gap == 0 {
-			d.gap = gap
+func (d *releaseRate) released(now time.Time) {
+	if !d.lastRelease.IsZero() {
+		interval := float64(now.Sub(d.lastRelease)) / float64(time.Millisecond)
+		if d.intervalMs == 0 {
+			d.intervalMs = interval
 		}
-		d.gap += drainGain * (gap - d.gap)
+		d.intervalMs += releaseIntervalGain * (interval - d.intervalMs)
 	}
-	d.last = now
+	d.lastRelease = now
 }
 
-// clear gives the time in which n slots are freed; 0: not known.
-func (d *drainRate) clear(n int) time.Duration { return millis(d.gap * float64(n)) }
+// timeFor returns the time in which n slots are released; 0: unknown.
+func (d *releaseRate) timeFor(n int) time.Duration { return millis(d.intervalMs * float64(n)) }
--- a/internal/endpoint/sweep_test.go
+++ b/internal/endpoint/sweep_test.go
@@ -12,27 +12,27 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// orphan is one way to leave a hold behind: what happens at 1 s, after the
-// endpoint has listed it from the start.
-type orphan func(c *core, now time.Time)
+// orphanCause is one way in which a hold loses its caller, after the endpoint
+// has listed it.
+type orphanCause func(c *core, now time.Time)
 
-// sweepTime plays heartbeats of an engine that goes on listing an orphan until
-// a reply to it says to cancel; it gives the time from the loss to that. lost
-// is how many such replies don't reach the engine.
-func sweepTime(t *testing.T, g guards, loss orphan, lost int) (time.Duration, bool) {
-	c := soleHome(t, 2, g)
-	owner := askFor("x", epoch).owner
-	c.grant(epoch, askFor("x", epoch))
+// timeToSweep simulates heartbeats of an engine that keeps listing an orphaned
+// hold until a reply says to cancel it, and returns the time from the loss
+// until then. lost is how many such replies don't reach the engine.
+func timeToSweep(t *testing.T, g testFaults, loss orphanCause, lost int) (time.Duration, bool) {
+	c := homeOfOne(t, 2, g)
+	owner := requestFor("x", epoch).owner
+	c.grant(epoch, requestFor("x", epoch))
 	sequence := uint64(1)
 	for now := at(300 * time.Millisecond); now.Before(at(30 * time.Second)); now = now.Add(300 * time.Millisecond) {
 		if now.Equal(at(900 * time.Millisecond)) {
 			loss(c, now)
 		}
 		sequence++
-		cancel := beatCore(c, now, announcement("e1", 2), sequence, engineapi.Held{Attempt: "x", Owner: owner,
+		cancel := heartbeatTo(c, now, announcement("e1", 2), sequence, engineapi.Held{Attempt: "x", Owner: owner,
 			Stage: engineapi.StageDecode, AgeMs: now.Sub(epoch).Milliseconds()})
 		c.tick(now)
-		for _, d := range c.drain().disowns {
+		for _, d := range c.takeEffects().ownerQueries {
 			c.disowned(now, "e1", d.owner, fleet.AttemptID(d.held.AttemptId))
 		}
 		if slices.Contains(cancel, "x") {
@@ -45,13 +45,13 @@
 	return 0, false
 }
 
-// An engine's memory stays taken by a request whose caller has long gone: the
-// entry that ran it was killed, or the cancel to the engine was lost, or the
-// entry has forgotten the request without a word.
+// An engine's memory stays taken by a request whose caller is gone: the entry
+// that ran it was killed, or the cancel to the engine was lost, or the entry
+// has forgotten the request without a release.
 func TestOrphansAreFreed(t *testing.T) {
 	self := instance("a", zoneNear)
 	for name, test := range map[string]struct {
-		loss  orphan
+		loss  orphanCause
 		lost  int
 		bound time.Duration
 	}{
@@ -64,47 +64,46 @@
 			c.observe(now, viewOf(2, self, again), true)
 		}},
 		"released, engine's cancel lost": {bound: 2400 * time.Millisecond, loss: func(c *core, now time.Time) {
-			giveBack(c, now, "x", pb.ReleaseReason_RELEASE_REASON_CANCELLED, fleet.Fingerprint{})
+			releaseSlot(c, now, "x", pb.ReleaseReason_RELEASE_REASON_CANCELLED, fleet.Fingerprint{})
 		}},
 		"owner left, three replies lost": {lost: 3, bound: 1500 * time.Millisecond, loss: func(c *core, now time.Time) {
 			c.observe(now, viewOf(2, self), true)
 		}},
-		"forgotten by a live owner": {bound: askGrantedEvery, loss: func(*core, time.Time) {}},
+		"forgotten by a live owner": {bound: grantedQueryInterval, loss: func(*core, time.Time) {}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			took, ok := sweepTime(t, guards{}, test.loss, test.lost)
+			took, ok := timeToSweep(t, testFaults{}, test.loss, test.lost)
 			assert.Assert(t, ok, "never freed")
 			assert.Assert(t, took <= test.bound, "took %v", took)
 			t.Logf("freed %v after the loss", took)
-			_, ok = sweepTime(t, guards{noSweep: true}, test.loss, test.lost)
-			assert.Assert(t, !ok, "the proof must fail without its guard")
+			_, ok = timeToSweep(t, testFaults{noSweep: true}, test.loss, test.lost)
+			assert.Assert(t, !ok, "the test must fail without the protection")
 		})
 	}
 }
 
-// A prefill is given back when it has ended; its KV cache stays listed until
-// the decode engine has fetched it, and must not be swept from under the
-// transfer.
+// A prefill is released when it has ended. Its KV cache stays listed until the
+// decode engine has fetched it, and must not be cancelled during the transfer.
 func TestExportedCacheIsNotSweptDuringItsTransfer(t *testing.T) {
-	c := soleHome(t, 2, guards{})
-	c.grant(epoch, askFor("x", epoch))
+	c := homeOfOne(t, 2, testFaults{})
+	c.grant(epoch, requestFor("x", epoch))
 	finish(c, at(300*time.Millisecond), "x")
-	held := heldBy("x", askFor("x", epoch).owner)
+	held := heldBy("x", requestFor("x", epoch).owner)
 	held.Stage = engineapi.StageExported
 	for n := range 4 {
 		now := at(time.Duration(n+2) * 300 * time.Millisecond)
-		assert.Equal(t, len(beatCore(c, now, announcement("e1", 2), uint64(n+2), held)), 0)
+		assert.Equal(t, len(heartbeatTo(c, now, announcement("e1", 2), uint64(n+2), held)), 0)
 	}
 }
 
-// A hold whose owner joined by a view that is still on its way here is not an
-// orphan.
+// A hold is not orphaned when its owner joined by a view that has not arrived
+// here yet.
 func TestUnseenOwnerIsNotSweptBeforeTheViewCanArrive(t *testing.T) {
-	c := soleHome(t, 2, guards{})
+	c := homeOfOne(t, 2, testFaults{})
 	young := fleet.Owner{Instance: "late-joiner", Incarnation: 1}
-	assert.Equal(t, len(beatCore(c, at(300*time.Millisecond), announcement("e1", 2), 2, heldBy("x", young))), 0)
+	assert.Equal(t, len(heartbeatTo(c, at(300*time.Millisecond), announcement("e1", 2), 2, heldBy("x", young))), 0)
 	c.observe(at(2*time.Second), viewOf(2, instance("a", zoneNear), instance("late-joiner", zoneFar)), true)
 	held := heldBy("x", young)
 	held.AgeMs = 60_000
-	assert.Equal(t, len(beatCore(c, at(2100*time.Millisecond), announcement("e1", 2), 3, held)), 0)
+	assert.Equal(t, len(heartbeatTo(c, at(2100*time.Millisecond), announcement("e1", 2), 3, held)), 0)
 }
