--- a/internal/endpoint/core.go
+++ b/internal/endpoint/core.go
@@ -177,7 +177,7 @@
 		return
 	}
 	if !r.crashReportAt.IsZero() && !now.Before(r.crashReportAt) {
-		c.reportDeath(now, r)
+		c.reportCrash(now, r)
 	}
 	if c.faults.earlyExpiry {
 		c.freeExpired(now, r)
@@ -224,7 +224,7 @@
 		return false
 	}
 	if r.heldListAt.Before(r.noGrantsBefore) && !c.faults.noGrantDelay {
-		return false // the held list doesn't include the latest work yet
+		return false // the held list may lack the work that began last
 	}
 	return now.Sub(r.lastContact) < c.limits.EndpointLease
 }
--- a/internal/endpoint/core_heartbeat.go
+++ b/internal/endpoint/core_heartbeat.go
@@ -18,7 +18,7 @@
 		return r, false
 	}
 	if known && a.Incarnation > r.announced.Incarnation {
-		c.reportDeath(now, r)
+		c.reportCrash(now, r)
 		c.refuseAll(r, response{status: statusFull})
 		known = false
 	}
@@ -72,7 +72,7 @@
 	}
 	if !c.current && !c.faults.noMissedViewCheck {
 		// A heartbeat that arrives while this instance may be out of the view
-		// doesn't count: another home may have received the ones since.
+		// doesn't count: another home may have received the ones in between.
 		return r.toCancel(), true
 	}
 	if r.hasHeldList && b.Sequence != r.heartbeatSequence+1 {
--- a/internal/endpoint/core_release.go
+++ b/internal/endpoint/core_release.go
@@ -74,9 +74,9 @@
 	f.OutputTokens = q.outputTokens
 	f.Busy = q.busy
 	if h.key.kind == fleet.RoleDecode && !h.enteredAt.IsZero() {
-		ahead := h.enteredAt.Sub(h.grantedAt)
-		c.predictor.observeStartDelay(h.model, ahead)
-		f.Busy -= ahead
+		startDelay := h.enteredAt.Sub(h.grantedAt)
+		c.predictor.observeStartDelay(h.model, startDelay)
+		f.Busy -= startDelay
 	}
 	c.predictor.Observe(f)
 	c.predictor.observeFullLength(f, h.expectedTokens)
@@ -115,9 +115,9 @@
 	r.crashReportAt = now.Add(c.limits.Heartbeat)
 }
 
-// reportDeath reports once what ran on an endpoint incarnation, and frees all
+// reportCrash reports once what ran on an endpoint incarnation, and frees all
 // its holds.
-func (c *core) reportDeath(now time.Time, r *record) {
+func (c *core) reportCrash(now time.Time, r *record) {
 	id := r.announced.ID
 	if c.crashed[id] >= r.announced.Incarnation {
 		return
--- a/internal/endpoint/core_sweep.go
+++ b/internal/endpoint/core_sweep.go
@@ -59,26 +59,26 @@
 	return now.Sub(h.grantedAt) > c.limits.SettingsLease && now.Sub(c.runningSince) > c.limits.SettingsLease
 }
 
-func (c *core) cancel(now time.Time, r *record, h *hold, why string) {
+func (c *core) cancel(now time.Time, r *record, h *hold, reason string) {
 	if !h.cancelledAt.IsZero() && now.Sub(h.cancelledAt) < recancelInterval {
 		return
 	}
 	if h.cancelledAt.IsZero() {
-		c.recordEvent(timeline.KindHoldSwept, r, h.key.attempt, why)
+		c.recordEvent(timeline.KindHoldSwept, r, h.key.attempt, reason)
 	}
 	h.cancelledAt = now
 	c.effects.cancels = append(c.effects.cancels, cancelOrder{target: r.target(), attempt: h.key.attempt})
 }
 
 func (c *core) queryOwner(now time.Time, r *record, h *hold) {
-	every := grantedQueryInterval
+	interval := grantedQueryInterval
 	if h.state == holdReported {
-		every = reportedQueryInterval
+		interval = reportedQueryInterval
 	}
-	if !h.confirmed() || !c.current || now.Sub(h.grantedAt) < c.limits.minDisownAge() || now.Sub(h.ownerAskedAt) < every {
+	if !h.confirmed() || !c.current || now.Sub(h.grantedAt) < c.limits.minDisownAge() || now.Sub(h.ownerAskedAt) < interval {
 		return
 	}
-	if h.ownerAskedAt.IsZero() && h.state != holdReported && now.Sub(h.grantedAt) < every {
+	if h.ownerAskedAt.IsZero() && h.state != holdReported && now.Sub(h.grantedAt) < interval {
 		return
 	}
 	h.ownerAskedAt = now
--- a/internal/endpoint/core_test.go
+++ b/internal/endpoint/core_test.go
@@ -73,9 +73,9 @@
 // onlyResponse returns the one response that c sends to a queued request.
 func onlyResponse(t *testing.T, c *core) response {
 	t.Helper()
-	answers := c.takeEffects().responses
-	assert.Equal(t, len(answers), 1)
-	return answers[0].response
+	responses := c.takeEffects().responses
+	assert.Equal(t, len(responses), 1)
+	return responses[0].response
 }
 
 func TestGrantAnswers(t *testing.T) {
--- a/internal/endpoint/crash_test.go
+++ b/internal/endpoint/crash_test.go
@@ -46,9 +46,9 @@
 
 // A request crashes the engine that runs it, and its caller repeats it. It can
 // be told from the requests beside it only if each crash is reported once, with
-// all that ran.
+// everything that ran.
 func TestCrashIsReportedOncePerIncarnation(t *testing.T) {
-	for name, death := range map[string]func(c *core) (after time.Duration){
+	for name, crash := range map[string]func(c *core) (after time.Duration){
 		"silence": func(*core) time.Duration { return 0 },
 		"connections broke": func(c *core) time.Duration {
 			releaseSlot(c, at(time.Second), "x1", pb.ReleaseReason_RELEASE_REASON_ENDPOINT_FAILED, suspect)
@@ -70,7 +70,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := homeRunningTwo(t, testFaults{})
-			reports := crashReports(c, death(c))
+			reports := crashReports(c, crash(c))
 			assert.Equal(t, len(reports), 1)
 			assert.Equal(t, reports[0].EndpointIncarnation, uint64(1))
 			assert.Equal(t, len(reports[0].Fingerprints), 2)
@@ -86,12 +86,12 @@
 	assert.Equal(t, len(crashReports(c, 0)), 1)
 	// A request on its way to the engine makes the home keep a record of it;
 	// then its heartbeats arrive again.
-	back := at(11 * time.Second)
-	heartbeatTo(c, back, announcement("e1", 4), 40)
-	heartbeatTo(c, back.Add(6*time.Second), announcement("e1", 4), 41)
-	a := requestFor("x3", back.Add(6*time.Second))
+	revivedAt := at(11 * time.Second)
+	heartbeatTo(c, revivedAt, announcement("e1", 4), 40)
+	heartbeatTo(c, revivedAt.Add(6*time.Second), announcement("e1", 4), 41)
+	a := requestFor("x3", revivedAt.Add(6*time.Second))
 	a.fingerprint = suspect
-	got, _ := c.grant(back.Add(6*time.Second), a)
+	got, _ := c.grant(revivedAt.Add(6*time.Second), a)
 	assert.Equal(t, got.status, statusGranted)
 	assert.Equal(t, len(crashReports(c, 17*time.Second)), 0)
 }
@@ -133,15 +133,15 @@
 func TestRevivedEndpointWaitsOutForgottenGrants(t *testing.T) {
 	c := homeRunningTwo(t, testFaults{})
 	assert.Equal(t, len(crashReports(c, 0)), 1)
-	back := at(10 * time.Second)
-	c.endpoints["e1"] = newRecord(back, announcement("e1", 4), back.Add(-time.Second))
-	c.endpoints["e1"].crashReportAt = back
+	revivedAt := at(10 * time.Second)
+	c.endpoints["e1"] = newRecord(revivedAt, announcement("e1", 4), revivedAt.Add(-time.Second))
+	c.endpoints["e1"].crashReportAt = revivedAt
 	c.crashed = map[fleet.EndpointID]fleet.Incarnation{}
-	c.tick(back)
-	heartbeatTo(c, back, announcement("e1", 4), 40)
-	assert.Equal(t, statusAt(c, back, "x9"), statusFull)
-	heartbeatTo(c, back.Add(2*time.Second), announcement("e1", 4), 41)
-	assert.Equal(t, statusAt(c, back.Add(2*time.Second), "x9"), statusGranted)
+	c.tick(revivedAt)
+	heartbeatTo(c, revivedAt, announcement("e1", 4), 40)
+	assert.Equal(t, statusAt(c, revivedAt, "x9"), statusFull)
+	heartbeatTo(c, revivedAt.Add(2*time.Second), announcement("e1", 4), 41)
+	assert.Equal(t, statusAt(c, revivedAt.Add(2*time.Second), "x9"), statusGranted)
 }
 
 // An engine's heartbeats stop reaching its home. While it answers the home's
--- a/internal/endpoint/fairness_test.go
+++ b/internal/endpoint/fairness_test.go
@@ -91,9 +91,9 @@
 // which stays under its share, must not be refused for it.
 func TestGreedyTeamCostsOthersLittle(t *testing.T) {
 	alone, _ := servedUnderLoad(t, 0, true)
-	beside, refused := servedUnderLoad(t, 50, true)
-	t.Logf("modest team: %d served alone, %d beside ten times the share (%d refused)", alone, beside, refused)
-	assert.Assert(t, float64(beside) >= 0.95*float64(alone))
+	withGreedy, refused := servedUnderLoad(t, 50, true)
+	t.Logf("modest team: %d served alone, %d beside ten times the share (%d refused)", alone, withGreedy, refused)
+	assert.Assert(t, float64(withGreedy) >= 0.95*float64(alone))
 	unfair, _ := servedUnderLoad(t, 50, false)
 	t.Logf("modest team: %d served without fairness", unfair)
 	assert.Assert(t, float64(unfair) < 0.95*float64(alone), "the test must fail without the protection")
--- a/internal/endpoint/followedendpoint.go
+++ b/internal/endpoint/followedendpoint.go
@@ -65,11 +65,11 @@
 // update applies the dynamic data of a digest, unless the digest is of another
 // incarnation or not newer in its home's order. The prefixes stay if the digest
 // has no newer ones.
-func (r *followedEndpoint) update(now time.Time, d *pb.EndpointDigest, incarnation fleet.Incarnation) {
+func (r *followedEndpoint) update(requestedAt time.Time, d *pb.EndpointDigest, incarnation fleet.Incarnation) {
 	if incarnation != r.static.Incarnation {
 		return
 	}
-	fresh := newDynamicState(now, d)
+	fresh := newDynamicState(requestedAt, d)
 	for {
 		old := r.dynamic.Load()
 		if old != nil && old.sequence >= d.GetSequence() {
@@ -95,10 +95,10 @@
 	r.dynamic.CompareAndSwap(old, &stale)
 }
 
-func newDynamicState(now time.Time, d *pb.EndpointDigest) *dynamicState {
+func newDynamicState(requestedAt time.Time, d *pb.EndpointDigest) *dynamicState {
 	f := &dynamicState{
 		sequence:     d.GetSequence(),
-		requestedAt:  now,
+		requestedAt:  requestedAt,
 		granted:      int(d.GetGranted()),
 		queued:       int(d.GetQueued()),
 		nextFree:     boundedMs(d.GetNextFreeMs(), time.Hour),
--- a/internal/endpoint/followedhomes.go
+++ b/internal/endpoint/followedhomes.go
@@ -10,12 +10,12 @@
 // followedHomes keeps the last digest list of each followed home and merges
 // them. It does no I/O.
 //
-// A list or digest may arrive late, overtaken by a newer one, or from an
-// earlier process of a home. It must not make an endpoint usable again that is
-// dead, has left or was restarted. So a list is accepted only if it is newer in
-// the order of the same home process, or from a later process. A full list is
-// complete, so endpoints that it lacks are removed. A brief list updates the
-// dynamic data of the set that its static version names, and adds nothing.
+// A list or digest that arrives late, after a newer one, or from an earlier
+// process of a home must not make an endpoint usable again that is dead, has
+// left or was restarted. So a list is accepted only if it is newer in the order
+// of the same home process, or from a later process. A full list is complete,
+// so endpoints that it lacks are removed. A brief list updates the dynamic data
+// of the set that its static version names, and adds nothing.
 type followedHomes struct {
 	homes map[fleet.InstanceID]*followedHome
 }
@@ -36,7 +36,7 @@
 }
 
 // versions returns the versions to send in the next request to a home.
-func (p *followedHomes) versions(owner fleet.Owner) (statics, caches uint64) {
+func (p *followedHomes) versions(owner fleet.Owner) (staticVersion, cacheVersion uint64) {
 	h, ok := p.homes[owner.Instance]
 	if !ok || h.owner != owner {
 		return 0, 0
@@ -45,9 +45,9 @@
 }
 
 // mergeReply merges a reply; changed reports whether the index must be rebuilt.
-func (p *followedHomes) mergeReply(now time.Time, asked fleet.Owner, reply *pb.DigestReply) (changed bool) {
+func (p *followedHomes) mergeReply(requestedAt time.Time, polled fleet.Owner, reply *pb.DigestReply) (changed bool) {
 	owner := fleet.OwnerFromProto(reply.GetHome())
-	if owner != asked {
+	if owner != polled {
 		return false
 	}
 	h, ok := p.homes[owner.Instance]
@@ -59,30 +59,30 @@
 		p.homes[owner.Instance] = h
 		changed = true
 	}
-	return h.merge(now, reply) || changed
+	return h.merge(requestedAt, reply) || changed
 }
 
-func (h *followedHome) merge(now time.Time, reply *pb.DigestReply) (changed bool) {
+func (h *followedHome) merge(requestedAt time.Time, reply *pb.DigestReply) (changed bool) {
 	h.sequence = reply.GetSequence()
 	if h.staticVersion != 0 && reply.GetStaticVersion() == h.staticVersion && len(reply.GetDigests()) == len(h.order) {
-		h.mergeBrief(now, reply)
+		h.mergeBrief(requestedAt, reply)
 		return false
 	}
-	return h.mergeFull(now, reply)
+	return h.mergeFull(requestedAt, reply)
 }
 
 // mergeBrief updates endpoints by their position in the list: the static
 // version shows that the set of endpoints is unchanged.
-func (h *followedHome) mergeBrief(now time.Time, reply *pb.DigestReply) {
+func (h *followedHome) mergeBrief(requestedAt time.Time, reply *pb.DigestReply) {
 	for n, d := range reply.GetDigests() {
 		d.Sequence = reply.GetSequence()
-		h.order[n].update(now, d, h.order[n].static.Incarnation)
+		h.order[n].update(requestedAt, d, h.order[n].static.Incarnation)
 	}
-	h.updatedAt, h.cacheVersion = now, reply.GetCacheVersion()
+	h.updatedAt, h.cacheVersion = requestedAt, reply.GetCacheVersion()
 }
 
-func (h *followedHome) mergeFull(now time.Time, reply *pb.DigestReply) (changed bool) {
-	rows := make(map[fleet.EndpointID]*followedEndpoint, len(reply.GetDigests()))
+func (h *followedHome) mergeFull(requestedAt time.Time, reply *pb.DigestReply) (changed bool) {
+	endpoints := make(map[fleet.EndpointID]*followedEndpoint, len(reply.GetDigests()))
 	order := make([]*followedEndpoint, 0, len(reply.GetDigests()))
 	complete := true
 	for _, d := range reply.GetDigests() {
@@ -91,11 +91,11 @@
 			continue
 		}
 		r := h.endpointFor(d)
-		r.update(now, d, fleet.Incarnation(d.GetIncarnation()))
-		rows[r.static.ID] = r
+		r.update(requestedAt, d, fleet.Incarnation(d.GetIncarnation()))
+		endpoints[r.static.ID] = r
 		order = append(order, r)
 	}
-	h.endpoints, h.order, h.updatedAt = rows, order, now
+	h.endpoints, h.order, h.updatedAt = endpoints, order, requestedAt
 	h.staticVersion, h.cacheVersion = reply.GetStaticVersion(), reply.GetCacheVersion()
 	if !complete {
 		h.staticVersion, h.cacheVersion = 0, 0 // request the full list next time
@@ -131,17 +131,17 @@
 // is taken from the one with the later incarnation, or the one updated last.
 func (p *followedHomes) endpoints() map[fleet.EndpointID]*followedEndpoint {
 	all := make(map[fleet.EndpointID]*followedEndpoint)
-	heard := make(map[fleet.EndpointID]time.Time)
+	updatedAt := make(map[fleet.EndpointID]time.Time)
 	for _, h := range p.homes {
 		for id, r := range h.endpoints {
 			old, ok := all[id]
 			if ok && old.static.Incarnation > r.static.Incarnation {
 				continue
 			}
-			if ok && old.static.Incarnation == r.static.Incarnation && heard[id].After(h.updatedAt) {
+			if ok && old.static.Incarnation == r.static.Incarnation && updatedAt[id].After(h.updatedAt) {
 				continue
 			}
-			all[id], heard[id] = r, h.updatedAt
+			all[id], updatedAt[id] = r, h.updatedAt
 		}
 	}
 	return all
--- a/internal/endpoint/followedhomes_test.go
+++ b/internal/endpoint/followedhomes_test.go
@@ -25,7 +25,7 @@
 func TestLateDigestsDoNotRestoreEndpoints(t *testing.T) {
 	home := fleet.Owner{Instance: "a", Incarnation: 2}
 	earlier := fleet.Owner{Instance: "a", Incarnation: 1}
-	for name, late := range map[string]func(p *followedHomes){
+	for name, applyLate := range map[string]func(p *followedHomes){
 		"late list":                  func(p *followedHomes) { p.mergeReply(epoch, home, listOf(home, 3, digestOf("e1", 1, 3))) },
 		"the same list again":        func(p *followedHomes) { p.mergeReply(epoch, home, listOf(home, 10, digestOf("e1", 1, 10))) },
 		"list of an earlier process": func(p *followedHomes) { p.mergeReply(epoch, earlier, listOf(earlier, 99, digestOf("e1", 1, 99))) },
@@ -44,7 +44,7 @@
 			p.mergeReply(epoch, home, listOf(home, 5, digestOf("e1", 1, 5)))
 			assert.Equal(t, len(p.endpoints()), 1)
 			p.mergeReply(epoch, home, listOf(home, 10))
-			late(p)
+			applyLate(p)
 			assert.Equal(t, len(p.endpoints()), 0)
 		})
 	}
@@ -75,13 +75,13 @@
 	p := newFollowedHomes()
 	old, restarted := fleet.Owner{Instance: "a", Incarnation: 1}, fleet.Owner{Instance: "a", Incarnation: 2}
 	p.mergeReply(epoch, old, listOf(old, 5, digestOf("e1", 1, 5)))
-	statics, _ := p.versions(restarted)
-	assert.Equal(t, statics, uint64(0))
+	staticVersion, _ := p.versions(restarted)
+	assert.Equal(t, staticVersion, uint64(0))
 	brief := digestOf("e1", 1, 6)
 	brief.Brief = true
 	p.mergeReply(epoch, restarted, listOf(restarted, 1, brief))
-	statics, _ = p.versions(restarted)
-	assert.Equal(t, statics, uint64(0), "an incomplete list is requested again")
+	staticVersion, _ = p.versions(restarted)
+	assert.Equal(t, staticVersion, uint64(0), "an incomplete list is requested again")
 }
 
 func TestFollowedHomes(t *testing.T) {
--- a/internal/endpoint/follower.go
+++ b/internal/endpoint/follower.go
@@ -178,12 +178,12 @@
 	ctx, cancel := context.WithTimeout(ctx, minPollInterval)
 	defer cancel()
 	f.mu.Lock()
-	statics, caches := f.homes.versions(home.Owner())
+	staticVersion, cacheVersion := f.homes.versions(home.Owner())
 	f.mu.Unlock()
 	request := &pb.DigestRequest{
 		Owner:         f.options.Source.Self().Owner().Proto(),
-		StaticVersion: statics,
-		CacheVersion:  caches,
+		StaticVersion: staticVersion,
+		CacheVersion:  cacheVersion,
 	}
 	sentAt := time.Now()
 	reply, err := f.requestDigest(ctx, home, request)
@@ -229,11 +229,11 @@
 
 // applyPiggybacked applies the digests attached to another reply, for endpoints
 // that are already known.
-func (f *HomeClient) applyPiggybacked(at time.Time, digests []*pb.EndpointDigest) {
+func (f *HomeClient) applyPiggybacked(requestedAt time.Time, digests []*pb.EndpointDigest) {
 	x := f.index.Load()
 	for _, d := range digests {
 		if r, ok := x.byID[fleet.EndpointID(d.GetId())]; ok {
-			r.update(at, d, fleet.Incarnation(d.GetIncarnation()))
+			r.update(requestedAt, d, fleet.Incarnation(d.GetIncarnation()))
 		}
 	}
 }
--- a/internal/endpoint/follower_acquire.go
+++ b/internal/endpoint/follower_acquire.go
@@ -58,7 +58,7 @@
 	return m
 }
 
-func (f *HomeClient) acquireFrom(ctx context.Context, key slotKey, t *trackedSlot, known *followedEndpoint) (*Grant, *Refusal, error) {
+func (f *HomeClient) acquireFrom(ctx context.Context, key slotKey, t *trackedSlot, target *followedEndpoint) (*Grant, *Refusal, error) {
 	wait := boundedMs(t.request.WaitMs, maxWait)
 	callerCtx := ctx
 	ctx, cancel := context.WithTimeout(ctx, wait+acquireCallMargin)
@@ -74,7 +74,7 @@
 		// The home may have granted the slot: release it in any case.
 		f.metrics.acquisitions.WithLabelValues("failed").Inc()
 		if callerCtx.Err() == nil {
-			f.markHomeStale(known.home)
+			f.markHomeStale(target.home)
 		}
 		f.Give(Release{Grant: Grant{Endpoint: key.endpoint, Attempt: key.hold.attempt, Kind: key.hold.kind},
 			Reason: pb.ReleaseReason_RELEASE_REASON_UNUSED})
@@ -92,7 +92,7 @@
 	}
 	f.metrics.acquisitions.WithLabelValues("granted").Inc()
 	f.storeGrant(t, sentAt, reply)
-	return f.grantOf(key, t, known, reply), nil, nil
+	return f.grantOf(key, t, target, reply), nil, nil
 }
 
 // markHomeStale removes the endpoints of an unreachable home from the
@@ -131,22 +131,22 @@
 // storeGrant records until when work may start. The home counts from its grant,
 // which came no sooner than the request plus the time in the queue. So the
 // grant never ends later here than at the home.
-func (f *HomeClient) storeGrant(t *trackedSlot, asked time.Time, reply *pb.GrantReply) {
+func (f *HomeClient) storeGrant(t *trackedSlot, sentAt time.Time, reply *pb.GrantReply) {
 	f.slotsMu.Lock()
 	defer f.slotsMu.Unlock()
-	t.expiresAt = asked.Add(boundedMs(reply.GetQueuedMs(), maxWait) + boundedMs(reply.GetExpiresMs(), maxWait))
+	t.expiresAt = sentAt.Add(boundedMs(reply.GetQueuedMs(), maxWait) + boundedMs(reply.GetExpiresMs(), maxWait))
 	t.renewedAt = time.Now()
 	t.confirmed = t.confirmed || reply.GetConfirmed()
 }
 
-func (f *HomeClient) grantOf(key slotKey, t *trackedSlot, known *followedEndpoint, reply *pb.GrantReply) *Grant {
+func (f *HomeClient) grantOf(key slotKey, t *trackedSlot, target *followedEndpoint, reply *pb.GrantReply) *Grant {
 	f.slotsMu.Lock()
 	defer f.slotsMu.Unlock()
 	return &Grant{
 		Endpoint:    key.endpoint,
 		Incarnation: fleet.Incarnation(reply.GetEndpointIncarnation()),
-		Address:     known.static.Address,
-		Zone:        known.static.Zone,
+		Address:     target.static.Address,
+		Zone:        target.static.Zone,
 		Attempt:     key.hold.attempt,
 		Kind:        key.hold.kind,
 		ReadyIn:     boundedMs(reply.GetSlotReadyMs(), time.Hour),
--- a/internal/endpoint/follower_release.go
+++ b/internal/endpoint/follower_release.go
@@ -18,10 +18,10 @@
 }
 
 const (
-	releaseTimeout         = 500 * time.Millisecond
+	slotCallTimeout        = 500 * time.Millisecond
 	minReleasePause        = 20 * time.Millisecond
 	maxReleasePause        = 400 * time.Millisecond
-	releaseRetryGrantLives = 2 // grant lifetimes after which the home knows without the release
+	releaseRetryGrantLives = 2 // grant lifetimes; by then the home knows from held lists
 )
 
 // Give implements Follower.
@@ -86,7 +86,7 @@
 // calls don't end with the loop's context, but all of them together within
 // releaseTimeout.
 func (f *HomeClient) releaseRemaining() {
-	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), slotCallTimeout)
 	defer cancel()
 	for {
 		select {
@@ -117,7 +117,7 @@
 
 // releaseOnce reports whether the home has freed the slot or doesn't have it.
 func (f *HomeClient) releaseOnce(ctx context.Context, g *pendingRelease) bool {
-	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
+	ctx, cancel := context.WithTimeout(ctx, slotCallTimeout)
 	defer cancel()
 	sentAt := time.Now()
 	client, err := f.client(ctx, g.address)
@@ -194,10 +194,10 @@
 }
 
 func (f *HomeClient) renew(ctx context.Context, key slotKey, t *trackedSlot) {
-	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
+	ctx, cancel := context.WithTimeout(ctx, slotCallTimeout)
 	defer cancel()
 	f.metrics.renewals.Inc()
-	asked := time.Now()
+	sentAt := time.Now()
 	reply, err := f.requestGrant(ctx, t)
 	if err != nil {
 		f.options.Part.Debug("Renewing a grant failed.", "endpoint", key.endpoint, "err", err)
@@ -208,7 +208,7 @@
 		return
 	}
 	if reply.GetStatus() == statusGranted {
-		f.storeGrant(t, asked, reply)
+		f.storeGrant(t, sentAt, reply)
 		return
 	}
 	f.slotsMu.Lock()
--- a/internal/endpoint/forecast_test.go
+++ b/internal/endpoint/forecast_test.go
@@ -129,14 +129,14 @@
 	p := NewPredictor(rand.New(rand.NewPCG(1, 1)))
 	p.Observe(FinishedWork{Team: "sorters", Model: "m@1", Kind: fleet.RoleDecode, OutputTokens: 200, Busy: 2 * time.Second})
 	p.observeStartDelay("m@1", time.Second)
-	rest := func(h hold) time.Duration {
+	firstRemaining := func(h hold) time.Duration {
 		h.key.kind, h.team, h.model, h.grantedAt = fleet.RoleDecode, "sorters", "m@1", epoch
 		return p.appendRemaining(nil, &h, at(1500*time.Millisecond))[0]
 	}
-	assert.Equal(t, rest(hold{enteredAt: at(1200 * time.Millisecond)}), 1700*time.Millisecond, "listed: since it entered")
-	assert.Equal(t, rest(hold{}), 1500*time.Millisecond, "not yet listed: after the usual time")
+	assert.Equal(t, firstRemaining(hold{enteredAt: at(1200 * time.Millisecond)}), 1700*time.Millisecond, "listed: since it entered")
+	assert.Equal(t, firstRemaining(hold{}), 1500*time.Millisecond, "not yet listed: after the usual time")
 	p.observeStartDelay("m@1", 11*time.Second)
-	assert.Equal(t, rest(hold{}), 2500*time.Millisecond, "begins in half a second")
+	assert.Equal(t, firstRemaining(hold{}), 2500*time.Millisecond, "begins in half a second")
 }
 
 // A team's outputs are exactly as long as allowed. Learned from all output
--- a/internal/endpoint/home.go
+++ b/internal/endpoint/home.go
@@ -234,9 +234,9 @@
 }
 
 // queryOwners asks each owner once about all its holds of one sweep.
-func (h *Home) queryOwners(asks []ownerQuery) {
+func (h *Home) queryOwners(queries []ownerQuery) {
 	byOwner := make(map[fleet.Owner][]ownerQuery)
-	for _, a := range asks {
+	for _, a := range queries {
 		byOwner[a.owner] = append(byOwner[a.owner], a)
 	}
 	for owner, list := range byOwner {
--- a/internal/endpoint/home_http.go
+++ b/internal/endpoint/home_http.go
@@ -237,8 +237,8 @@
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// A reply that can't be written is made up for by the one to the next
-	// heartbeat.
+	// If the reply can't be written, the reply to the next heartbeat replaces
+	// it.
 	_ = json.NewEncoder(w).Encode(body)
 }
 
--- a/internal/endpoint/home_leave.go
+++ b/internal/endpoint/home_leave.go
@@ -17,7 +17,7 @@
 
 // spreadLeave records a leave here and forwards it to the endpoint's possible
 // homes. A leave doesn't name the zone, so the first instances of each zone are
-// told: one of them is the home. It reports whether the home has confirmed; if
+// told, one of which is the home. It reports whether the home has confirmed; if
 // not, the endpoint tells another entry.
 func (h *Home) spreadLeave(ctx context.Context, l engineapi.Leave) bool {
 	var confirmed atomic.Bool
--- a/internal/endpoint/home_rpc.go
+++ b/internal/endpoint/home_rpc.go
@@ -32,20 +32,20 @@
 }
 
 func (h *Home) grant(ctx context.Context, a *slotRequest) (response, error) {
-	answers := make(chan response, 1)
+	responses := make(chan response, 1)
 	var result response
 	var queued *queuedRequest
 	h.step(func(c *core, now time.Time) {
 		result, queued = c.grant(now, a)
 		if queued != nil {
-			queued.responses = answers
+			queued.responses = responses
 		}
 	})
 	if queued == nil {
 		return result, nil
 	}
 	select {
-	case result = <-answers:
+	case result = <-responses:
 		return result, nil
 	case <-ctx.Done():
 		h.step(func(c *core, now time.Time) { c.abandon(now, queued) })
--- a/internal/endpoint/index.go
+++ b/internal/endpoint/index.go
@@ -31,9 +31,9 @@
 	byID   map[fleet.EndpointID]*followedEndpoint
 }
 
-func newIndex(rows map[fleet.EndpointID]*followedEndpoint) *index {
-	x := &index{groups: make(map[indexKey][]zoneEndpoints), byID: rows}
-	for _, r := range rows {
+func newIndex(endpoints map[fleet.EndpointID]*followedEndpoint) *index {
+	x := &index{groups: make(map[indexKey][]zoneEndpoints), byID: endpoints}
+	for _, r := range endpoints {
 		for _, key := range keysOf(r.static) {
 			x.add(key, r)
 		}
@@ -93,15 +93,15 @@
 
 // fillFromZone writes a zone's part of the result and returns how many it
 // wrote.
-func fillFromZone(now time.Time, rows []*followedEndpoint, total int, into []Candidate) int {
-	part := len(rows)
+func fillFromZone(now time.Time, endpoints []*followedEndpoint, total int, into []Candidate) int {
+	part := len(endpoints)
 	if total > maxCandidates {
-		part = (len(rows)*maxCandidates + total - 1) / total
+		part = (len(endpoints)*maxCandidates + total - 1) / total
 	}
-	start := rand.IntN(len(rows))
+	start := rand.IntN(len(endpoints))
 	filled := 0
-	for n := 0; n < len(rows) && filled < min(part, len(into)); n++ {
-		if rows[(start+n)%len(rows)].fill(now, &into[filled]) {
+	for n := 0; n < len(endpoints) && filled < min(part, len(into)); n++ {
+		if endpoints[(start+n)%len(endpoints)].fill(now, &into[filled]) {
 			filled++
 		}
 	}
--- a/internal/endpoint/leaving_test.go
+++ b/internal/endpoint/leaving_test.go
@@ -53,11 +53,11 @@
 func TestUnreachableEndpointGetsNoNewWorkAfterTheBound(t *testing.T) {
 	withPair(t, 4, func(t *testing.T, net *fakeNet, home, other *daemon) {
 		home.heartbeat(announcement("e1", 4), 2)
-		silent := time.Now()
+		lastHeartbeat := time.Now()
 		time.Sleep(DefaultLimits().EndpointLease - 50*time.Millisecond)
 		grant := other.mustAcquire(t, "x")
 		net.setCut(home.rpcAddress(), true)
-		before := time.Since(silent)
+		before := time.Since(lastHeartbeat)
 		last := before + lastUsable(t, grant, nil, home, other)
 		t.Logf("last usable %v after the last heartbeat", last)
 		assert.Assert(t, last <= NewWorkBound)
--- a/internal/endpoint/sweep_test.go
+++ b/internal/endpoint/sweep_test.go
@@ -12,8 +12,8 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// orphanCause is one way in which a hold loses its caller, after the endpoint
-// has listed it.
+// orphanCause is one way to orphan a hold. It happens at 0.9 s, after the
+// endpoint has listed the hold from the start.
 type orphanCause func(c *core, now time.Time)
 
 // timeToSweep simulates heartbeats of an engine that keeps listing an orphaned
@@ -59,9 +59,9 @@
 			c.observe(now, viewOf(2, self), true)
 		}},
 		"owner restarted": {bound: 600 * time.Millisecond, loss: func(c *core, now time.Time) {
-			again := instance("owner", zoneFar)
-			again.Incarnation = 2
-			c.observe(now, viewOf(2, self, again), true)
+			restarted := instance("owner", zoneFar)
+			restarted.Incarnation = 2
+			c.observe(now, viewOf(2, self, restarted), true)
 		}},
 		"released, engine's cancel lost": {bound: 2400 * time.Millisecond, loss: func(c *core, now time.Time) {
 			releaseSlot(c, now, "x", pb.ReleaseReason_RELEASE_REASON_CANCELLED, fleet.Fingerprint{})
@@ -100,10 +100,10 @@
 // here yet.
 func TestUnseenOwnerIsNotSweptBeforeTheViewCanArrive(t *testing.T) {
 	c := homeOfOne(t, 2, testFaults{})
-	young := fleet.Owner{Instance: "late-joiner", Incarnation: 1}
-	assert.Equal(t, len(heartbeatTo(c, at(300*time.Millisecond), announcement("e1", 2), 2, heldBy("x", young))), 0)
+	unseenOwner := fleet.Owner{Instance: "late-joiner", Incarnation: 1}
+	assert.Equal(t, len(heartbeatTo(c, at(300*time.Millisecond), announcement("e1", 2), 2, heldBy("x", unseenOwner))), 0)
 	c.observe(at(2*time.Second), viewOf(2, instance("a", zoneNear), instance("late-joiner", zoneFar)), true)
-	held := heldBy("x", young)
+	held := heldBy("x", unseenOwner)
 	held.AgeMs = 60_000
 	assert.Equal(t, len(heartbeatTo(c, at(2100*time.Millisecond), announcement("e1", 2), 3, held)), 0)
 }
--- a/internal/endpoint/viewhistory.go
+++ b/internal/endpoint/viewhistory.go
@@ -32,7 +32,7 @@
 }
 
 // observe records a view. It reports whether the view is new, and whether one
-// between it and the last was missed.
+// between it and the previous view was missed.
 func (t *viewHistory) observe(now time.Time, view fleet.View) (fresh, missed bool) {
 	last := len(t.views) - 1
 	if last >= 0 && view.Number <= t.views[last].view.Number {
--- a/internal/endpoint/waitbound.go
+++ b/internal/endpoint/waitbound.go
@@ -31,8 +31,8 @@
 // the wait was longer than predicted. It is guarded by the follower's slotsMu.
 type refusalCounts map[holdKey]int
 
-// add counts one refusal. A full map is cleared first, so an attempt may then
-// be refused once more than intended.
+// add counts one refusal. A full map is cleared first, so an attempt may be
+// refused more often than maxStaleRefusals.
 func (d refusalCounts) add(key holdKey) {
 	if len(d) >= maxRefusalCounts {
 		clear(d)
@@ -42,8 +42,8 @@
 
 // maxPredictedWait returns the wait bound of an acquisition: the smaller of the
 // caller's bound and that of the last digest. 0 means no bound.
-func (f *HomeClient) maxPredictedWait(now time.Time, x *index, known *followedEndpoint, r GrantRequest) time.Duration {
-	fromDigest := f.digestWaitBound(now, x, known, r)
+func (f *HomeClient) maxPredictedWait(now time.Time, x *index, target *followedEndpoint, r GrantRequest) time.Duration {
+	fromDigest := f.digestWaitBound(now, x, target, r)
 	if fromDigest == 0 || (r.MaxPredictedWait > 0 && r.MaxPredictedWait < fromDigest) {
 		return r.MaxPredictedWait
 	}
@@ -52,7 +52,7 @@
 
 // digestWaitBound returns the bound by the endpoint's last digest, or 0 for
 // none.
-func (f *HomeClient) digestWaitBound(now time.Time, x *index, known *followedEndpoint, r GrantRequest) time.Duration {
+func (f *HomeClient) digestWaitBound(now time.Time, x *index, target *followedEndpoint, r GrantRequest) time.Duration {
 	if r.Kind == fleet.RolePlain || r.Alone {
 		return 0
 	}
@@ -62,11 +62,11 @@
 	if refused >= maxStaleRefusals || x.countMatching(r, f.permittedZones(r.Team)) < maxStaleRefusals+minSpareEndpoints {
 		return 0
 	}
-	var seen Candidate
-	if !known.fill(now, &seen) {
+	var candidate Candidate
+	if !target.fill(now, &candidate) {
 		return 0
 	}
-	return seen.NextFree + seen.QueuedWork + predictedWaitSlack
+	return candidate.NextFree + candidate.QueuedWork + predictedWaitSlack
 }
 
 func (f *HomeClient) permittedZones(team fleet.Team) fleet.ZoneSet {
