--- a/internal/endpoint/acquire_test.go
+++ b/internal/endpoint/acquire_test.go
@@ -22,14 +22,14 @@
 
 // withPair runs play in a synctest bubble with a pair of daemons, one of them
 // the home of e1, whose first heartbeat has arrived and is known to both.
-func withPair(t *testing.T, slots int, play func(t *testing.T, net *fakeNet, home, other *daemon)) {
+func withPair(t *testing.T, slots int, run func(t *testing.T, net *fakeNet, home, other *daemon)) {
 	t.Helper()
-	withServedPair(t, slots, func(h *Home) pb.DRPCHomeServer { return h }, play)
+	withServedPair(t, slots, func(h *Home) pb.DRPCHomeServer { return h }, run)
 }
 
 // withServedPair is withPair, with the home's calls answered by what serve
 // returns.
-func withServedPair(t *testing.T, slots int, serve func(*Home) pb.DRPCHomeServer, play func(t *testing.T, net *fakeNet, home, other *daemon)) {
+func withServedPair(t *testing.T, slots int, serve func(*Home) pb.DRPCHomeServer, run func(t *testing.T, net *fakeNet, home, other *daemon)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		net := newFakeNet(t)
@@ -39,7 +39,7 @@
 		defer other.stop()
 		home.heartbeat(announcement("e1", slots), 1)
 		time.Sleep(minPollInterval + 10*time.Millisecond)
-		play(t, net, home, other)
+		run(t, net, home, other)
 	})
 }
 
--- a/internal/endpoint/bench_test.go
+++ b/internal/endpoint/bench_test.go
@@ -159,7 +159,7 @@
 			}
 			time.Sleep(2 * time.Second)
 			sequence := uint64(0)
-			beat := func() {
+			sendHeartbeats := func() {
 				sequence++
 				for n := range 9 * daemons {
 					a := announcement(fmt.Sprintf("engine-%05d", n), 20)
@@ -170,12 +170,12 @@
 				time.Sleep(300 * time.Millisecond)
 			}
 			for range 20 {
-				beat()
+				sendHeartbeats()
 			}
 			before := net.bytes.Load()
 			const beats = 40
 			for range beats {
-				beat()
+				sendHeartbeats()
 			}
 			perSecond := float64(net.bytes.Load()-before) / (beats * 0.3) / float64(daemons)
 			followed := len(all[0].client.index.Load().byID)
@@ -194,14 +194,14 @@
 		list = append(list, instance(fmt.Sprint("i", n), zoneFar))
 	}
 	d.setView(viewOf(1, list...))
-	beat := engineapi.Heartbeat{Announcement: announcement("e1", 20)}
+	heartbeat := engineapi.Heartbeat{Announcement: announcement("e1", 20)}
 	for n := range 20 {
-		beat.Held = append(beat.Held, heldBy(fmt.Sprintf("%032d", n), list[n].Owner()))
+		heartbeat.Held = append(heartbeat.Held, heldBy(fmt.Sprintf("%032d", n), list[n].Owner()))
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		beat.Sequence++
-		if code := d.post("/v1/endpoints/heartbeat", beat, nil); code != 200 {
+		heartbeat.Sequence++
+		if code := d.post("/v1/endpoints/heartbeat", heartbeat, nil); code != 200 {
 			b.Fatal(code)
 		}
 	}
--- a/internal/endpoint/core_grant.go
+++ b/internal/endpoint/core_grant.go
@@ -190,14 +190,14 @@
 			return
 		}
 		if r.used()+len(r.pending()) < r.announced.Slots {
-			if !r.rateLimit.take(now) {
+			if !r.rateLimit.tryTake(now) {
 				return
 			}
 			c.dispatch(now, r, w, holdActive, 0)
 			continue
 		}
 		ready := r.forecast(now, c.predictor).likelyFreeIn(0)
-		if len(r.pending()) >= maxPending(r.announced.Slots) || ready > w.request.lead || !r.rateLimit.take(now) {
+		if len(r.pending()) >= maxPending(r.announced.Slots) || ready > w.request.lead || !r.rateLimit.tryTake(now) {
 			return
 		}
 		c.dispatch(now, r, w, holdPending, ready)
--- a/internal/endpoint/handover_test.go
+++ b/internal/endpoint/handover_test.go
@@ -107,7 +107,7 @@
 		heartbeatTo(c, now, announcement("e1", 2), sequence)
 		return n + countGrants(c, now)
 	}
-	assert.Equal(t, run(testFaults{}, 21), 2, "no other home has heard the endpoint")
+	assert.Equal(t, run(testFaults{}, 21), 2, "no other home has received a heartbeat")
 	assert.Equal(t, run(testFaults{}, 22), 0, "another may have granted")
 	assert.Assert(t, run(testFaults{noMissedViewCheck: true}, 22) > 0, "the test must fail without the protection")
 }
--- a/internal/endpoint/homechange_test.go
+++ b/internal/endpoint/homechange_test.go
@@ -79,12 +79,12 @@
 func TestNeverMoreGrantsThanSlotsOverAHomeChange(t *testing.T) {
 	for name, oldLeaves := range map[string]bool{"old home still in the view": false, "old home's lease ended": true} {
 		t.Run(name, func(t *testing.T) {
-			most, granted := simulateHomeChange(t, testFaults{}, oldLeaves)
-			assert.Assert(t, most <= 2, "%d grants outstanding for 2 slots", most)
+			maxOutstanding, granted := simulateHomeChange(t, testFaults{}, oldLeaves)
+			assert.Assert(t, maxOutstanding <= 2, "%d grants outstanding for 2 slots", maxOutstanding)
 			assert.Assert(t, !granted.IsZero(), "the new home never granted")
 			t.Logf("the new home granted %v after the view change", granted.Sub(at(6*time.Second)))
-			most, _ = simulateHomeChange(t, testFaults{noGrantDelay: true}, oldLeaves)
-			assert.Assert(t, most > 2, "the test must fail without the protection")
+			maxOutstanding, _ = simulateHomeChange(t, testFaults{noGrantDelay: true}, oldLeaves)
+			assert.Assert(t, maxOutstanding > 2, "the test must fail without the protection")
 		})
 	}
 }
--- a/internal/endpoint/leaving_test.go
+++ b/internal/endpoint/leaving_test.go
@@ -71,7 +71,7 @@
 func TestLeaveSentToAnEntryThatDies(t *testing.T) {
 	withPair(t, 4, func(t *testing.T, net *fakeNet, home, other *daemon) {
 		sequence := uint64(1)
-		beat := func() {
+		sendHeartbeat := func() {
 			sequence++
 			home.heartbeat(announcement("e1", 4), sequence)
 		}
@@ -84,7 +84,7 @@
 		assert.Assert(t, home.usable(t, "y"))
 		assert.Equal(t, home.post("/v1/endpoints/leave", engineapi.Leave{ID: "e1", Incarnation: 1}, &reply), 200)
 		assert.Assert(t, reply.Spread)
-		last := lastUsable(t, grant, beat, home)
+		last := lastUsable(t, grant, sendHeartbeat, home)
 		t.Logf("last usable %v after the leave", last)
 		assert.Assert(t, last <= NewWorkBound)
 	})
@@ -179,24 +179,24 @@
 		home, other := startPair(t, newFakeNet(t), "e1")
 		defer home.stop()
 		sequence := uint64(0)
-		beat := func() {
+		sendHeartbeat := func() {
 			sequence++
 			home.heartbeat(announcement("e1", 1), sequence)
 			time.Sleep(300 * time.Millisecond)
 		}
-		beat()
-		beat()
+		sendHeartbeat()
+		sendHeartbeat()
 		grant := other.mustAcquire(t, "x")
 		for range 20 {
-			beat()
+			sendHeartbeat()
 		}
 		assert.Assert(t, other.client.Valid(time.Now(), *grant))
 		assert.Assert(t, !home.usable(t, "y"))
 		other.stop()
 		for range 8 {
-			beat()
+			sendHeartbeat()
 		}
-		assert.Assert(t, home.usable(t, "z"), "an owner that is gone renews nothing")
+		assert.Assert(t, home.usable(t, "z"), "a stopped owner renews nothing")
 		assert.Assert(t, fleet.AttemptID("x") == grant.Attempt)
 	})
 }
--- a/internal/endpoint/messages_test.go
+++ b/internal/endpoint/messages_test.go
@@ -41,7 +41,7 @@
 }
 
 // withLossyPair is withPair, with one slot and a home that loses replies.
-func withLossyPair(t *testing.T, play func(t *testing.T, home, other *daemon, lossy *lossyHome)) {
+func withLossyPair(t *testing.T, run func(t *testing.T, home, other *daemon, lossy *lossyHome)) {
 	t.Helper()
 	lossy := &lossyHome{}
 	serve := func(h *Home) pb.DRPCHomeServer {
@@ -49,7 +49,7 @@
 		return lossy
 	}
 	withServedPair(t, 1, serve, func(t *testing.T, _ *fakeNet, home, other *daemon) {
-		play(t, home, other, lossy)
+		run(t, home, other, lossy)
 	})
 }
 
--- a/internal/endpoint/orphantimes_test.go
+++ b/internal/endpoint/orphantimes_test.go
@@ -30,7 +30,7 @@
 	owner := requestFor("x", epoch).owner
 	c.grant(epoch, requestFor("x", epoch))
 	loss := 600*time.Millisecond + time.Duration(random.IntN(10_000))*time.Millisecond
-	gone := loss + 2*time.Second + time.Duration(random.IntN(1000))*time.Millisecond
+	leavesViewAt := loss + 2*time.Second + time.Duration(random.IntN(1000))*time.Millisecond
 	phase := random.IntN(30)
 	sequence := uint64(1)
 	for n := 0; n < 4000; n++ {
@@ -39,7 +39,7 @@
 		if cause == "released" && d/(10*time.Millisecond) == loss/(10*time.Millisecond) {
 			releaseSlot(c, now, "x", pb.ReleaseReason_RELEASE_REASON_CANCELLED, fleet.Fingerprint{})
 		}
-		if cause == "killed" && d >= gone {
+		if cause == "killed" && d >= leavesViewAt {
 			c.observe(now, viewOf(2, instance("a", zoneNear)), true)
 		}
 		var cancel []fleet.AttemptID
--- a/internal/endpoint/predictor.go
+++ b/internal/endpoint/predictor.go
@@ -192,9 +192,9 @@
 func (p *Predictor) startDelay(model string) time.Duration { return millis(p.startDelayMs[model]) }
 
 // observeStartDelay learns from one decode that has ended.
-func (p *Predictor) observeStartDelay(model string, took time.Duration) {
+func (p *Predictor) observeStartDelay(model string, delay time.Duration) {
 	old, ok := p.startDelayMs[model]
-	ms := float64(took) / float64(time.Millisecond)
+	ms := float64(delay) / float64(time.Millisecond)
 	switch {
 	case ok:
 		p.startDelayMs[model] = old + tokenTimeGain*(ms-old)
--- a/internal/endpoint/predictor_test.go
+++ b/internal/endpoint/predictor_test.go
@@ -22,7 +22,7 @@
 	}
 	assert.Equal(t, p.TokenTime("m@1"), 10*time.Millisecond)
 	assert.Equal(t, p.Remaining(decode, 0, 0, 0.5), time.Second)
-	assert.Equal(t, p.Remaining(decode, 0, 1500*time.Millisecond, 0.5), 1500*time.Millisecond, "longer than 100: it will be 300")
+	assert.Equal(t, p.Remaining(decode, 0, 1500*time.Millisecond, 0.5), 1500*time.Millisecond, "longer than 100 tokens: expected to be 300")
 	assert.Equal(t, p.Remaining(decode, 0, 4*time.Second, 0.5), 4*time.Second, "longer than any: as long again")
 	other := decode
 	other.Team = "archive"
--- a/internal/endpoint/queue.go
+++ b/internal/endpoint/queue.go
@@ -69,11 +69,11 @@
 // queued work for its share.
 func (q *fairQueue) dropFromLargestBacklog() *queuedRequest {
 	var worst *teamQueue
-	var most float64
+	var largest float64
 	for _, t := range q.teams {
 		load := t.backlog() / t.share
-		if worst == nil || load > most || (load == most && t.team > worst.team) {
-			worst, most = t, load
+		if worst == nil || load > largest || (load == largest && t.team > worst.team) {
+			worst, largest = t, load
 		}
 	}
 	w := worst.items[len(worst.items)-1]
@@ -101,7 +101,7 @@
 		if w == nil {
 			continue
 		}
-		if best == nil || q.goesBefore(t, bestTeam) {
+		if best == nil || q.startsBefore(t, bestTeam) {
 			best, bestTeam = w, t
 		}
 	}
@@ -117,7 +117,7 @@
 	return nil
 }
 
-func (q *fairQueue) goesBefore(a, b *teamQueue) bool {
+func (q *fairQueue) startsBefore(a, b *teamQueue) bool {
 	x, y := a.start(q.virtualTime), b.start(q.virtualTime)
 	if x != y {
 		return x < y
@@ -194,7 +194,7 @@
 		finish[t] = t.finishTag
 	}
 	for len(list) < q.size {
-		t := firstTeam(q.teams, finish, taken, virtual)
+		t := nextTeam(q.teams, finish, taken, virtual)
 		w := t.items[taken[t]]
 		taken[t]++
 		virtual = max(virtual, finish[t])
@@ -204,7 +204,7 @@
 	return list
 }
 
-func firstTeam(teams map[fleet.Team]*teamQueue, finish map[*teamQueue]float64, taken map[*teamQueue]int, virtual float64) *teamQueue {
+func nextTeam(teams map[fleet.Team]*teamQueue, finish map[*teamQueue]float64, taken map[*teamQueue]int, virtual float64) *teamQueue {
 	var best *teamQueue
 	var tag float64
 	for _, t := range teams {
--- a/internal/endpoint/randomfaults_test.go
+++ b/internal/endpoint/randomfaults_test.go
@@ -155,14 +155,14 @@
 		w.missed()
 		return
 	}
-	beat := engineapi.Heartbeat{Announcement: announcement("e1", simulationSlots), Sequence: w.heartbeats}
+	heartbeat := engineapi.Heartbeat{Announcement: announcement("e1", simulationSlots), Sequence: w.heartbeats}
 	for _, id := range w.running() {
-		beat.Held = append(beat.Held, heldBy(id, w.owner.Owner()))
+		heartbeat.Held = append(heartbeat.Held, heldBy(id, w.owner.Owner()))
 	}
-	if n.core.isHomeFor(beat.Announcement) {
-		n.core.heartbeat(w.now, beat)
+	if n.core.isHomeFor(heartbeat.Announcement) {
+		n.core.heartbeat(w.now, heartbeat)
 	} else {
-		n.core.misdirectedHeartbeat(w.now, beat)
+		n.core.misdirectedHeartbeat(w.now, heartbeat)
 	}
 	if w.chance(30) { // the reply is lost
 		w.missed()
@@ -295,9 +295,9 @@
 func TestSlotsUnderRandomFaults(t *testing.T) {
 	total := 0
 	for seed := range seedCount() {
-		most, given := simulate(seed, testFaults{})
-		assert.Assert(t, most <= simulationSlots, "seed %d: %d in use for %d slots", seed, most, simulationSlots)
-		total += given
+		maxInUse, grantCount := simulate(seed, testFaults{})
+		assert.Assert(t, maxInUse <= simulationSlots, "seed %d: %d in use for %d slots", seed, maxInUse, simulationSlots)
+		total += grantCount
 	}
 	t.Logf("%d grants over %d minutes, never more than %d in use", total, seedCount(), simulationSlots)
 	assert.Assert(t, total > 10*int(seedCount()), "hardly anything was granted")
@@ -314,8 +314,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(enough) {
-				if most, _ := simulate(seed, g); most > simulationSlots {
-					t.Logf("seed %d: %d in use for %d slots", seed, most, simulationSlots)
+				if maxInUse, _ := simulate(seed, g); maxInUse > simulationSlots {
+					t.Logf("seed %d: %d in use for %d slots", seed, maxInUse, simulationSlots)
 					return
 				}
 			}
--- a/internal/endpoint/ratelimit.go
+++ b/internal/endpoint/ratelimit.go
@@ -36,8 +36,9 @@
 
 func (l *rateLimit) fill(now time.Time) { l.bucket.Fill(now, l.perSecond, l.perSecond) }
 
-// take takes a permit for one grant and reports whether there was one.
-func (l *rateLimit) take(now time.Time) bool {
+// tryTake takes a permit for one grant and reports whether there was one.
+// Without a limit there always is.
+func (l *rateLimit) tryTake(now time.Time) bool {
 	l.fill(now)
 	return !l.set || l.bucket.Take()
 }
--- a/internal/endpoint/sweep_test.go
+++ b/internal/endpoint/sweep_test.go
@@ -72,10 +72,10 @@
 		"forgotten by a live owner": {bound: grantedQueryInterval, loss: func(*core, time.Time) {}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			took, ok := timeToSweep(t, testFaults{}, test.loss, test.lost)
+			freedAfter, ok := timeToSweep(t, testFaults{}, test.loss, test.lost)
 			assert.Assert(t, ok, "never freed")
-			assert.Assert(t, took <= test.bound, "took %v", took)
-			t.Logf("freed %v after the loss", took)
+			assert.Assert(t, freedAfter <= test.bound, "took %v", freedAfter)
+			t.Logf("freed %v after the loss", freedAfter)
 			_, ok = timeToSweep(t, testFaults{noSweep: true}, test.loss, test.lost)
 			assert.Assert(t, !ok, "the test must fail without the protection")
 		})
