--- a/internal/admission/bias_test.go
+++ b/internal/admission/bias_test.go
@@ -17,7 +17,7 @@
 	r.PredictedWait = predicted
 	assert.Assert(t, c.Admit(start, r).Admitted)
 	for range times {
-		c.FirstToken(start, r, seen)
+		c.ObserveFirstToken(start, r, seen)
 	}
 	return c, r
 }
--- a/internal/admission/contract.go
+++ b/internal/admission/contract.go
@@ -13,7 +13,7 @@
 	Team          fleet.Team
 	Limits        settings.Limits
 	Share         float64       // the team's weight in fair sharing
-	Work          float64       // predicted engine time, ms
+	WorkMs        float64       // predicted engine time, ms
 	Patience      time.Duration // maximum time from arrival to the first token
 	PredictedWait time.Duration // until the first token, predicted from the candidates
 	DrainPerSec   float64       // requests per second that the candidates finish; 0: unknown
@@ -37,11 +37,11 @@
 	Admit(now time.Time, r Request) Decision
 	// Done ends a request that Admit counted as running.
 	Done(now time.Time, r Request)
-	// FirstToken records how long an admitted request actually waited.
-	FirstToken(now time.Time, r Request, waited time.Duration)
-	// MayRetry takes one retry from the budgets of both team and endpoint. It
+	// ObserveFirstToken records how long an admitted request actually waited.
+	ObserveFirstToken(now time.Time, r Request, waited time.Duration)
+	// TakeRetry takes one retry from the budgets of both team and endpoint. It
 	// reports false if either budget is exhausted.
-	MayRetry(now time.Time, team fleet.Team, endpoint fleet.EndpointID) bool
-	// Succeeded adds to the retry budgets of team and endpoint.
-	Succeeded(now time.Time, team fleet.Team, endpoint fleet.EndpointID)
+	TakeRetry(now time.Time, team fleet.Team, endpoint fleet.EndpointID) bool
+	// RecordSuccess adds to the retry budgets of team and endpoint.
+	RecordSuccess(now time.Time, team fleet.Team, endpoint fleet.EndpointID)
 }
--- a/internal/admission/control.go
+++ b/internal/admission/control.go
@@ -44,7 +44,7 @@
 	if t == nil {
 		return c.refuse(now, r, callerapi.CodeOverloaded, 0)
 	}
-	t.offered.add(now, r.Work, c.options.Window)
+	t.offered.add(now, r.WorkMs, c.options.Window)
 	if refusal, refused := c.checkLimits(now, r, t); refused {
 		return refusal
 	}
@@ -66,16 +66,16 @@
 	}
 }
 
-// FirstToken implements Controller.
-func (c *Control) FirstToken(now time.Time, r Request, waited time.Duration) {
+// ObserveFirstToken implements Controller.
+func (c *Control) ObserveFirstToken(now time.Time, r Request, waited time.Duration) {
 	if t, ok := c.teams[r.Team]; ok {
 		t.bias.observe(now, r.PredictedWait, waited)
 	}
 }
 
-// MayRetry implements Controller. It takes nothing unless both budgets have a
+// TakeRetry implements Controller. It takes nothing unless both budgets have a
 // token.
-func (c *Control) MayRetry(now time.Time, team fleet.Team, endpoint fleet.EndpointID) bool {
+func (c *Control) TakeRetry(now time.Time, team fleet.Team, endpoint fleet.EndpointID) bool {
 	ofTeam := c.teamBudgets.get(now, team)
 	ofEndpoint := c.endpointBudgets.get(now, endpoint)
 	if ofTeam.tokens < 1 || ofEndpoint.tokens < 1 {
@@ -86,8 +86,8 @@
 	return true
 }
 
-// Succeeded implements Controller.
-func (c *Control) Succeeded(now time.Time, team fleet.Team, endpoint fleet.EndpointID) {
+// RecordSuccess implements Controller.
+func (c *Control) RecordSuccess(now time.Time, team fleet.Team, endpoint fleet.EndpointID) {
 	c.teamBudgets.get(now, team).tokens += c.options.RetryRatio
 	c.endpointBudgets.get(now, endpoint).tokens += c.options.RetryRatio
 }
@@ -112,8 +112,8 @@
 	if r.Limits.RequestsPerSecond > 0 {
 		t.rate.tokens--
 	}
-	t.admitted.add(now, r.Work, c.options.Window)
-	c.admittedWork.add(now, r.Work, c.options.Window)
+	t.admitted.add(now, r.WorkMs, c.options.Window)
+	c.admittedWork.add(now, r.WorkMs, c.options.Window)
 }
 
 func (c *Control) refuse(now time.Time, r Request, code callerapi.Code, wait time.Duration) Decision {
@@ -138,7 +138,7 @@
 		return false
 	}
 	admitted := t.admitted.value(now, c.options.Window)
-	return admitted+r.Work > allowedWork(c.level, t.share, pressure)
+	return admitted+r.WorkMs > allowedWork(c.level, t.share, pressure)
 }
 
 // updateLevel recomputes the fair level if it is older than levelTTL.
--- a/internal/admission/control_test.go
+++ b/internal/admission/control_test.go
@@ -18,7 +18,7 @@
 var start = time.Unix(1000, 0)
 
 func plain() Request {
-	return Request{Team: "sutokatha", Share: 1, Work: 500, Patience: 1600 * ms, PromptTokens: 1000}
+	return Request{Team: "sutokatha", Share: 1, WorkMs: 500, Patience: 1600 * ms, PromptTokens: 1000}
 }
 
 func TestAdmit(t *testing.T) {
@@ -99,24 +99,24 @@
 	retries := 0
 	for n := range 1000 {
 		now := start.Add(time.Duration(n) * ms)
-		if c.MayRetry(now, "a", "e1") {
+		if c.TakeRetry(now, "a", "e1") {
 			retries++
 		}
 	}
 	assert.Assert(t, retries <= 11, "%d retries in a second", retries)
 	for n := range 100 {
-		c.Succeeded(start.Add(time.Second+time.Duration(n)*ms), "a", "e1")
+		c.RecordSuccess(start.Add(time.Second+time.Duration(n)*ms), "a", "e1")
 	}
 	earned := 0
 	for range 100 {
-		if c.MayRetry(start.Add(1100*ms), "a", "e1") {
+		if c.TakeRetry(start.Add(1100*ms), "a", "e1") {
 			earned++
 		}
 	}
 	assert.Assert(t, earned >= 9 && earned <= 11, "%d", earned)
-	assert.Assert(t, !c.MayRetry(start.Add(1100*ms), "a", "e2")) // the team's budget is exhausted
-	assert.Assert(t, c.MayRetry(start.Add(1100*ms), "b", "e2"))
-	assert.Assert(t, !c.MayRetry(start.Add(1100*ms), "b", "e1")) // the endpoint's budget is exhausted
+	assert.Assert(t, !c.TakeRetry(start.Add(1100*ms), "a", "e2")) // the team's budget is exhausted
+	assert.Assert(t, c.TakeRetry(start.Add(1100*ms), "b", "e2"))
+	assert.Assert(t, !c.TakeRetry(start.Add(1100*ms), "b", "e1")) // the endpoint's budget is exhausted
 }
 
 func TestControlIsBounded(t *testing.T) {
@@ -127,7 +127,7 @@
 		r.Team = fleet.Team(fmt.Sprint(n))
 		assert.Assert(t, c.Admit(now, r).Admitted)
 		c.Done(now, r)
-		c.MayRetry(now, r.Team, fleet.EndpointID(fmt.Sprint(n)))
+		c.TakeRetry(now, r.Team, fleet.EndpointID(fmt.Sprint(n)))
 	}
 	assert.Assert(t, len(c.teams) <= 10)
 	assert.Assert(t, len(c.teamBudgets.byKey) <= 10)
--- a/internal/admission/overload_test.go
+++ b/internal/admission/overload_test.go
@@ -66,7 +66,7 @@
 		wait := max(0, slots[0].Sub(now))
 		result := results[t.name]
 		result.offered++
-		r := Request{Team: t.name, Share: t.share, Patience: t.patience, PredictedWait: wait, DrainPerSec: simSlots, Work: 1000}
+		r := Request{Team: t.name, Share: t.share, Patience: t.patience, PredictedWait: wait, DrainPerSec: simSlots, WorkMs: 1000}
 		if !admissionControl || c.Admit(now, r).Admitted {
 			result.admitted++
 			if wait <= t.patience {
--- a/internal/allocation/client.go
+++ b/internal/allocation/client.go
@@ -48,22 +48,22 @@
 	return &Client{entry: entry, dialer: dialer, members: members, homeBackoff: backoff.New(minBackoff, maxBackoff)}
 }
 
-// Place is a reservation, with what is needed to release it.
-type Place struct {
-	Grant
-	Room     Room // free memory if there is no reservation
-	Home     string
-	Service  string
-	Exchange string
+// Reservation is a reservation, with what is needed to release it.
+type Reservation struct {
+	Placement
+	FreeCapacity FreeCapacity // free memory if there is no reservation
+	Home         string
+	Service      string
+	Exchange     string
 }
 
 // Allot requests a reservation from the service's home, which holds the request for up to
 // wait if there is no capacity. The result has no Endpoint if there was none in that time.
 // The error wraps ErrNoHome.
-func (c *Client) Allot(ctx context.Context, service string, request Ask, wait time.Duration) (Place, error) {
+func (c *Client) Allot(ctx context.Context, service string, request ReservationRequest, wait time.Duration) (Reservation, error) {
 	home := c.home(service, time.Now())
 	if home == "" {
-		return Place{}, ErrNoHome
+		return Reservation{}, ErrNoHome
 	}
 	callCtx, cancel := context.WithTimeout(ctx, wait+homeTimeout)
 	defer cancel()
@@ -72,20 +72,20 @@
 		if ctx.Err() == nil {
 			c.homeBackoff.Failed(home, time.Now())
 		}
-		return Place{}, trace.Wrap(ErrNoHome, "%s: %v", home, err)
+		return Reservation{}, trace.Wrap(ErrNoHome, "%s: %v", home, err)
 	}
 	c.homeBackoff.Answered(home)
-	placement := Grant{Endpoint: reply.Endpoint, Reader: reply.Reader, Backlog: time.Duration(reply.BacklogMs) * time.Millisecond}
-	free := Room{Among: int(reply.Among), MostFree: int(reply.MostFree)}
-	return Place{Grant: placement, Room: free, Home: home, Service: service, Exchange: request.Exchange}, nil
+	placement := Placement{Endpoint: reply.Endpoint, PrefillEndpoint: reply.Reader, PrefillBacklog: time.Duration(reply.BacklogMs) * time.Millisecond}
+	free := FreeCapacity{Candidates: int(reply.Among), MaxFreeTokens: int(reply.MostFree)}
+	return Reservation{Placement: placement, FreeCapacity: free, Home: home, Service: service, Exchange: request.Exchange}, nil
 }
 
-func (c *Client) wireRequest(service string, request Ask, wait time.Duration) *pb.AllotRequest {
+func (c *Client) wireRequest(service string, request ReservationRequest, wait time.Duration) *pb.AllotRequest {
 	return &pb.AllotRequest{
 		Exchange: request.Exchange, Entry: c.entry, Service: service, Model: request.Model, Zone: request.Zone,
-		Prompt: uint32(request.Prompt), Output: uint32(request.Output), Capacity: uint32(request.Capacity),
-		LengthMs: wireMillis(request.Length), ReadingMs: wireMillis(request.Reading), LongestBacklogMs: wireMillis(request.LongestBacklog),
-		ReadsOwn: request.ReadsOwn, Excluded: request.Excluded, WaitMs: wireMillis(wait),
+		Prompt: uint32(request.PromptTokens), Output: uint32(request.OutputTokens), Capacity: uint32(request.CapacityTokens),
+		LengthMs: wireMillis(request.AnswerDuration), ReadingMs: wireMillis(request.PrefillDuration), LongestBacklogMs: wireMillis(request.MaxBacklog),
+		ReadsOwn: request.AllowLocalPrefill, Excluded: request.Excluded, WaitMs: wireMillis(wait),
 	}
 }
 
@@ -111,7 +111,7 @@
 }
 
 // Settle releases a reservation and reports how its use ended.
-func (c *Client) Settle(ctx context.Context, p Place, o Outcome) error {
+func (c *Client) Settle(ctx context.Context, p Reservation, o Outcome) error {
 	return c.callHome(ctx, p.Home, func(ctx context.Context, home pb.DRPCAllotterClient) error {
 		_, err := home.Settle(ctx, &pb.SettleRequest{
 			Exchange: p.Exchange, Service: p.Service, Endpoint: p.Endpoint, Outcome: wireOutcome(o), Entry: c.entry,
@@ -122,11 +122,11 @@
 
 // Read reports that the prefill endpoint of a reservation failed or was late. alone is the
 // expected duration of the prefill without its wait.
-func (c *Client) Read(ctx context.Context, p Place, o Outcome, alone, took time.Duration) error {
+func (c *Client) Read(ctx context.Context, p Reservation, o Outcome, alone, took time.Duration) error {
 	return c.callHome(ctx, p.Home, func(ctx context.Context, home pb.DRPCAllotterClient) error {
 		_, err := home.Read(ctx, &pb.ReadRequest{
-			Service: p.Service, Reader: p.Reader, Outcome: wireOutcome(o), Entry: c.entry,
-			PromisedMs: wireMillis(p.Backlog + alone), TookMs: wireMillis(took),
+			Service: p.Service, Reader: p.PrefillEndpoint, Outcome: wireOutcome(o), Entry: c.entry,
+			PromisedMs: wireMillis(p.PrefillBacklog + alone), TookMs: wireMillis(took),
 		})
 		return err
 	})
@@ -148,7 +148,7 @@
 	switch o {
 	case OutcomeFull:
 		return pb.AllotOutcome_ALLOT_OUTCOME_FULL
-	case OutcomeGone:
+	case OutcomeUnreachable:
 		return pb.AllotOutcome_ALLOT_OUTCOME_GONE
 	}
 	return pb.AllotOutcome_ALLOT_OUTCOME_UNSPECIFIED
--- a/internal/allocation/endpoint_usage.go
+++ b/internal/allocation/endpoint_usage.go
@@ -59,8 +59,8 @@
 }
 
 // prefillDuration returns how long the endpoint takes to prefill a request's prompt.
-func (u *endpointUsage) prefillDuration(now time.Time, request Ask) time.Duration {
-	return time.Duration((1 + u.currentSlowness(now)) * float64(request.Reading))
+func (u *endpointUsage) prefillDuration(now time.Time, request ReservationRequest) time.Duration {
+	return time.Duration((1 + u.currentSlowness(now)) * float64(request.PrefillDuration))
 }
 
 // currentSlowness returns the observed slowness, which fades with its age: a prefill
--- a/internal/allocation/home_test.go
+++ b/internal/allocation/home_test.go
@@ -52,8 +52,8 @@
 	return allocation.NewClient(entry, f.net.Dialer(entry), func() []string { return f.members })
 }
 
-func request(exchange string) allocation.Ask {
-	return allocation.Ask{Exchange: exchange, Prompt: 10, Capacity: 10, Length: 3 * time.Second}
+func request(exchange string) allocation.ReservationRequest {
+	return allocation.ReservationRequest{Exchange: exchange, PromptTokens: 10, CapacityTokens: 10, AnswerDuration: 3 * time.Second}
 }
 
 // homeOf returns the address of the service's home.
@@ -131,7 +131,7 @@
 		held, err := c.Allot(t.Context(), "s", request("held"), 0)
 		assert.NilError(t, err)
 		var mu sync.Mutex
-		got := map[string]allocation.Place{}
+		got := map[string]allocation.Reservation{}
 		var all sync.WaitGroup
 		for n, wait := range []time.Duration{50, 300, 300} {
 			all.Go(func() {
--- a/internal/allocation/metrics.go
+++ b/internal/allocation/metrics.go
@@ -24,7 +24,7 @@
 	}, []string{"result"})}
 }
 
-func (m *metrics) count(placement Grant, waited bool) {
+func (m *metrics) count(placement Placement, waited bool) {
 	result := resultImmediate
 	switch {
 	case placement.Endpoint == "":
--- a/internal/allocation/server.go
+++ b/internal/allocation/server.go
@@ -45,32 +45,32 @@
 		placement = s.await(ctx, r.Service, w, min(maxWait, durationOfMillis(r.WaitMs)))
 	}
 	s.metrics.count(placement, w != nil)
-	reply := &pb.AllotReply{Endpoint: placement.Endpoint, Reader: placement.Reader, BacklogMs: uint32(placement.Backlog.Milliseconds())}
+	reply := &pb.AllotReply{Endpoint: placement.Endpoint, Reader: placement.PrefillEndpoint, BacklogMs: uint32(placement.PrefillBacklog.Milliseconds())}
 	if placement.Endpoint == "" {
 		free := s.freeCapacity(r.Service, request)
-		reply.Among, reply.MostFree = uint32(free.Among), uint32(free.MostFree)
+		reply.Among, reply.MostFree = uint32(free.Candidates), uint32(free.MaxFreeTokens)
 	}
 	return reply, nil
 }
 
-func (s *Server) freeCapacity(service string, request Ask) Room {
+func (s *Server) freeCapacity(service string, request ReservationRequest) FreeCapacity {
 	endpoints := s.fleet.ModelEndpoints(service)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.queueOf(service).tracker.FreeCapacity(time.Now(), endpoints, request)
 }
 
-func requestFromWire(r *pb.AllotRequest) Ask {
-	return Ask{
-		Exchange: r.Exchange, Entry: r.Entry, Model: r.Model, Zone: r.Zone, Prompt: int(r.Prompt), Output: int(r.Output),
-		Capacity: int(r.Capacity), Length: durationOfMillis(r.LengthMs), Reading: durationOfMillis(r.ReadingMs),
-		LongestBacklog: durationOfMillis(r.LongestBacklogMs), ReadsOwn: r.ReadsOwn, Excluded: r.Excluded,
+func requestFromWire(r *pb.AllotRequest) ReservationRequest {
+	return ReservationRequest{
+		Exchange: r.Exchange, Entry: r.Entry, Model: r.Model, Zone: r.Zone, PromptTokens: int(r.Prompt), OutputTokens: int(r.Output),
+		CapacityTokens: int(r.Capacity), AnswerDuration: durationOfMillis(r.LengthMs), PrefillDuration: durationOfMillis(r.ReadingMs),
+		MaxBacklog: durationOfMillis(r.LongestBacklogMs), AllowLocalPrefill: r.ReadsOwn, Excluded: r.Excluded,
 	}
 }
 
 // reserveOrQueue returns a reservation, or a waiter in the queue, or neither if the queue
 // is full.
-func (s *Server) reserveOrQueue(service string, request Ask) (Grant, *waiter) {
+func (s *Server) reserveOrQueue(service string, request ReservationRequest) (Placement, *waiter) {
 	endpoints := s.fleet.ModelEndpoints(service)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -80,11 +80,11 @@
 		return placement, nil
 	}
 	if len(q.waiters) >= maxWaiters {
-		return Grant{}, nil
+		return Placement{}, nil
 	}
-	w := &waiter{request: request, placement: make(chan Grant, 1)}
+	w := &waiter{request: request, placement: make(chan Placement, 1)}
 	q.waiters = append(q.waiters, w)
-	return Grant{}, w
+	return Placement{}, w
 }
 
 func (s *Server) queueOf(service string) *serviceQueue {
@@ -108,7 +108,7 @@
 	q.tracker.RetainEndpoints(endpoints)
 }
 
-func (s *Server) await(ctx context.Context, service string, w *waiter, limit time.Duration) Grant {
+func (s *Server) await(ctx context.Context, service string, w *waiter, limit time.Duration) Placement {
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
 	select {
@@ -122,7 +122,7 @@
 
 // cancelWait ends a wait. A reservation that was made at the last moment is returned, or
 // released if the caller has disconnected.
-func (s *Server) cancelWait(ctx context.Context, service string, w *waiter) Grant {
+func (s *Server) cancelWait(ctx context.Context, service string, w *waiter) Placement {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	q := s.queueOf(service)
@@ -135,7 +135,7 @@
 		q.tracker.Release(time.Now(), placement.Endpoint, w.request.Exchange, w.request.Entry, OutcomeDone)
 	default:
 	}
-	return Grant{}
+	return Placement{}
 }
 
 // Settle implements pb.DRPCAllotterServer.
@@ -165,7 +165,7 @@
 	case pb.AllotOutcome_ALLOT_OUTCOME_FULL:
 		return OutcomeFull
 	case pb.AllotOutcome_ALLOT_OUTCOME_GONE:
-		return OutcomeGone
+		return OutcomeUnreachable
 	case pb.AllotOutcome_ALLOT_OUTCOME_UNSPECIFIED:
 	}
 	return OutcomeDone
--- a/internal/allocation/service_queue.go
+++ b/internal/allocation/service_queue.go
@@ -11,8 +11,8 @@
 
 // waiter is a request that waits for capacity.
 type waiter struct {
-	request   Ask
-	placement chan Grant // buffered, holds one
+	request   ReservationRequest
+	placement chan Placement // buffered, holds one
 }
 
 // serveWaiters makes reservations for waiting requests, the oldest first.
--- a/internal/allocation/usage_tracker.go
+++ b/internal/allocation/usage_tracker.go
@@ -55,57 +55,57 @@
 
 // Reserve chooses endpoints for a request and records its reservation. It returns the zero
 // value if there is no capacity now.
-func (t *UsageTracker) Reserve(now time.Time, endpoints []Endpoint, request Ask) Grant {
+func (t *UsageTracker) Reserve(now time.Time, endpoints []Endpoint, request ReservationRequest) Placement {
 	decode := t.decodeEndpoint(now, endpoints, request)
 	if decode == nil {
-		return Grant{}
+		return Placement{}
 	}
-	placement := Grant{Endpoint: decode.ID}
-	if request.Reading > 0 {
+	placement := Placement{Endpoint: decode.ID}
+	if request.PrefillDuration > 0 {
 		prefill, backlog := t.prefillEndpoint(now, endpoints, request, decode.Zone)
 		switch {
-		case prefill != nil && backlog <= request.LongestBacklog:
-			placement.Reader, placement.Backlog = prefill.ID, backlog
-		case !request.ReadsOwn && prefill != nil:
-			return Grant{}
+		case prefill != nil && backlog <= request.MaxBacklog:
+			placement.PrefillEndpoint, placement.PrefillBacklog = prefill.ID, backlog
+		case !request.AllowLocalPrefill && prefill != nil:
+			return Placement{}
 		}
 	}
 	t.add(now, request, placement)
 	return placement
 }
 
-func (t *UsageTracker) add(now time.Time, request Ask, placement Grant) {
+func (t *UsageTracker) add(now time.Time, request ReservationRequest, placement Placement) {
 	decode := t.usageOf(placement.Endpoint)
 	decode.reservations = append(decode.reservations, activeReservation{
 		exchange: request.Exchange, entry: request.Entry,
-		promptTokens: request.Prompt, outputTokens: request.Output, capacityTokens: request.Capacity,
-		prefillEndpoint: placement.Reader, prefillDuration: request.Reading,
-		since: now, expectedDuration: placement.Backlog + request.Reading + request.Length,
+		promptTokens: request.PromptTokens, outputTokens: request.OutputTokens, capacityTokens: request.CapacityTokens,
+		prefillEndpoint: placement.PrefillEndpoint, prefillDuration: request.PrefillDuration,
+		since: now, expectedDuration: placement.PrefillBacklog + request.PrefillDuration + request.AnswerDuration,
 	})
 	decode.recordRequest(now)
-	if placement.Reader != "" {
-		prefill := t.usageOf(placement.Reader)
-		prefill.prefillBusyUntil = now.Add(placement.Backlog + request.Reading)
+	if placement.PrefillEndpoint != "" {
+		prefill := t.usageOf(placement.PrefillEndpoint)
+		prefill.prefillBusyUntil = now.Add(placement.PrefillBacklog + request.PrefillDuration)
 		prefill.recordRequest(now)
 	}
 }
 
 // decodeEndpoint returns the decode endpoint of least cost that has capacity for a request;
 // nil if there is none.
-func (t *UsageTracker) decodeEndpoint(now time.Time, endpoints []Endpoint, request Ask) *Endpoint {
+func (t *UsageTracker) decodeEndpoint(now time.Time, endpoints []Endpoint, request ReservationRequest) *Endpoint {
 	var best *Endpoint
 	least := 0.0
 	for i := range endpoints {
 		e := &endpoints[i]
-		if e.Reads || !e.canServe(request) {
+		if e.IsPrefill || !e.canServe(request) {
 			continue
 		}
 		u := t.usageOf(e.ID)
 		used := u.usedTokens(now)
-		if !u.isEligible(now) || len(u.reservations) >= e.Slots || used+request.Prompt+request.Output > request.Capacity {
+		if !u.isEligible(now) || len(u.reservations) >= e.Slots || used+request.PromptTokens+request.OutputTokens > request.CapacityTokens {
 			continue
 		}
-		cost := float64(used) / float64(max(1, request.Capacity))
+		cost := float64(used) / float64(max(1, request.CapacityTokens))
 		if e.Zone != request.Zone {
 			cost += crossZoneCost
 		}
@@ -117,13 +117,13 @@
 }
 
 // FreeCapacity returns the free memory for a request.
-func (t *UsageTracker) FreeCapacity(now time.Time, endpoints []Endpoint, request Ask) Room {
-	var free Room
+func (t *UsageTracker) FreeCapacity(now time.Time, endpoints []Endpoint, request ReservationRequest) FreeCapacity {
+	var free FreeCapacity
 	for i := range endpoints {
 		e := &endpoints[i]
-		if !e.Reads && e.canServe(request) {
-			free.Among++
-			free.MostFree = max(free.MostFree, request.Capacity-t.usageOf(e.ID).usedTokens(now))
+		if !e.IsPrefill && e.canServe(request) {
+			free.Candidates++
+			free.MaxFreeTokens = max(free.MaxFreeTokens, request.CapacityTokens-t.usageOf(e.ID).usedTokens(now))
 		}
 	}
 	return free
@@ -131,15 +131,15 @@
 
 // prefillEndpoint returns the prefill endpoint that is free first, and the prompt's wait
 // there; nil if there is none.
-func (t *UsageTracker) prefillEndpoint(now time.Time, endpoints []Endpoint, request Ask, zone string) (best *Endpoint, backlog time.Duration) {
+func (t *UsageTracker) prefillEndpoint(now time.Time, endpoints []Endpoint, request ReservationRequest, zone string) (best *Endpoint, backlog time.Duration) {
 	var least time.Duration
 	for i := range endpoints {
 		e := &endpoints[i]
 		u := t.usageOf(e.ID)
-		if !e.Reads || !e.canServe(request) || !u.isEligible(now) {
+		if !e.IsPrefill || !e.canServe(request) || !u.isEligible(now) {
 			continue
 		}
-		wait := max(0, u.prefillBusyUntil.Sub(now)) + u.prefillDuration(now, request) - request.Reading
+		wait := max(0, u.prefillBusyUntil.Sub(now)) + u.prefillDuration(now, request) - request.PrefillDuration
 		cost := wait
 		if e.Zone != zone {
 			cost += crossZoneTransferCost
@@ -164,7 +164,7 @@
 	case OutcomeFull:
 		u.recordRefusal(now, released)
 		t.cancelPrefill(released)
-	case OutcomeGone:
+	case OutcomeUnreachable:
 		u.recordUnreachable(now, entry)
 		t.cancelPrefill(released)
 	case OutcomeDone:
@@ -183,7 +183,7 @@
 // RecordPrefill records that a prefill endpoint failed or was late.
 func (t *UsageTracker) RecordPrefill(now time.Time, endpoint, entry string, o Outcome, expected, took time.Duration) {
 	u := t.usageOf(endpoint)
-	if o == OutcomeGone {
+	if o == OutcomeUnreachable {
 		u.recordUnreachable(now, entry)
 		return
 	}
--- a/internal/allocation/usage_tracker_test.go
+++ b/internal/allocation/usage_tracker_test.go
@@ -17,36 +17,36 @@
 func fleetOf(prefill, decode int) []Endpoint {
 	var list []Endpoint
 	for n := range prefill + decode {
-		list = append(list, Endpoint{ID: fmt.Sprint("e", n), Slots: 12, Reads: n < prefill})
+		list = append(list, Endpoint{ID: fmt.Sprint("e", n), Slots: 12, IsPrefill: n < prefill})
 	}
 	return list
 }
 
-func requestOf(exchange string, prompt, output int) Ask {
-	return Ask{
-		Exchange: exchange, Entry: "entry", Prompt: prompt, Output: output, Capacity: 10_000,
-		Length: 3 * time.Second, Reading: 100 * time.Millisecond, LongestBacklog: 300 * time.Millisecond,
+func requestOf(exchange string, prompt, output int) ReservationRequest {
+	return ReservationRequest{
+		Exchange: exchange, Entry: "entry", PromptTokens: prompt, OutputTokens: output, CapacityTokens: 10_000,
+		AnswerDuration: 3 * time.Second, PrefillDuration: 100 * time.Millisecond, MaxBacklog: 300 * time.Millisecond,
 	}
 }
 
 func TestReserve(t *testing.T) {
 	for name, row := range map[string]struct {
 		fleet   []Endpoint
-		before  []Ask
-		request Ask
-		want    Grant
+		before  []ReservationRequest
+		request ReservationRequest
+		want    Placement
 	}{
-		"idle endpoints":    {fleet: fleetOf(1, 1), request: requestOf("x", 3000, 500), want: Grant{Endpoint: "e1", Reader: "e0"}},
-		"emptier endpoint":  {fleet: fleetOf(1, 2), before: []Ask{requestOf("a", 3000, 500)}, request: requestOf("x", 3000, 500), want: Grant{Endpoint: "e2", Reader: "e0", Backlog: 100 * time.Millisecond}},
-		"idle prefill":      {fleet: fleetOf(2, 1), before: []Ask{requestOf("a", 3000, 500)}, request: requestOf("x", 3000, 500), want: Grant{Endpoint: "e2", Reader: "e1"}},
+		"idle endpoints":    {fleet: fleetOf(1, 1), request: requestOf("x", 3000, 500), want: Placement{Endpoint: "e1", PrefillEndpoint: "e0"}},
+		"emptier endpoint":  {fleet: fleetOf(1, 2), before: []ReservationRequest{requestOf("a", 3000, 500)}, request: requestOf("x", 3000, 500), want: Placement{Endpoint: "e2", PrefillEndpoint: "e0", PrefillBacklog: 100 * time.Millisecond}},
+		"idle prefill":      {fleet: fleetOf(2, 1), before: []ReservationRequest{requestOf("a", 3000, 500)}, request: requestOf("x", 3000, 500), want: Placement{Endpoint: "e2", PrefillEndpoint: "e1"}},
 		"larger than any":   {fleet: fleetOf(1, 1), request: requestOf("x", 10_000, 500)},
-		"all full":          {fleet: fleetOf(1, 1), before: []Ask{requestOf("a", 8000, 500)}, request: requestOf("x", 3000, 500)},
+		"all full":          {fleet: fleetOf(1, 1), before: []ReservationRequest{requestOf("a", 8000, 500)}, request: requestOf("x", 3000, 500)},
 		"no endpoints":      {request: requestOf("x", 3000, 500)},
-		"prefill too busy":  {fleet: fleetOf(1, 9), before: []Ask{requestOf("a", 900, 0), requestOf("b", 900, 0), requestOf("c", 900, 0), requestOf("d", 900, 0)}, request: requestOf("x", 900, 0)},
-		"excluded endpoint": {fleet: fleetOf(0, 2), request: Ask{Capacity: 10, Prompt: 1, Excluded: []string{"e0"}}, want: Grant{Endpoint: "e1"}},
-		"another model":     {fleet: []Endpoint{{ID: "e", Slots: 1, Models: []string{"other"}}}, request: Ask{Capacity: 10, Model: "m"}},
-		"the entry's zone":  {fleet: []Endpoint{{ID: "far", Zone: "b", Slots: 1}, {ID: "near", Zone: "a", Slots: 1}}, request: Ask{Capacity: 10, Zone: "a"}, want: Grant{Endpoint: "near"}},
-		"no free slot":      {fleet: []Endpoint{{ID: "e", Slots: 1}}, before: []Ask{{Exchange: "a", Capacity: 10}}, request: Ask{Exchange: "x", Capacity: 10}},
+		"prefill too busy":  {fleet: fleetOf(1, 9), before: []ReservationRequest{requestOf("a", 900, 0), requestOf("b", 900, 0), requestOf("c", 900, 0), requestOf("d", 900, 0)}, request: requestOf("x", 900, 0)},
+		"excluded endpoint": {fleet: fleetOf(0, 2), request: ReservationRequest{CapacityTokens: 10, PromptTokens: 1, Excluded: []string{"e0"}}, want: Placement{Endpoint: "e1"}},
+		"another model":     {fleet: []Endpoint{{ID: "e", Slots: 1, Models: []string{"other"}}}, request: ReservationRequest{CapacityTokens: 10, Model: "m"}},
+		"the entry's zone":  {fleet: []Endpoint{{ID: "far", Zone: "b", Slots: 1}, {ID: "near", Zone: "a", Slots: 1}}, request: ReservationRequest{CapacityTokens: 10, Zone: "a"}, want: Placement{Endpoint: "near"}},
+		"no free slot":      {fleet: []Endpoint{{ID: "e", Slots: 1}}, before: []ReservationRequest{{Exchange: "a", CapacityTokens: 10}}, request: ReservationRequest{Exchange: "x", CapacityTokens: 10}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			tracker := NewUsageTracker()
@@ -63,21 +63,21 @@
 func TestReserveWithLocalPrefill(t *testing.T) {
 	tracker, fleet := NewUsageTracker(), fleetOf(1, 9)
 	for n := range 4 {
-		assert.Equal(t, tracker.Reserve(start, fleet, requestOf(fmt.Sprint(n), 900, 0)).Reader, "e0")
+		assert.Equal(t, tracker.Reserve(start, fleet, requestOf(fmt.Sprint(n), 900, 0)).PrefillEndpoint, "e0")
 	}
 	request := requestOf("x", 900, 0)
-	request.ReadsOwn = true
+	request.AllowLocalPrefill = true
 	got := tracker.Reserve(start, fleet, request)
 	assert.Assert(t, got.Endpoint != "")
-	assert.Equal(t, got.Reader, "")
+	assert.Equal(t, got.PrefillEndpoint, "")
 }
 
 // A reservation ends when it is released, when it expires, and when its entry is no
 // longer alive.
 func TestReservationEnds(t *testing.T) {
 	fleet := fleetOf(0, 1)
-	full := Ask{Exchange: "a", Entry: "entry", Prompt: 8000, Capacity: 10_000, Length: 3 * time.Second}
-	next := Ask{Exchange: "x", Entry: "other", Prompt: 8000, Capacity: 10_000, Length: 3 * time.Second}
+	full := ReservationRequest{Exchange: "a", Entry: "entry", PromptTokens: 8000, CapacityTokens: 10_000, AnswerDuration: 3 * time.Second}
+	next := ReservationRequest{Exchange: "x", Entry: "other", PromptTokens: 8000, CapacityTokens: 10_000, AnswerDuration: 3 * time.Second}
 	for name, row := range map[string]struct {
 		free func(tracker *UsageTracker)
 		when int // ms
@@ -108,7 +108,7 @@
 // keep the fleet from using it: the endpoint is skipped for a moment, and for longer only
 // when a second entry reports the same.
 func TestOneEntryCannotExcludeEndpoint(t *testing.T) {
-	request := Ask{Exchange: "x", Capacity: 10, Prompt: 1}
+	request := ReservationRequest{Exchange: "x", CapacityTokens: 10, PromptTokens: 1}
 	for name, row := range map[string]struct {
 		reporters []string
 		ms        int
@@ -123,7 +123,7 @@
 		t.Run(name, func(t *testing.T) {
 			tracker := NewUsageTracker()
 			for _, entry := range row.reporters {
-				tracker.Release(start, "e0", "gone", entry, OutcomeGone)
+				tracker.Release(start, "e0", "gone", entry, OutcomeUnreachable)
 			}
 			assert.Equal(t, tracker.Reserve(at(row.ms), fleetOf(0, 1), request).Endpoint != "", row.want)
 		})
@@ -134,8 +134,8 @@
 // has no reservations. One request probes it; the others wait for the result.
 func TestOneRequestProbesUnreachableEndpoint(t *testing.T) {
 	tracker, fleet := NewUsageTracker(), fleetOf(0, 1)
-	tracker.Release(start, "e0", "x", "a", OutcomeGone)
-	request := Ask{Capacity: 10, Prompt: 1}
+	tracker.Release(start, "e0", "x", "a", OutcomeUnreachable)
+	request := ReservationRequest{CapacityTokens: 10, PromptTokens: 1}
 	assert.Equal(t, tracker.Reserve(at(400), fleet, request).Endpoint, "e0")
 	assert.Equal(t, tracker.Reserve(at(410), fleet, request).Endpoint, "")
 	assert.Equal(t, tracker.Reserve(at(810), fleet, request).Endpoint, "e0", "no failure was reported")
@@ -146,8 +146,8 @@
 // and for more as the answers that it doesn't know of end.
 func TestRefusalShowsUntrackedUse(t *testing.T) {
 	tracker, fleet := NewUsageTracker(), fleetOf(0, 1)
-	request := func(tokens int) Ask {
-		return Ask{Exchange: "x", Prompt: tokens, Capacity: 10_000, Length: 3 * time.Second}
+	request := func(tokens int) ReservationRequest {
+		return ReservationRequest{Exchange: "x", PromptTokens: tokens, CapacityTokens: 10_000, AnswerDuration: 3 * time.Second}
 	}
 	assert.Equal(t, tracker.Reserve(start, fleet, request(4000)).Endpoint, "e0")
 	tracker.Release(start, "e0", "x", "entry", OutcomeFull)
@@ -165,8 +165,8 @@
 	for n := range 100 {
 		now := at(n * 100)
 		g := tracker.Reserve(now, fleet, requestOf(fmt.Sprint(n), 100, 0))
-		counts[g.Reader]++
-		if g.Reader == "e0" {
+		counts[g.PrefillEndpoint]++
+		if g.PrefillEndpoint == "e0" {
 			tracker.RecordPrefill(now, "e0", "entry", OutcomeDone, 100*time.Millisecond, 800*time.Millisecond)
 		}
 	}
@@ -180,7 +180,7 @@
 	tracker.RecordPrefill(start, "e0", "entry", OutcomeDone, 100*time.Millisecond, 1100*time.Millisecond)
 	request := requestOf("x", 100, 0)
 	assert.Equal(t, tracker.Reserve(at(10), fleet, request).Endpoint, "", "expected to take ten times as long")
-	assert.Equal(t, tracker.Reserve(at(3500), fleet, request).Reader, "e0")
+	assert.Equal(t, tracker.Reserve(at(3500), fleet, request).PrefillEndpoint, "e0")
 }
 
 // Guards against a prefill endpoint that counts as busy with a prompt that never arrives,
@@ -189,5 +189,5 @@
 	tracker, fleet := NewUsageTracker(), fleetOf(1, 2)
 	placement := tracker.Reserve(start, fleet, requestOf("x", 3000, 0))
 	tracker.Release(start, placement.Endpoint, "x", "entry", OutcomeFull)
-	assert.Equal(t, tracker.Reserve(start, fleet, requestOf("y", 3000, 0)).Backlog, time.Duration(0))
+	assert.Equal(t, tracker.Reserve(start, fleet, requestOf("y", 3000, 0)).PrefillBacklog, time.Duration(0))
 }
--- a/internal/control/aging_test.go
+++ b/internal/control/aging_test.go
@@ -16,8 +16,8 @@
 		time.Sleep(time.Second)
 		h.apply("teams/sorters", 1, teamYAML("sorters", "howrah"))
 		time.Sleep(formerClassRecordLives*defaultRecordLife - time.Second)
-		assert.Equal(t, len(d.agent.State().Former["sorters"]), 1)
+		assert.Equal(t, len(d.agent.State().FormerZoneClasses["sorters"]), 1)
 		time.Sleep(2 * time.Second)
-		assert.Equal(t, len(d.agent.State().Former["sorters"]), 0)
+		assert.Equal(t, len(d.agent.State().FormerZoneClasses["sorters"]), 0)
 	})
 }
--- a/internal/control/client_members.go
+++ b/internal/control/client_members.go
@@ -31,9 +31,9 @@
 	return client.Pull(ctx, r)
 }
 
-// Elsewhere makes the next Pull go to another member, because the current one
+// UseOtherInstance makes the next Pull go to another member, because the current one
 // lags: to the leader if it is known, since any other member may lag too.
-func (c *Client) Elsewhere() {
+func (c *Client) UseOtherInstance() {
 	c.mu.Lock()
 	address := c.pullMember
 	if c.leader != "" && c.leader != address {
--- a/internal/control/crashscenario_test.go
+++ b/internal/control/crashscenario_test.go
@@ -21,8 +21,8 @@
 	runs     int
 }
 
-func (s *crashScenario) shared() quarantine.Shared {
-	return quarantine.Shared{
+func (s *crashScenario) shared() quarantine.SharedState {
+	return quarantine.SharedState{
 		Suspects: s.machine.suspects.records,
 		Alive:    func(fleet.Owner) bool { return true },
 	}
@@ -31,7 +31,7 @@
 func (s *crashScenario) beginRun(f byte) (fleet.AttemptID, pb.RunVerdict) {
 	s.runs++
 	attempt := fleet.AttemptID(fmt.Sprint(s.runs))
-	run := quarantine.Run{Fingerprint: fleet.Fingerprint{f}, Attempt: attempt}
+	run := quarantine.RunRequest{Fingerprint: fleet.Fingerprint{f}, Attempt: attempt}
 	return attempt, s.register.Begin(time.UnixMilli(s.clockMs), run, s.shared()).Verdict
 }
 
--- a/internal/control/daemons_test.go
+++ b/internal/control/daemons_test.go
@@ -32,7 +32,7 @@
 		state := d.agent.State()
 		assert.Equal(t, state.Tree.Versions["teams/sorters"], uint64(2))
 		assert.DeepEqual(t, state.Tree.Teams["sorters"].PermittedZones, []fleet.AvailabilityZone{"howrah"})
-		assert.Assert(t, state.View.Holds(d.agent.Self().Owner()))
+		assert.Assert(t, state.View.Contains(d.agent.Self().Owner()))
 		assert.NilError(t, d.agent.Leave(h.ctx))
 		assert.Assert(t, !d.current())
 		assert.Equal(t, len(h.view()), 0)
--- a/internal/control/suspects.go
+++ b/internal/control/suspects.go
@@ -41,7 +41,7 @@
 			return refusalMalformed
 		}
 	}
-	limits := suspect.Limits{Life: time.Duration(m.suspectLifeMs()) * time.Millisecond, Most: maxSuspects}
+	limits := suspect.Limits{TTL: time.Duration(m.suspectLifeMs()) * time.Millisecond, MaxTracked: maxSuspects}
 	m.delta.Suspects = append(m.delta.Suspects, m.suspects.applyReport(index, c, m.clockUnixMs, limits)...)
 	return ""
 }
@@ -50,7 +50,7 @@
 func (m *Machine) suspectLifeMs() int64 {
 	life := m.tree.Fleet.Timeouts.QuarantineLife
 	if life <= 0 {
-		life = suspect.DefaultLimits.Life
+		life = suspect.DefaultLimits.TTL
 	}
 	return life.Milliseconds()
 }
@@ -83,7 +83,7 @@
 // than one crash.
 func (s *suspects) hasRepeatSuspect(earlier map[fleet.Fingerprint]bool) bool {
 	for f := range earlier {
-		if s.records[f].Crashes >= suspect.AloneCrashes {
+		if s.records[f].Crashes >= suspect.SoleSuspectCrashes {
 			return true
 		}
 	}
--- a/internal/coordinator/addresses.go
+++ b/internal/coordinator/addresses.go
@@ -16,10 +16,10 @@
 	minAddresses = 2
 )
 
-// AddressesFor returns the addresses to which a caller in the given zone connects: the
+// EntryAddresses returns the addresses to which a caller in the given zone connects: the
 // entries of its zone and, if there are fewer than minAddresses, further entries, those
 // of its region first.
-func (c *Coordinator) AddressesFor(zone, region string) []string {
+func (c *Coordinator) EntryAddresses(zone, region string) []string {
 	entries := c.options.Machine.ReadyEntries()
 	slices.SortFunc(entries, func(a, b *pb.EntryRecord) int {
 		if d := distance(a, zone, region) - distance(b, zone, region); d != 0 {
--- a/internal/coordinator/commands.go
+++ b/internal/coordinator/commands.go
@@ -66,7 +66,7 @@
 func (c *Coordinator) applyHeartbeat(ctx context.Context, r *pb.EndpointRecord) error {
 	known := c.options.Machine.Endpoint(r.Id)
 	if catalog.Conflicts(known, r) {
-		return trace.Wrap(ErrContradiction, "endpoint %s of service %s at %s", r.Id, known.Service, known.Address)
+		return trace.Wrap(ErrConflictingHeartbeat, "endpoint %s of service %s at %s", r.Id, known.Service, known.Address)
 	}
 	if catalog.EndpointChanges(known, r) {
 		if err := c.commitReport(ctx, r); err != nil {
@@ -115,9 +115,9 @@
 	return err
 }
 
-// RefuseHeartbeat counts and logs a heartbeat that could not be processed. The log is
+// RecordRefusedHeartbeat counts and logs a heartbeat that could not be processed. The log is
 // rate-limited, as a faulty sender may send many; the counter has them all.
-func (c *Coordinator) RefuseHeartbeat(id string, cause error) {
+func (c *Coordinator) RecordRefusedHeartbeat(id string, cause error) {
 	c.metrics.heartbeats.WithLabelValues("refused").Inc()
 	if !c.refusalLog.Allow() {
 		return
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -18,9 +18,9 @@
 // change may or may not come into force.
 var ErrUnavailable = errors.New("no quorum of control instances answers")
 
-// ErrContradiction reports a heartbeat that has the ID and start time of a live endpoint
+// ErrConflictingHeartbeat reports a heartbeat that has the ID and start time of a live endpoint
 // and contradicts its record.
-var ErrContradiction = errors.New("the heartbeat contradicts what its endpoint said before")
+var ErrConflictingHeartbeat = errors.New("the heartbeat contradicts what its endpoint said before")
 
 // Coordinator is one control instance.
 type Coordinator struct {
--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -233,7 +233,7 @@
 			{Id: "2", Name: "b", Address: "b:1", Zone: "z", Region: "r", Ready: true},
 			{Id: "3", Name: "c", Address: "c:1", Zone: "y", Region: "r", Ready: true},
 		}
-		list := func(zone string) []string { return f.instances[1].AddressesFor(zone, "r") }
+		list := func(zone string) []string { return f.instances[1].EntryAddresses(zone, "r") }
 		for range 4 {
 			for _, e := range entries {
 				ask(e)
@@ -291,7 +291,7 @@
 func (r *recordedOrders) Status(context.Context, *pb.EndpointRecord) (EndpointStatus, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return EndpointStatus{Stage: pb.Stage_STAGE_PREFILL, Accepted: int64(len(r.sent))}, nil
+	return EndpointStatus{Stage: pb.Stage_STAGE_PREFILL, AcceptedOrders: int64(len(r.sent))}, nil
 }
 
 func (r *recordedOrders) ChangeStage(_ context.Context, _ *pb.EndpointRecord, o StageOrder) error {
--- a/internal/coordinator/fleet_test.go
+++ b/internal/coordinator/fleet_test.go
@@ -95,8 +95,8 @@
 		Uptime:  uptime,
 		Group:   node, Machine: i.machine, Dialer: f.net.Dialer(i.address),
 		Self:  &pb.Member{InstanceId: i.address, DiskId: node.DiskID(), RpcAddress: i.address},
-		Seeds: i.seeds, Bootstrap: i.bootstrap, EndpointSilence: 4 * time.Second,
-		Orders: f.orders, OrderLease: 3 * time.Second, Tolerance: f.tolerance, SenderKept: senderRetention,
+		Seeds: i.seeds, Bootstrap: i.bootstrap, EndpointTimeout: 4 * time.Second,
+		Orders: f.orders, OrderLease: 3 * time.Second, Tolerance: f.tolerance, SenderRetention: senderRetention,
 	})
 	f.net.Serve(i.address, i.Coordinator, pb.DRPCConsensusDescription{}, pb.DRPCCoordinatorDescription{})
 	ended := make(chan struct{}, 3)
--- a/internal/coordinator/incarnation_test.go
+++ b/internal/coordinator/incarnation_test.go
@@ -31,7 +31,7 @@
 		f.restart(f.leader(f.instances...), false)
 		f.await(4*time.Second, "the new incarnation", func() bool { return report(1, endpointRecord(200, 1, "b:1")) == nil })
 		f.await(time.Second, "the new incarnation everywhere", func() bool { return known().GetBorn() == 200 })
-		assert.ErrorIs(t, report(0, endpointRecord(200, 2, "c:1")), ErrContradiction)
+		assert.ErrorIs(t, report(0, endpointRecord(200, 2, "c:1")), ErrConflictingHeartbeat)
 		seq := uint64(41)
 		f.await(10*time.Second, "silent", func() bool {
 			seq++
--- a/internal/coordinator/models.go
+++ b/internal/coordinator/models.go
@@ -42,7 +42,7 @@
 			models = append(models, m.Name)
 		}
 		list[e.Service] = append(list[e.Service], allocation.Endpoint{
-			ID: e.Id, Zone: e.Zone, Slots: int(e.Slots), Reads: e.Stage == pb.Stage_STAGE_PREFILL, Models: models,
+			ID: e.Id, Zone: e.Zone, Slots: int(e.Slots), IsPrefill: e.Stage == pb.Stage_STAGE_PREFILL, Models: models,
 		})
 	}
 	return list
--- a/internal/coordinator/options.go
+++ b/internal/coordinator/options.go
@@ -85,12 +85,12 @@
 	// Tolerance is how many instances, including their disks, may be lost at the same
 	// time.
 	Tolerance int
-	// EndpointSilence is how long an endpoint may be unheard before its state becomes
+	// EndpointTimeout is how long an endpoint may be unheard before its state becomes
 	// SILENT; three heartbeats and some slack.
-	EndpointSilence time.Duration
-	// SenderKept is how long an entry that is no longer heard still counts among those
+	EndpointTimeout time.Duration
+	// SenderRetention is how long an entry that is no longer heard still counts among those
 	// that share common budgets: the longest window of a budget.
-	SenderKept time.Duration
+	SenderRetention time.Duration
 	// Uptime is the clock for the age of this member's view as reported to entries. It
 	// must go on while the machine is suspended.
 	Uptime func() time.Duration
--- a/internal/coordinator/seen.go
+++ b/internal/coordinator/seen.go
@@ -194,7 +194,7 @@
 	c.lastLeaderRun = now
 	expired := &pb.Expire{}
 	for _, e := range endpoints {
-		if catalog.Live(e) && c.silenceOf(e.Id, now) > c.options.EndpointSilence {
+		if catalog.Live(e) && c.silenceOf(e.Id, now) > c.options.EndpointTimeout {
 			expired.Endpoints = append(expired.Endpoints, &pb.Expected{Id: e.Id, Revision: e.Revision})
 		}
 	}
@@ -213,7 +213,7 @@
 // it is gone already, until its record is deleted.
 func (c *Coordinator) entryTimeoutFor(e *pb.EntryRecord) time.Duration {
 	if e.Gone {
-		return max(entryTimeout, c.options.SenderKept)
+		return max(entryTimeout, c.options.SenderRetention)
 	}
 	return entryTimeout
 }
--- a/internal/coordinator/serve.go
+++ b/internal/coordinator/serve.go
@@ -110,7 +110,7 @@
 	if c.options.Crashes == nil {
 		return nil, nil
 	}
-	return c.options.Crashes.News(request.Crashes)
+	return c.options.Crashes.ChangesSince(request.Crashes)
 }
 
 // confirmedUntil returns the time, by Options.Uptime, until which this member knows all
@@ -121,9 +121,9 @@
 	return c.confirmedUptime
 }
 
-// Keepers returns how many control instances share the teams' quotas, or 0 while that is
+// QuotaServerCount returns how many control instances share the teams' quotas, or 0 while that is
 // unknown.
-func (c *Coordinator) Keepers() int { return len(c.options.Group.Status().Members) }
+func (c *Coordinator) QuotaServerCount() int { return len(c.options.Group.Status().Members) }
 
 // Members returns the RPC addresses of the control instances, none while they are
 // unknown.
--- a/internal/coordinator/stages.go
+++ b/internal/coordinator/stages.go
@@ -12,18 +12,18 @@
 
 // EndpointStatus is an endpoint's own report on its orders.
 type EndpointStatus struct {
-	Stage    pb.Stage
-	Busy     bool   // an order is being carried out
-	Accepted int64  // orders accepted in this incarnation
-	Born     uint64 // start of this incarnation, Unix ms; 0 if not reported
+	Stage          pb.Stage
+	Busy           bool   // an order is being carried out
+	AcceptedOrders int64  // orders accepted in this incarnation
+	Born           uint64 // start of this incarnation, Unix ms; 0 if not reported
 }
 
 // StageOrder asks an endpoint to change its stage.
 type StageOrder struct {
-	Stage    pb.Stage
-	Holder   string // instance that sends the order
-	Token    uint64 // fencing token: rises with each holder
-	Accepted int64  // number of orders that the endpoint must have accepted before
+	Stage          pb.Stage
+	Holder         string // instance that sends the order
+	Token          uint64 // fencing token: rises with each holder
+	AcceptedBefore int64  // number of orders that the endpoint must have accepted before
 }
 
 // Orders sends orders to endpoints.
@@ -105,9 +105,9 @@
 		planner = &staging.Planner{}
 		s.planners[service] = planner
 	}
-	servers := make([]staging.Server, 0, len(records))
+	servers := make([]staging.Endpoint, 0, len(records))
 	for _, e := range records {
-		servers = append(servers, staging.Server{
+		servers = append(servers, staging.Endpoint{
 			ID: e.Id, Stage: e.Stage, Ready: true, Assigned: e.Assigned, Registered: e.Registered,
 		})
 	}
@@ -171,10 +171,10 @@
 	if s.coordinator.options.Group.Status().Term != s.term {
 		return trace.CompareFailed("another term has begun")
 	}
-	order := StageOrder{Stage: e.Assigned, Holder: s.coordinator.options.Self.InstanceId, Token: s.term, Accepted: status.Accepted}
+	order := StageOrder{Stage: e.Assigned, Holder: s.coordinator.options.Self.InstanceId, Token: s.term, AcceptedBefore: status.AcceptedOrders}
 	err = s.coordinator.options.Orders.ChangeStage(ctx, e, order)
 	s.coordinator.metrics.orders.WithLabelValues(resultOf(err)).Inc()
 	s.coordinator.options.Part.Info("Stage order sent.", "endpoint", e.Id, "stage", e.Assigned, "token", s.term,
-		"accepted_before", status.Accepted, "err", err)
+		"accepted_before", status.AcceptedOrders, "err", err)
 	return nil
 }
--- a/internal/crashboard/board.go
+++ b/internal/crashboard/board.go
@@ -18,7 +18,7 @@
 	metrics *boardMetrics
 
 	mu      sync.Mutex // guards the fields below
-	losses  *suspect.Losses
+	losses  *suspect.LossTracker
 	changed chan struct{} // closed and replaced when there are new findings to share
 }
 
@@ -29,7 +29,7 @@
 func NewBoard(epoch uint64, to prometheus.Registerer) *Board {
 	return &Board{
 		epoch: epoch, metrics: newBoardMetrics(to),
-		losses: suspect.NewLosses(suspect.DefaultLimits), changed: make(chan struct{}),
+		losses: suspect.NewLossTracker(suspect.DefaultLimits), changed: make(chan struct{}),
 	}
 }
 
@@ -41,12 +41,12 @@
 	before := b.losses.Revision()
 	for _, wire := range r.Losses {
 		if loss, ok := lossFromWire(now, wire); ok {
-			b.losses.Lost(now, loss)
+			b.losses.RecordLoss(now, loss)
 		}
 	}
 	for _, wire := range r.Answered {
 		if f, ok := fleet.FingerprintFromBytes(wire); ok {
-			b.losses.Answered(now, f)
+			b.losses.RecordAnswer(now, f)
 		}
 	}
 	for _, wire := range r.Known {
@@ -62,9 +62,9 @@
 	return &pb.ReportCrashesReply{}, nil
 }
 
-// News returns the findings that have changed after a mark, and a channel that is closed at the
+// ChangesSince returns the findings that have changed after a mark, and a channel that is closed at the
 // next change. A nil mark, or one of another epoch, returns all of them.
-func (b *Board) News(mark *pb.CrashMark) (*pb.CrashNews, <-chan struct{}) {
+func (b *Board) ChangesSince(mark *pb.CrashMark) (*pb.CrashNews, <-chan struct{}) {
 	now := time.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/crashboard/board_test.go
+++ b/internal/crashboard/board_test.go
@@ -59,8 +59,8 @@
 	for n, c := range g.entries {
 		for offset := range 2 {
 			member := g.members[(n+offset)%len(g.members)]
-			news, _ := g.boards[member].News(c.Mark(member))
-			c.Take(member, news)
+			news, _ := g.boards[member].ChangesSince(c.Mark(member))
+			c.ApplyChanges(member, news)
 		}
 	}
 }
@@ -81,7 +81,7 @@
 	g.sent++
 	sent := time.Now()
 	time.Sleep(time.Millisecond)
-	c.Lost(suspect.Loss{Fingerprint: f, Sent: sent, Ended: time.Now(), Exchange: fmt.Sprint(g.sent), Nth: 1})
+	c.RecordLoss(suspect.Loss{Fingerprint: f, Sent: sent, Ended: time.Now(), Exchange: fmt.Sprint(g.sent), Sequence: 1})
 	return true
 }
 
@@ -183,14 +183,14 @@
 		}
 		time.Sleep(time.Second)
 		g.poll()
-		assert.Assert(t, g.entries[0].Watches())
-		assert.Assert(t, !g.entries[1].Watches())
+		assert.Assert(t, g.entries[0].HasFindings())
+		assert.Assert(t, !g.entries[1].HasFindings())
 		calls := g.net.Calls("member0")
 		assert.Assert(t, calls <= 30)
 		g.run(time.Minute)
 		assert.Equal(t, g.net.Calls("member0"), calls)
 		g.entries[0].Sweep(time.Now().Add(2 * time.Hour))
-		assert.Assert(t, !g.entries[0].Watches())
+		assert.Assert(t, !g.entries[0].HasFindings())
 	})
 }
 
@@ -202,7 +202,7 @@
 			g.send(g.entries[n], crasher)
 			g.run(200 * time.Millisecond)
 		}
-		g.entries[2].Answered(crasher)
+		g.entries[2].RecordAnswer(crasher)
 		g.run(200 * time.Millisecond)
 		for n := range 8 {
 			assert.Assert(t, g.send(g.entries[n%4], crasher))
@@ -219,6 +219,6 @@
 		Known: []*pb.CrashFinding{{Fingerprint: crasher[:], Weight: 6, AgeUs: 1 << 63}, {}},
 	})
 	assert.NilError(t, err)
-	news, _ := b.News(&pb.CrashMark{Epoch: 1, Revision: 1 << 40})
+	news, _ := b.ChangesSince(&pb.CrashMark{Epoch: 1, Revision: 1 << 40})
 	assert.Equal(t, len(news.Findings), 0)
 }
--- a/internal/crashboard/client.go
+++ b/internal/crashboard/client.go
@@ -35,7 +35,7 @@
 	knownCount atomic.Int64 // number of requests that have a finding
 
 	mu       sync.Mutex // guards the fields below
-	losses   *suspect.Losses
+	losses   *suspect.LossTracker
 	marks    map[string]*pb.CrashMark // by member
 	outboxes map[string]*outbox       // by member; only those with reports to send or being sent
 }
@@ -44,13 +44,13 @@
 func NewClient(options Options) *Client {
 	return &Client{
 		options: options, metrics: newClientMetrics(options.Metrics),
-		losses: suspect.NewLosses(suspect.DefaultLimits), marks: map[string]*pb.CrashMark{}, outboxes: map[string]*outbox{},
+		losses: suspect.NewLossTracker(suspect.DefaultLimits), marks: map[string]*pb.CrashMark{}, outboxes: map[string]*outbox{},
 	}
 }
 
-// Watches reports whether there is any finding. Without one, no fingerprint needs to be
+// HasFindings reports whether there is any finding. Without one, no fingerprint needs to be
 // computed.
-func (c *Client) Watches() bool { return c.knownCount.Load() > 0 }
+func (c *Client) HasFindings() bool { return c.knownCount.Load() > 0 }
 
 // Refused reports whether a request is refused because it crashes endpoints, and for how
 // long.
@@ -62,27 +62,27 @@
 	if !found.Quarantined(now, suspect.DefaultLimits) {
 		return 0, false
 	}
-	return found.Updated.Add(suspect.DefaultLimits.Life).Sub(now), true
+	return found.Updated.Add(suspect.DefaultLimits.TTL).Sub(now), true
 }
 
-// Lost records a loss that this entry saw, and reports it to the control instances.
-func (c *Client) Lost(loss suspect.Loss) {
+// RecordLoss records a loss that this entry saw, and reports it to the control instances.
+func (c *Client) RecordLoss(loss suspect.Loss) {
 	members, now := c.options.Members(), time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	before := c.losses.Find(loss.Fingerprint)
-	c.recordQuarantine(now, before, c.losses.Lost(now, loss))
+	c.recordQuarantine(now, before, c.losses.RecordLoss(now, loss))
 	c.enqueueForAll(members, func(r *pb.ReportCrashesRequest) { r.Losses = append(r.Losses, lossToWire(now, loss)) })
 	c.updateKnownCount()
 }
 
-// Answered records that an endpoint has run a request and answered it. If this changes the
+// RecordAnswer records that an endpoint has run a request and answered it. If this changes the
 // findings, it is reported to the control instances.
-func (c *Client) Answered(f fleet.Fingerprint) {
+func (c *Client) RecordAnswer(f fleet.Fingerprint) {
 	members, now := c.options.Members(), time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.losses.Answered(now, f) {
+	if c.losses.RecordAnswer(now, f) {
 		c.enqueueForAll(members, func(r *pb.ReportCrashesRequest) { r.Answered = append(r.Answered, f[:]) })
 	}
 }
@@ -95,9 +95,9 @@
 	return c.marks[member]
 }
 
-// Take records the findings of a member. If the member has restarted, the findings that it
+// ApplyChanges records the findings of a member. If the member has restarted, the findings that it
 // lacks are reported to it.
-func (c *Client) Take(member string, news *pb.CrashNews) {
+func (c *Client) ApplyChanges(member string, news *pb.CrashNews) {
 	if news.GetMark() == nil {
 		return
 	}
--- a/internal/crashboard/wire.go
+++ b/internal/crashboard/wire.go
@@ -9,12 +9,12 @@
 )
 
 func lossToWire(now time.Time, l suspect.Loss) *pb.RunLoss {
-	return &pb.RunLoss{Fingerprint: l.Fingerprint[:], SentUs: ageOf(now, l.Sent), EndedUs: ageOf(now, l.Ended), Exchange: l.Exchange, Nth: uint32(l.Nth), Outlived: l.Outlived}
+	return &pb.RunLoss{Fingerprint: l.Fingerprint[:], SentUs: ageOf(now, l.Sent), EndedUs: ageOf(now, l.Ended), Exchange: l.Exchange, Nth: uint32(l.Sequence), Outlived: l.EndpointSurvived}
 }
 
 func lossFromWire(now time.Time, l *pb.RunLoss) (loss suspect.Loss, ok bool) {
 	f, ok := fleet.FingerprintFromBytes(l.Fingerprint)
-	return suspect.Loss{Fingerprint: f, Sent: timeBefore(now, l.SentUs), Ended: timeBefore(now, l.EndedUs), Exchange: l.Exchange, Nth: int(l.Nth), Outlived: l.Outlived}, ok
+	return suspect.Loss{Fingerprint: f, Sent: timeBefore(now, l.SentUs), Ended: timeBefore(now, l.EndedUs), Exchange: l.Exchange, Sequence: int(l.Nth), EndpointSurvived: l.Outlived}, ok
 }
 
 func findingsToWire(now time.Time, list []suspect.Finding) []*pb.CrashFinding {
--- a/internal/daemon/controlrole.go
+++ b/internal/daemon/controlrole.go
@@ -83,7 +83,7 @@
 // handOver lets another member lead before this one stops, so that a planned
 // stop leaves the group no time without a leader.
 func (c *controlRole) handOver(ctx context.Context) {
-	if err := c.node.HandOver(ctx); err != nil {
+	if err := c.node.TransferLeadership(ctx); err != nil {
 		c.part.Info("Leadership was not handed over.", "err", err)
 	}
 }
--- a/internal/daemon/entryrole.go
+++ b/internal/daemon/entryrole.go
@@ -52,23 +52,23 @@
 	policies := newPolicies(b)
 	e.budget = retrybudget.New(time.Now(), b.file.Retries.Limits())
 	e.router = route.New(route.Options{
-		Source:     b.agent,
-		Follower:   e.provision.Follower(),
-		Engine:     client,
-		Ledger:     e.ledger,
-		Guard:      e.guard,
-		Admission:  admission.New(admission.Options{Random: newRandom(b)}),
-		Budget:     e.budget,
-		Policies:   policies.choose,
-		Prefill:    policies.prefill,
-		Links:      policies.links,
-		Recorder:   b.ring,
-		Prefixes:   schedule.Prefixes,
-		Secret:     b.secret[:],
-		Seed:       uint64(b.self.Incarnation),
-		Part:       newPart(b.logger, "route"),
-		Registerer: b.registry,
-		Bounds:     route.Bounds{StreamTime: b.file.Bounds.StreamTime},
+		Source:       b.agent,
+		Follower:     e.provision.Follower(),
+		Engine:       client,
+		Ledger:       e.ledger,
+		Guard:        e.guard,
+		Admission:    admission.New(admission.Options{Random: newRandom(b)}),
+		Budget:       e.budget,
+		Policies:     policies.choose,
+		Prefill:      policies.prefill,
+		Links:        policies.links,
+		Recorder:     b.ring,
+		PrefixHashes: schedule.Prefixes,
+		Secret:       b.secret[:],
+		Seed:         uint64(b.self.Incarnation),
+		Logger:       newPart(b.logger, "route"),
+		Registerer:   b.registry,
+		Bounds:       route.Bounds{MaxRequestDuration: b.file.Bounds.StreamTime},
 	})
 	return e, trace.Wrap(e.register(b))
 }
@@ -86,7 +86,7 @@
 		Part:       newPart(b.logger, "home"),
 		Registerer: b.registry,
 		Seed:       uint64(b.self.Incarnation),
-		Crash: func(ctx context.Context, report *pb.ReportCrash) error {
+		ReportCrash: func(ctx context.Context, report *pb.ReportCrash) error {
 			_, err := b.client.Crash(ctx, report)
 			return err
 		},
@@ -147,7 +147,7 @@
 func (e *entryRole) countEntries(ctx context.Context, source membership.Source) error {
 	for sleep.For(ctx, countInterval) {
 		if now := time.Now(); source.Current(now) {
-			e.budget.Entries(now, max(1, source.State().View.CountEntries()))
+			e.budget.SetEntries(now, max(1, source.State().View.CountEntries()))
 		}
 	}
 	return nil
--- a/internal/daemon/stop.go
+++ b/internal/daemon/stop.go
@@ -48,7 +48,7 @@
 	finishing, cancel := context.WithTimeout(context.Background(), d.base.file.Bounds.StreamTime)
 	defer cancel()
 	if err := d.entry.router.Drain(finishing); err != nil {
-		d.base.part.Warn("Stopped with requests in flight.", "running", d.entry.router.Running(), "err", err)
+		d.base.part.Warn("Stopped with requests in flight.", "running", d.entry.router.RunningRequests(), "err", err)
 	}
 	if !d.hasSuccessor() {
 		return
--- a/internal/dispatch/answer_duration.go
+++ b/internal/dispatch/answer_duration.go
@@ -12,9 +12,9 @@
 	tokenDurationWeight = 0.02
 )
 
-// HaveAnswered records that an answer of estimate tokens took the given time
+// RecordAnswer records that an answer of estimate tokens took the given time
 // from its first part to its end.
-func (b *Book) HaveAnswered(service string, estimate int, took time.Duration) {
+func (b *EndpointStats) RecordAnswer(service string, estimate int, took time.Duration) {
 	if estimate <= 0 || took <= 0 {
 		return
 	}
@@ -25,8 +25,8 @@
 	b.tokenDurationsNs[service] = average + tokenDurationWeight*(min(measured, 3*average)-average)
 }
 
-// AnswerTime returns the expected generation time of an answer of estimate tokens.
-func (b *Book) AnswerTime(service string, estimate int) time.Duration {
+// EstimateAnswerDuration returns the expected generation time of an answer of estimate tokens.
+func (b *EndpointStats) EstimateAnswerDuration(service string, estimate int) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return time.Duration(b.tokenDurationNs(service) * float64(estimate))
@@ -34,7 +34,7 @@
 
 // tokenDurationNs returns a service's average generation time per estimated
 // token, in ns. The caller must hold b.mu.
-func (b *Book) tokenDurationNs(service string) float64 {
+func (b *EndpointStats) tokenDurationNs(service string) float64 {
 	if average, ok := b.tokenDurationsNs[service]; ok {
 		return average
 	}
--- a/internal/dispatch/blocked.go
+++ b/internal/dispatch/blocked.go
@@ -4,14 +4,14 @@
 
 // Block stops all traffic to an endpoint until the given time. Unlike an ejected
 // endpoint, a blocked one isn't chosen even if it is the only candidate.
-func (b *Book) Block(e *Endpoint, until time.Time) {
+func (b *EndpointStats) Block(e *Endpoint, until time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.block(b.stateOf(e.Incarnation()), until)
 }
 
 // block implements Block. The caller must hold b.mu.
-func (b *Book) block(s *endpointState, until time.Time) {
+func (b *EndpointStats) block(s *endpointState, until time.Time) {
 	if until.After(s.blockedUntil) {
 		s.blockedUntil = until
 	}
@@ -21,7 +21,7 @@
 }
 
 // IsBlocked reports whether an endpoint is blocked now.
-func (b *Book) IsBlocked(now time.Time, e *Endpoint) bool {
+func (b *EndpointStats) IsBlocked(now time.Time, e *Endpoint) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.lookup(e.Incarnation())
@@ -29,7 +29,7 @@
 }
 
 // Unblocked returns the endpoints that aren't blocked now. It reuses the array of list.
-func (b *Book) Unblocked(now time.Time, list []*Endpoint) []*Endpoint {
+func (b *EndpointStats) Unblocked(now time.Time, list []*Endpoint) []*Endpoint {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !now.Before(b.blockedUntil) {
@@ -44,9 +44,9 @@
 	return unblocked
 }
 
-// Unblocks returns the earliest time at which one of the blocked endpoints is unblocked;
+// NextUnblockTime returns the earliest time at which one of the blocked endpoints is unblocked;
 // zero if there is none. A leaving endpoint is left out: it gets no more work.
-func (b *Book) Unblocks(now time.Time, list []*Endpoint) time.Time {
+func (b *EndpointStats) NextUnblockTime(now time.Time, list []*Endpoint) time.Time {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var first time.Time
--- a/internal/dispatch/choose.go
+++ b/internal/dispatch/choose.go
@@ -21,28 +21,28 @@
 
 // Choice is the chosen endpoint with the figures behind the choice.
 type Choice struct {
-	Endpoint *Endpoint
-	Cost     float64
-	Before   float64 // load of the endpoint, as measured or by the waits observed there
-	Own      int     // attempts of this entry in flight there
-	Others   float64 // estimate of other entries' attempts in flight there
-	AgeMs    int64   // age of the reported load behind that estimate; -1 if none was reported
-	Among    int     // number of eligible endpoints
+	Endpoint       *Endpoint
+	Cost           float64
+	EndpointLoad   float64 // load of the endpoint, as measured or by the waits observed there
+	OwnInFlight    int     // attempts of this entry in flight there
+	OthersInFlight float64 // estimate of other entries' attempts in flight there
+	ReportAgeMs    int64   // age of the reported load behind that estimate; -1 if none was reported
+	Candidates     int     // number of eligible endpoints
 }
 
-// Measure returns the load of an endpoint, 1 for full, from this entry's attempts in
+// LoadFunc returns the load of an endpoint, 1 for full, from this entry's attempts in
 // flight there with their prompt and memory tokens and the estimate for other entries.
-type Measure func(e *Endpoint, own, promptTokens, memoryTokens int, others float64) float64
+type LoadFunc func(e *Endpoint, own, promptTokens, memoryTokens int, others float64) float64
 
-// ByPlaces returns the attempts in flight as a share of the endpoint's slots.
-func ByPlaces(e *Endpoint, own, _, _ int, others float64) float64 {
+// SlotLoad returns the attempts in flight as a share of the endpoint's slots.
+func SlotLoad(e *Endpoint, own, _, _ int, others float64) float64 {
 	return (float64(own) + others) / float64(max(1, e.Slots))
 }
 
 // Choose returns the eligible endpoint of least cost. If all are ejected, it
 // returns the one whose ejection ends first, since waiting until then would serve
 // no request. ok is false if there are no candidates.
-func (b *Book) Choose(now time.Time, candidates []*Endpoint, load Measure) (choice Choice, ok bool) {
+func (b *EndpointStats) Choose(now time.Time, candidates []*Endpoint, load LoadFunc) (choice Choice, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	baseFailureShare := b.minFailureShare(candidates)
@@ -64,7 +64,7 @@
 	if best.Endpoint == nil {
 		best = fallback
 	}
-	best.Among = eligible
+	best.Candidates = eligible
 	return best, best.Endpoint != nil
 }
 
@@ -78,7 +78,7 @@
 
 // minFailureShare returns the lowest failure share of the candidates: failures
 // that they have in common come from the requests, and no choice avoids them.
-func (b *Book) minFailureShare(candidates []*Endpoint) float64 {
+func (b *EndpointStats) minFailureShare(candidates []*Endpoint) float64 {
 	least := 1.0
 	for _, e := range candidates {
 		least = min(least, b.stateOf(e.Incarnation()).failureShare)
@@ -86,10 +86,10 @@
 	return least
 }
 
-func (b *Book) evaluate(now time.Time, e *Endpoint, s *endpointState, load Measure, baseFailureShare float64) Choice {
+func (b *EndpointStats) evaluate(now time.Time, e *Endpoint, s *endpointState, load LoadFunc, baseFailureShare float64) Choice {
 	others := s.estimateOthers(now)
 	endpointLoad := load(e, s.ownInFlight, s.promptTokens, s.memoryTokens, others)
-	if b.policy.Has(SeenWaits) {
+	if b.policy.Has(ObservedWaits) {
 		endpointLoad = max(endpointLoad, s.estimateWait(now))
 	}
 	cost := endpointLoad
@@ -101,9 +101,9 @@
 		cost += otherZoneCost
 	}
 	cost += costJitter * b.random.Float64()
-	c := Choice{Endpoint: e, Cost: cost, Before: endpointLoad, Own: s.ownInFlight, Others: others, AgeMs: -1}
+	c := Choice{Endpoint: e, Cost: cost, EndpointLoad: endpointLoad, OwnInFlight: s.ownInFlight, OthersInFlight: others, ReportAgeMs: -1}
 	if !s.reportedAt.IsZero() {
-		c.AgeMs = now.Sub(s.reportedAt).Milliseconds()
+		c.ReportAgeMs = now.Sub(s.reportedAt).Milliseconds()
 	}
 	return c
 }
--- a/internal/dispatch/cooldown.go
+++ b/internal/dispatch/cooldown.go
@@ -33,17 +33,17 @@
 	return time.Duration(min(longest, maxCooldown.Seconds()) * float64(time.Second))
 }
 
-// RestOf returns the cooldown that an answer requests; only a rejection with status 503
+// CooldownFromAnswer returns the cooldown that an answer requests; only a rejection with status 503
 // can request one.
-func RestOf(status int, h http.Header) time.Duration {
+func CooldownFromAnswer(status int, h http.Header) time.Duration {
 	if status != http.StatusServiceUnavailable {
 		return 0
 	}
 	return ParseRetryAfter(h.Values("Retry-After"))
 }
 
-// Rest records that an endpoint requested a cooldown from this entry.
-func (b *Book) Rest(now time.Time, e *Endpoint, d time.Duration) {
+// StartCooldown records that an endpoint requested a cooldown from this entry.
+func (b *EndpointStats) StartCooldown(now time.Time, e *Endpoint, d time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.stateOf(e.Incarnation())
@@ -65,17 +65,17 @@
 }
 
 // applyCooldown extends the cooldown of an endpoint to until. The caller must hold b.mu.
-func (b *Book) applyCooldown(s *endpointState, until time.Time) {
+func (b *EndpointStats) applyCooldown(s *endpointState, until time.Time) {
 	if until.After(s.cooldownUntil) {
 		s.cooldownUntil = until
 	}
-	if b.policy.Has(KeepRest) {
+	if b.policy.Has(HonorCooldown) {
 		b.block(s, s.cooldownUntil)
 	}
 }
 
-// Leave records that an endpoint announced that it is leaving. It reports whether that is new.
-func (b *Book) Leave(now time.Time, e *Endpoint) bool {
+// RecordLeaving records that an endpoint announced that it is leaving. It reports whether that is new.
+func (b *EndpointStats) RecordLeaving(now time.Time, e *Endpoint) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.stateOf(e.Incarnation())
@@ -92,39 +92,39 @@
 
 // The values of Availability.
 const (
-	Wanted  Availability = iota // it accepts requests
-	Resting                     // it requested a cooldown
-	Leaving                     // it announced that it is leaving
+	Accepting   Availability = iota // it accepts requests
+	CoolingDown                     // it requested a cooldown
+	Leaving                         // it announced that it is leaving
 )
 
 // String returns the name used in logs and metrics.
 func (u Availability) String() string { return [...]string{"wanted", "resting", "leaving"}[u] }
 
-// Unwanted returns the current Availability of an endpoint. Leaving has precedence.
-func (b *Book) Unwanted(now time.Time, e *Endpoint) Availability {
+// Availability returns the current Availability of an endpoint. Leaving has precedence.
+func (b *EndpointStats) Availability(now time.Time, e *Endpoint) Availability {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.lookup(e.Incarnation())
 	switch {
 	case s == nil:
-		return Wanted
+		return Accepting
 	case s.isLeaving(now):
 		return Leaving
 	case now.Before(s.cooldownUntil):
-		return Resting
+		return CoolingDown
 	}
-	return Wanted
+	return Accepting
 }
 
-// Takes reports whether an endpoint's signals allow requests from this entry now, given the
+// AllowedBySignals reports whether an endpoint's signals allow requests from this entry now, given the
 // mechanisms that are on.
-func (b *Book) Takes(now time.Time, e *Endpoint) bool {
-	switch b.Unwanted(now, e) {
-	case Resting:
-		return !b.policy.Has(KeepRest)
+func (b *EndpointStats) AllowedBySignals(now time.Time, e *Endpoint) bool {
+	switch b.Availability(now, e) {
+	case CoolingDown:
+		return !b.policy.Has(HonorCooldown)
 	case Leaving:
 		return !b.policy.Has(AvoidLeaving)
-	case Wanted:
+	case Accepting:
 	}
 	return true
 }
--- a/internal/dispatch/cooldown_test.go
+++ b/internal/dispatch/cooldown_test.go
@@ -44,21 +44,21 @@
 		known bool // the incarnation is known before the cooldown is requested
 		want  Availability
 	}{
-		{"started before, unknown", 999_000, false, Resting},
-		{"started before, known, answered a request for the old incarnation", 999_000, true, Resting},
-		{"started after", 1_000_500, false, Wanted},
-		{"start unknown", 0, false, Wanted},
+		{"started before, unknown", 999_000, false, CoolingDown},
+		{"started before, known, answered a request for the old incarnation", 999_000, true, CoolingDown},
+		{"started after", 1_000_500, false, Accepting},
+		{"start unknown", 0, false, Accepting},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			b := NewBook("", 1, Policy{})
+			b := NewEndpointStats("", 1, Policy{})
 			restarted := &Endpoint{ID: "e", Born: test.born}
 			if test.known {
 				b.Begin(now, restarted, Work{})
 			}
-			b.Rest(now, old, 10*time.Second)
+			b.StartCooldown(now, old, 10*time.Second)
 			later := now.Add(time.Second)
-			assert.Equal(t, b.Unwanted(later, restarted), test.want)
-			assert.Equal(t, len(b.Unblocked(later, []*Endpoint{restarted})) == 0, test.want == Resting)
+			assert.Equal(t, b.Availability(later, restarted), test.want)
+			assert.Equal(t, len(b.Unblocked(later, []*Endpoint{restarted})) == 0, test.want == CoolingDown)
 			b.Sweep(now.Add(time.Minute))
 			assert.Equal(t, len(b.cooldowns), 0)
 		})
--- a/internal/dispatch/endpoint.go
+++ b/internal/dispatch/endpoint.go
@@ -40,13 +40,13 @@
 	return name == "" || len(e.Models) == 0 || slices.Contains(e.Models, name)
 }
 
-// Load is the load that an endpoint reported with an answer, in requests.
-type Load struct {
+// ReportedLoad is the load that an endpoint reported with an answer, in requests.
+type ReportedLoad struct {
 	Running, Waiting, Slots int
 }
 
 // Work is the size of one attempt at an endpoint.
 type Work struct {
-	Prompt int // tokens to prefill there
-	Memory int // maximum number of tokens held in its memory
+	PromptTokens int // tokens to prefill there
+	MemoryTokens int // maximum number of tokens held in its memory
 }
--- a/internal/dispatch/endpoint_stats.go
+++ b/internal/dispatch/endpoint_stats.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Book keeps one entry's statistics about the endpoints that it sends to. It is
+// EndpointStats keeps one entry's statistics about the endpoints that it sends to. It is
 // safe for concurrent use.
-type Book struct {
+type EndpointStats struct {
 	zone   string
 	policy Policy
 
@@ -22,13 +22,13 @@
 	cooldowns    map[string]requestedCooldown // latest of each endpoint, by endpoint ID
 }
 
-// NewBook returns empty statistics for an entry in the given zone. seed seeds the random part
+// NewEndpointStats returns empty statistics for an entry in the given zone. seed seeds the random part
 // of choices.
-func NewBook(zone string, seed uint64, policy Policy) *Book {
-	return &Book{zone: zone, policy: policy, random: rand.New(rand.NewPCG(seed, 1)), states: map[Incarnation]*endpointState{}, prefillSpeeds: map[string]*prefillSpeed{}, tokenDurationsNs: map[string]float64{}, cooldowns: map[string]requestedCooldown{}}
+func NewEndpointStats(zone string, seed uint64, policy Policy) *EndpointStats {
+	return &EndpointStats{zone: zone, policy: policy, random: rand.New(rand.NewPCG(seed, 1)), states: map[Incarnation]*endpointState{}, prefillSpeeds: map[string]*prefillSpeed{}, tokenDurationsNs: map[string]float64{}, cooldowns: map[string]requestedCooldown{}}
 }
 
-func (b *Book) stateOf(id Incarnation) *endpointState {
+func (b *EndpointStats) stateOf(id Incarnation) *endpointState {
 	s := b.states[id]
 	if s == nil {
 		s = &endpointState{}
@@ -39,7 +39,7 @@
 
 // lookup returns the state of an endpoint, with a cooldown that was requested under its
 // ID; nil if there is neither.
-func (b *Book) lookup(id Incarnation) *endpointState {
+func (b *EndpointStats) lookup(id Incarnation) *endpointState {
 	if c := b.cooldowns[id.ID]; c.appliesTo(id) {
 		b.applyCooldown(b.stateOf(id), c.until)
 	}
@@ -47,13 +47,13 @@
 }
 
 // Begin records the start of an attempt; End must follow.
-func (b *Book) Begin(now time.Time, e *Endpoint, w Work) {
+func (b *EndpointStats) Begin(now time.Time, e *Endpoint, w Work) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.stateOf(e.Incarnation())
 	s.ownInFlight++
-	s.promptTokens += w.Prompt
-	s.memoryTokens += w.Memory
+	s.promptTokens += w.PromptTokens
+	s.memoryTokens += w.MemoryTokens
 	s.lastUsed = now
 	if s.consecutiveFailures > 0 {
 		s.trialInFlight = true
@@ -61,19 +61,19 @@
 }
 
 // End records the end of an attempt. w must equal the argument of Begin.
-func (b *Book) End(now time.Time, e *Endpoint, w Work, o Outcome) {
+func (b *EndpointStats) End(now time.Time, e *Endpoint, w Work, o Outcome) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.stateOf(e.Incarnation())
 	s.ownInFlight--
-	s.promptTokens -= w.Prompt
-	s.memoryTokens -= w.Memory
+	s.promptTokens -= w.PromptTokens
+	s.memoryTokens -= w.MemoryTokens
 	s.lastUsed = now
 	s.recordOutcome(now, o, b.policy)
 }
 
-// Note records the outcome of a call that was not recorded by Begin.
-func (b *Book) Note(now time.Time, e *Endpoint, o Outcome) {
+// RecordOutcome records the outcome of a call that was not recorded by Begin.
+func (b *EndpointStats) RecordOutcome(now time.Time, e *Endpoint, o Outcome) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.stateOf(e.Incarnation()).recordOutcome(now, o, b.policy)
@@ -90,19 +90,19 @@
 	case OutcomeFull:
 		s.consecutiveFailures, s.trialInFlight = 0, false
 		s.refusedAt = now
-	case OutcomeMisfit:
+	case OutcomeWrongIncarnation:
 		s.wrongIncarnations++
 		s.trialInFlight = false
 		s.eject(now, wrongIncarnationEjection)
 	case OutcomeUnreachable:
 		s.failureShare += (1 - s.failureShare) * failureWeight
-		if policy.Has(PassOver) {
+		if policy.Has(Ejection) {
 			s.recordUnreachable(now)
 		}
 	case OutcomeLost:
 		s.failureShare += (1 - s.failureShare) * 2 * failureWeight
 		s.trialInFlight = false
-	case OutcomeGivenUp:
+	case OutcomeCanceled:
 		s.trialInFlight = false
 	}
 }
@@ -120,8 +120,8 @@
 	}
 }
 
-// Told records the load that an endpoint reported with an answer.
-func (b *Book) Told(now time.Time, e *Endpoint, l Load) {
+// RecordLoad records the load that an endpoint reported with an answer.
+func (b *EndpointStats) RecordLoad(now time.Time, e *Endpoint, l ReportedLoad) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.stateOf(e.Incarnation())
@@ -129,15 +129,15 @@
 	s.reportedAt = now
 }
 
-// Full records that an endpoint rejected a request for lack of memory or capacity.
-func (b *Book) Full(now time.Time, e *Endpoint) {
+// RecordFull records that an endpoint rejected a request for lack of memory or capacity.
+func (b *EndpointStats) RecordFull(now time.Time, e *Endpoint) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.stateOf(e.Incarnation()).fullAt = now
 }
 
-// Refuses reports whether an endpoint has rejected an attempt recently.
-func (b *Book) Refuses(now time.Time, e *Endpoint) bool {
+// RefusedRecently reports whether an endpoint has rejected an attempt recently.
+func (b *EndpointStats) RefusedRecently(now time.Time, e *Endpoint) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.states[e.Incarnation()]
@@ -145,10 +145,10 @@
 }
 
 // Zone returns the entry's zone.
-func (b *Book) Zone() string { return b.zone }
+func (b *EndpointStats) Zone() string { return b.zone }
 
-// PassedOver returns the IDs of the endpoints that are ejected or blocked now.
-func (b *Book) PassedOver(now time.Time, endpoints []*Endpoint) []string {
+// UnavailableIDs returns the IDs of the endpoints that are ejected or blocked now.
+func (b *EndpointStats) UnavailableIDs(now time.Time, endpoints []*Endpoint) []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var list []string
@@ -162,7 +162,7 @@
 
 // Sweep removes expired cooldowns and the state of endpoints that have been idle for
 // idleStateTimeout, unless they are blocked, leaving or in a cooldown.
-func (b *Book) Sweep(now time.Time) {
+func (b *EndpointStats) Sweep(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for id, s := range b.states {
--- a/internal/dispatch/memory_wait.go
+++ b/internal/dispatch/memory_wait.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Waiting decides how long a request waits for memory at the endpoints.
+// MemoryWait decides how long a request waits for memory at the endpoints.
 //
 // Load pattern: requests need more memory than there is, for some seconds in a
 // burst or permanently. A request that has missed its target would take memory
@@ -10,12 +10,12 @@
 // in the order of their arrival makes the worst use of memory. So a request polls
 // for memory while its target can be met, at any entry and without coordination
 // between entries, and after that its caller is told at once when to repeat.
-type Waiting struct {
-	Target   time.Duration // until the first part of the answer; 0 for none
-	Patience time.Duration // until the end of the answer
-	Silence  time.Duration // after which a caller that received nothing disconnects
-	Start    time.Duration // usual time from reserved memory to the first part
-	Length   time.Duration // expected duration of the answer
+type MemoryWait struct {
+	TargetLatency  time.Duration // until the first part of the answer; 0 for none
+	CallerTimeout  time.Duration // until the end of the answer
+	IdleTimeout    time.Duration // after which a caller that received nothing disconnects
+	StartLatency   time.Duration // usual time from reserved memory to the first part
+	AnswerDuration time.Duration // expected duration of the answer
 }
 
 // The parameters of a wait for memory.
@@ -29,24 +29,24 @@
 	lateStartLatency = 800 * time.Millisecond
 )
 
-// Left returns how long a request that has waited for the given time may still wait.
-func (w Waiting) Left(waited time.Duration) time.Duration {
-	left := w.Patience - w.Length
-	if w.Target > 0 {
-		left = min(left, w.Target)
+// Remaining returns how long a request that has waited for the given time may still wait.
+func (w MemoryWait) Remaining(waited time.Duration) time.Duration {
+	left := w.CallerTimeout - w.AnswerDuration
+	if w.TargetLatency > 0 {
+		left = min(left, w.TargetLatency)
 	}
-	return left - w.Start - waited
+	return left - w.StartLatency - waited
 }
 
-// Pause returns the delay until a request that has waited for the given time polls
+// NextPoll returns the delay until a request that has waited for the given time polls
 // again; giveUp is true if its answer can no longer be in time.
-func (w Waiting) Pause(waited time.Duration) (delay time.Duration, giveUp bool) {
+func (w MemoryWait) NextPoll(waited time.Duration) (delay time.Duration, giveUp bool) {
 	switch {
-	case w.Patience > 0 && waited+w.Start+w.Length > w.Patience:
+	case w.CallerTimeout > 0 && waited+w.StartLatency+w.AnswerDuration > w.CallerTimeout:
 		return 0, true
-	case w.Silence > 0 && waited+lateStartLatency > w.Silence:
+	case w.IdleTimeout > 0 && waited+lateStartLatency > w.IdleTimeout:
 		return 0, true
-	case w.Target > 0 && waited+w.Start >= w.Target:
+	case w.TargetLatency > 0 && waited+w.StartLatency >= w.TargetLatency:
 		return 0, true
 	}
 	return pollInterval, false
--- a/internal/dispatch/outcome.go
+++ b/internal/dispatch/outcome.go
@@ -11,14 +11,14 @@
 	OutcomeFailed
 	// OutcomeFull: the endpoint had no capacity and did not run the request.
 	OutcomeFull
-	// OutcomeMisfit: another incarnation answered at the address.
-	OutcomeMisfit
+	// OutcomeWrongIncarnation: another incarnation answered at the address.
+	OutcomeWrongIncarnation
 	// OutcomeUnreachable: no connection could be opened.
 	OutcomeUnreachable
 	// OutcomeLost: the request was sent and no complete answer arrived.
 	OutcomeLost
-	// OutcomeGivenUp: the caller disconnected, or the deadline passed.
-	OutcomeGivenUp
+	// OutcomeCanceled: the caller disconnected, or the deadline passed.
+	OutcomeCanceled
 )
 
 // String returns the name used in logs.
--- a/internal/dispatch/policy.go
+++ b/internal/dispatch/policy.go
@@ -12,44 +12,44 @@
 
 // The mechanisms. Each is on unless the settings switch it off.
 const (
-	// MemoryFirst reserves memory at the decode endpoint before the prompt is
+	// ReserveMemoryFirst reserves memory at the decode endpoint before the prompt is
 	// prefilled. Off: prefill runs first.
-	MemoryFirst Mechanism = "memory-first"
-	// EndAtTarget ends a request's wait for memory once its target can no longer
+	ReserveMemoryFirst Mechanism = "memory-first"
+	// EndWaitAtTarget ends a request's wait for memory once its target can no longer
 	// be met. Off: it waits as long as its caller does.
-	EndAtTarget Mechanism = "end-at-target"
-	// OwnReading runs prefill on the decode endpoint (local prefill) if the prefill
+	EndWaitAtTarget Mechanism = "end-at-target"
+	// AllowLocalPrefill runs prefill on the decode endpoint (local prefill) if the prefill
 	// endpoints are too busy. Off: prompts wait for a prefill endpoint.
-	OwnReading Mechanism = "own-reading"
-	// ReturnedReadOwn runs local prefill for a stream that its caller resumes after
+	AllowLocalPrefill Mechanism = "own-reading"
+	// LocalPrefillOnResume runs local prefill for a stream that its caller resumes after
 	// some events. Off: its prompt goes to a prefill endpoint like any other.
-	ReturnedReadOwn Mechanism = "returned-read-own"
-	// SeenWaits includes the observed waits of earlier prompts at an endpoint in its
+	LocalPrefillOnResume Mechanism = "returned-read-own"
+	// ObservedWaits includes the observed waits of earlier prompts at an endpoint in its
 	// cost. Off: only this entry's own prompts and the reported load count.
-	SeenWaits Mechanism = "seen-waits"
-	// Ranks sends the priority of each request to the engine. Off: all are equal.
-	Ranks Mechanism = "ranks"
-	// PassOver ejects unreachable endpoints for a while. Off: only their failure
+	ObservedWaits Mechanism = "seen-waits"
+	// EnginePriorities sends the priority of each request to the engine. Off: all are equal.
+	EnginePriorities Mechanism = "ranks"
+	// Ejection ejects unreachable endpoints for a while. Off: only their failure
 	// share counts against them.
-	PassOver Mechanism = "pass-over"
-	// Staging changes the stage of endpoints between prefill and decode. Off: they
+	Ejection Mechanism = "pass-over"
+	// StageChanges changes the stage of endpoints between prefill and decode. Off: they
 	// keep the stage with which they registered.
-	Staging Mechanism = "staging"
-	// Allotment has the home of a service choose the endpoint of a model request.
+	StageChanges Mechanism = "staging"
+	// HomeReservation has the home of a service choose the endpoint of a model request.
 	// Off: each entry asks endpoints, chosen by its own statistics.
-	Allotment Mechanism = "allotment"
-	// AwaitWord holds requests with a key, at an entry that has just started, until the
+	HomeReservation Mechanism = "allotment"
+	// AwaitLatestConfig holds requests with a key, at an entry that has just started, until the
 	// entry knows that its configuration is the latest. Off: they are told to repeat.
-	AwaitWord Mechanism = "await-word"
-	// QuotaReturn has callers whose team has spent its quota repeat the request within
+	AwaitLatestConfig Mechanism = "await-word"
+	// QuotaRepeatInTarget has callers whose team has spent its quota repeat the request within
 	// its target. Off: as late as after a rejection for lack of capacity.
-	QuotaReturn Mechanism = "quota-return"
-	// KeepLimits enforces the rate limits that endpoints name, across all entries. Off:
+	QuotaRepeatInTarget Mechanism = "quota-return"
+	// EnforceLimits enforces the rate limits that endpoints name, across all entries. Off:
 	// their limits are ignored.
-	KeepLimits Mechanism = "keep-limits"
-	// KeepRest sends nothing to an endpoint during a cooldown that it requested from this
+	EnforceLimits Mechanism = "keep-limits"
+	// HonorCooldown sends nothing to an endpoint during a cooldown that it requested from this
 	// entry. Off: it is chosen like any other.
-	KeepRest Mechanism = "keep-rest"
+	HonorCooldown Mechanism = "keep-rest"
 	// AvoidLeaving sends nothing to an endpoint that announced on an answer that it is
 	// leaving. Off: it is chosen until it is no longer listed.
 	AvoidLeaving Mechanism = "avoid-leaving"
@@ -62,8 +62,8 @@
 )
 
 var mechanisms = []Mechanism{
-	MemoryFirst, EndAtTarget, OwnReading, ReturnedReadOwn, SeenWaits, Ranks, PassOver, Staging, Allotment,
-	AwaitWord, QuotaReturn, QuotaReserve, KeepLimits, KeepRest, AvoidLeaving, Quarantine,
+	ReserveMemoryFirst, EndWaitAtTarget, AllowLocalPrefill, LocalPrefillOnResume, ObservedWaits, EnginePriorities, Ejection, StageChanges, HomeReservation,
+	AwaitLatestConfig, QuotaRepeatInTarget, QuotaReserve, EnforceLimits, HonorCooldown, AvoidLeaving, Quarantine,
 }
 
 // Policy is the set of mechanisms that are switched off. The zero Policy has all
--- a/internal/dispatch/prefill.go
+++ b/internal/dispatch/prefill.go
@@ -13,10 +13,10 @@
 // prefillSpeed is the highest prefill speed measured lately: slower prompts waited.
 type prefillSpeed struct{ tokensPerSecond float64 }
 
-// HaveRead records that prefill of a prompt took the given time at an endpoint,
+// RecordPrefill records that prefill of a prompt took the given time at an endpoint,
 // including its wait there. The wait is the best evidence of other entries' prompts:
 // their number is only reported with this entry's own answers.
-func (b *Book) HaveRead(now time.Time, e *Endpoint, tokens int, took time.Duration) {
+func (b *EndpointStats) RecordPrefill(now time.Time, e *Endpoint, tokens int, took time.Duration) {
 	if took <= 0 || tokens <= 0 {
 		return
 	}
@@ -34,9 +34,9 @@
 	s.waitObservedAt = now
 }
 
-// ReadingTime returns the expected prefill duration of a prompt, including its wait.
+// EstimatePrefillDuration returns the expected prefill duration of a prompt, including its wait.
 // queued is the work ahead of it, in multiples of its own prefill duration.
-func (b *Book) ReadingTime(service string, tokens int, queued float64) time.Duration {
+func (b *EndpointStats) EstimatePrefillDuration(service string, tokens int, queued float64) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	tokensPerSecond := float64(initialPrefillTokensPerSecond)
@@ -46,7 +46,7 @@
 	return time.Duration((1 + queued) * float64(tokens) / tokensPerSecond * float64(time.Second))
 }
 
-// Reading decides whether a prompt is prefilled by a prefill endpoint or by the
+// PrefillPlacement decides whether a prompt is prefilled by a prefill endpoint or by the
 // decode endpoint that generates its answer.
 //
 // Load pattern: some prefill endpoints are lost under load, and the remaining ones
@@ -55,23 +55,23 @@
 // spare. A decode endpoint prefills at half the speed and between the tokens of the
 // streams that it generates, so a long prompt would delay these streams beyond
 // their maximum gap.
-type Reading struct {
-	Gap    time.Duration // maximum gap between events of the streams on the decode endpoint; 0 for none
-	Policy Policy
+type PrefillPlacement struct {
+	MaxEventGap time.Duration // maximum gap between events of the streams on the decode endpoint; 0 for none
+	Policy      Policy
 }
 
-// Place is where a prompt is prefilled.
-type Place int
+// PrefillMode is where a prompt is prefilled.
+type PrefillMode int
 
 // The places where a prompt is prefilled.
 const (
-	PlaceReader Place = iota // by a prefill endpoint
-	PlaceOwn                 // by the decode endpoint that generates the answer
-	PlaceLater               // nowhere yet: the prompt has to wait
+	PrefillRemote   PrefillMode = iota // by a prefill endpoint
+	PrefillLocal                       // by the decode endpoint that generates the answer
+	PrefillDeferred                    // nowhere yet: the prompt has to wait
 )
 
 // String returns the name used in logs and metrics.
-func (p Place) String() string { return [...]string{"reader", "own", "later"}[p] }
+func (p PrefillMode) String() string { return [...]string{"reader", "own", "later"}[p] }
 
 // The parameters of prefill placement.
 const (
@@ -89,24 +89,24 @@
 
 // Bounds returns the longest acceptable wait at a prefill endpoint for a prompt whose
 // prefill alone takes the given time there, and whether local prefill is allowed.
-func (r Reading) Bounds(alone time.Duration) (maxBacklog time.Duration, allowLocal bool) {
+func (r PrefillPlacement) Bounds(alone time.Duration) (maxBacklog time.Duration, allowLocal bool) {
 	local := localPrefillFactor * alone
 	return max(maxRemotePrefillDuration, local) - alone, r.allowsLocalPrefill(local)
 }
 
-func (r Reading) allowsLocalPrefill(local time.Duration) bool {
-	return r.Policy.Has(OwnReading) && (r.Gap == 0 || local <= time.Duration(eventGapShare*float64(r.Gap)))
+func (r PrefillPlacement) allowsLocalPrefill(local time.Duration) bool {
+	return r.Policy.Has(AllowLocalPrefill) && (r.MaxEventGap == 0 || local <= time.Duration(eventGapShare*float64(r.MaxEventGap)))
 }
 
 // Choose returns where a prompt is prefilled. alone is its prefill duration at a
 // prefill endpoint without other prompts, total the duration including its wait.
-func (r Reading) Choose(alone, total time.Duration) Place {
+func (r PrefillPlacement) Choose(alone, total time.Duration) PrefillMode {
 	local := localPrefillFactor * alone
 	if total <= max(maxRemotePrefillDuration, 2*alone) || total <= local {
-		return PlaceReader
+		return PrefillRemote
 	}
 	if r.allowsLocalPrefill(local) {
-		return PlaceOwn
+		return PrefillLocal
 	}
-	return PlaceLater
+	return PrefillDeferred
 }
--- a/internal/endpoint/acquire_test.go
+++ b/internal/endpoint/acquire_test.go
@@ -65,14 +65,14 @@
 
 		first := other.mustAcquire(t, "x1")
 		home.mustAcquire(t, "x2")
-		_, refusal, err := other.client.Take(t.Context(), grantRequest("e1", "x3", 0))
+		_, refusal, err := other.client.Acquire(t.Context(), grantRequest("e1", "x3", 0))
 		assert.NilError(t, err)
 		assert.Equal(t, refusal.Status, pb.GrantStatus_GRANT_STATUS_FULL)
 		assert.Assert(t, refusal.RetryAfter > 0)
 		assert.Assert(t, other.client.Running("x1"))
 		assert.Assert(t, !other.client.Running("x3"))
 
-		other.client.Give(Release{Grant: *first, Reason: pb.ReleaseReason_RELEASE_REASON_COMPLETED, OutputTokens: 10, Busy: time.Second})
+		other.client.Release(Release{Grant: *first, Reason: pb.ReleaseReason_RELEASE_REASON_COMPLETED, OutputTokens: 10, Busy: time.Second})
 		synctest.Wait()
 		assert.Assert(t, !other.client.Running("x1"))
 		other.mustAcquire(t, "x4")
--- a/internal/endpoint/concurrent_test.go
+++ b/internal/endpoint/concurrent_test.go
@@ -29,8 +29,8 @@
 					r := grantRequest("e1", fmt.Sprint("x", n, "-", m), time.Duration(random.IntN(3000))*time.Millisecond)
 					r.Team = []fleet.Team{"sorters", "archive"}[n%2]
 					began := time.Now()
-					grant, _, err := client.Take(t.Context(), r)
-					if time.Since(began) > r.Wait+100*time.Millisecond {
+					grant, _, err := client.Acquire(t.Context(), r)
+					if time.Since(began) > r.MaxWait+100*time.Millisecond {
 						overdue.Add(1)
 					}
 					if err != nil || grant == nil {
@@ -43,7 +43,7 @@
 					served.Add(1)
 					time.Sleep(time.Duration(random.IntN(2500)) * time.Millisecond)
 					inUse.Add(-1)
-					client.Give(Release{Grant: *grant, Reason: pb.ReleaseReason_RELEASE_REASON_COMPLETED, OutputTokens: 50, Busy: time.Second})
+					client.Release(Release{Grant: *grant, Reason: pb.ReleaseReason_RELEASE_REASON_COMPLETED, OutputTokens: 50, Busy: time.Second})
 				}
 			})
 		}
--- a/internal/endpoint/contract.go
+++ b/internal/endpoint/contract.go
@@ -22,7 +22,7 @@
 	Slots          int
 	Granted        int
 	Queued         int
-	NextFree       time.Duration // predicted wait for a slot
+	SlotWait       time.Duration // predicted wait for a slot
 	QueuedWork     time.Duration // predicted prefill work ahead
 	TokenTime      time.Duration // time between tokens at its current batch
 	CachedPrefixes map[uint64]struct{}
@@ -46,7 +46,7 @@
 	Model          engineapi.ModelRef
 	PromptTokens   int
 	ExpectedTokens int
-	Wait           time.Duration // maximum time in the home's queue
+	MaxWait        time.Duration // maximum time in the home's queue
 	Lead           time.Duration // how long before the slot is free it may be granted
 	// MaxPredictedWait makes the home refuse the request if it predicts a
 	// longer wait: for a slot, and for a prefill also for the work before it.
@@ -90,16 +90,16 @@
 // slots.
 type Follower interface {
 	Candidates(q Query) []Candidate
-	// Surveyed returns when the first poll of all followed homes ended after
+	// FirstPollTime returns when the first poll of all followed homes ended after
 	// this process joined. It returns false before that; a lack of candidates
 	// then means nothing.
-	Surveyed() (time.Time, bool)
-	// Take requests a slot from the endpoint's home. If err is nil, exactly one
+	FirstPollTime() (time.Time, bool)
+	// Acquire requests a slot from the endpoint's home. If err is nil, exactly one
 	// of grant and refusal is set.
-	Take(ctx context.Context, r GrantRequest) (grant *Grant, refusal *Refusal, err error)
-	// Give releases a slot without blocking. It retries in the background until
+	Acquire(ctx context.Context, r GrantRequest) (grant *Grant, refusal *Refusal, err error)
+	// Release releases a slot without blocking. It retries in the background until
 	// the home has confirmed, for at most two grant lifetimes.
-	Give(r Release)
+	Release(r Release)
 	// Running reports whether this daemon still runs the attempt. The home's
 	// sweep uses it.
 	Running(attempt fleet.AttemptID) bool
--- a/internal/endpoint/core_grant.go
+++ b/internal/endpoint/core_grant.go
@@ -228,7 +228,7 @@
 		owner:     w.request.owner,
 		grantedAt: now,
 		expiresAt: now.Add(ready + c.limits.GrantLife),
-		ownerSeen: c.view.Holds(w.request.owner),
+		ownerSeen: c.view.Contains(w.request.owner),
 	}
 	c.applyRequest(h, w.request)
 	r.holds[h.key] = h
--- a/internal/endpoint/core_sweep.go
+++ b/internal/endpoint/core_sweep.go
@@ -29,7 +29,7 @@
 		return
 	}
 	for _, h := range r.holds {
-		if c.view.Holds(h.owner) {
+		if c.view.Contains(h.owner) {
 			h.ownerSeen = true
 		}
 		switch {
@@ -49,7 +49,7 @@
 // An owner that this home has never seen may have joined by a view that has not
 // arrived here yet, for no longer than SettingsLease.
 func (c *core) ownerLeft(now time.Time, h *hold) bool {
-	if !c.current || c.view.Holds(h.owner) {
+	if !c.current || c.view.Contains(h.owner) {
 		return false
 	}
 	i, there := c.view.Instances[h.owner.Instance]
--- a/internal/endpoint/crash_test.go
+++ b/internal/endpoint/crash_test.go
@@ -156,7 +156,7 @@
 				defer d.stop()
 				lost := 2
 				reports := 0
-				d.home.options.Crash = func(context.Context, *pb.ReportCrash) error {
+				d.home.options.ReportCrash = func(context.Context, *pb.ReportCrash) error {
 					if lost--; lost >= 0 {
 						return errReplyLost
 					}
@@ -170,7 +170,7 @@
 				d.heartbeat(a, 2)
 				r := grantRequest("e1", "x", 0)
 				r.Fingerprint = suspect
-				grant, _, err := d.client.Take(t.Context(), r)
+				grant, _, err := d.client.Acquire(t.Context(), r)
 				assert.NilError(t, err)
 				assert.Assert(t, grant != nil)
 				time.Sleep(4 * time.Second)
--- a/internal/endpoint/fakes_test.go
+++ b/internal/endpoint/fakes_test.go
@@ -179,9 +179,9 @@
 	d := &daemon{source: testkit.NewSource(self, &membership.State{View: view}), engine: &fakeEngine{}}
 	d.home = NewHome(HomeOptions{
 		Source: d.source, Engine: d.engine, Dialer: n, Seed: 1,
-		CheckKey: func(k string) bool { return k == "key" },
-		Running:  func(a fleet.AttemptID) bool { return d.client.Running(a) },
-		Crash:    func(context.Context, *pb.ReportCrash) error { return nil },
+		CheckKey:    func(k string) bool { return k == "key" },
+		Running:     func(a fleet.AttemptID) bool { return d.client.Running(a) },
+		ReportCrash: func(context.Context, *pb.ReportCrash) error { return nil },
 	})
 	d.client = NewFollower(FollowerOptions{Source: d.source, Dialer: n, Home: d.home})
 	n.serve(t, self.RPCAddress, d.home)
@@ -224,13 +224,13 @@
 
 func grantRequest(endpoint, attempt string, wait time.Duration) GrantRequest {
 	return GrantRequest{Endpoint: fleet.EndpointID(endpoint), Kind: fleet.RoleDecode, Attempt: fleet.AttemptID(attempt),
-		Team: "sorters", Model: model, ExpectedTokens: 100, Wait: wait, Share: 1}
+		Team: "sorters", Model: model, ExpectedTokens: 100, MaxWait: wait, Share: 1}
 }
 
 // mustAcquire acquires a slot of e1, which must be free.
 func (d *daemon) mustAcquire(t *testing.T, attempt string) *Grant {
 	t.Helper()
-	grant, refusal, err := d.client.Take(t.Context(), grantRequest("e1", attempt, 0))
+	grant, refusal, err := d.client.Acquire(t.Context(), grantRequest("e1", attempt, 0))
 	assert.NilError(t, err)
 	assert.Assert(t, grant != nil, "refused: %v", refusal)
 	return grant
@@ -238,7 +238,7 @@
 
 // finish releases a grant whose output is complete.
 func (d *daemon) finish(g *Grant) {
-	d.client.Give(Release{Grant: *g, Reason: pb.ReleaseReason_RELEASE_REASON_COMPLETED})
+	d.client.Release(Release{Grant: *g, Reason: pb.ReleaseReason_RELEASE_REASON_COMPLETED})
 }
 
 // candidates counts d's candidates in the near zone.
--- a/internal/endpoint/firstpoll_test.go
+++ b/internal/endpoint/firstpoll_test.go
@@ -18,18 +18,18 @@
 		d := startDaemon(t, net, a, viewOf(1))
 		defer d.stop()
 		time.Sleep(2 * minPollInterval)
-		_, done := d.client.Surveyed()
+		_, done := d.client.FirstPollTime()
 		assert.Assert(t, !done)
 
 		joined := time.Now()
 		d.setView(viewOf(2, a, b))
 		time.Sleep(2 * minPollInterval)
-		at, done := d.client.Surveyed()
+		at, done := d.client.FirstPollTime()
 		assert.Assert(t, done)
 		assert.Assert(t, at.Sub(joined) <= minPollInterval)
 
 		time.Sleep(4 * minPollInterval)
-		later, _ := d.client.Surveyed()
+		later, _ := d.client.FirstPollTime()
 		assert.Equal(t, later, at)
 	})
 }
--- a/internal/endpoint/followedendpoint.go
+++ b/internal/endpoint/followedendpoint.go
@@ -126,12 +126,12 @@
 	*into = r.static
 	into.Granted = max(f.granted+int(r.inFlight.Load()), 0)
 	into.Queued = f.queued
-	into.NextFree = f.nextFree
+	into.SlotWait = f.nextFree
 	into.QueuedWork = f.queuedWork
 	into.TokenTime = f.tokenTime
 	into.CachedPrefixes = f.cached
 	if f.queued == 0 && into.Granted < into.Slots && f.granted >= into.Slots {
-		into.NextFree = 0 // a slot was released since the digest
+		into.SlotWait = 0 // a slot was released since the digest
 	}
 	return true
 }
--- a/internal/endpoint/follower.go
+++ b/internal/endpoint/follower.go
@@ -46,8 +46,8 @@
 
 // NewFollower returns a HomeClient that knows no endpoint yet.
 func NewFollower(o FollowerOptions) *HomeClient {
-	if o.Homes <= 0 {
-		o.Homes = DefaultMaxHomes
+	if o.MaxHomes <= 0 {
+		o.MaxHomes = DefaultMaxHomes
 	}
 	f := &HomeClient{
 		options:        o,
@@ -69,8 +69,8 @@
 	return f.index.Load().candidates(time.Now(), q)
 }
 
-// Surveyed implements Follower.
-func (f *HomeClient) Surveyed() (time.Time, bool) {
+// FirstPollTime implements Follower.
+func (f *HomeClient) FirstPollTime() (time.Time, bool) {
 	at := f.firstPollEnd.Load()
 	if at == nil {
 		return time.Time{}, false
@@ -126,13 +126,13 @@
 // maxDigestAge.
 func (f *HomeClient) pollInterval() time.Duration {
 	entries := len(f.options.Source.State().View.Instances)
-	homes := min(entries, f.options.Homes)
+	homes := min(entries, f.options.MaxHomes)
 	return min(max(time.Duration(homes)*pollIntervalPerHome, minPollInterval), maxPollInterval)
 }
 
 // pollAll polls the followed homes once, pollWorkers at a time.
 func (f *HomeClient) pollAll(ctx context.Context) {
-	homes := homesToFollow(f.options.Source.Self(), f.options.Source.State().View, f.options.Homes)
+	homes := homesToFollow(f.options.Source.Self(), f.options.Source.State().View, f.options.MaxHomes)
 	f.dropUnfollowed(homes)
 	limit := make(chan struct{}, pollWorkers)
 	var calls sync.WaitGroup
--- a/internal/endpoint/follower_acquire.go
+++ b/internal/endpoint/follower_acquire.go
@@ -13,8 +13,8 @@
 // acquireCallMargin is added to a request's maximum wait to bound the call.
 const acquireCallMargin = time.Second
 
-// Take implements Follower.
-func (f *HomeClient) Take(ctx context.Context, r GrantRequest) (*Grant, *Refusal, error) {
+// Acquire implements Follower.
+func (f *HomeClient) Acquire(ctx context.Context, r GrantRequest) (*Grant, *Refusal, error) {
 	x := f.index.Load()
 	target, ok := x.byID[r.Endpoint]
 	if !ok {
@@ -42,7 +42,7 @@
 		Kind:           string(r.Kind),
 		PromptTokens:   uint32(max(r.PromptTokens, 0)),
 		ExpectedTokens: uint32(max(r.ExpectedTokens, 0)),
-		WaitMs:         uint64(max(r.Wait, 0).Milliseconds()),
+		WaitMs:         uint64(max(r.MaxWait, 0).Milliseconds()),
 		LeadMs:         uint64(max(r.Lead, 0).Milliseconds()),
 		Share:          r.Share,
 		Alone:          r.Alone,
@@ -76,7 +76,7 @@
 		if callerCtx.Err() == nil {
 			f.markHomeStale(target.home)
 		}
-		f.Give(Release{Grant: Grant{Endpoint: key.endpoint, Attempt: key.hold.attempt, Kind: key.hold.kind},
+		f.Release(Release{Grant: Grant{Endpoint: key.endpoint, Attempt: key.hold.attempt, Kind: key.hold.kind},
 			Reason: pb.ReleaseReason_RELEASE_REASON_UNUSED})
 		return nil, nil, trace.Wrap(err, "home of endpoint %s", key.endpoint)
 	}
--- a/internal/endpoint/follower_options.go
+++ b/internal/endpoint/follower_options.go
@@ -17,7 +17,7 @@
 	Recorder   timeline.Recorder
 	Part       logging.Part
 	Registerer prometheus.Registerer
-	Homes      int // maximum number of homes to follow, default DefaultMaxHomes
+	MaxHomes   int // maximum number of homes to follow, default DefaultMaxHomes
 	Seed       uint64
 }
 
--- a/internal/endpoint/follower_release.go
+++ b/internal/endpoint/follower_release.go
@@ -24,8 +24,8 @@
 	releaseRetryGrantLives = 2 // grant lifetimes; by then the home knows from held lists
 )
 
-// Give implements Follower.
-func (f *HomeClient) Give(r Release) {
+// Release implements Follower.
+func (f *HomeClient) Release(r Release) {
 	key := slotKey{r.Grant.Endpoint, holdKey{r.Grant.Attempt, r.Grant.Kind}}
 	t := f.untrack(key)
 	if t == nil {
--- a/internal/endpoint/home.go
+++ b/internal/endpoint/home.go
@@ -201,11 +201,11 @@
 
 func (h *Home) reportCrash(ctx context.Context, r *pb.ReportCrash) {
 	h.recordSuspects(r)
-	if h.options.Crash == nil {
+	if h.options.ReportCrash == nil {
 		return
 	}
 	for ctx.Err() == nil {
-		err := h.options.Crash(ctx, r)
+		err := h.options.ReportCrash(ctx, r)
 		if err == nil {
 			return
 		}
--- a/internal/endpoint/home_options.go
+++ b/internal/endpoint/home_options.go
@@ -25,9 +25,9 @@
 	Part       logging.Part
 	Registerer prometheus.Registerer
 	Seed       uint64
-	// Crash reports a crash to the control group. It is retried until it
+	// ReportCrash reports a crash to the control group. It is retried until it
 	// returns nil.
-	Crash func(ctx context.Context, report *pb.ReportCrash) error
+	ReportCrash func(ctx context.Context, report *pb.ReportCrash) error
 	// CheckKey reports whether a bearer key is the fleet's endpoint key.
 	CheckKey func(key string) bool
 	// Running reports whether this daemon still runs an attempt, as
--- a/internal/endpoint/http_test.go
+++ b/internal/endpoint/http_test.go
@@ -154,7 +154,7 @@
 		first := other.mustAcquire(t, "x1")
 		hurried, stop := context.WithTimeout(t.Context(), 50*time.Millisecond)
 		defer stop()
-		_, _, err := other.client.Take(hurried, grantRequest("e1", "x2", 3*time.Second))
+		_, _, err := other.client.Acquire(hurried, grantRequest("e1", "x2", 3*time.Second))
 		assert.Assert(t, err != nil)
 		time.Sleep(50 * time.Millisecond)
 		other.finish(first)
--- a/internal/endpoint/leaving_test.go
+++ b/internal/endpoint/leaving_test.go
@@ -15,9 +15,9 @@
 // usable reports whether an entry may start new work on the endpoint now: with
 // a new slot, or with one of its earlier grants.
 func (d *daemon) usable(t *testing.T, attempt string, earlierGrants ...*Grant) bool {
-	grant, _, _ := d.client.Take(t.Context(), grantRequest("e1", attempt, 0))
+	grant, _, _ := d.client.Acquire(t.Context(), grantRequest("e1", attempt, 0))
 	if grant != nil {
-		d.client.Give(Release{Grant: *grant, Reason: pb.ReleaseReason_RELEASE_REASON_UNUSED})
+		d.client.Release(Release{Grant: *grant, Reason: pb.ReleaseReason_RELEASE_REASON_UNUSED})
 		return true
 	}
 	for _, g := range earlierGrants {
@@ -96,7 +96,7 @@
 		var reply engineapi.LeaveReply
 		other.post("/v1/endpoints/leave", engineapi.Leave{ID: "e1", Incarnation: 1}, &reply)
 		assert.Assert(t, reply.Spread)
-		_, refusal, err := other.client.Take(t.Context(), grantRequest("e1", "x", 0))
+		_, refusal, err := other.client.Acquire(t.Context(), grantRequest("e1", "x", 0))
 		assert.NilError(t, err)
 		assert.Equal(t, refusal.Status, pb.GrantStatus_GRANT_STATUS_LEAVING)
 		time.Sleep(minPollInterval + 10*time.Millisecond)
@@ -121,7 +121,7 @@
 		}
 		assert.Equal(t, other.candidates(), 1)
 		net.setCut(home.rpcAddress(), true)
-		_, _, err := other.client.Take(t.Context(), grantRequest("e1", "x", 0))
+		_, _, err := other.client.Acquire(t.Context(), grantRequest("e1", "x", 0))
 		assert.Assert(t, err != nil)
 		time.Sleep(maxDigestAge + minPollInterval)
 		assert.Equal(t, other.candidates(), 0)
@@ -136,7 +136,7 @@
 	withPair(t, 4, func(t *testing.T, net *fakeNet, home, other *daemon) {
 		net.setCut(home.rpcAddress(), true)
 		assert.Equal(t, other.candidates(), 1)
-		_, _, err := other.client.Take(t.Context(), grantRequest("e1", "x", 0))
+		_, _, err := other.client.Acquire(t.Context(), grantRequest("e1", "x", 0))
 		assert.Assert(t, err != nil)
 		assert.Equal(t, other.candidates(), 0)
 		net.setCut(home.rpcAddress(), false)
@@ -166,7 +166,7 @@
 		// old's follower still has the digest of its own home.
 		old.setView(after)
 		grant := old.mustAcquire(t, "x")
-		old.client.Give(Release{Grant: *grant, Reason: pb.ReleaseReason_RELEASE_REASON_UNUSED})
+		old.client.Release(Release{Grant: *grant, Reason: pb.ReleaseReason_RELEASE_REASON_UNUSED})
 		synctest.Wait()
 		assert.Equal(t, next.used("e1"), 0)
 	})
--- a/internal/endpoint/messages_test.go
+++ b/internal/endpoint/messages_test.go
@@ -63,7 +63,7 @@
 func TestLostGrantReply(t *testing.T) {
 	withLossyPair(t, func(t *testing.T, home, other *daemon, lossy *lossyHome) {
 		lossy.repliesToLose.Store(1)
-		grant, refusal, err := other.client.Take(t.Context(), grantRequest("e1", "x", 0))
+		grant, refusal, err := other.client.Acquire(t.Context(), grantRequest("e1", "x", 0))
 		assert.Assert(t, err != nil && grant == nil && refusal == nil)
 		time.Sleep(100 * time.Millisecond)
 		assert.Equal(t, home.used("e1"), 0)
--- a/internal/endpoint/ratelimit.go
+++ b/internal/endpoint/ratelimit.go
@@ -17,7 +17,7 @@
 type rateLimit struct {
 	set       bool
 	perSecond float64
-	bucket    endpointlimit.Bucket
+	bucket    endpointlimit.TokenBucket
 }
 
 // update applies the limit of a heartbeat, nil for none. An invalid limit is
@@ -27,7 +27,7 @@
 		l.set = false
 		return
 	}
-	if !endpointlimit.IsLimit(*perSecond) {
+	if !endpointlimit.IsValidLimit(*perSecond) {
 		return
 	}
 	l.fill(now)
@@ -49,7 +49,7 @@
 		return 0
 	}
 	l.fill(now)
-	return l.bucket.FreeIn(l.perSecond, ahead, maxRateLimitWait)
+	return l.bucket.WaitTime(l.perSecond, ahead, maxRateLimitWait)
 }
 
 // freeIn predicts when an endpoint has a free slot and a permit, after ahead
--- a/internal/endpoint/viewhistory.go
+++ b/internal/endpoint/viewhistory.go
@@ -76,7 +76,7 @@
 // ended.
 func (t *viewHistory) grantsEnd(n int, owner fleet.Owner) time.Time {
 	for _, s := range t.views[n+1:] {
-		if !s.view.Holds(owner) {
+		if !s.view.Contains(owner) {
 			return s.observedAt.Add(t.limits.GrantLife)
 		}
 	}
--- a/internal/endpoint/waitbound.go
+++ b/internal/endpoint/waitbound.go
@@ -66,7 +66,7 @@
 	if !target.fill(now, &candidate) {
 		return 0
 	}
-	return candidate.NextFree + candidate.QueuedWork + predictedWaitSlack
+	return candidate.SlotWait + candidate.QueuedWork + predictedWaitSlack
 }
 
 func (f *HomeClient) permittedZones(team fleet.Team) fleet.ZoneSet {
--- a/internal/endpoint/waitbound_test.go
+++ b/internal/endpoint/waitbound_test.go
@@ -32,19 +32,19 @@
 		time.Sleep(minPollInterval + 10*time.Millisecond)
 		first := home.mustAcquire(t, "first")
 		for range maxStaleRefusals {
-			_, refusal, err := other.client.Take(t.Context(), grantRequest("e1", "second", 10*time.Second))
+			_, refusal, err := other.client.Acquire(t.Context(), grantRequest("e1", "second", 10*time.Second))
 			assert.NilError(t, err)
 			assert.Assert(t, refusal != nil, "it waits longer than predicted")
 			assert.Equal(t, refusal.Status, pb.GrantStatus_GRANT_STATUS_FULL)
 			x := other.client.index.Load().byID["e1"]
 			var seen Candidate
 			assert.Assert(t, x.fill(time.Now(), &seen))
-			assert.Assert(t, seen.NextFree > 0, "the refusal carries the home's data")
+			assert.Assert(t, seen.SlotWait > 0, "the refusal carries the home's data")
 			x.dynamic.Store(&dynamicState{requestedAt: time.Now()}) // as in outdated digests
 		}
 		granted := make(chan *Grant, 1)
 		go func() {
-			g, _, _ := other.client.Take(t.Context(), grantRequest("e1", "second", 10*time.Second))
+			g, _, _ := other.client.Acquire(t.Context(), grantRequest("e1", "second", 10*time.Second))
 			granted <- g
 		}()
 		time.Sleep(100 * time.Millisecond)
--- a/internal/endpointlimit/bound_test.go
+++ b/internal/endpointlimit/bound_test.go
@@ -110,7 +110,7 @@
 func simulate(random *rand.Rand, perSecond float64) []time.Duration {
 	g := newGroup(random, 3+random.IntN(7))
 	e := Endpoint{ID: fmt.Sprint("e", random.IntN(100))}
-	known := KnownLimit{Limited: true, PerSecond: perSecond, At: started}
+	known := KnownLimit{Limited: true, PerSecond: perSecond, AsOf: started}
 	var arrivals []time.Duration
 	for now := time.Duration(0); now < 40*time.Second; now += time.Duration(random.IntN(60)) * time.Millisecond {
 		g.injectFault(now)
@@ -156,7 +156,7 @@
 func TestWholeLimitIsUsed(t *testing.T) {
 	for _, perSecond := range []float64{0.5, 1.9, 12} {
 		g := newGroup(rand.New(rand.NewPCG(1, 1)), 5)
-		known := KnownLimit{Limited: true, PerSecond: perSecond, At: started}
+		known := KnownLimit{Limited: true, PerSecond: perSecond, AsOf: started}
 		granted := 0
 		for now := time.Duration(0); now < time.Minute; now += 20 * time.Millisecond {
 			if g.requestPermit(now, Endpoint{ID: "e"}, known) {
--- a/internal/endpointlimit/client.go
+++ b/internal/endpointlimit/client.go
@@ -13,15 +13,15 @@
 
 // DeniedError means that nothing may be sent to an endpoint now.
 type DeniedError struct {
-	Again time.Duration // delay until a permit may be available
-	// NoKeeper is whether no limit server responded, so that the traffic of other entries
+	RetryAfter time.Duration // delay until a permit may be available
+	// NoLimitServer is whether no limit server responded, so that the traffic of other entries
 	// is unknown.
-	NoKeeper bool
+	NoLimitServer bool
 }
 
 // Error implements error.
 func (e *DeniedError) Error() string {
-	if e.NoKeeper {
+	if e.NoLimitServer {
 		return "no limit server of the endpoint responded"
 	}
 	return "the endpoint's limit is used up"
@@ -65,16 +65,16 @@
 	}
 }
 
-// Unkept returns a Client that reaches no limit server: endpoints that name a limit get
+// NewDisconnectedClient returns a Client that reaches no limit server: endpoints that name a limit get
 // nothing.
-func Unkept() *Client {
+func NewDisconnectedClient() *Client {
 	return NewClient(nil, func() []string { return nil }, func(int, func(i, j int)) {})
 }
 
-// Take requests a permit to send one request to an endpoint, which must be used soon. It also
+// AcquirePermit requests a permit to send one request to an endpoint, which must be used soon. It also
 // returns nil if a limit server knows that the limit has ended.
-func (c *Client) Take(ctx context.Context, e Endpoint) *DeniedError {
-	denied := &DeniedError{Again: minBackoff, NoKeeper: true}
+func (c *Client) AcquirePermit(ctx context.Context, e Endpoint) *DeniedError {
+	denied := &DeniedError{RetryAfter: minBackoff, NoLimitServer: true}
 	for _, server := range c.limitServers(e) {
 		reply, ok := c.requestPermit(ctx, server, e)
 		switch {
@@ -82,10 +82,10 @@
 			continue
 		case reply.Granted || !c.Limit(e).Limited:
 			return nil
-		case denied.NoKeeper:
-			denied.NoKeeper, denied.Again = false, maxRetryAfter
+		case denied.NoLimitServer:
+			denied.NoLimitServer, denied.RetryAfter = false, maxRetryAfter
 		}
-		denied.Again = max(minRetryAfter, min(denied.Again, time.Duration(reply.AgainMs)*time.Millisecond))
+		denied.RetryAfter = max(minRetryAfter, min(denied.RetryAfter, time.Duration(reply.AgainMs)*time.Millisecond))
 	}
 	return denied
 }
@@ -127,8 +127,8 @@
 	return pb.NewDRPCLimitKeeperClient(conn).TakePermit(ctx, r)
 }
 
-// Tell reports the entry's view of an endpoint's limit to the endpoint's limit servers.
-func (c *Client) Tell(ctx context.Context, e Endpoint) error {
+// ReportLimit reports the entry's view of an endpoint's limit to the endpoint's limit servers.
+func (c *Client) ReportLimit(ctx context.Context, e Endpoint) error {
 	var errs []error
 	for _, server := range c.limitServers(e) {
 		errs = append(errs, c.reportTo(ctx, server, e))
--- a/internal/endpointlimit/client_test.go
+++ b/internal/endpointlimit/client_test.go
@@ -46,12 +46,12 @@
 var someEndpoint = Endpoint{ID: "e1"}
 
 // receive passes a signal to a client now, from the answer to a request that was sent just before.
-func receive(c *Client, w Word) {
+func receive(c *Client, w Signal) {
 	time.Sleep(time.Millisecond)
-	c.Hear(time.Now(), time.Now().Add(-time.Microsecond), someEndpoint, w)
+	c.RecordSignal(time.Now(), time.Now().Add(-time.Microsecond), someEndpoint, w)
 }
 
-func named(perSecond float64) Word { return Word{Kind: KindNamed, PerSecond: perSecond} }
+func named(perSecond float64) Signal { return Signal{Kind: KindLimit, PerSecond: perSecond} }
 
 // Guards against an entry that observes a limit which has ended, since it sends no request
 // whose answer would say so: another entry has reported the end to the limit servers.
@@ -61,10 +61,10 @@
 		one, other := g.client("one"), g.client("other")
 		receive(one, named(0.2))
 		receive(other, named(0.2))
-		assert.Assert(t, other.Take(t.Context(), someEndpoint) != nil)
-		receive(one, Word{})
-		assert.NilError(t, one.Tell(t.Context(), someEndpoint))
-		assert.Assert(t, other.Take(t.Context(), someEndpoint) == nil)
+		assert.Assert(t, other.AcquirePermit(t.Context(), someEndpoint) != nil)
+		receive(one, Signal{})
+		assert.NilError(t, one.ReportLimit(t.Context(), someEndpoint))
+		assert.Assert(t, other.AcquirePermit(t.Context(), someEndpoint) == nil)
 		assert.Assert(t, !other.Limit(someEndpoint).Limited)
 	})
 }
@@ -76,27 +76,27 @@
 		g := newControlGroup(3)
 		one, other := g.client("one"), g.client("other")
 		receive(one, named(1))
-		receive(one, Word{})
-		assert.NilError(t, one.Tell(t.Context(), someEndpoint))
+		receive(one, Signal{})
+		assert.NilError(t, one.ReportLimit(t.Context(), someEndpoint))
 		sent := time.Now()
 		receive(other, named(1))
-		assert.Assert(t, other.Take(t.Context(), someEndpoint) != nil)
-		other.Hear(time.Now(), sent, someEndpoint, Word{})
+		assert.Assert(t, other.AcquirePermit(t.Context(), someEndpoint) != nil)
+		other.RecordSignal(time.Now(), sent, someEndpoint, Signal{})
 		assert.Assert(t, other.Limit(someEndpoint).Limited)
 	})
 }
 
 // Guards against an invalid signal that ends a limit.
 func TestInvalidSignalChangesNothing(t *testing.T) {
-	c := Unkept()
+	c := NewDisconnectedClient()
 	receive(c, named(2))
-	receive(c, Word{Kind: KindUnreadable})
+	receive(c, Signal{Kind: KindInvalid})
 	assert.Equal(t, c.Limit(someEndpoint).PerSecond, 2.0)
 }
 
 // Guards against a limit that binds another incarnation than the one that named it.
 func TestLimitIsOfOneIncarnation(t *testing.T) {
-	c := Unkept()
+	c := NewDisconnectedClient()
 	receive(c, named(2))
 	assert.Assert(t, !c.Limit(Endpoint{ID: someEndpoint.ID, Born: 7}).Limited)
 }
@@ -109,12 +109,12 @@
 		c := g.client("entry")
 		receive(c, named(50))
 		time.Sleep(time.Minute)
-		assert.Assert(t, c.Take(t.Context(), someEndpoint) == nil)
+		assert.Assert(t, c.AcquirePermit(t.Context(), someEndpoint) == nil)
 		g.net.SetCut(true, "entry", g.members...)
 		start := time.Now()
 		for range 20 {
-			denied := c.Take(t.Context(), someEndpoint)
-			assert.Assert(t, denied != nil && denied.NoKeeper && denied.Again > 0)
+			denied := c.AcquirePermit(t.Context(), someEndpoint)
+			assert.Assert(t, denied != nil && denied.NoLimitServer && denied.RetryAfter > 0)
 		}
 		assert.Assert(t, time.Since(start) < time.Second, "unreachable limit servers must be skipped for a while")
 	})
@@ -132,8 +132,8 @@
 			all.Go(func() {
 				for end := time.Now().Add(20 * time.Second); time.Now().Before(end); {
 					pause := 20 * time.Millisecond
-					if denied := c.Take(t.Context(), someEndpoint); denied != nil {
-						pause = denied.Again
+					if denied := c.AcquirePermit(t.Context(), someEndpoint); denied != nil {
+						pause = denied.RetryAfter
 					}
 					time.Sleep(pause)
 				}
@@ -148,12 +148,12 @@
 // Guards against a view that keeps limits of endpoints that were removed long ago.
 func TestUnlistedEndpointsAreRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := Unkept()
+		c := NewDisconnectedClient()
 		receive(c, named(2))
 		unlisted := func(Endpoint) bool { return false }
-		c.Keep(time.Now().Add(time.Second), unlisted)
+		c.RemoveUnlisted(time.Now().Add(time.Second), unlisted)
 		assert.Assert(t, c.Limit(someEndpoint).Limited)
-		c.Keep(time.Now().Add(2*unlistedRetention), unlisted)
+		c.RemoveUnlisted(time.Now().Add(2*unlistedRetention), unlisted)
 		assert.Assert(t, !c.Limit(someEndpoint).Limited)
 	})
 }
--- a/internal/endpointlimit/limit_view.go
+++ b/internal/endpointlimit/limit_view.go
@@ -24,14 +24,14 @@
 // NewLimitView returns a LimitView without limits.
 func NewLimitView() *LimitView { return &LimitView{limits: map[Endpoint]*trackedLimit{}} }
 
-// Hear records the signal of an endpoint's answer to a request that was sent at sent. It
+// RecordSignal records the signal of an endpoint's answer to a request that was sent at sent. It
 // returns the latest known limit, and whether that changed.
-func (v *LimitView) Hear(now, sent time.Time, e Endpoint, w Word) (limit KnownLimit, changed bool) {
+func (v *LimitView) RecordSignal(now, sent time.Time, e Endpoint, w Signal) (limit KnownLimit, changed bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	tracked := v.limits[e]
 	if tracked == nil {
-		if w.Kind != KindNamed {
+		if w.Kind != KindLimit {
 			return KnownLimit{}, false
 		}
 		tracked = &trackedLimit{lastListed: now}
@@ -60,8 +60,8 @@
 	}
 }
 
-// Keep removes the limits of endpoints that have not been listed for unlistedRetention.
-func (v *LimitView) Keep(now time.Time, isListed func(Endpoint) bool) {
+// RemoveUnlisted removes the limits of endpoints that have not been listed for unlistedRetention.
+func (v *LimitView) RemoveUnlisted(now time.Time, isListed func(Endpoint) bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for e, tracked := range v.limits {
--- a/internal/endpointlimit/share_state.go
+++ b/internal/endpointlimit/share_state.go
@@ -8,7 +8,7 @@
 // shareState is the state of a limit server's share of one endpoint's limit.
 type shareState struct {
 	limit       KnownLimit
-	bucket      Bucket
+	bucket      TokenBucket
 	lastRequest time.Time
 	// deniedInRow counts the denials since the last permit. Each denied entry gets a later
 	// retry time, so that hundreds of entries don't retry for the same permit.
@@ -34,7 +34,7 @@
 		s.deniedInRow = 0
 		return true, 0
 	}
-	retryAfter = s.bucket.FreeIn(share.perSecond(s.limit), s.deniedInRow, maxRetryAfter)
+	retryAfter = s.bucket.WaitTime(share.perSecond(s.limit), s.deniedInRow, maxRetryAfter)
 	s.deniedInRow++
 	return false, retryAfter
 }
--- a/internal/endpointlimit/signal.go
+++ b/internal/endpointlimit/signal.go
@@ -18,16 +18,16 @@
 
 // The kinds.
 const (
-	KindNone       SignalKind = iota // names no limit
-	KindNamed                        // names a limit
-	KindUnreadable                   // names an invalid limit: the one known before stays valid
+	KindNone    SignalKind = iota // names no limit
+	KindLimit                     // names a limit
+	KindInvalid                   // names an invalid limit: the one known before stays valid
 )
 
 // String returns the name used in logs and metrics.
 func (k SignalKind) String() string { return [...]string{"none", "named", "unreadable"}[k] }
 
-// Word is the limit signal of one answer.
-type Word struct {
+// Signal is the limit signal of one answer.
+type Signal struct {
 	Kind SignalKind
 	// PerSecond is the number of requests a second that the endpoint accepts. It is only
 	// set if the answer names a limit.
@@ -38,10 +38,10 @@
 // would in effect end the limit that was named before.
 const maxPerSecond = 1e6
 
-// ParseWord parses the values of a header: each is a decimal number or a comma-separated list
+// ParseSignal parses the values of a header: each is a decimal number or a comma-separated list
 // of them. The lowest one counts, since it satisfies all of them.
-func ParseWord(values []string) Word {
-	signal := Word{Kind: KindNone}
+func ParseSignal(values []string) Signal {
+	signal := Signal{Kind: KindNone}
 	for _, value := range values {
 		for _, number := range strings.Split(value, ",") {
 			signal = signal.combine(parseNumber(number))
@@ -50,26 +50,26 @@
 	return signal
 }
 
-// IsLimit reports whether a number of requests a second is a valid limit.
-func IsLimit(perSecond float64) bool {
+// IsValidLimit reports whether a number of requests a second is a valid limit.
+func IsValidLimit(perSecond float64) bool {
 	return !math.IsNaN(perSecond) && perSecond >= 0 && perSecond <= maxPerSecond
 }
 
-func parseNumber(text string) Word {
+func parseNumber(text string) Signal {
 	perSecond, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
-	if err != nil || !IsLimit(perSecond) {
-		return Word{Kind: KindUnreadable}
+	if err != nil || !IsValidLimit(perSecond) {
+		return Signal{Kind: KindInvalid}
 	}
-	return Word{Kind: KindNamed, PerSecond: perSecond}
+	return Signal{Kind: KindLimit, PerSecond: perSecond}
 }
 
 // combine returns the signal of two values together.
-func (w Word) combine(other Word) Word {
+func (w Signal) combine(other Signal) Signal {
 	switch {
-	case w.Kind != KindNamed:
+	case w.Kind != KindLimit:
 		return other
-	case other.Kind != KindNamed:
+	case other.Kind != KindLimit:
 		return w
 	}
-	return Word{Kind: KindNamed, PerSecond: min(w.PerSecond, other.PerSecond)}
+	return Signal{Kind: KindLimit, PerSecond: min(w.PerSecond, other.PerSecond)}
 }
--- a/internal/endpointlimit/signal_test.go
+++ b/internal/endpointlimit/signal_test.go
@@ -9,14 +9,14 @@
 // Guards against header values by which a faulty endpoint takes itself out of service or ends
 // a limit.
 func TestParseSignal(t *testing.T) {
-	named := func(perSecond float64) Word { return Word{Kind: KindNamed, PerSecond: perSecond} }
-	invalid := Word{Kind: KindUnreadable}
+	named := func(perSecond float64) Signal { return Signal{Kind: KindLimit, PerSecond: perSecond} }
+	invalid := Signal{Kind: KindInvalid}
 	for _, test := range []struct {
 		name   string
 		values []string
-		want   Word
+		want   Signal
 	}{
-		{"no header", nil, Word{}},
+		{"no header", nil, Signal{}},
 		{"decimal", []string{"1.9"}, named(1.9)},
 		{"spaces", []string{" 4 "}, named(4)},
 		{"zero", []string{"0"}, named(0)},
@@ -31,6 +31,6 @@
 		{"several in one header", []string{"9, 2.5"}, named(2.5)},
 		{"one valid of several", []string{"x", "3", "-4"}, named(3)},
 	} {
-		t.Run(test.name, func(t *testing.T) { assert.DeepEqual(t, ParseWord(test.values), test.want) })
+		t.Run(test.name, func(t *testing.T) { assert.DeepEqual(t, ParseSignal(test.values), test.want) })
 	}
 }
--- a/internal/endpointlimit/token_bucket.go
+++ b/internal/endpointlimit/token_bucket.go
@@ -6,9 +6,9 @@
 // tokens, beyond one token: entries request permits in bursts.
 const burstDuration = 20 * time.Millisecond
 
-// Bucket is a token bucket; a token permits one request. The zero Bucket is empty. It is not
+// TokenBucket is a token bucket; a token permits one request. The zero Bucket is empty. It is not
 // safe for concurrent use.
-type Bucket struct {
+type TokenBucket struct {
 	tokens   float64
 	filledAt time.Time
 }
@@ -18,7 +18,7 @@
 
 // Fill adds the tokens since the last Fill at perSecond. limit, of the whole fleet in requests
 // a second, sets the capacity. The first Fill adds nothing.
-func (b *Bucket) Fill(now time.Time, perSecond, limit float64) {
+func (b *TokenBucket) Fill(now time.Time, perSecond, limit float64) {
 	if !b.filledAt.IsZero() {
 		elapsed := max(0, now.Sub(b.filledAt).Seconds())
 		b.tokens = min(burstSize(limit), b.tokens+elapsed*perSecond)
@@ -27,7 +27,7 @@
 }
 
 // Take takes a token and reports whether there was one.
-func (b *Bucket) Take() bool {
+func (b *TokenBucket) Take() bool {
 	if b.tokens < 1 {
 		return false
 	}
@@ -35,9 +35,9 @@
 	return true
 }
 
-// FreeIn returns the time until a token is available after the given number of others have
+// WaitTime returns the time until a token is available after the given number of others have
 // taken theirs, at most maxWait.
-func (b *Bucket) FreeIn(perSecond float64, ahead int, maxWait time.Duration) time.Duration {
+func (b *TokenBucket) WaitTime(perSecond float64, ahead int, maxWait time.Duration) time.Duration {
 	missing := 1 + float64(ahead) - b.tokens
 	if missing <= 0 {
 		return 0
--- a/internal/entry/completions.go
+++ b/internal/entry/completions.go
@@ -117,7 +117,7 @@
 // serveJSON answers whole or with a failure, never with a part.
 func (c *callers) serveJSON(x *exchange, request route.ModelRequest, head replyHead) *route.Failure {
 	whole := &wholeSink{}
-	answer := c.opts.Router.Model(x.r.Context(), request, whole)
+	answer := c.opts.Router.Complete(x.r.Context(), request, whole)
 	if answer.Failure != nil {
 		return answer.Failure
 	}
@@ -130,7 +130,7 @@
 // an ErrorBody: a stream that ends with neither was cut on its way.
 func (c *callers) serveStream(x *exchange, request route.ModelRequest, head replyHead) *route.Failure {
 	sink := newStreamSink(x, head, c.bounds.WriteTime)
-	answer := c.opts.Router.Model(x.r.Context(), request, sink)
+	answer := c.opts.Router.Complete(x.r.Context(), request, sink)
 	if answer.Failure == nil {
 		sink.done(answer)
 		return nil
--- a/internal/entry/exchange.go
+++ b/internal/entry/exchange.go
@@ -74,7 +74,7 @@
 func (c *callers) unknownTeam(x *exchange) *route.Failure {
 	if !c.opts.Source.Current(time.Now()) {
 		// It may be current by now, and refuses nothing.
-		if failure := c.opts.Router.Refuses("", x.key); failure != nil {
+		if failure := c.opts.Router.EarlyRefusal("", x.key); failure != nil {
 			return failure
 		}
 	}
@@ -116,7 +116,7 @@
 
 // readBody reads within the team's bound and the body time.
 func (c *callers) readBody(x *exchange) ([]byte, *route.Failure) {
-	if failure := c.opts.Router.Refuses(x.team.Name, x.key); failure != nil {
+	if failure := c.opts.Router.EarlyRefusal(x.team.Name, x.key); failure != nil {
 		return nil, failure
 	}
 	limit := c.bounds.BodyBytes
--- a/internal/entry/reply.go
+++ b/internal/entry/reply.go
@@ -19,7 +19,7 @@
 const assistant = "assistant"
 
 // whole makes the one JSON answer.
-func (h replyHead) whole(text string, a route.Answer) callerapi.CompletionReply {
+func (h replyHead) whole(text string, a route.ModelResult) callerapi.CompletionReply {
 	finish := string(a.Finish)
 	choice := callerapi.Choice{FinishReason: &finish}
 	object := "text_completion"
@@ -36,7 +36,7 @@
 	}
 }
 
-func usage(a route.Answer) *callerapi.Usage {
+func usage(a route.ModelResult) *callerapi.Usage {
 	return &callerapi.Usage{
 		PromptTokens:     a.PromptTokens,
 		CompletionTokens: a.OutputTokens,
@@ -47,8 +47,8 @@
 // wholeSink gathers an answer that goes out in one piece.
 type wholeSink struct{ text strings.Builder }
 
-// Pass implements route.Sink.
-func (s *wholeSink) Pass(c engineapi.Chunk) error {
+// WriteChunk implements route.Sink.
+func (s *wholeSink) WriteChunk(c engineapi.Chunk) error {
 	s.text.WriteString(c.Text)
 	return nil
 }
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -70,7 +70,7 @@
 		Query:      x.r.URL.RawQuery,
 		Header:     header,
 		Body:       body,
-		Once:       strings.EqualFold(x.r.Header.Get(callerapi.HeaderIdempotent), idempotentNo),
+		AtMostOnce: strings.EqualFold(x.r.Header.Get(callerapi.HeaderIdempotent), idempotentNo),
 		CallerKind: x.r.Header.Get(callerapi.HeaderCallerKind),
 		Patience:   patience,
 		Arrived:    x.arrived,
--- a/internal/entry/stream.go
+++ b/internal/entry/stream.go
@@ -20,9 +20,9 @@
 	return &streamSink{x: x, events: newEventWriter(h), writeTime: writeTime}
 }
 
-// Pass implements route.Sink. Each chunk is flushed: a token kept back counts
+// WriteChunk implements route.Sink. Each chunk is flushed: a token kept back counts
 // against the caller's time between tokens.
-func (s *streamSink) Pass(c engineapi.Chunk) error {
+func (s *streamSink) WriteChunk(c engineapi.Chunk) error {
 	if !s.x.began {
 		s.x.startStream()
 	}
@@ -47,7 +47,7 @@
 }
 
 // done ends a whole stream.
-func (s *streamSink) done(_ route.Answer) {
+func (s *streamSink) done(_ route.ModelResult) {
 	if !s.x.began {
 		s.x.startStream()
 	}
--- a/internal/fleet/ledger.go
+++ b/internal/fleet/ledger.go
@@ -20,9 +20,9 @@
 
 // LedgerGroup is the replica set of a shard at an epoch; see pb.LedgerGroup.
 type LedgerGroup struct {
-	Shard         LedgerShard
-	Epoch         uint64
-	Replicas      []LedgerReplica
-	Sources       []LedgerReplica
-	HistoryLostMs int64 // Unix time in ms; 0 if no history was lost
+	Shard             LedgerShard
+	Epoch             uint64
+	Replicas          []LedgerReplica
+	Sources           []LedgerReplica
+	HistoryLostUnixMs int64 // Unix time in ms; 0 if no history was lost
 }
--- a/internal/fleet/view.go
+++ b/internal/fleet/view.go
@@ -7,8 +7,8 @@
 	Instances map[InstanceID]Instance
 }
 
-// Holds reports whether the process o is a live member of the view.
-func (v View) Holds(o Owner) bool {
+// Contains reports whether the process o is a live member of the view.
+func (v View) Contains(o Owner) bool {
 	i, ok := v.Instances[o.Instance]
 	return ok && i.Incarnation == o.Incarnation
 }
--- a/internal/follower/confirmations.go
+++ b/internal/follower/confirmations.go
@@ -29,7 +29,7 @@
 func (c *confirmations) record(conf confirmation) {
 	switch {
 	case c.current != nil && conf.version <= c.version:
-		c.current.Raise(conf.at)
+		c.current.Advance(conf.at)
 	case len(c.pending) > 0 && c.pending[len(c.pending)-1].version == conf.version:
 		last := &c.pending[len(c.pending)-1]
 		last.at = max(last.at, conf.at)
@@ -45,11 +45,11 @@
 	previous := c.current
 	c.current, c.version = &relay.Confirmation{}, version
 	if previous != nil {
-		c.current.Raise(previous.At())
+		c.current.Advance(previous.At())
 	}
 	for _, conf := range c.pending {
 		if conf.version <= version {
-			c.current.Raise(conf.at)
+			c.current.Advance(conf.at)
 		}
 	}
 	c.pending = slices.DeleteFunc(c.pending, func(conf confirmation) bool { return conf.version <= version })
--- a/internal/follower/crashes_test.go
+++ b/internal/follower/crashes_test.go
@@ -22,7 +22,7 @@
 	return r.marks[member]
 }
 
-func (r *crashMarks) Take(member string, news *pb.CrashNews) {
+func (r *crashMarks) ApplyChanges(member string, news *pb.CrashNews) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.marks[member] = news.Mark
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -62,9 +62,9 @@
 // View returns the newest view, or nil before the first.
 func (f *Follower) View() *relay.View { return f.view.Load() }
 
-// Behind returns how long a newer configuration than that of View has been known, or 0 if
+// OutdatedFor returns how long a newer configuration than that of View has been known, or 0 if
 // there is none.
-func (f *Follower) Behind() time.Duration {
+func (f *Follower) OutdatedFor() time.Duration {
 	since := f.outdatedSince.Load()
 	if since == 0 {
 		return 0
@@ -89,8 +89,8 @@
 	return group.Wait()
 }
 
-// Nudge polls the members again at once, which reports changes of this entry to them.
-func (f *Follower) Nudge() {
+// Refresh polls the members again at once, which reports changes of this entry to them.
+func (f *Follower) Refresh() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.cancelRefresh()
@@ -171,7 +171,7 @@
 	}
 	f.recordConfirmation(sentAt, request, reply)
 	if f.options.Crashes != nil {
-		f.options.Crashes.Take(member, reply.Crashes)
+		f.options.Crashes.ApplyChanges(member, reply.Crashes)
 	}
 	if f.applyReply(poller, member, reply) && !reply.More {
 		sleep.For(ctx, min(time.Duration(reply.Entries)*pollDelayPerEntry, maxPollDelay))
--- a/internal/follower/follower_test.go
+++ b/internal/follower/follower_test.go
@@ -103,8 +103,8 @@
 		}
 		f.follower = New(Options{
 			Dialer: f.net.Dialer("entry"), Seeds: seeds, Decode: decode,
-			Self:    func() *pb.EntryRecord { return &pb.EntryRecord{Id: "me"} },
-			Senders: func(n int) { f.entries.Store(int64(n)) }, Uptime: uptime, Crashes: f.crashes,
+			Self:      func() *pb.EntryRecord { return &pb.EntryRecord{Id: "me"} },
+			OnSenders: func(n int) { f.entries.Store(int64(n)) }, Uptime: uptime, Crashes: f.crashes,
 		})
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan error)
@@ -302,7 +302,7 @@
 		f.commit(document(1, "one"))
 		time.Sleep(time.Second)
 		before := f.pollCount()
-		f.follower.Nudge()
+		f.follower.Refresh()
 		time.Sleep(time.Millisecond)
 		assert.Assert(t, f.pollCount() >= before+2)
 	})
@@ -314,7 +314,7 @@
 	run(t, func(t *testing.T, f *fleet) {
 		f.commit(document(1, "one"))
 		time.Sleep(time.Second)
-		assert.Equal(t, f.follower.Behind(), time.Duration(0))
+		assert.Equal(t, f.follower.OutdatedFor(), time.Duration(0))
 		var blocksAllowed atomic.Bool
 		f.net.OnRequest("entry", "Blocks", func(string) {
 			if !blocksAllowed.Load() {
@@ -325,12 +325,12 @@
 		time.Sleep(2 * time.Second)
 		f.commit(document(3, "three"))
 		time.Sleep(time.Second)
-		behind := f.follower.Behind()
+		behind := f.follower.OutdatedFor()
 		assert.Assert(t, behind > 2900*time.Millisecond && behind <= 3*time.Second, "%v", behind)
 		blocksAllowed.Store(true)
 		time.Sleep(2 * time.Hour)
 		assert.Equal(t, f.inForce(), "three")
-		assert.Equal(t, f.follower.Behind(), time.Duration(0))
+		assert.Equal(t, f.follower.OutdatedFor(), time.Duration(0))
 	})
 }
 
--- a/internal/follower/options.go
+++ b/internal/follower/options.go
@@ -60,9 +60,9 @@
 	// Uptime is the clock for confirmations; it must go on while the machine is
 	// suspended.
 	Uptime func() time.Duration
-	// Senders, if set, is called for each reply of a member with a leader with the number
+	// OnSenders, if set, is called for each reply of a member with a leader with the number
 	// of entries that may send to endpoints, or did so a moment ago.
-	Senders func(n int)
+	OnSenders func(n int)
 	// Crashes, if set, receives the members' findings on requests that crash endpoints.
 	Crashes Crashes
 }
@@ -71,5 +71,5 @@
 type Crashes interface {
 	// Mark returns up to where the findings of a member were read.
 	Mark(member string) *pb.CrashMark
-	Take(member string, news *pb.CrashNews)
+	ApplyChanges(member string, news *pb.CrashNews)
 }
--- a/internal/follower/view.go
+++ b/internal/follower/view.go
@@ -17,8 +17,8 @@
 	if len(reply.Members) > 0 {
 		f.members = reply.Members
 	}
-	if f.options.Senders != nil && reply.Current && reply.Senders > 0 {
-		f.options.Senders(int(reply.Senders))
+	if f.options.OnSenders != nil && reply.Current && reply.Senders > 0 {
+		f.options.OnSenders(int(reply.Senders))
 	}
 	f.fleetTransfer.update(poller, reply.More)
 	changed := f.applyEndpoints(reply.Endpoints)
--- a/internal/membership/follow.go
+++ b/internal/membership/follow.go
@@ -32,11 +32,11 @@
 		change:    o.Change,
 		documents: make(map[string]*pb.SubtreeDocument),
 		state: &State{
-			Tree:     settings.EmptyTree(),
-			View:     fleet.View{Instances: map[fleet.InstanceID]fleet.Instance{}},
-			Groups:   map[fleet.LedgerShard]fleet.LedgerGroup{},
-			Suspects: map[fleet.Fingerprint]fleet.Suspect{},
-			Former:   map[fleet.Team][]string{},
+			Tree:              settings.EmptyTree(),
+			View:              fleet.View{Instances: map[fleet.InstanceID]fleet.Instance{}},
+			LedgerGroups:      map[fleet.LedgerShard]fleet.LedgerGroup{},
+			Suspects:          map[fleet.Fingerprint]fleet.Suspect{},
+			FormerZoneClasses: map[fleet.Team][]string{},
 		},
 	}
 }
@@ -88,12 +88,12 @@
 		return false, trace.Wrap(err)
 	}
 	next := &State{
-		Index:    s.Index,
-		FleetID:  s.FleetId,
-		View:     fleet.View{Number: s.ViewNumber, Instances: make(map[fleet.InstanceID]fleet.Instance, len(s.Instances))},
-		Groups:   make(map[fleet.LedgerShard]fleet.LedgerGroup, len(s.LedgerGroups)),
-		Suspects: make(map[fleet.Fingerprint]fleet.Suspect, len(s.Suspects)),
-		Former:   make(map[fleet.Team][]string),
+		Index:             s.Index,
+		FleetID:           s.FleetId,
+		View:              fleet.View{Number: s.ViewNumber, Instances: make(map[fleet.InstanceID]fleet.Instance, len(s.Instances))},
+		LedgerGroups:      make(map[fleet.LedgerShard]fleet.LedgerGroup, len(s.LedgerGroups)),
+		Suspects:          make(map[fleet.Fingerprint]fleet.Suspect, len(s.Suspects)),
+		FormerZoneClasses: make(map[fleet.Team][]string),
 	}
 	f.documents = make(map[string]*pb.SubtreeDocument, len(s.Subtrees))
 	for _, d := range s.Subtrees {
@@ -103,9 +103,9 @@
 	for _, i := range s.Instances {
 		next.View.Instances[fleet.InstanceID(i.Id)] = fleet.InstanceFromProto(i)
 	}
-	updateGroups(next.Groups, s.LedgerGroups)
+	updateGroups(next.LedgerGroups, s.LedgerGroups)
 	updateSuspects(next.Suspects, s.Suspects)
-	updateFormerClasses(next.Former, s.FormerClasses)
+	updateFormerClasses(next.FormerZoneClasses, s.FormerClasses)
 	f.state = next
 	return true, nil
 }
@@ -118,16 +118,16 @@
 		return err
 	}
 	if len(d.LedgerGroups) > 0 {
-		next.Groups = maps.Clone(next.Groups)
-		updateGroups(next.Groups, d.LedgerGroups)
+		next.LedgerGroups = maps.Clone(next.LedgerGroups)
+		updateGroups(next.LedgerGroups, d.LedgerGroups)
 	}
 	if len(d.Suspects) > 0 {
 		next.Suspects = maps.Clone(next.Suspects)
 		updateSuspects(next.Suspects, d.Suspects)
 	}
 	if len(d.FormerClasses) > 0 {
-		next.Former = maps.Clone(next.Former)
-		updateFormerClasses(next.Former, d.FormerClasses)
+		next.FormerZoneClasses = maps.Clone(next.FormerZoneClasses)
+		updateFormerClasses(next.FormerZoneClasses, d.FormerClasses)
 	}
 	return nil
 }
@@ -206,11 +206,11 @@
 			continue
 		}
 		groups[shard] = fleet.LedgerGroup{
-			Shard:         shard,
-			Epoch:         g.Epoch,
-			Replicas:      replicasFromProto(g.Replicas),
-			Sources:       replicasFromProto(g.Sources),
-			HistoryLostMs: g.HistoryLostUnixMs,
+			Shard:             shard,
+			Epoch:             g.Epoch,
+			Replicas:          replicasFromProto(g.Replicas),
+			Sources:           replicasFromProto(g.Sources),
+			HistoryLostUnixMs: g.HistoryLostUnixMs,
 		}
 	}
 }
--- a/internal/membership/follow_test.go
+++ b/internal/membership/follow_test.go
@@ -131,19 +131,19 @@
 		Suspects:      []*pb.SuspectRecord{{Fingerprint: fingerprint[:], Crashes: 1}},
 		FormerClasses: []*pb.FormerClass{{Team: "a", ZoneClass: "y"}, {Team: "a", ZoneClass: "x"}},
 	}))
-	assert.Equal(t, len(before.View.Instances)+len(before.Groups)+len(before.Suspects)+len(before.Former), 0)
+	assert.Equal(t, len(before.View.Instances)+len(before.LedgerGroups)+len(before.Suspects)+len(before.FormerZoneClasses), 0)
 	assert.Equal(t, before.Tree.Versions["teams/a"], uint64(9))
-	assert.Equal(t, len(f.state.View.Instances)+len(f.state.Groups)+len(f.state.Suspects), 3)
+	assert.Equal(t, len(f.state.View.Instances)+len(f.state.LedgerGroups)+len(f.state.Suspects), 3)
 	middle := f.state
 	f.mustApply(t, 10, replyWithDelta(&pb.Delta{
 		Index: 11, LedgerGroups: []*pb.LedgerGroup{{ZoneClass: "z", Removed: true}},
 		Suspects:      []*pb.SuspectRecord{{Fingerprint: fingerprint[:]}},
 		FormerClasses: []*pb.FormerClass{{Team: "a", ZoneClass: "y", Removed: true}, {Team: "a", ZoneClass: "x", ChangedUnixMs: 2}},
 	}))
-	assert.DeepEqual(t, middle.Former["a"], []string{"x", "y"})
-	assert.DeepEqual(t, f.state.Former["a"], []string{"x"})
+	assert.DeepEqual(t, middle.FormerZoneClasses["a"], []string{"x", "y"})
+	assert.DeepEqual(t, f.state.FormerZoneClasses["a"], []string{"x"})
 	snapshot := &pb.FleetState{Index: 12, FleetId: "trust", FormerClasses: []*pb.FormerClass{{Team: "b", ZoneClass: "z"}}}
 	f.mustApply(t, 0, &pb.PullReply{ThroughIndex: 12, Snapshot: snapshot})
-	assert.DeepEqual(t, f.state.Former, map[fleet.Team][]string{"b": {"z"}})
-	assert.Equal(t, len(f.state.Groups)+len(f.state.Suspects), 0)
+	assert.DeepEqual(t, f.state.FormerZoneClasses, map[fleet.Team][]string{"b": {"z"}})
+	assert.Equal(t, len(f.state.LedgerGroups)+len(f.state.Suspects), 0)
 }
--- a/internal/membership/leave.go
+++ b/internal/membership/leave.go
@@ -36,7 +36,7 @@
 func (a *Agent) HandedOver() bool {
 	self := a.Self().Owner()
 	state := a.State()
-	for _, g := range state.Groups {
+	for _, g := range state.LedgerGroups {
 		othersReady := true
 		for _, r := range g.Replicas {
 			if r.Owner == self {
--- a/internal/membership/options.go
+++ b/internal/membership/options.go
@@ -21,8 +21,8 @@
 	RenewLease(ctx context.Context, r *pb.RenewLeaseRequest) (*pb.RenewLeaseReply, error)
 	// Pull makes one attempt.
 	Pull(ctx context.Context, r *pb.PullRequest) (*pb.PullReply, error)
-	// Elsewhere makes the next Pull use another control instance.
-	Elsewhere()
+	// UseOtherInstance makes the next Pull use another control instance.
+	UseOtherInstance()
 }
 
 // Options configures an Agent. Client, Self and Build are required.
--- a/internal/membership/renew.go
+++ b/internal/membership/renew.go
@@ -101,7 +101,7 @@
 		// The client must be called without holding mu: it reads the control
 		// addresses from State. With mu held, the daemon deadlocked as soon as its
 		// state lagged.
-		a.client.Elsewhere()
+		a.client.UseOtherInstance()
 		cancelPull()
 	}
 	return nil
--- a/internal/membership/static.go
+++ b/internal/membership/static.go
@@ -8,16 +8,16 @@
 
 // Static is a Source that never changes, for parts that run without an Agent.
 type Static struct {
-	Fixed    *State
-	Instance fleet.Instance
-	Lapsed   bool // Current returns false
+	FixedState *State
+	Instance   fleet.Instance
+	NotCurrent bool // Current returns false
 }
 
 // State implements Source.
-func (s *Static) State() *State { return s.Fixed }
+func (s *Static) State() *State { return s.FixedState }
 
 // Current implements Source.
-func (s *Static) Current(time.Time) bool { return !s.Lapsed }
+func (s *Static) Current(time.Time) bool { return !s.NotCurrent }
 
 // Self implements Source.
 func (s *Static) Self() fleet.Instance { return s.Instance }
--- a/internal/orders/issuer_test.go
+++ b/internal/orders/issuer_test.go
@@ -77,8 +77,8 @@
 
 func (w *world) issuerAt(id fleet.InstanceID, e Endpoints) *Issuer {
 	return NewIssuer(Options{Control: w, Endpoints: e, Source: &membership.Static{
-		Fixed:    &membership.State{Tree: settings.EmptyTree()},
-		Instance: fleet.Instance{ID: id, Incarnation: 1},
+		FixedState: &membership.State{Tree: settings.EmptyTree()},
+		Instance:   fleet.Instance{ID: id, Incarnation: 1},
 	}})
 }
 
--- a/internal/outcome/ask.go
+++ b/internal/outcome/ask.go
@@ -18,8 +18,8 @@
 		Replicas:    len(g.Replicas),
 		Fast:        !s.options.NoFast && s.fast(g),
 		RecordLife:  recordLife(s.options, state),
-		HistoryLost: g.HistoryLostMs != 0,
-		Alive:       state.View.Holds,
+		HistoryLost: g.HistoryLostUnixMs != 0,
+		Alive:       state.View.Contains,
 	}
 }
 
@@ -65,7 +65,7 @@
 // bytes leave that the process is in the view and in the shard's zones.
 func (s *Service) client(ctx context.Context, to fleet.Owner, shard fleet.LedgerShard) (pb.DRPCLedgerClient, error) {
 	view := s.options.Source.State().View
-	if !view.Holds(to) {
+	if !view.Contains(to) {
 		return nil, trace.NotFound("replica %s is not in the view", to)
 	}
 	instance := view.Instances[to.Instance]
--- a/internal/outcome/course.go
+++ b/internal/outcome/course.go
@@ -49,7 +49,7 @@
 // record was decided there. None is later: claims in its class have ended with
 // the team's change, see driver.current.
 func neverUsed(g fleet.LedgerGroup) bool {
-	return len(g.Replicas) == 0 && g.HistoryLostMs == 0
+	return len(g.Replicas) == 0 && g.HistoryLostUnixMs == 0
 }
 
 // withinZones tells whether a majority of the group may be asked for a team's
@@ -58,7 +58,7 @@
 func withinZones(state *membership.State, team fleet.Team, g fleet.LedgerGroup) bool {
 	outside := 0
 	for _, r := range g.Replicas {
-		if state.View.Holds(r.Owner) && !permits(state, team, state.View.Instances[r.Owner.Instance].Zone) {
+		if state.View.Contains(r.Owner) && !permits(state, team, state.View.Instances[r.Owner.Instance].Zone) {
 			outside++
 		}
 	}
--- a/internal/outcome/decide.go
+++ b/internal/outcome/decide.go
@@ -18,7 +18,7 @@
 		return VerdictUnset, Record{}, false, errZonesChanged(c)
 	}
 	if !c.Fresh {
-		for _, shard := range formerShards(c.Key, c.Permitted, state.Former[c.Team]) {
+		for _, shard := range formerShards(c.Key, c.Permitted, state.FormerZoneClasses[c.Team]) {
 			v, r, err = s.beforehand(ctx, purpose, c, shard)
 			if err != nil || !passes(v) {
 				return v, r, false, err
@@ -44,7 +44,7 @@
 // for as long as the class is kept.
 func (s *Service) beforehand(ctx context.Context, purpose Purpose, c Claim, shard fleet.LedgerShard) (Verdict, Record, error) {
 	state := s.options.Source.State()
-	group, ok := state.Groups[shard]
+	group, ok := state.LedgerGroups[shard]
 	switch {
 	case ok && neverUsed(group):
 		return VerdictMoved, Record{}, nil
--- a/internal/outcome/finish.go
+++ b/internal/outcome/finish.go
@@ -18,7 +18,7 @@
 	shard := ShardOf(c.Key, c.Permitted)
 	for {
 		state := s.options.Source.State()
-		group, ok := state.Groups[shard]
+		group, ok := state.LedgerGroups[shard]
 		if ok && s.finishAt(ctx, c, finishRequest(s.circumstances(state, group), c.Key, end), group) {
 			s.finished(c, end)
 			return nil
--- a/internal/outcome/model_world_test.go
+++ b/internal/outcome/model_world_test.go
@@ -240,8 +240,8 @@
 		Replicas:    len(m.group.Replicas),
 		Fast:        allReady(m.group.Replicas) && w.random.IntN(3) > 0,
 		RecordLife:  time.Hour,
-		HistoryLost: m.group.HistoryLostMs != 0 && w.fault != faultForgetHistoryLoss,
-		Alive:       view.Holds,
+		HistoryLost: m.group.HistoryLostUnixMs != 0 && w.fault != faultForgetHistoryLoss,
+		Alive:       view.Contains,
 	}))
 }
 
--- a/internal/outcome/run.go
+++ b/internal/outcome/run.go
@@ -46,8 +46,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.replica.SetRecordLife(recordLife(s.options, state))
-	s.replica.Retain(state.Groups)
-	for _, g := range state.Groups {
+	s.replica.Retain(state.LedgerGroups)
+	for _, g := range state.LedgerGroups {
 		if fleet.ParseZoneClass(g.Shard.ZoneClass).Permits(zone) {
 			s.replica.ApplyGroup(g)
 		}
--- a/internal/outcome/server.go
+++ b/internal/outcome/server.go
@@ -104,7 +104,7 @@
 // serveable bounds the shards that a peer can name: those of the shared state,
 // in zones that permit this process.
 func (s *Server) serveable(name fleet.LedgerShard) bool {
-	_, known := s.service.options.Source.State().Groups[name]
+	_, known := s.service.options.Source.State().LedgerGroups[name]
 	zone := s.service.options.Source.Self().Zone
 	return known && fleet.ParseZoneClass(name.ZoneClass).Permits(zone)
 }
--- a/internal/provision/gate_test.go
+++ b/internal/provision/gate_test.go
@@ -128,8 +128,8 @@
 }
 
 func (f *fakeFollower) Candidates(endpoint.Query) []endpoint.Candidate { return f.candidates }
-func (f *fakeFollower) Give(endpoint.Release)                          {}
-func (f *fakeFollower) Take(_ context.Context, r endpoint.GrantRequest) (*endpoint.Grant, *endpoint.Refusal, error) {
+func (f *fakeFollower) Release(endpoint.Release)                       {}
+func (f *fakeFollower) Acquire(_ context.Context, r endpoint.GrantRequest) (*endpoint.Grant, *endpoint.Refusal, error) {
 	if f.full {
 		return nil, &endpoint.Refusal{Status: full}, nil
 	}
@@ -139,18 +139,18 @@
 func TestMeterCounts(t *testing.T) {
 	tree := settings.EmptyTree()
 	tree.Teams["t"] = settings.Team{Name: "t", PermittedZones: []fleet.AvailabilityZone{"h", "b"}}
-	source := &membership.Static{Fixed: &membership.State{Tree: tree}, Instance: fleet.Instance{ID: "i", Incarnation: 3}}
+	source := &membership.Static{FixedState: &membership.State{Tree: tree}, Instance: fleet.Instance{ID: "i", Incarnation: 3}}
 	f := &fakeFollower{}
 	m := NewMeter(f, source, NewGate())
 	permitted := fleet.NewZoneSet("b", "h")
 	m.Candidates(endpoint.Query{Kind: fleet.RoleDecode, Model: fibre, Permitted: permitted})
 	m.Candidates(endpoint.Query{Kind: fleet.RolePlain, Service: "s", Permitted: permitted})
 	r := endpoint.GrantRequest{Endpoint: "e", Kind: fleet.RoleDecode, Attempt: "a", Team: "t", Model: fibre, PromptTokens: 11}
-	grant, _, _ := m.Take(t.Context(), r)
-	m.Give(endpoint.Release{Grant: *grant, Busy: 1500 * time.Millisecond})
-	m.Give(endpoint.Release{Grant: *grant, Busy: time.Hour}) // a repeat isn't counted
+	grant, _, _ := m.Acquire(t.Context(), r)
+	m.Release(endpoint.Release{Grant: *grant, Busy: 1500 * time.Millisecond})
+	m.Release(endpoint.Release{Grant: *grant, Busy: time.Hour}) // a repeat isn't counted
 	f.full = true
-	m.Take(t.Context(), r)
+	m.Acquire(t.Context(), r)
 	rows := m.Reply().Rows
 	assert.Equal(t, len(rows), 1)
 	assert.Equal(t, rows[0].String(), (&pb.DemandRow{
@@ -161,13 +161,13 @@
 	m.gate.stop(time.Now(), "e", "o", time.Minute)
 	found := m.Candidates(endpoint.Query{Kind: fleet.RoleDecode, Model: fibre, Permitted: permitted})
 	assert.Equal(t, len(found), 1)
-	_, refusal, _ := m.Take(t.Context(), r)
+	_, refusal, _ := m.Acquire(t.Context(), r)
 	assert.Equal(t, refusal.Status, full)
 }
 
 // Callers choose model names freely, so the number of counted rows must be bounded.
 func TestMeterIsBounded(t *testing.T) {
-	m := NewMeter(&fakeFollower{}, &membership.Static{Fixed: &membership.State{}}, NewGate())
+	m := NewMeter(&fakeFollower{}, &membership.Static{FixedState: &membership.State{}}, NewGate())
 	for n := range 2 * maxRows {
 		k := key(fibre, fleet.RoleDecode)
 		k.Model.Version = fmt.Sprint(n)
--- a/internal/provision/meter.go
+++ b/internal/provision/meter.go
@@ -67,13 +67,13 @@
 	return kind == fleet.RolePrefill || kind == fleet.RoleDecode
 }
 
-// Take implements endpoint.Follower.
-func (m *Meter) Take(ctx context.Context, r endpoint.GrantRequest) (*endpoint.Grant, *endpoint.Refusal, error) {
+// Acquire implements endpoint.Follower.
+func (m *Meter) Acquire(ctx context.Context, r endpoint.GrantRequest) (*endpoint.Grant, *endpoint.Refusal, error) {
 	leave, ok := m.gate.enter(time.Now(), r.Endpoint)
 	if !ok {
 		return nil, &endpoint.Refusal{Status: pb.GrantStatus_GRANT_STATUS_FULL, RetryAfter: stoppedRetryAfter}, nil
 	}
-	grant, refusal, err := m.Follower.Take(ctx, r)
+	grant, refusal, err := m.Follower.Acquire(ctx, r)
 	leave()
 	if countsDemand(r.Kind) && err == nil {
 		m.countTake(r, grant)
@@ -104,9 +104,9 @@
 	return tree.Teams[team].Permitted().Class()
 }
 
-// Give implements endpoint.Follower.
-func (m *Meter) Give(r endpoint.Release) {
-	m.Follower.Give(r)
+// Release implements endpoint.Follower.
+func (m *Meter) Release(r endpoint.Release) {
+	m.Follower.Release(r)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	taken := openGrantKey{r.Grant.Endpoint, r.Grant.Attempt, r.Grant.Kind}
--- a/internal/provision/poll_test.go
+++ b/internal/provision/poll_test.go
@@ -25,7 +25,7 @@
 // other entries' replies would load their models again and change roles for them.
 func TestNothingIsPlannedFromAPartialPoll(t *testing.T) {
 	self := fleet.Instance{ID: "i", Incarnation: 1, Zone: "h", Entry: true}
-	source := &membership.Static{Fixed: &membership.State{}, Instance: self}
+	source := &membership.Static{FixedState: &membership.State{}, Instance: self}
 	home := NewGatedHome(&oneHome{}, NewGate())
 	p := &poller{options: Options{Source: source, Dialer: noDialer{}}, meter: NewMeter(nil, source, home.gate), home: home, metrics: newMetrics(nil)}
 	_, engines, err := p.pollAll(t.Context(), []fleet.Instance{self})
--- a/internal/quarantine/bench_test.go
+++ b/internal/quarantine/bench_test.go
@@ -15,7 +15,7 @@
 	limits := DefaultLimits
 	limits.MaxTracked = 1 << 30
 	r := NewRegister(limits)
-	shared := Shared{Alive: func(fleet.Owner) bool { return true }}
+	shared := SharedState{Alive: func(fleet.Owner) bool { return true }}
 	now := time.Unix(1_000_000, 0)
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -24,7 +24,7 @@
 	for n := range b.N {
 		var f fleet.Fingerprint
 		binary.BigEndian.PutUint64(f[:], uint64(n))
-		r.Begin(now, Run{Fingerprint: f, Attempt: "attempt"}, shared)
+		r.Begin(now, RunRequest{Fingerprint: f, Attempt: "attempt"}, shared)
 		r.End(now, f, "attempt", true, false, shared)
 	}
 	b.StopTimer()
--- a/internal/quarantine/guard.go
+++ b/internal/quarantine/guard.go
@@ -16,8 +16,8 @@
 // one.
 func guardOf(f fleet.Fingerprint, permitted fleet.ZoneSet, state *membership.State) (fleet.Owner, bool) {
 	shard := fleet.LedgerShard{ZoneClass: permitted.Class(), Shard: uint32(f[0]) % fleet.LedgerShards}
-	for _, r := range state.Groups[shard].Replicas {
-		if r.Ready && state.View.Holds(r.Owner) {
+	for _, r := range state.LedgerGroups[shard].Replicas {
+		if r.Ready && state.View.Contains(r.Owner) {
 			return r.Owner, true
 		}
 	}
@@ -28,7 +28,7 @@
 // are sent that the instance is in the view and in the zones permitted for the team.
 func (s *Service) guardClient(ctx context.Context, guard fleet.Owner, permitted fleet.ZoneSet) (pb.DRPCLedgerClient, error) {
 	view := s.options.Source.State().View
-	if !view.Holds(guard) {
+	if !view.Contains(guard) {
 		return nil, trace.NotFound("guard %s is not in the view", guard)
 	}
 	instance := view.Instances[guard.Instance]
@@ -43,7 +43,7 @@
 }
 
 // callBegin asks a guard instance for a run.
-func (s *Service) callBegin(ctx context.Context, guard fleet.Owner, permitted fleet.ZoneSet, run Run) (Decision, error) {
+func (s *Service) callBegin(ctx context.Context, guard fleet.Owner, permitted fleet.ZoneSet, run RunRequest) (Decision, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.options.CallTimeout)
 	defer cancel()
 	client, err := s.guardClient(ctx, guard, permitted)
--- a/internal/quarantine/limits.go
+++ b/internal/quarantine/limits.go
@@ -20,7 +20,7 @@
 // send at once crashes two endpoints before either death is known, and it can't be told apart
 // from the other requests on both. SuspectTTL follows the quarantine life of the settings.
 var DefaultLimits = Limits{
-	SuspectTTL:      suspect.DefaultLimits.Life,
+	SuspectTTL:      suspect.DefaultLimits.TTL,
 	ProvenTTL:       suspect.ProvenTTL,
 	RunTTL:          10 * time.Minute,
 	MaxUnprovenRuns: 1,
--- a/internal/quarantine/register.go
+++ b/internal/quarantine/register.go
@@ -7,8 +7,8 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// Run is a request to start a run of a fingerprint.
-type Run struct {
+// RunRequest is a request to start a run of a fingerprint.
+type RunRequest struct {
 	Fingerprint fleet.Fingerprint
 	Attempt     fleet.AttemptID
 	Owner       fleet.Owner
@@ -20,8 +20,8 @@
 	RetryAfter time.Duration
 }
 
-// Shared is the part of the shared state that a register needs.
-type Shared struct {
+// SharedState is the part of the shared state that a register needs.
+type SharedState struct {
 	Suspects map[fleet.Fingerprint]fleet.Suspect
 	Alive    func(fleet.Owner) bool
 }
@@ -74,7 +74,7 @@
 // several entries. Until a fingerprint has completed once, only a few of its runs are active
 // at a time; once it has run on an endpoint that died, only one is, and its endpoint gets no
 // other suspect, so that the next death identifies the cause.
-func (r *Register) Begin(now time.Time, q Run, shared Shared) Decision {
+func (r *Register) Begin(now time.Time, q RunRequest, shared SharedState) Decision {
 	suspect, suspected := unexpiredSuspect(shared.Suspects, q.Fingerprint, now, r.limits.SuspectTTL)
 	if suspected && suspect.Quarantined {
 		return Decision{Verdict: pb.RunVerdict_RUN_VERDICT_QUARANTINED}
@@ -136,7 +136,7 @@
 }
 
 // End records how a run has ended. A completed run clears the suspicion until the next death.
-func (r *Register) End(now time.Time, f fleet.Fingerprint, attempt fleet.AttemptID, completed, endpointCrashed bool, shared Shared) {
+func (r *Register) End(now time.Time, f fleet.Fingerprint, attempt fleet.AttemptID, completed, endpointCrashed bool, shared SharedState) {
 	state := r.tracked[f]
 	if state == nil {
 		return
--- a/internal/quarantine/register_test.go
+++ b/internal/quarantine/register_test.go
@@ -14,7 +14,7 @@
 type registerFixture struct {
 	*Register
 	now    time.Time
-	shared Shared
+	shared SharedState
 	dead   map[fleet.Owner]bool
 }
 
@@ -22,7 +22,7 @@
 
 func newRegisterFixture() *registerFixture {
 	x := &registerFixture{Register: NewRegister(DefaultLimits), now: time.Unix(1_000_000, 0), dead: make(map[fleet.Owner]bool)}
-	x.shared = Shared{
+	x.shared = SharedState{
 		Suspects: make(map[fleet.Fingerprint]fleet.Suspect),
 		Alive:    func(o fleet.Owner) bool { return !x.dead[o] },
 	}
@@ -31,7 +31,7 @@
 
 func (x *registerFixture) begin(attempt string) pb.RunVerdict {
 	owner := fleet.Owner{Instance: fleet.InstanceID("owner-" + attempt), Incarnation: 1}
-	return x.Begin(x.now, Run{Fingerprint: testPrint, Attempt: fleet.AttemptID(attempt), Owner: owner}, x.shared).Verdict
+	return x.Begin(x.now, RunRequest{Fingerprint: testPrint, Attempt: fleet.AttemptID(attempt), Owner: owner}, x.shared).Verdict
 }
 
 func (x *registerFixture) end(attempt string, completed, crashed bool) {
@@ -107,7 +107,7 @@
 	for n := range 5000 {
 		f := fleet.Fingerprint{byte(n), byte(n >> 8), 1}
 		x.now = x.now.Add(time.Millisecond)
-		x.Begin(x.now, Run{Fingerprint: f, Attempt: "a"}, x.shared)
+		x.Begin(x.now, RunRequest{Fingerprint: f, Attempt: "a"}, x.shared)
 		x.End(x.now, f, "a", true, false, x.shared)
 		assert.Assert(t, x.Len() <= 100 && len(x.order) <= 100)
 	}
--- a/internal/quarantine/service.go
+++ b/internal/quarantine/service.go
@@ -84,7 +84,7 @@
 	if !ok {
 		return startDecision(suspected)
 	}
-	run := Run{Fingerprint: f, Attempt: attempt, Owner: s.self}
+	run := RunRequest{Fingerprint: f, Attempt: attempt, Owner: s.self}
 	if guard == s.self {
 		return s.addJitter(s.beginLocally(run))
 	}
@@ -105,7 +105,7 @@
 	return s.options.Limits.SuspectTTL
 }
 
-func (s *Service) beginLocally(run Run) Decision {
+func (s *Service) beginLocally(run RunRequest) Decision {
 	state := s.options.Source.State()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -113,8 +113,8 @@
 	return s.register.Begin(time.Now(), run, sharedState(state))
 }
 
-func sharedState(state *membership.State) Shared {
-	return Shared{Suspects: state.Suspects, Alive: state.View.Holds}
+func sharedState(state *membership.State) SharedState {
+	return SharedState{Suspects: state.Suspects, Alive: state.View.Contains}
 }
 
 // addJitter lengthens a wait by a random part, so that waiting runs don't ask again at the
@@ -153,7 +153,7 @@
 	if !ok || q.GetAttemptId() == "" || len(q.GetAttemptId()) > maxAttemptBytes || len(q.GetOwner().GetInstanceId()) > maxAttemptBytes {
 		return nil, trace.BadParameter("run without a valid fingerprint and attempt")
 	}
-	decision := s.beginLocally(Run{
+	decision := s.beginLocally(RunRequest{
 		Fingerprint: f,
 		Attempt:     fleet.AttemptID(q.GetAttemptId()),
 		Owner:       fleet.OwnerFromProto(q.GetOwner()),
--- a/internal/quarantine/service_test.go
+++ b/internal/quarantine/service_test.go
@@ -35,12 +35,12 @@
 func newPair() (guard, other *testEntry) {
 	view := fleet.View{Instances: make(map[fleet.InstanceID]fleet.Instance)}
 	groups := make(map[fleet.LedgerShard]fleet.LedgerGroup)
-	state := &membership.State{View: view, Groups: groups, Suspects: make(map[fleet.Fingerprint]fleet.Suspect)}
+	state := &membership.State{View: view, LedgerGroups: groups, Suspects: make(map[fleet.Fingerprint]fleet.Suspect)}
 	net := &testkit.Network{}
 	var entries []*testEntry
 	for _, name := range []fleet.InstanceID{"a", "b"} {
 		self := fleet.Instance{ID: name, Incarnation: 1, Zone: "howrah", RPCAddress: string(name)}
-		e := &testEntry{Static: membership.Static{Fixed: state, Instance: self}, net: net}
+		e := &testEntry{Static: membership.Static{FixedState: state, Instance: self}, net: net}
 		e.service = NewService(Options{Source: e, Dialer: net.Dialer(string(name))})
 		view.Instances[name] = self
 		net.Serve(string(name), &ledgerServer{Service: e.service}, pb.DRPCLedgerDescription{})
@@ -89,9 +89,9 @@
 	guard, other := newPair()
 	other.net.Remove("a")
 	assert.Equal(t, other.begin(t, "1"), verdictGo)
-	other.Fixed.Suspects[testPrint] = fleet.Suspect{Fingerprint: testPrint, Crashes: 1, Updated: time.Now()}
+	other.FixedState.Suspects[testPrint] = fleet.Suspect{Fingerprint: testPrint, Crashes: 1, Updated: time.Now()}
 	assert.Equal(t, other.begin(t, "2"), verdictAlone)
-	other.Fixed.Suspects[testPrint] = fleet.Suspect{Fingerprint: testPrint, Crashes: 2, Quarantined: true, Updated: time.Now()}
+	other.FixedState.Suspects[testPrint] = fleet.Suspect{Fingerprint: testPrint, Crashes: 2, Quarantined: true, Updated: time.Now()}
 	assert.Equal(t, other.begin(t, "3"), verdictQuarantined)
 	assert.Equal(t, guard.net.Calls("a"), 0)
 }
@@ -106,7 +106,7 @@
 		{Fingerprint: testPrint, Crashes: 1, Updated: old},
 	} {
 		guard, other := newPair()
-		other.Fixed.Suspects[testPrint] = suspect
+		other.FixedState.Suspects[testPrint] = suspect
 		assert.Equal(t, other.begin(t, "1"), verdictGo)
 		assert.Equal(t, guard.begin(t, "1"), verdictGo)
 		other.net.Remove("a")
@@ -120,7 +120,7 @@
 	guard, other := newPair()
 	moved := guard.Instance
 	moved.Zone = "rende-hall"
-	other.Fixed.View.Instances["a"] = moved
+	other.FixedState.View.Instances["a"] = moved
 	assert.Equal(t, other.begin(t, "1"), verdictGo)
 	other.service.End(testPrint, testZones, "1", true, false)
 	other.drain(t)
--- a/internal/quarantine/sim_test.go
+++ b/internal/quarantine/sim_test.go
@@ -83,8 +83,8 @@
 	return s.now.Add(time.Duration(s.random.IntN(maxMs)) * time.Millisecond)
 }
 
-func (s *sim) shared() Shared {
-	return Shared{Suspects: s.guardSuspects, Alive: func(fleet.Owner) bool { return true }}
+func (s *sim) shared() SharedState {
+	return SharedState{Suspects: s.guardSuspects, Alive: func(fleet.Owner) bool { return true }}
 }
 
 // run simulates until all requests are served or refused, for a minute at most.
@@ -132,7 +132,7 @@
 func (s *sim) begin(r *simRequest) {
 	s.attempts++
 	r.attempt = fleet.AttemptID(fmt.Sprint(s.attempts))
-	decision := s.register.Begin(s.now, Run{Fingerprint: r.fingerprint, Attempt: r.attempt}, s.shared())
+	decision := s.register.Begin(s.now, RunRequest{Fingerprint: r.fingerprint, Attempt: r.attempt}, s.shared())
 	switch decision.Verdict {
 	case pb.RunVerdict_RUN_VERDICT_QUARANTINED:
 		r.refused = true
--- a/internal/quota/client.go
+++ b/internal/quota/client.go
@@ -14,16 +14,16 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// ErrNoKeeper means that no quota server has answered.
-var ErrNoKeeper = errors.New("no quota server answered")
+// ErrNoQuotaServer means that no quota server has answered.
+var ErrNoQuotaServer = errors.New("no quota server answered")
 
-// SpentError means that nothing is left of a team's quota.
-type SpentError struct {
-	Again time.Duration // time until the quota may be available again
+// ExhaustedError means that nothing is left of a team's quota.
+type ExhaustedError struct {
+	RetryAfter time.Duration // time until the quota may be available again
 }
 
 // Error implements error.
-func (e *SpentError) Error() string { return "the quota is spent" }
+func (e *ExhaustedError) Error() string { return "the quota is spent" }
 
 // Limits of a Client.
 const (
@@ -103,9 +103,9 @@
 		}
 	}
 	if exhausted == 0 {
-		return Grant{}, trace.Wrap(ErrNoKeeper)
+		return Grant{}, trace.Wrap(ErrNoQuotaServer)
 	}
-	return Grant{}, &SpentError{Again: c.retryAfter(team, time.Now())}
+	return Grant{}, &ExhaustedError{RetryAfter: c.retryAfter(team, time.Now())}
 }
 
 func (c *Client) takeFrom(ctx context.Context, server, team string, limit Limit, cost float64) (Grant, takeOutcome) {
--- a/internal/quota/client_test.go
+++ b/internal/quota/client_test.go
@@ -48,7 +48,7 @@
 }
 
 // takeUntilExhausted takes until the quota is exhausted.
-func takeUntilExhausted(t *testing.T, c *Client, cost float64) (taken float64, exhausted *SpentError) {
+func takeUntilExhausted(t *testing.T, c *Client, cost float64) (taken float64, exhausted *ExhaustedError) {
 	t.Helper()
 	for {
 		_, err := c.Take(t.Context(), "team", limit, cost)
@@ -69,7 +69,7 @@
 		began := time.Now()
 		taken, exhausted := takeUntilExhausted(t, g.client("entry"), 1)
 		assert.Assert(t, taken >= 300 && taken < 320, "%v", taken)
-		assert.Assert(t, exhausted.Again > 0)
+		assert.Assert(t, exhausted.RetryAfter > 0)
 		assert.Assert(t, time.Since(began) < 50*time.Millisecond)
 	})
 }
@@ -85,10 +85,10 @@
 		before := g.calls()
 		for range 100 {
 			_, err := c.Take(t.Context(), "team", limit, 1)
-			assert.Assert(t, errors.As(err, new(*SpentError)))
+			assert.Assert(t, errors.As(err, new(*ExhaustedError)))
 		}
 		assert.Equal(t, g.calls(), before)
-		time.Sleep(exhausted.Again + time.Millisecond)
+		time.Sleep(exhausted.RetryAfter + time.Millisecond)
 		_, err := c.Take(t.Context(), "team", limit, 1)
 		assert.NilError(t, err)
 		assert.Equal(t, g.calls(), before+1)
@@ -134,7 +134,7 @@
 		for range 100 {
 			sent := time.Now()
 			_, err := c.Take(t.Context(), "team", limit, 1)
-			assert.ErrorIs(t, err, ErrNoKeeper)
+			assert.ErrorIs(t, err, ErrNoQuotaServer)
 			assert.Assert(t, time.Since(sent) <= maxFailedServers*serverTimeout)
 			time.Sleep(10 * time.Millisecond)
 		}
@@ -152,7 +152,7 @@
 		}
 		c := g.client("entry")
 		_, err := c.Take(t.Context(), "team", limit, 1)
-		assert.ErrorIs(t, err, ErrNoKeeper)
+		assert.ErrorIs(t, err, ErrNoQuotaServer)
 		for _, m := range g.members {
 			g.serve(m, 3)
 		}
@@ -169,7 +169,7 @@
 		g := newGroup(1)
 		g.serve(g.members[0], 0)
 		_, err := g.client("entry").Take(t.Context(), "team", limit, 1)
-		assert.ErrorIs(t, err, ErrNoKeeper)
+		assert.ErrorIs(t, err, ErrNoQuotaServer)
 	})
 }
 
@@ -185,7 +185,7 @@
 		_, err = c.Take(t.Context(), "team", limit, 300)
 		assert.NilError(t, err)
 		_, err = c.Take(t.Context(), "team", limit, 300)
-		assert.Assert(t, errors.As(err, new(*SpentError)))
+		assert.Assert(t, errors.As(err, new(*ExhaustedError)))
 	})
 }
 
--- a/internal/relay/admit.go
+++ b/internal/relay/admit.go
@@ -47,7 +47,7 @@
 // leader could tell it yet whether the configuration is the latest.
 func (r *Router) awaitsFirstConfirmation(x *Exchange) bool {
 	view := r.options.View()
-	if r.options.RevokeWithin == 0 || !r.options.Policy.Has(dispatch.AwaitWord) || view == nil || view.Table == nil || view.Confirmed.At() > 0 {
+	if r.options.RevokeWithin == 0 || !r.options.Policy.Has(dispatch.AwaitLatestConfig) || view == nil || view.Table == nil || view.Confirmed.At() > 0 {
 		return false
 	}
 	route := view.Table.Match(x.Host, x.Path)
--- a/internal/relay/allocate.go
+++ b/internal/relay/allocate.go
@@ -12,10 +12,10 @@
 // Allocator assigns places for the whole fleet. An error means that no home could be
 // asked.
 type Allocator interface {
-	Allot(ctx context.Context, service string, ask allocation.Ask, wait time.Duration) (allocation.Place, error)
-	Settle(ctx context.Context, p allocation.Place, o allocation.Outcome) error
+	Allot(ctx context.Context, service string, ask allocation.ReservationRequest, wait time.Duration) (allocation.Reservation, error)
+	Settle(ctx context.Context, p allocation.Reservation, o allocation.Outcome) error
 	// Read reports that a prefill took a different time than was promised.
-	Read(ctx context.Context, p allocation.Place, o allocation.Outcome, reading, took time.Duration) error
+	Read(ctx context.Context, p allocation.Reservation, o allocation.Outcome, reading, took time.Duration) error
 }
 
 // maxAllocationWait limits one request for a place; an exchange that waits longer asks
@@ -35,24 +35,24 @@
 func (ex *activeExchange) allocate(ctx context.Context, left time.Duration) (at *place, asked bool) {
 	options := ex.router.options
 	candidates := ex.router.candidates(ex.service, dispatch.StageDecode, ex.model(), ex.tried)
-	if options.Allotter == nil || !options.Policy.Has(dispatch.Allotment) || ex.exchange.Prompt == nil || ex.engine.HoldLife == 0 || len(candidates) == 0 {
+	if options.Allocator == nil || !options.Policy.Has(dispatch.HomeReservation) || ex.exchange.Prompt == nil || ex.engine.MaxReservationDuration == 0 || len(candidates) == 0 {
 		return nil, false
 	}
-	assigned, err := options.Allotter.Allot(ctx, ex.service, ex.allocationRequest(), min(maxAllocationWait, max(left, 0)))
+	assigned, err := options.Allocator.Allot(ctx, ex.service, ex.allocationRequest(), min(maxAllocationWait, max(left, 0)))
 	if err != nil {
 		ex.logDecision("No home could be asked for a place.", "err", err)
 		return nil, false
 	}
 	if assigned.Endpoint == "" {
-		ex.logDecision("No place came free.", "home", assigned.Home, "tokens", ex.memoryTokens(), "among", assigned.Room.Among, "most_free", assigned.Room.MostFree)
+		ex.logDecision("No place came free.", "home", assigned.Home, "tokens", ex.memoryTokens(), "among", assigned.FreeCapacity.Candidates, "most_free", assigned.FreeCapacity.MaxFreeTokens)
 		return nil, true
 	}
-	ex.logDecision("Allotted.", "home", assigned.Home, "endpoint", assigned.Endpoint, "reader", assigned.Reader, "backlog_ms", assigned.Backlog.Milliseconds())
+	ex.logDecision("Allotted.", "home", assigned.Home, "endpoint", assigned.Endpoint, "reader", assigned.PrefillEndpoint, "backlog_ms", assigned.PrefillBacklog.Milliseconds())
 	return ex.reserveAllocated(ctx, assigned), true
 }
 
 // reserveAllocated reserves memory at the endpoint that the home has named.
-func (ex *activeExchange) reserveAllocated(ctx context.Context, assigned allocation.Place) *place {
+func (ex *activeExchange) reserveAllocated(ctx context.Context, assigned allocation.Reservation) *place {
 	e := ex.findEndpoint(dispatch.StageDecode, assigned.Endpoint)
 	if e == nil {
 		// It has just registered, and this entry doesn't know it yet. It is not faulty.
@@ -82,29 +82,29 @@
 }
 
 // allocationRequest describes what the exchange needs.
-func (ex *activeExchange) allocationRequest() allocation.Ask {
-	stats, tokens := ex.router.options.Book, ex.exchange.Prompt.Tokens
-	a := allocation.Ask{
-		Exchange: ex.exchange.ID, Model: ex.model(), Zone: stats.Zone(), Prompt: tokens, Output: ex.exchange.Prompt.ReservedOutput(),
-		Capacity: ex.engine.KVTokens, Length: ex.expectedAnswerTime(),
+func (ex *activeExchange) allocationRequest() allocation.ReservationRequest {
+	stats, tokens := ex.router.options.Stats, ex.exchange.Prompt.Tokens
+	a := allocation.ReservationRequest{
+		Exchange: ex.exchange.ID, Model: ex.model(), Zone: stats.Zone(), PromptTokens: tokens, OutputTokens: ex.exchange.Prompt.ReservedOutput(),
+		CapacityTokens: ex.engine.KVTokens, AnswerDuration: ex.expectedAnswerTime(),
 	}
 	if !ex.skipsPrefill() {
-		a.Reading = stats.ReadingTime(ex.service, tokens, 0)
-		reading := dispatch.Reading{Gap: ex.route.EventGap, Policy: ex.router.options.Policy}
-		a.LongestBacklog, a.ReadsOwn = reading.Bounds(a.Reading)
+		a.PrefillDuration = stats.EstimatePrefillDuration(ex.service, tokens, 0)
+		reading := dispatch.PrefillPlacement{MaxEventGap: ex.route.MaxEventGap, Policy: ex.router.options.Policy}
+		a.MaxBacklog, a.AllowLocalPrefill = reading.Bounds(a.PrefillDuration)
 	}
 	a.Excluded = append(a.Excluded, ex.unknownEndpoints...)
 	for id := range ex.tried {
 		a.Excluded = append(a.Excluded, id.ID)
 	}
-	a.Excluded = append(a.Excluded, stats.PassedOver(time.Now(), ex.router.options.View().Endpoints[ex.service])...)
+	a.Excluded = append(a.Excluded, stats.UnavailableIDs(time.Now(), ex.router.options.View().Endpoints[ex.service])...)
 	return a
 }
 
 // settleAllocation returns a place to its home in the background.
-func (ex *activeExchange) settleAllocation(p allocation.Place, o allocation.Outcome) {
+func (ex *activeExchange) settleAllocation(p allocation.Reservation, o allocation.Outcome) {
 	ex.releaseAsync(func(ctx context.Context) {
-		if err := ex.router.options.Allotter.Settle(ctx, p, o); err != nil {
+		if err := ex.router.options.Allocator.Settle(ctx, p, o); err != nil {
 			ex.router.options.Part.Debug("Could not return a place to its home.", "request", p.Exchange, "home", p.Home, "err", err)
 		}
 	})
@@ -126,12 +126,12 @@
 
 // reportPrefillDelay reports a prefill endpoint that failed or was late to the home.
 func (ex *activeExchange) reportPrefillDelay(o dispatch.Outcome, readingTime, took time.Duration) {
-	if ex.allocated == nil || allocationOutcome(o) == allocation.OutcomeDone && took < ex.allocated.Backlog+readingTime+prefillDelayTolerance {
+	if ex.allocated == nil || allocationOutcome(o) == allocation.OutcomeDone && took < ex.allocated.PrefillBacklog+readingTime+prefillDelayTolerance {
 		return
 	}
 	assigned := *ex.allocated
 	ex.releaseAsync(func(ctx context.Context) {
-		if err := ex.router.options.Allotter.Read(ctx, assigned, allocationOutcome(o), readingTime, took); err != nil {
+		if err := ex.router.options.Allocator.Read(ctx, assigned, allocationOutcome(o), readingTime, took); err != nil {
 			ex.router.options.Part.Debug("Could not report a prefill delay.", "request", assigned.Exchange, "home", assigned.Home, "err", err)
 		}
 	})
@@ -144,8 +144,8 @@
 	switch o {
 	case dispatch.OutcomeFull:
 		return allocation.OutcomeFull
-	case dispatch.OutcomeUnreachable, dispatch.OutcomeMisfit:
-		return allocation.OutcomeGone
+	case dispatch.OutcomeUnreachable, dispatch.OutcomeWrongIncarnation:
+		return allocation.OutcomeUnreachable
 	}
 	return allocation.OutcomeDone
 }
@@ -153,12 +153,12 @@
 // reserveOutcome maps the reason why no memory was reserved.
 func reserveOutcome(ctx context.Context, err error) allocation.Outcome {
 	switch {
-	case errors.Is(err, ErrNoRoom):
+	case errors.Is(err, ErrNoMemory):
 		return allocation.OutcomeFull
 	case ctx.Err() != nil:
 		return allocation.OutcomeDone
 	case errors.Is(err, errNoResponse):
-		return allocation.OutcomeGone
+		return allocation.OutcomeUnreachable
 	}
 	return allocationOutcome(sendOutcome(err))
 }
--- a/internal/relay/allocate_test.go
+++ b/internal/relay/allocate_test.go
@@ -37,7 +37,7 @@
 func (h *homes) ModelEndpoints(string) []allocation.Endpoint {
 	var list []allocation.Endpoint
 	for n := range h.shape.prefill + h.shape.decode {
-		list = append(list, allocation.Endpoint{ID: fmt.Sprint("e", n), Slots: 64, Reads: n < h.shape.prefill})
+		list = append(list, allocation.Endpoint{ID: fmt.Sprint("e", n), Slots: 64, IsPrefill: n < h.shape.prefill})
 	}
 	return list
 }
@@ -115,7 +115,7 @@
 
 // home returns the address of the service's home.
 func (h *homes) home() string {
-	p, err := h.client(0).Allot(context.Background(), "s", allocation.Ask{Exchange: "who", Prompt: 1, Capacity: 1}, 0)
+	p, err := h.client(0).Allot(context.Background(), "s", allocation.ReservationRequest{Exchange: "who", PromptTokens: 1, CapacityTokens: 1}, 0)
 	if err != nil {
 		return ""
 	}
@@ -142,7 +142,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		fx := newFixture(stream).withModel()
 		h := &homeWithUnknownEndpoint{}
-		fx.router.options.Allotter = h
+		fx.router.options.Allocator = h
 		fx.serve(t, newModelExchange())
 		synctest.Wait()
 		assert.Assert(t, len(h.asks) > 1)
@@ -154,27 +154,27 @@
 // homeWithUnknownEndpoint is a home that names an endpoint which nobody else knows.
 type homeWithUnknownEndpoint struct {
 	mu      sync.Mutex
-	asks    []allocation.Ask
+	asks    []allocation.ReservationRequest
 	settled []allocation.Outcome
 }
 
-func (h *homeWithUnknownEndpoint) Allot(_ context.Context, _ string, ask allocation.Ask, _ time.Duration) (allocation.Place, error) {
+func (h *homeWithUnknownEndpoint) Allot(_ context.Context, _ string, ask allocation.ReservationRequest, _ time.Duration) (allocation.Reservation, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.asks = append(h.asks, ask)
 	if len(h.asks) > 1 {
-		return allocation.Place{}, allocation.ErrNoHome
+		return allocation.Reservation{}, allocation.ErrNoHome
 	}
-	return allocation.Place{Grant: allocation.Grant{Endpoint: "new"}}, nil
+	return allocation.Reservation{Placement: allocation.Placement{Endpoint: "new"}}, nil
 }
 
-func (h *homeWithUnknownEndpoint) Settle(_ context.Context, _ allocation.Place, o allocation.Outcome) error {
+func (h *homeWithUnknownEndpoint) Settle(_ context.Context, _ allocation.Reservation, o allocation.Outcome) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.settled = append(h.settled, o)
 	return nil
 }
 
-func (h *homeWithUnknownEndpoint) Read(context.Context, allocation.Place, allocation.Outcome, time.Duration, time.Duration) error {
+func (h *homeWithUnknownEndpoint) Read(context.Context, allocation.Reservation, allocation.Outcome, time.Duration, time.Duration) error {
 	return nil
 }
--- a/internal/relay/answer.go
+++ b/internal/relay/answer.go
@@ -55,7 +55,7 @@
 	buffer := first
 	for {
 		if !ex.forwardPart(buffer) {
-			return attemptResult{outcome: dispatch.OutcomeGivenUp, reply: reply}
+			return attemptResult{outcome: dispatch.OutcomeCanceled, reply: reply}
 		}
 		part := make([]byte, readBufferBytes)
 		n, err := reply.Body.Read(part)
--- a/internal/relay/arrivals.go
+++ b/internal/relay/arrivals.go
@@ -24,7 +24,7 @@
 // itself may be an extra arrival.
 func (ex *activeExchange) reservePrefillBudget(endpoint *dispatch.Endpoint) (reservation *retrybudget.Reservation, allowed bool) {
 	now := time.Now()
-	if ex.budgetAccount.Seen() == 0 && !ex.router.options.Book.Refuses(now, endpoint) {
+	if ex.budgetAccount.Arrivals() == 0 && !ex.router.options.Stats.RefusedRecently(now, endpoint) {
 		return nil, true
 	}
 	reservation = ex.budgetAccount.Reserve(now)
@@ -38,7 +38,7 @@
 // settlePrefillBudget settles the budget reservation of a prefill; nil without one.
 func (ex *activeExchange) settlePrefillBudget(reservation *retrybudget.Reservation, at *dispatch.Endpoint, outcome dispatch.Outcome, arrived bool) {
 	switch {
-	case arrived && ex.budgetAccount.ArrivedWith(time.Now(), reservation):
+	case arrived && ex.budgetAccount.RecordArrivalWith(time.Now(), reservation):
 		ex.countExtraArrival(at)
 	case !arrived && reservation != nil:
 		reservation.Cancel()
@@ -48,7 +48,7 @@
 
 // countArrival records that an endpoint has received an attempt, or may have.
 func (ex *activeExchange) countArrival(at *dispatch.Endpoint) {
-	if ex.budgetAccount.Arrived(time.Now()) {
+	if ex.budgetAccount.RecordArrival(time.Now()) {
 		ex.countExtraArrival(at)
 	}
 }
@@ -59,11 +59,13 @@
 func (ex *activeExchange) countExtraArrival(at *dispatch.Endpoint) {
 	ex.router.metrics.extraArrivals.WithLabelValues(ex.lastAttemptOutcome.String()).Inc()
 	ex.router.options.Part.Info("Extra arrival.", "request", ex.exchange.ID, "service", ex.service, "endpoint", at.ID,
-		"cause", ex.lastAttemptOutcome, "arrivals", ex.budgetAccount.Seen(), "budget_left", ex.budgetLeft(),
-		"share", rounded(ex.router.options.Budget.Share(time.Now())))
+		"cause", ex.lastAttemptOutcome, "arrivals", ex.budgetAccount.Arrivals(), "budget_left", ex.budgetLeft(),
+		"share", rounded(ex.router.options.Budget.SlackShare(time.Now())))
 }
 
-func (ex *activeExchange) budgetLeft() float64 { return rounded(ex.budgetAccount.Left(time.Now())) }
+func (ex *activeExchange) budgetLeft() float64 {
+	return rounded(ex.budgetAccount.Remaining(time.Now()))
+}
 
 // unsentReason returns why there is no endpoint to send to.
 func (ex *activeExchange) unsentReason() string {
--- a/internal/relay/budget_test.go
+++ b/internal/relay/budget_test.go
@@ -24,11 +24,11 @@
 // prompt that a prefill endpoint reads.
 func TestAcceptedPrefillIsFree(t *testing.T) {
 	fx := newFixture(routetable.KindStream, returns(func() *Reply { return ok("{}") }), returns(func() *Reply { return ok("data: 1\n\n") })).withModel()
-	before := fx.budget.Left(time.Now(), "s")
+	before := fx.budget.Remaining(time.Now(), "s")
 	_, refusal := fx.serve(t, newModelExchange())
 	assert.Assert(t, refusal == nil)
 	assert.Equal(t, len(fx.endpoints.calls), 2)
-	left := fx.budget.Left(time.Now(), "s")
+	left := fx.budget.Remaining(time.Now(), "s")
 	assert.Assert(t, left >= before, "%v of %v is left", left, before)
 }
 
@@ -40,7 +40,7 @@
 	_, refusal := fx.serve(t, newModelExchange())
 	assert.Assert(t, refusal == nil)
 	assert.Equal(t, len(fx.endpoints.calls), 2)
-	assert.Assert(t, fx.budget.Left(time.Now(), "s") < 1)
+	assert.Assert(t, fx.budget.Remaining(time.Now(), "s") < 1)
 }
 
 // Guards against attempts that reach no endpoint and still use up the budget.
@@ -55,7 +55,7 @@
 
 // leaveBudget leaves n arrivals beyond the first in the budget.
 func (fx *fixture) leaveBudget(n int) {
-	for fx.budget.Left(time.Now(), "s") >= float64(n+1) {
+	for fx.budget.Remaining(time.Now(), "s") >= float64(n+1) {
 		fx.budget.Reserve(time.Now(), "s")
 	}
 }
@@ -68,7 +68,7 @@
 	fx.leaveBudget(0)
 	for _, e := range fx.view.Endpoints["s"] {
 		if e.Stage == dispatch.StagePrefill {
-			fx.router.options.Book.Note(time.Now(), e, dispatch.OutcomeFull)
+			fx.router.options.Stats.RecordOutcome(time.Now(), e, dispatch.OutcomeFull)
 		}
 	}
 	_, refusal := fx.serve(t, newModelExchange())
--- a/internal/relay/burst_test.go
+++ b/internal/relay/burst_test.go
@@ -55,20 +55,20 @@
 	return &engines{memory: memory, used: map[string]int{}, reservations: map[string]reservedMemory{}, idleAt: map[string]time.Time{}}
 }
 
-func (e *engines) Reserve(_ context.Context, at *dispatch.Endpoint, tokens int, ttl time.Duration) (Reserved, error) {
+func (e *engines) Reserve(_ context.Context, at *dispatch.Endpoint, tokens int, ttl time.Duration) (Reservation, error) {
 	time.Sleep(time.Millisecond)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.expire()
 	if e.used[at.ID]+tokens > e.memory {
 		e.noMemory++
-		return Reserved{}, ErrNoRoom
+		return Reservation{}, ErrNoMemory
 	}
 	e.lastID++
 	id := fmt.Sprint("hold", e.lastID)
 	e.used[at.ID] += tokens
 	e.reservations[id] = reservedMemory{endpoint: at.ID, tokens: tokens, until: time.Now().Add(ttl)}
-	return Reserved{Hold: id}, nil
+	return Reservation{ID: id}, nil
 }
 
 // expire frees reservations past their time; e.mu must be held.
@@ -117,10 +117,10 @@
 	tokens := p.Tokens + p.MaxOutput // here: what it really generates
 	e.mu.Lock()
 	e.expire()
-	held, ok := e.reservations[c.Hold]
+	held, ok := e.reservations[c.ReservationID]
 	if ok {
 		e.used[held.endpoint] -= held.tokens
-		delete(e.reservations, c.Hold)
+		delete(e.reservations, c.ReservationID)
 		tokens = max(tokens, held.tokens)
 	}
 	full := e.used[c.Endpoint.ID]+tokens > e.memory && !ok
@@ -172,12 +172,12 @@
 	})
 }
 
-func (e *engines) Prefilled(r *Reply) (Prefilled, error) {
+func (e *engines) ReadPrefillResult(r *Reply) (PrefillResult, error) {
 	_, err := io.ReadAll(r.Body)
-	return Prefilled{Handle: "h"}, err
+	return PrefillResult{Handle: "h"}, err
 }
 
-func (e *engines) DropHold(_ context.Context, _ *dispatch.Endpoint, reservationID string) {
+func (e *engines) ReleaseReservation(_ context.Context, _ *dispatch.Endpoint, reservationID string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if h, ok := e.reservations[reservationID]; ok {
@@ -186,9 +186,9 @@
 	}
 }
 
-func (e *engines) Release(context.Context, *dispatch.Endpoint, string) {}
+func (e *engines) ReleasePrefill(context.Context, *dispatch.Endpoint, string) {}
 
-func (e *engines) HasOpen(*dispatch.Endpoint, time.Time) bool { return false }
+func (e *engines) HasConnectionOpenedBefore(*dispatch.Endpoint, time.Time) bool { return false }
 
 // timedCaller records when the first part arrived.
 type timedCaller struct {
@@ -271,13 +271,13 @@
 	}
 	engine := &routetable.Engine{Slots: 64, KVTokens: e.memory}
 	if shape.reserves {
-		engine.HoldLife = 2 * time.Second
+		engine.MaxReservationDuration = 2 * time.Second
 	}
 	view.Table = routetable.Compile(&routetable.Document{
 		Version: 1, Services: []routetable.Service{{Name: "s", Engine: engine}},
 		Routes: []routetable.Route{{
 			Name: "r", Host: "h", Prefix: "/", Kind: stream, Timeout: 14 * time.Second, Target: 900 * time.Millisecond,
-			EventGap: 300 * time.Millisecond, MaxAttempts: 1, Backends: []routetable.Backend{{Service: "s", Weight: 1}},
+			MaxEventGap: 300 * time.Millisecond, MaxAttempts: 1, Backends: []routetable.Backend{{Service: "s", Weight: 1}},
 		}},
 	})
 	var entries []*Router
@@ -285,14 +285,14 @@
 		random := rand.New(rand.NewPCG(uint64(n), 7))
 		var mu sync.Mutex
 		budget := retrybudget.New(time.Now().Add(-time.Minute), retrybudget.Limits{Ratio: 0.2, Slack: 8, Window: 10 * time.Second})
-		budget.Entries(time.Now(), 1)
+		budget.SetEntries(time.Now(), 1)
 		options := Options{
-			View: func() *View { return view }, Endpoints: e, Book: dispatch.NewBook("", uint64(n), policy), Policy: policy,
+			View: func() *View { return view }, Endpoints: e, Stats: dispatch.NewEndpointStats("", uint64(n), policy), Policy: policy,
 			Budget: budget, Part: logging.Part{},
 			Random: func() float64 { mu.Lock(); defer mu.Unlock(); return random.Float64() },
 		}
 		if allocator != nil {
-			options.Allotter = allocator(n)
+			options.Allocator = allocator(n)
 		}
 		entries = append(entries, New(options))
 	}
@@ -347,8 +347,8 @@
 	}
 	output := int(spread(1100, 0.7, 2700))
 	x := newExchange()
-	x.ID, x.Path, x.Patience = fmt.Sprint("x", n), "/p", 14*time.Second
-	x.Prompt = &Prompt{Tokens: 200 + int(spread(3000, 0.5, 6600)), MaxOutput: output, LikelyOut: int(spread(float64(output), 0.5, 2700))}
+	x.ID, x.Path, x.CallerTimeout = fmt.Sprint("x", n), "/p", 14*time.Second
+	x.Prompt = &Prompt{Tokens: 200 + int(spread(3000, 0.5, 6600)), MaxOutput: output, EstimatedOutput: int(spread(float64(output), 0.5, 2700))}
 	return x
 }
 
@@ -389,7 +389,7 @@
 func TestLargeFleetNeedsFewerPrefillEndpoints(t *testing.T) {
 	const endpoints, memory = 60, 25_257
 	short := func(time.Duration) float64 { return 90 }
-	due := staging.Due(endpoints)
+	due := staging.TargetPrefillCount(endpoints)
 	quarter := replayAt(t, memory, short, endpoints/4, endpoints-endpoints/4, true)
 	got := replayAt(t, memory, short, due, endpoints-due, true)
 	t.Logf("%d prefill endpoints: %+v; %d: %+v", endpoints/4, quarter, due, got)
--- a/internal/relay/confirmation.go
+++ b/internal/relay/confirmation.go
@@ -12,8 +12,8 @@
 // At returns that time, counted from the start of the machine.
 func (c *Confirmation) At() time.Duration { return time.Duration(c.at.Load()) }
 
-// Raise moves the time forward; an earlier one changes nothing.
-func (c *Confirmation) Raise(at time.Duration) {
+// Advance moves the time forward; an earlier one changes nothing.
+func (c *Confirmation) Advance(at time.Duration) {
 	for {
 		known := c.at.Load()
 		if int64(at) <= known || c.at.CompareAndSwap(known, int64(at)) {
--- a/internal/relay/cooldown_test.go
+++ b/internal/relay/cooldown_test.go
@@ -66,13 +66,15 @@
 // fixedHome names the same endpoint for every request, whatever it excludes.
 type fixedHome struct{ endpoint, reader string }
 
-func (h fixedHome) Allot(context.Context, string, allocation.Ask, time.Duration) (allocation.Place, error) {
-	return allocation.Place{Grant: allocation.Grant{Endpoint: h.endpoint, Reader: h.reader}}, nil
+func (h fixedHome) Allot(context.Context, string, allocation.ReservationRequest, time.Duration) (allocation.Reservation, error) {
+	return allocation.Reservation{Placement: allocation.Placement{Endpoint: h.endpoint, PrefillEndpoint: h.reader}}, nil
 }
 
-func (fixedHome) Settle(context.Context, allocation.Place, allocation.Outcome) error { return nil }
+func (fixedHome) Settle(context.Context, allocation.Reservation, allocation.Outcome) error {
+	return nil
+}
 
-func (fixedHome) Read(context.Context, allocation.Place, allocation.Outcome, time.Duration, time.Duration) error {
+func (fixedHome) Read(context.Context, allocation.Reservation, allocation.Outcome, time.Duration, time.Duration) error {
 	return nil
 }
 
@@ -110,7 +112,7 @@
 					setUp(f.service.endpoints[id])
 				}
 				for _, entry := range f.entries {
-					entry.options.Allotter = test.home
+					entry.options.Allocator = test.home
 				}
 				f.runLoad(t, 30)
 				for id, e := range f.service.endpoints {
@@ -135,8 +137,8 @@
 // and not to a request.
 func TestCooldownInReserveAnswer(t *testing.T) {
 	fx := newFixture(stream, returns(func() *Reply { return ok(event("1")) })).withModel()
-	fx.endpoints.signals = Words{Rest: time.Minute}
-	fx.endpoints.reserveErrors = []error{ErrNoRoom, ErrNoRoom}
+	fx.endpoints.signals = Signals{Cooldown: time.Minute}
+	fx.endpoints.reserveErrors = []error{ErrNoMemory, ErrNoMemory}
 	_, refusal := fx.serve(t, newModelExchange())
 	assert.Assert(t, refusal != nil)
 	assert.Equal(t, len(fx.endpoints.calls), 0)
--- a/internal/relay/crashes.go
+++ b/internal/relay/crashes.go
@@ -34,7 +34,7 @@
 func (ex *activeExchange) fingerprint() fleet.Fingerprint {
 	if ex.crashes.fingerprint == nil {
 		x := ex.exchange
-		f := suspect.FingerprintOf(nil, string(x.Key), fmt.Sprintf("%q %q %q", x.Method, x.Host, x.Target), x.Body)
+		f := suspect.FingerprintOf(nil, string(x.Key), fmt.Sprintf("%q %q %q", x.Method, x.Host, x.RequestURI), x.Body)
 		ex.crashes.fingerprint = &f
 	}
 	return *ex.crashes.fingerprint
@@ -47,7 +47,7 @@
 		return
 	}
 	ex.crashes.losses++
-	loss := suspect.Loss{Fingerprint: ex.fingerprint(), Sent: sent, Ended: time.Now(), Exchange: ex.uniqueName(), Nth: ex.crashes.losses}
+	loss := suspect.Loss{Fingerprint: ex.fingerprint(), Sent: sent, Ended: time.Now(), Exchange: ex.uniqueName(), Sequence: ex.crashes.losses}
 	ex.router.metrics.lostAttempts.WithLabelValues(strconv.FormatBool(started)).Inc()
 	ex.router.options.Part.Info("Connection to an endpoint lost.", "request", ex.exchange.ID, "fingerprint", loss.Fingerprint,
 		"endpoint", at.ID, "born", at.Born, "service", ex.service, "sent_ms", time.Since(sent).Milliseconds(), "part", started, "err", err)
@@ -64,8 +64,8 @@
 
 // recordAnswered records that an endpoint has run the request and answered it.
 func (ex *activeExchange) recordAnswered() {
-	if ex.tracksCrashes() && ex.router.options.Crashes.Watches() {
-		ex.router.options.Crashes.Answered(ex.fingerprint())
+	if ex.tracksCrashes() && ex.router.options.Crashes.HasFindings() {
+		ex.router.options.Crashes.RecordAnswer(ex.fingerprint())
 	}
 }
 
@@ -75,7 +75,7 @@
 
 // isQuarantined reports whether the request is refused because it crashes endpoints.
 func (ex *activeExchange) isQuarantined() bool {
-	if !ex.tracksCrashes() || !ex.router.options.Crashes.Watches() {
+	if !ex.tracksCrashes() || !ex.router.options.Crashes.HasFindings() {
 		return false
 	}
 	wait, refused := ex.router.options.Crashes.Refused(ex.fingerprint())
--- a/internal/relay/crashes_test.go
+++ b/internal/relay/crashes_test.go
@@ -57,7 +57,7 @@
 		_, _ = fx.serve(t, newExchange())
 	}
 	others := map[string]func(x *Exchange){
-		"path": func(x *Exchange) { x.Target = "/p/2" },
+		"path": func(x *Exchange) { x.RequestURI = "/p/2" },
 		"body": func(x *Exchange) { x.Body = []byte("b") },
 		"key":  func(x *Exchange) { x.Key = keyhash.Of("another") },
 	}
@@ -121,7 +121,7 @@
 		_, _ = fx.serve(t, newExchange())
 	}
 	assert.Equal(t, len(fx.endpoints.calls), 5)
-	assert.Assert(t, !fx.crashes.Watches())
+	assert.Assert(t, !fx.crashes.HasFindings())
 }
 
 // Guards against a prompt that crashes prefill endpoints.
--- a/internal/relay/ending.go
+++ b/internal/relay/ending.go
@@ -35,7 +35,7 @@
 		return nil
 	}
 	if !ex.mayHaveRun {
-		after := max(retryAfter(ex.exchange.Patience, ex.router.options.Random()), ex.blockedFor(), ex.crashes.quarantinedFor)
+		after := max(retryAfter(ex.exchange.CallerTimeout, ex.router.options.Random()), ex.blockedFor(), ex.crashes.quarantinedFor)
 		return &Refusal{Verdict: VerdictNotRun, Reason: reason, RetryAfter: after}
 	}
 	if errors.Is(context.Cause(ctx), errDeadline) {
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -44,7 +44,7 @@
 	crashes   crashHistory
 	progress  progress
 
-	allocated        *allocation.Place                  // in use, assigned by a home; nil for none
+	allocated        *allocation.Reservation            // in use, assigned by a home; nil for none
 	unknownEndpoints []string                           // named by a home and not known here
 	permits          map[dispatch.Incarnation]time.Time // not used yet, by when they were requested
 }
@@ -71,7 +71,7 @@
 			return ex.giveUp(ctx, ex.unsentReason())
 		}
 		if ex.isQuarantined() {
-			ex.releasePlace(&place{endpoint: endpoint, reservationID: call.Hold})
+			ex.releasePlace(&place{endpoint: endpoint, reservationID: call.ReservationID})
 			return ex.giveUp(ctx, ex.unsentReason())
 		}
 		a := ex.sendAttempt(ctx, call)
@@ -152,7 +152,7 @@
 // preparePlain chooses an endpoint that may be sent the exchange.
 func (ex *activeExchange) preparePlain(ctx context.Context) (*dispatch.Endpoint, *Call) {
 	for ctx.Err() == nil {
-		choice, ok := ex.chooseEndpoint(dispatch.StageNone, ex.tried, dispatch.ByPlaces)
+		choice, ok := ex.chooseEndpoint(dispatch.StageNone, ex.tried, dispatch.SlotLoad)
 		switch {
 		case ok && ex.acquirePermit(ctx, choice.Endpoint):
 			return choice.Endpoint, ex.newCall(choice.Endpoint)
@@ -163,12 +163,12 @@
 	return nil, nil
 }
 
-func (ex *activeExchange) chooseEndpoint(stage dispatch.Stage, tried map[dispatch.Incarnation]bool, fill dispatch.Measure) (dispatch.Choice, bool) {
+func (ex *activeExchange) chooseEndpoint(stage dispatch.Stage, tried map[dispatch.Incarnation]bool, fill dispatch.LoadFunc) (dispatch.Choice, bool) {
 	candidates := ex.router.candidates(ex.service, stage, ex.model(), tried)
-	choice, ok := ex.router.options.Book.Choose(time.Now(), candidates, fill)
+	choice, ok := ex.router.options.Stats.Choose(time.Now(), candidates, fill)
 	if ok {
-		ex.logDecision("Chosen.", "endpoint", choice.Endpoint.ID, "stage", stage, "among", choice.Among,
-			"cost", rounded(choice.Cost), "own", choice.Own, "others", rounded(choice.Others), "age_ms", choice.AgeMs)
+		ex.logDecision("Chosen.", "endpoint", choice.Endpoint.ID, "stage", stage, "among", choice.Candidates,
+			"cost", rounded(choice.Cost), "own", choice.OwnInFlight, "others", rounded(choice.OthersInFlight), "age_ms", choice.ReportAgeMs)
 	}
 	return choice, ok
 }
@@ -176,17 +176,17 @@
 func (ex *activeExchange) newCall(e *dispatch.Endpoint) *Call {
 	return &Call{
 		Exchange: ex.exchange, Team: teamName(ex.team), Endpoint: e, TimeLeft: time.Until(ex.deadline) - networkMargin, Priority: noPriority,
-		Fresh: ex.attempts > 0, After: ex.lastEventID,
+		NewConnection: ex.attempts > 0, LastEventID: ex.lastEventID,
 	}
 }
 
 // sendAttempt makes one attempt and records its result. A stream is forwarded as it
 // arrives.
 func (ex *activeExchange) sendAttempt(ctx context.Context, c *Call) attemptResult {
-	stats := ex.router.options.Book
-	work := dispatch.Work{Memory: ex.memoryTokens()}
+	stats := ex.router.options.Stats
+	work := dispatch.Work{MemoryTokens: ex.memoryTokens()}
 	if c.Source == nil && ex.exchange.Prompt != nil {
-		work.Prompt = ex.exchange.Prompt.Tokens
+		work.PromptTokens = ex.exchange.Prompt.Tokens
 	}
 	stats.Begin(time.Now(), c.Endpoint, work)
 	ex.recordAttempt(c.Endpoint, ex.nextAttemptKind())
@@ -197,7 +197,7 @@
 	writesBefore := ex.progress.writes
 	a := ex.roundTrip(ctx, c)
 	if ctx.Err() != nil && a.outcome != dispatch.OutcomeServed {
-		a.outcome = dispatch.OutcomeGivenUp
+		a.outcome = dispatch.OutcomeCanceled
 	}
 	stats.End(time.Now(), c.Endpoint, work, a.outcome)
 	ex.router.metrics.attempts.WithLabelValues(a.outcome.String()).Inc()
@@ -209,8 +209,8 @@
 	case dispatch.OutcomeServed, dispatch.OutcomeFailed:
 		ex.recordAnswered()
 	}
-	if a.outcome == dispatch.OutcomeServed && c.After == "" {
-		stats.HaveAnswered(ex.service, ex.estimatedOutput(), time.Since(ex.progress.firstAt))
+	if a.outcome == dispatch.OutcomeServed && c.LastEventID == "" {
+		stats.RecordAnswer(ex.service, ex.estimatedOutput(), time.Since(ex.progress.firstAt))
 	}
 	ex.settleUnusedPrefill(a.outcome)
 	ex.settleActiveAllocation(a.outcome)
@@ -224,7 +224,7 @@
 	switch o {
 	case dispatch.OutcomeServed:
 		ex.unusedPrefill = nil
-	case dispatch.OutcomeUnreachable, dispatch.OutcomeMisfit:
+	case dispatch.OutcomeUnreachable, dispatch.OutcomeWrongIncarnation:
 	default:
 		ex.releaseUnusedPrefill()
 	}
@@ -244,13 +244,13 @@
 	ex.countArrival(c.Endpoint)
 	ex.receiveSignals(c.Endpoint, ex.progress.sentAt, reply)
 	if reply.Load != nil {
-		ex.router.options.Book.Told(time.Now(), c.Endpoint, *reply.Load)
+		ex.router.options.Stats.RecordLoad(time.Now(), c.Endpoint, *reply.Load)
 	}
-	if reply.Misfit {
-		return attemptResult{outcome: dispatch.OutcomeMisfit, reply: reply}
+	if reply.WrongIncarnation {
+		return attemptResult{outcome: dispatch.OutcomeWrongIncarnation, reply: reply}
 	}
 	if reply.NotRun {
-		ex.router.options.Book.Full(time.Now(), c.Endpoint)
+		ex.router.options.Stats.RecordFull(time.Now(), c.Endpoint)
 		return attemptResult{outcome: dispatch.OutcomeFull, reply: reply}
 	}
 	ex.mayHaveRun = true
