--- a/internal/relay/explain_test.go
+++ b/internal/relay/explain_test.go
@@ -29,7 +29,7 @@
 		"refused for want of a place, by the home": {
 			func() *fixture {
 				fx := newFixture(stream).withModel()
-				fx.router.options.Allotter = fullHome{}
+				fx.router.options.Allocator = fullHome{}
 				return fx
 			},
 			[]string{`"relay: No place came free."`, "home=10.1.0.1:7000", "among=9", "most_free=5100", `"relay: Refused."`, "verdict=not-run", "sends=0"},
@@ -62,7 +62,7 @@
 				if fx.view.Table.Service("s").Engine != nil {
 					x = newModelExchange()
 					for range 10000 {
-						fx.endpoints.reserveErrors = append(fx.endpoints.reserveErrors, ErrNoRoom)
+						fx.endpoints.reserveErrors = append(fx.endpoints.reserveErrors, ErrNoMemory)
 					}
 				}
 				fx.serve(t, x)
@@ -91,13 +91,13 @@
 // fullHome has no place for any request.
 type fullHome struct{}
 
-func (fullHome) Allot(ctx context.Context, _ string, _ allocation.Ask, wait time.Duration) (allocation.Place, error) {
+func (fullHome) Allot(ctx context.Context, _ string, _ allocation.ReservationRequest, wait time.Duration) (allocation.Reservation, error) {
 	sleep.For(ctx, wait)
-	return allocation.Place{Home: "10.1.0.1:7000", Room: allocation.Room{Among: 9, MostFree: 5100}}, nil
+	return allocation.Reservation{Home: "10.1.0.1:7000", FreeCapacity: allocation.FreeCapacity{Candidates: 9, MaxFreeTokens: 5100}}, nil
 }
 
-func (fullHome) Settle(context.Context, allocation.Place, allocation.Outcome) error { return nil }
+func (fullHome) Settle(context.Context, allocation.Reservation, allocation.Outcome) error { return nil }
 
-func (fullHome) Read(context.Context, allocation.Place, allocation.Outcome, time.Duration, time.Duration) error {
+func (fullHome) Read(context.Context, allocation.Reservation, allocation.Outcome, time.Duration, time.Duration) error {
 	return nil
 }
--- a/internal/relay/fakes_test.go
+++ b/internal/relay/fakes_test.go
@@ -73,7 +73,7 @@
 	answers              []answer
 	calls                []Call
 	reserveErrors        []error // answers of Reserve; nil and none left: success
-	signals              Words   // of all answers of Reserve
+	signals              Signals // of all answers of Reserve
 	reserved             int
 	releasedReservations []string // endpoint and reservation
 	releasedPrefills     []string // endpoint and handle
@@ -93,34 +93,34 @@
 	return next(c)
 }
 
-func (f *fakeEndpoints) Prefilled(r *Reply) (Prefilled, error) {
+func (f *fakeEndpoints) ReadPrefillResult(r *Reply) (PrefillResult, error) {
 	_, err := io.ReadAll(r.Body)
-	return Prefilled{Handle: "handle"}, err
+	return PrefillResult{Handle: "handle"}, err
 }
 
-func (f *fakeEndpoints) Reserve(context.Context, *dispatch.Endpoint, int, time.Duration) (Reserved, error) {
+func (f *fakeEndpoints) Reserve(context.Context, *dispatch.Endpoint, int, time.Duration) (Reservation, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.reserveErrors) > 0 {
 		err := f.reserveErrors[0]
 		f.reserveErrors = f.reserveErrors[1:]
 		if err != nil {
-			return Reserved{Words: f.signals}, err
+			return Reservation{Signals: f.signals}, err
 		}
 	}
 	f.reserved++
-	return Reserved{Hold: fmt.Sprint("hold", f.reserved), Words: f.signals}, nil
+	return Reservation{ID: fmt.Sprint("hold", f.reserved), Signals: f.signals}, nil
 }
 
-func (f *fakeEndpoints) DropHold(_ context.Context, e *dispatch.Endpoint, hold string) {
+func (f *fakeEndpoints) ReleaseReservation(_ context.Context, e *dispatch.Endpoint, hold string) {
 	f.recordRelease(&f.releasedReservations, e.ID+" "+hold)
 }
 
-func (f *fakeEndpoints) Release(_ context.Context, e *dispatch.Endpoint, handle string) {
+func (f *fakeEndpoints) ReleasePrefill(_ context.Context, e *dispatch.Endpoint, handle string) {
 	f.recordRelease(&f.releasedPrefills, e.ID+" "+handle)
 }
 
-func (f *fakeEndpoints) HasOpen(*dispatch.Endpoint, time.Time) bool {
+func (f *fakeEndpoints) HasConnectionOpenedBefore(*dispatch.Endpoint, time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.connectionsOpen
@@ -135,14 +135,14 @@
 // crashFindings are what one entry knows about requests that crash endpoints.
 type crashFindings struct {
 	mu     sync.Mutex
-	losses *suspect.Losses
+	losses *suspect.LossTracker
 }
 
 func newCrashFindings() *crashFindings {
-	return &crashFindings{losses: suspect.NewLosses(suspect.DefaultLimits)}
+	return &crashFindings{losses: suspect.NewLossTracker(suspect.DefaultLimits)}
 }
 
-func (f *crashFindings) Watches() bool {
+func (f *crashFindings) HasFindings() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.losses.Len() > 0
@@ -154,16 +154,16 @@
 	return time.Hour, f.losses.Find(print).Quarantined(time.Now(), suspect.DefaultLimits)
 }
 
-func (f *crashFindings) Lost(l suspect.Loss) {
+func (f *crashFindings) RecordLoss(l suspect.Loss) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.losses.Lost(time.Now(), l)
+	f.losses.RecordLoss(time.Now(), l)
 }
 
-func (f *crashFindings) Answered(print fleet.Fingerprint) {
+func (f *crashFindings) RecordAnswer(print fleet.Fingerprint) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.losses.Answered(time.Now(), print)
+	f.losses.RecordAnswer(time.Now(), print)
 }
 
 func (f *fakeEndpoints) recordRelease(list *[]string, what string) {
@@ -220,9 +220,9 @@
 		fx.view.Endpoints["s"] = append(fx.view.Endpoints["s"], &dispatch.Endpoint{ID: fmt.Sprint("e", n), Service: "s", Slots: 4})
 	}
 	fx.budget = retrybudget.New(time.Now().Add(-time.Minute), retrybudget.Limits{Ratio: 0.2, Slack: 10, Window: 10 * time.Second})
-	fx.budget.Entries(time.Now(), 1)
+	fx.budget.SetEntries(time.Now(), 1)
 	fx.router = New(Options{
-		View: func() *View { return fx.view }, Endpoints: fx.endpoints, Book: dispatch.NewBook("", 1, dispatch.Policy{}), Budget: fx.budget, Crashes: fx.crashes,
+		View: func() *View { return fx.view }, Endpoints: fx.endpoints, Stats: dispatch.NewEndpointStats("", 1, dispatch.Policy{}), Budget: fx.budget, Crashes: fx.crashes,
 		Part: logging.Part{}, Random: func() float64 { return 0.5 },
 	})
 	return fx
@@ -230,7 +230,7 @@
 
 // withModel makes the service one of model endpoints.
 func (fx *fixture) withModel() *fixture {
-	fx.view.Table.Service("s").Engine = &routetable.Engine{KVTokens: 10000, HoldLife: 2 * time.Second}
+	fx.view.Table.Service("s").Engine = &routetable.Engine{KVTokens: 10000, MaxReservationDuration: 2 * time.Second}
 	for n, e := range fx.view.Endpoints["s"] {
 		e.Stage = dispatch.StageDecode
 		if n == 0 {
@@ -241,12 +241,12 @@
 }
 
 func newExchange() *Exchange {
-	return &Exchange{ID: "x1", Method: http.MethodPost, Host: "h", Path: "/p/1", Target: "/p/1", Received: time.Now(), Patience: 5 * time.Second}
+	return &Exchange{ID: "x1", Method: http.MethodPost, Host: "h", Path: "/p/1", RequestURI: "/p/1", Received: time.Now(), CallerTimeout: 5 * time.Second}
 }
 
 func newModelExchange() *Exchange {
 	x := newExchange()
-	x.Prompt = &Prompt{Tokens: 1000, MaxOutput: 200, LikelyOut: 100}
+	x.Prompt = &Prompt{Tokens: 1000, MaxOutput: 200, EstimatedOutput: 100}
 	return x
 }
 
--- a/internal/relay/identity_test.go
+++ b/internal/relay/identity_test.go
@@ -62,7 +62,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			fx := newFixture(idempotent, returns(func() *Reply { return ok("good") })).withTeams()
-			fx.router.options.Behind = func() time.Duration { return test.behind }
+			fx.router.options.OutdatedFor = func() time.Duration { return test.behind }
 			x := exchangeWithKey(test.key)
 			if test.path != "" {
 				x.Path = test.path
@@ -84,7 +84,7 @@
 func TestEachCallBearsTheTeam(t *testing.T) {
 	fx := newFixture(stream, returns(func() *Reply { return ok("handle") }), returns(notRun),
 		returns(func() *Reply { return ok("handle") }), returns(func() *Reply { return ok(event("1")) })).withModel().withTeams()
-	fx.view.Table.Service("s").Engine = &routetable.Engine{KVTokens: 10000, HoldLife: 2 * time.Second}
+	fx.view.Table.Service("s").Engine = &routetable.Engine{KVTokens: 10000, MaxReservationDuration: 2 * time.Second}
 	x := newModelExchange()
 	x.Key = keyhash.Of("b1")
 	_, refusal := fx.serve(t, x)
@@ -126,7 +126,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			fx := newFixture(idempotent, returns(func() *Reply { return ok("good") }), returns(func() *Reply { return ok("good") })).withTeams()
-			fx.view.Confirmed.Raise(time.Hour)
+			fx.view.Confirmed.Advance(time.Hour)
 			fx.router.options.RevokeWithin = test.within
 			uptime := time.Hour + test.age
 			fx.router.options.Uptime = func() time.Duration { return uptime }
@@ -137,7 +137,7 @@
 			if !test.served {
 				assert.Equal(t, refusal.Verdict, VerdictNotRun)
 				assert.Assert(t, refusal.RetryAfter > 0)
-				fx.view.Confirmed.Raise(uptime)
+				fx.view.Confirmed.Advance(uptime)
 				_, refusal = fx.serve(t, x)
 				assert.Assert(t, refusal == nil)
 			}
@@ -154,7 +154,7 @@
 	fx := newFixture(idempotent).withTeams()
 	fx.router.options.Part = logging.For(logger, "relay")
 	fx.serve(t, exchangeWithKey("unknown-key"))
-	fx.router.options.Quotas = &fakeQuotas{take: func() error { return &quota.SpentError{Again: time.Second} }}
+	fx.router.options.Quotas = &fakeQuotas{take: func() error { return &quota.ExhaustedError{RetryAfter: time.Second} }}
 	fx.view.Table.TeamOf(keyhash.Of("a1")).Quota = routetable.Quota{PerSecond: 1}
 	fx.serve(t, exchangeWithKey("a1"))
 	fx.router.options.RevokeWithin = time.Second
@@ -213,12 +213,12 @@
 				fx.router.options.RevokeWithin = 5 * time.Second
 				fx.router.options.Uptime = func() time.Duration { return time.Hour }
 				if test.cutOff {
-					fx.view.Confirmed.Raise(time.Minute)
+					fx.view.Confirmed.Advance(time.Minute)
 				}
 				began := time.Now()
 				newer := *fx.view
 				newer.Confirmed = &Confirmation{}
-				newer.Confirmed.Raise(time.Hour)
+				newer.Confirmed.Advance(time.Hour)
 				older := fx.view
 				fx.router.options.View = func() *View {
 					if time.Since(began) < test.confirmed {
--- a/internal/relay/invariants_test.go
+++ b/internal/relay/invariants_test.go
@@ -29,7 +29,7 @@
 			return notRun(), nil
 		case 2:
 			r := notRun()
-			r.Misfit = true
+			r.WrongIncarnation = true
 			return r, nil
 		case 3:
 			return reply(http.StatusInternalServerError, io.EOF), nil
@@ -60,7 +60,7 @@
 			fx.route.MaxAttempts = 1 + random.IntN(3)
 			fx.route.Resumable = random.IntN(2) == 0
 			x := newExchange()
-			x.Patience = patience
+			x.CallerTimeout = patience
 			if kind == routetable.KindStream {
 				x.Prompt = newModelExchange().Prompt
 			}
--- a/internal/relay/leave_test.go
+++ b/internal/relay/leave_test.go
@@ -47,7 +47,7 @@
 // signals of the one before it, or of another endpoint at its address.
 func TestLeavingAppliesToOneIncarnation(t *testing.T) {
 	leaving := func() *Reply { r := ok("good"); r.Leaving = true; return r }
-	another := func() *Reply { r := misfit(); r.Leaving, r.Rest = true, time.Minute; return r }
+	another := func() *Reply { r := misfit(); r.Leaving, r.Cooldown = true, time.Minute; return r }
 	fx := newFixture(atMostOnce, returns(leaving), returns(another), returns(func() *Reply { return ok("good") }))
 	fx.view.Endpoints["s"] = fx.view.Endpoints["s"][:2]
 	_, refusal := fx.serve(t, newExchange())
@@ -55,11 +55,11 @@
 	left := fx.endpoints.calls[0].Endpoint
 	restarted := *left
 	restarted.Born = 7
-	stats := fx.router.options.Book
-	assert.Equal(t, stats.Unwanted(time.Now(), left), dispatch.Leaving)
-	assert.Equal(t, stats.Unwanted(time.Now(), &restarted), dispatch.Wanted)
+	stats := fx.router.options.Stats
+	assert.Equal(t, stats.Availability(time.Now(), left), dispatch.Leaving)
+	assert.Equal(t, stats.Availability(time.Now(), &restarted), dispatch.Accepting)
 	_, _ = fx.serve(t, newExchange())
 	other := fx.endpoints.calls[1].Endpoint
 	assert.Assert(t, other != left)
-	assert.Equal(t, stats.Unwanted(time.Now(), other), dispatch.Wanted)
+	assert.Equal(t, stats.Availability(time.Now(), other), dispatch.Accepting)
 }
--- a/internal/relay/limit.go
+++ b/internal/relay/limit.go
@@ -48,10 +48,10 @@
 
 // receiveLimit processes what the answer to a request sent at sent says about its
 // endpoint's limit.
-func (ex *activeExchange) receiveLimit(e *dispatch.Endpoint, sent time.Time, w endpointlimit.Word) {
+func (ex *activeExchange) receiveLimit(e *dispatch.Endpoint, sent time.Time, w endpointlimit.Signal) {
 	limits := ex.router.options.Limits
-	known, changed := limits.Hear(time.Now(), sent, limitKey(e), w)
-	if changed || w.Kind == endpointlimit.KindUnreadable {
+	known, changed := limits.RecordSignal(time.Now(), sent, limitKey(e), w)
+	if changed || w.Kind == endpointlimit.KindInvalid {
 		ex.router.metrics.limitSignals.WithLabelValues(w.Kind.String()).Inc()
 	}
 	if !changed {
@@ -67,7 +67,7 @@
 // reportLimitEnd tells an endpoint's limit servers in the background that its limit ended.
 func (ex *activeExchange) reportLimitEnd(e *dispatch.Endpoint) {
 	ex.releaseAsync(func(ctx context.Context) {
-		if err := ex.router.options.Limits.Tell(ctx, limitKey(e)); err != nil {
+		if err := ex.router.options.Limits.ReportLimit(ctx, limitKey(e)); err != nil {
 			ex.router.options.Part.Debug("Could not report the end of an endpoint limit.", "endpoint", e.ID, "err", err)
 		}
 	})
@@ -79,9 +79,9 @@
 // It is called right before each attempt: an endpoint may have been blocked since it was
 // chosen, while the request waited for memory or its prompt was read.
 func (ex *activeExchange) acquirePermit(ctx context.Context, e *dispatch.Endpoint) bool {
-	limits, stats := ex.router.options.Limits, ex.router.options.Book
+	limits, stats := ex.router.options.Limits, ex.router.options.Stats
 	asked := time.Now()
-	if !stats.Takes(asked, e) {
+	if !stats.AllowedBySignals(asked, e) {
 		return false
 	}
 	if at, ok := ex.permits[e.Incarnation()]; ok && asked.Sub(at) < permitTTL {
@@ -90,21 +90,21 @@
 	if stats.IsBlocked(asked, e) {
 		return false
 	}
-	if !ex.router.options.Policy.Has(dispatch.KeepLimits) || !limits.Limit(limitKey(e)).Limited {
+	if !ex.router.options.Policy.Has(dispatch.EnforceLimits) || !limits.Limit(limitKey(e)).Limited {
 		return true
 	}
-	denied := limits.Take(ctx, limitKey(e))
+	denied := limits.AcquirePermit(ctx, limitKey(e))
 	if denied == nil {
 		ex.permits[e.Incarnation()] = asked
 		return true
 	}
-	stats.Block(e, time.Now().Add(denied.Again))
+	stats.Block(e, time.Now().Add(denied.RetryAfter))
 	why := deniedLimitReached
-	if denied.NoKeeper {
+	if denied.NoLimitServer {
 		why = deniedNoServer
 	}
 	ex.router.metrics.limitDenied.WithLabelValues(why).Inc()
-	ex.logDecision("No permit for the endpoint.", "endpoint", e.ID, "why", why, "again_ms", denied.Again.Milliseconds())
+	ex.logDecision("No permit for the endpoint.", "endpoint", e.ID, "why", why, "again_ms", denied.RetryAfter.Milliseconds())
 	return false
 }
 
@@ -117,7 +117,7 @@
 	}
 	ex.router.metrics.limitedAttempts.WithLabelValues(string(kind)).Inc()
 	ex.router.options.Part.Info("Sent to a limited endpoint.", "request", ex.exchange.ID, "endpoint", e.ID, "kind", kind,
-		"per_second", rounded(known.PerSecond), "heard_ms", time.Since(known.At).Milliseconds())
+		"per_second", rounded(known.PerSecond), "heard_ms", time.Since(known.AsOf).Milliseconds())
 }
 
 // nextAttemptKind returns the kind of the next attempt of the exchange itself.
@@ -142,7 +142,7 @@
 // exchange was not sent yet and has the time. It returns false without one.
 func (ex *activeExchange) awaitUnblocked(ctx context.Context, stage dispatch.Stage) bool {
 	now := time.Now()
-	unblocksAt := ex.router.options.Book.Unblocks(now, ex.router.untried(ex.service, stage, ex.model(), ex.tried))
+	unblocksAt := ex.router.options.Stats.NextUnblockTime(now, ex.router.untried(ex.service, stage, ex.model(), ex.tried))
 	if ex.attempts > 0 || unblocksAt.IsZero() {
 		return false
 	}
@@ -161,7 +161,7 @@
 	if ex.hasUntriedEndpoint() {
 		return 0
 	}
-	unblocksAt := ex.router.options.Book.Unblocks(now, ex.router.untried(ex.service, ex.stage(), ex.model(), ex.tried))
+	unblocksAt := ex.router.options.Stats.NextUnblockTime(now, ex.router.untried(ex.service, ex.stage(), ex.model(), ex.tried))
 	if unblocksAt.IsZero() {
 		return 0
 	}
--- a/internal/relay/limit_fixture_test.go
+++ b/internal/relay/limit_fixture_test.go
@@ -170,27 +170,27 @@
 	case !c.Prefill && c.Exchange.Prompt != nil:
 		r = ok(event("1"))
 	}
-	r.Limit = endpointlimit.ParseWord(values)
+	r.Limit = endpointlimit.ParseSignal(values)
 	if rest := s.service.requestCooldown(c.Endpoint.ID, s.entry); rest > 0 {
 		r = notRun()
-		r.Rest = rest
+		r.Cooldown = rest
 	}
 	r.Leaving = s.service.signalLeaving(c.Endpoint.ID, s.entry)
 	return r, nil
 }
 
-func (s limitedSender) Prefilled(r *Reply) (Prefilled, error) {
+func (s limitedSender) ReadPrefillResult(r *Reply) (PrefillResult, error) {
 	_, err := io.ReadAll(r.Body)
-	return Prefilled{Handle: "h"}, err
+	return PrefillResult{Handle: "h"}, err
 }
 
-func (limitedSender) Reserve(context.Context, *dispatch.Endpoint, int, time.Duration) (Reserved, error) {
-	return Reserved{Hold: "hold"}, nil
+func (limitedSender) Reserve(context.Context, *dispatch.Endpoint, int, time.Duration) (Reservation, error) {
+	return Reservation{ID: "hold"}, nil
 }
 
-func (limitedSender) DropHold(context.Context, *dispatch.Endpoint, string) {}
-func (limitedSender) Release(context.Context, *dispatch.Endpoint, string)  {}
-func (limitedSender) HasOpen(*dispatch.Endpoint, time.Time) bool           { return false }
+func (limitedSender) ReleaseReservation(context.Context, *dispatch.Endpoint, string) {}
+func (limitedSender) ReleasePrefill(context.Context, *dispatch.Endpoint, string)     {}
+func (limitedSender) HasConnectionOpenedBefore(*dispatch.Endpoint, time.Time) bool   { return false }
 
 // limitedFleet is entries in front of a limitedService.
 type limitedFleet struct {
@@ -220,7 +220,7 @@
 		}},
 	}
 	if model {
-		d.Services[0].Engine = &routetable.Engine{Slots: 64, KVTokens: 40_000, HoldLife: 2 * time.Second}
+		d.Services[0].Engine = &routetable.Engine{Slots: 64, KVTokens: 40_000, MaxReservationDuration: 2 * time.Second}
 		d.Routes[0].Kind = stream
 	}
 	for n, limit := range limits {
@@ -261,12 +261,12 @@
 	random := rand.New(rand.NewPCG(uint64(n), 7))
 	var mu sync.Mutex
 	budget := retrybudget.New(time.Now().Add(-time.Minute), retrybudget.Limits{Ratio: 0.2, Slack: 8, Window: 10 * time.Second})
-	budget.Entries(time.Now(), 1)
+	budget.SetEntries(time.Now(), 1)
 	members := func() []string { return f.members }
 	return New(Options{
 		View: func() *View { return view }, Endpoints: limitedSender{service: f.service, entry: n},
 		Limits: endpointlimit.NewClient(f.net.Dialer(fmt.Sprint("entry", n)), members, rand.Shuffle),
-		Book:   dispatch.NewBook("", uint64(n), dispatch.Policy{}), Budget: budget, Part: logging.Part{},
+		Stats:  dispatch.NewEndpointStats("", uint64(n), dispatch.Policy{}), Budget: budget, Part: logging.Part{},
 		Random: func() float64 { mu.Lock(); defer mu.Unlock(); return random.Float64() },
 	})
 }
@@ -282,7 +282,7 @@
 		x := newExchange()
 		x.ID = fmt.Sprint("x", f.asked)
 		if f.model {
-			x.Prompt = &Prompt{Tokens: 1000, MaxOutput: 200, LikelyOut: 100}
+			x.Prompt = &Prompt{Tokens: 1000, MaxOutput: 200, EstimatedOutput: 100}
 		}
 		f.asked++
 		all.Go(func() {
--- a/internal/relay/limit_test.go
+++ b/internal/relay/limit_test.go
@@ -123,7 +123,7 @@
 // the request that follows needs a permit.
 func TestLimitInReserveAnswer(t *testing.T) {
 	fx := newFixture(stream, returns(func() *Reply { return ok("{}") }), returns(func() *Reply { return ok(event("1")) })).withModel()
-	fx.endpoints.signals = Words{Limit: endpointlimit.Word{Kind: endpointlimit.KindNamed, PerSecond: 1}}
+	fx.endpoints.signals = Signals{Limit: endpointlimit.Signal{Kind: endpointlimit.KindLimit, PerSecond: 1}}
 	_, refusal := fx.serve(t, newModelExchange())
 	assert.Assert(t, refusal != nil)
 	assert.Equal(t, len(fx.endpoints.calls), 0)
--- a/internal/relay/losswatch.go
+++ b/internal/relay/losswatch.go
@@ -19,14 +19,14 @@
 // one stays open, the endpoint has outlived the loss.
 func (r *Router) watchLoss(at *dispatch.Endpoint, loss suspect.Loss) {
 	lost := time.Now()
-	if !r.options.Endpoints.HasOpen(at, lost) {
-		r.options.Crashes.Lost(loss)
+	if !r.options.Endpoints.HasConnectionOpenedBefore(at, lost) {
+		r.options.Crashes.RecordLoss(loss)
 		return
 	}
 	select {
 	case r.lossWatchers <- struct{}{}:
 	default:
-		r.options.Crashes.Lost(loss)
+		r.options.Crashes.RecordLoss(loss)
 		return
 	}
 	go func() {
@@ -38,12 +38,12 @@
 func (r *Router) awaitConnectionsClosed(at *dispatch.Endpoint, lost time.Time, loss suspect.Loss) {
 	for _, pause := range lossCheckIntervals {
 		time.Sleep(pause)
-		if !r.options.Endpoints.HasOpen(at, lost) {
-			r.options.Crashes.Lost(loss)
+		if !r.options.Endpoints.HasConnectionOpenedBefore(at, lost) {
+			r.options.Crashes.RecordLoss(loss)
 			return
 		}
 	}
 	r.metrics.outlivedLosses.Inc()
-	loss.Outlived = true
-	r.options.Crashes.Lost(loss)
+	loss.EndpointSurvived = true
+	r.options.Crashes.RecordLoss(loss)
 }
--- a/internal/relay/model.go
+++ b/internal/relay/model.go
@@ -33,8 +33,8 @@
 // place is memory at an endpoint for one request.
 type place struct {
 	endpoint      *dispatch.Endpoint
-	reservationID string            // empty where endpoints don't reserve memory
-	allocated     *allocation.Place // nil where no home assigned it
+	reservationID string                  // empty where endpoints don't reserve memory
+	allocated     *allocation.Reservation // nil where no home assigned it
 }
 
 // prepareModel reserves memory for the whole request where it will run, and only then has
@@ -47,7 +47,7 @@
 	}
 	ex.allocated = at.allocated
 	call := ex.newCall(at.endpoint)
-	call.Hold = at.reservationID
+	call.ReservationID = at.reservationID
 	call.Priority = ex.priority()
 	if ex.unusedPrefill == nil && !ex.isQuarantined() {
 		ex.unusedPrefill = ex.runPrefill(ctx)
@@ -74,13 +74,13 @@
 	since, waiting := ex.waitState()
 	defer ex.router.metrics.observePlaceWait(time.Now())
 	for {
-		pause, giveUp := waiting.Pause(time.Since(since))
+		pause, giveUp := waiting.NextPoll(time.Since(since))
 		if giveUp {
-			ex.logDecision("Waits no longer.", "waited_ms", time.Since(since).Milliseconds(), "target_ms", waiting.Target.Milliseconds(),
-				"patience_ms", waiting.Patience.Milliseconds(), "answer_ms", waiting.Length.Milliseconds())
+			ex.logDecision("Waits no longer.", "waited_ms", time.Since(since).Milliseconds(), "target_ms", waiting.TargetLatency.Milliseconds(),
+				"patience_ms", waiting.CallerTimeout.Milliseconds(), "answer_ms", waiting.AnswerDuration.Milliseconds())
 			return nil
 		}
-		at, asked := ex.allocate(ctx, waiting.Left(time.Since(since)))
+		at, asked := ex.allocate(ctx, waiting.Remaining(time.Since(since)))
 		if asked {
 			pause = allocationRetryInterval
 		} else if ex.canPrefillSoon() {
@@ -104,17 +104,17 @@
 // Guards against this failure: an endpoint fails in mid-stream, long after the target for
 // the first part. An exchange that could resume elsewhere must not be given up because of
 // that target; its caller now waits for the next part.
-func (ex *activeExchange) waitState() (since time.Time, w dispatch.Waiting) {
+func (ex *activeExchange) waitState() (since time.Time, w dispatch.MemoryWait) {
 	since = ex.exchange.Received
-	w = dispatch.Waiting{Target: ex.route.Target, Silence: maxEventWait(ex.route), Start: typicalStartTime, Length: ex.expectedAnswerTime()}
-	if ex.attempts > 0 || !ex.router.options.Policy.Has(dispatch.EndAtTarget) {
-		w.Target = 0
+	w = dispatch.MemoryWait{TargetLatency: ex.route.Target, IdleTimeout: maxEventWait(ex.route), StartLatency: typicalStartTime, AnswerDuration: ex.expectedAnswerTime()}
+	if ex.attempts > 0 || !ex.router.options.Policy.Has(dispatch.EndWaitAtTarget) {
+		w.TargetLatency = 0
 	}
 	if ex.headSent {
 		since = ex.progress.writtenAt
-		w.Length = max(0, w.Length-since.Sub(ex.progress.firstAt))
+		w.AnswerDuration = max(0, w.AnswerDuration-since.Sub(ex.progress.firstAt))
 	}
-	w.Patience = ex.deadline.Sub(since)
+	w.CallerTimeout = ex.deadline.Sub(since)
 	return since, w
 }
 
@@ -125,7 +125,7 @@
 	if ex.estimatedOutput() <= 0 {
 		return typicalAnswerTime
 	}
-	return ex.router.options.Book.AnswerTime(ex.service, ex.estimatedOutput())
+	return ex.router.options.Stats.EstimateAnswerDuration(ex.service, ex.estimatedOutput())
 }
 
 // estimatedOutput returns how many tokens the caller expects; 0 if it doesn't say. Some
@@ -134,14 +134,14 @@
 	if ex.exchange.Prompt == nil {
 		return 0
 	}
-	return min(ex.exchange.Prompt.LikelyOut, ex.exchange.Prompt.MaxOutput)
+	return min(ex.exchange.Prompt.EstimatedOutput, ex.exchange.Prompt.MaxOutput)
 }
 
 // maxEventWait returns how long a caller waits for the next event of a stream, including
 // the first, before it leaves: the longest of two seconds, four times the target and eight
 // times the route's EventGap.
 func maxEventWait(r *routetable.Route) time.Duration {
-	return max(2*time.Second, 4*r.Target, 8*r.EventGap)
+	return max(2*time.Second, 4*r.Target, 8*r.MaxEventGap)
 }
 
 // findPlace asks the endpoints with the most free memory in the local view. found is false
@@ -157,7 +157,7 @@
 			return nil, found
 		}
 		found = true
-		if ex.engine.HoldLife == 0 || ex.exchange.Prompt == nil || !ex.router.options.Policy.Has(dispatch.MemoryFirst) {
+		if ex.engine.MaxReservationDuration == 0 || ex.exchange.Prompt == nil || !ex.router.options.Policy.Has(dispatch.ReserveMemoryFirst) {
 			at = &place{endpoint: choice.Endpoint}
 		} else if reservationID, err := ex.reserveMemory(ctx, choice.Endpoint); err == nil {
 			at = &place{endpoint: choice.Endpoint, reservationID: reservationID}
@@ -177,36 +177,36 @@
 func (ex *activeExchange) reserveMemory(ctx context.Context, e *dispatch.Endpoint) (string, error) {
 	reserveCtx, cancel := context.WithTimeoutCause(ctx, reserveTimeout, errNoResponse)
 	defer cancel()
-	reserved, err := ex.router.options.Endpoints.Reserve(reserveCtx, e, ex.memoryTokens(), min(reservationTTL, ex.engine.HoldLife))
+	reserved, err := ex.router.options.Endpoints.Reserve(reserveCtx, e, ex.memoryTokens(), min(reservationTTL, ex.engine.MaxReservationDuration))
 	now := time.Now()
-	if reserved.Limit.Kind == endpointlimit.KindNamed {
+	if reserved.Limit.Kind == endpointlimit.KindLimit {
 		ex.receiveLimit(e, now, reserved.Limit)
 	}
-	ex.receiveUnwanted(e, reserved.Words)
+	ex.receiveUnwanted(e, reserved.Signals)
 	switch {
 	case err == nil:
 	case errors.Is(err, errNoResponse):
-		ex.router.options.Book.Note(now, e, dispatch.OutcomeUnreachable)
+		ex.router.options.Stats.RecordOutcome(now, e, dispatch.OutcomeUnreachable)
 		ex.logDecision("Endpoint did not answer a request for memory.", "endpoint", e.ID)
-	case errors.Is(err, ErrNoRoom):
-		ex.router.options.Book.Full(now, e)
+	case errors.Is(err, ErrNoMemory):
+		ex.router.options.Stats.RecordFull(now, e)
 		ex.router.metrics.noMemory.Inc()
 		ex.logDecision("No room.", "endpoint", e.ID, "tokens", ex.memoryTokens())
 	case ctx.Err() == nil:
-		ex.router.options.Book.Note(now, e, sendOutcome(err))
+		ex.router.options.Stats.RecordOutcome(now, e, sendOutcome(err))
 		ex.logDecision("Could not reserve memory.", "endpoint", e.ID, "err", err)
 	}
-	return reserved.Hold, err
+	return reserved.ID, err
 }
 
 // memoryMeasure measures a decode endpoint by its memory, which is what limits it: a
 // prompt of thousands of tokens fills a tenth of it.
-func (ex *activeExchange) memoryMeasure() dispatch.Measure {
+func (ex *activeExchange) memoryMeasure() dispatch.LoadFunc {
 	memory := ex.memoryTokens()
 	total := ex.engine.KVTokens
 	return func(e *dispatch.Endpoint, own int, prompt, held int, others float64) float64 {
 		if total <= 0 {
-			return dispatch.ByPlaces(e, own, prompt, held, others)
+			return dispatch.SlotLoad(e, own, prompt, held, others)
 		}
 		used := float64(held) + others*float64(memory)
 		return (used + float64(memory)) / float64(total)
--- a/internal/relay/model_test.go
+++ b/internal/relay/model_test.go
@@ -16,13 +16,13 @@
 func TestMemoryBeforePrefill(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fx := newFixture(stream, returns(func() *Reply { return ok("{}") }), returns(func() *Reply { return ok(event("1")) })).withModel()
-		fx.endpoints.reserveErrors = []error{ErrNoRoom, ErrNoRoom, ErrNoRoom, ErrNoRoom}
+		fx.endpoints.reserveErrors = []error{ErrNoMemory, ErrNoMemory, ErrNoMemory, ErrNoMemory}
 		_, refusal := fx.serve(t, newModelExchange())
 		assert.Assert(t, refusal == nil)
 		assert.Equal(t, len(fx.endpoints.calls), 2)
 		prefill, run := fx.endpoints.calls[0], fx.endpoints.calls[1]
 		assert.Assert(t, prefill.Prefill && prefill.Endpoint.Stage == dispatch.StagePrefill)
-		assert.Equal(t, run.Hold, "hold1")
+		assert.Equal(t, run.ReservationID, "hold1")
 		assert.Equal(t, run.Source.Handle, "handle")
 	})
 }
@@ -33,7 +33,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		fx := newFixture(stream).withModel()
 		for range 10000 {
-			fx.endpoints.reserveErrors = append(fx.endpoints.reserveErrors, ErrNoRoom)
+			fx.endpoints.reserveErrors = append(fx.endpoints.reserveErrors, ErrNoMemory)
 		}
 		began := time.Now()
 		_, refusal := fx.serve(t, newModelExchange())
@@ -53,7 +53,7 @@
 		assert.Assert(t, refusal == nil)
 		assert.Equal(t, len(fx.endpoints.calls), 3)
 		assert.Equal(t, fx.endpoints.calls[2].Source.Handle, "handle")
-		assert.Equal(t, fx.endpoints.calls[2].Hold, "hold2")
+		assert.Equal(t, fx.endpoints.calls[2].ReservationID, "hold2")
 	})
 }
 
@@ -75,11 +75,11 @@
 	reserve, prefill, run bool
 }
 
-func (s *unresponsiveFirst) Reserve(ctx context.Context, e *dispatch.Endpoint, tokens int, ttl time.Duration) (Reserved, error) {
+func (s *unresponsiveFirst) Reserve(ctx context.Context, e *dispatch.Endpoint, tokens int, ttl time.Duration) (Reservation, error) {
 	if s.reserve {
 		s.reserve = false
 		<-ctx.Done()
-		return Reserved{}, &SendError{Sent: true, Cause: context.Cause(ctx)}
+		return Reservation{}, &SendError{Sent: true, Cause: context.Cause(ctx)}
 	}
 	return s.fakeEndpoints.Reserve(ctx, e, tokens, ttl)
 }
@@ -129,8 +129,8 @@
 		synctest.Test(t, func(t *testing.T) {
 			fx := newFixture(stream, returns(func() *Reply { return ok("{}") }), returns(func() *Reply { return ok(event("1")) })).withModel()
 			x := newModelExchange()
-			x.Patience = 5 * time.Second
-			x.Prompt.MaxOutput, x.Prompt.LikelyOut = 3000, test.estimate
+			x.CallerTimeout = 5 * time.Second
+			x.Prompt.MaxOutput, x.Prompt.EstimatedOutput = 3000, test.estimate
 			began := time.Now()
 			_, refusal := fx.serve(t, x)
 			assert.Equal(t, refusal == nil, test.served)
--- a/internal/relay/options.go
+++ b/internal/relay/options.go
@@ -31,8 +31,8 @@
 type Options struct {
 	View      func() *View
 	Endpoints Endpoints
-	Book      *dispatch.Book
-	Allotter  Allocator   // nil: entries place requests by themselves
+	Stats     *dispatch.EndpointStats
+	Allocator Allocator   // nil: entries place requests by themselves
 	Quotas    QuotaClient // nil: teams have none
 	// QuotaTolerance is by how much teams may exceed their quotas.
 	QuotaTolerance quota.Tolerance
@@ -44,9 +44,9 @@
 	Part    logging.Part
 	Metrics prometheus.Registerer // nil for none
 	Random  func() float64        // uniform in [0, 1), safe for concurrent use
-	// Behind returns for how long a newer configuration than the one of View has been
+	// OutdatedFor returns for how long a newer configuration than the one of View has been
 	// known; 0 if there is none. It is nil if that is not known.
-	Behind func() time.Duration
+	OutdatedFor func() time.Duration
 	// ApplyWithin is how long a confirmed configuration may take to be in force at
 	// each entry; 0 for no limit.
 	ApplyWithin time.Duration
--- a/internal/relay/outdated.go
+++ b/internal/relay/outdated.go
@@ -32,8 +32,8 @@
 }
 
 func (r *Router) outdatedFor() time.Duration {
-	if r.options.Behind == nil {
+	if r.options.OutdatedFor == nil {
 		return 0
 	}
-	return r.options.Behind()
+	return r.options.OutdatedFor()
 }
--- a/internal/relay/outdated_test.go
+++ b/internal/relay/outdated_test.go
@@ -28,10 +28,10 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			fx := newFixture(idempotent, returns(func() *Reply { return ok("good") }))
-			fx.router.options.Behind = func() time.Duration { return test.behind }
+			fx.router.options.OutdatedFor = func() time.Duration { return test.behind }
 			fx.router.options.ApplyWithin = test.within
 			x := newExchange()
-			x.Path, x.Target = test.path, test.path
+			x.Path, x.RequestURI = test.path, test.path
 			_, refusal := fx.serve(t, x)
 			if test.served {
 				assert.Assert(t, refusal == nil)
--- a/internal/relay/prefill.go
+++ b/internal/relay/prefill.go
@@ -33,24 +33,24 @@
 	}
 	choice, promptPlace, reservation := ex.permittedPrefillEndpoint(ctx)
 	ex.router.metrics.promptPlaces.WithLabelValues(promptPlace.String()).Inc()
-	if promptPlace != dispatch.PlaceReader {
+	if promptPlace != dispatch.PrefillRemote {
 		return nil
 	}
 	ex.prefillAttempted = true
-	work := dispatch.Work{Prompt: ex.exchange.Prompt.Tokens, Memory: ex.exchange.Prompt.Tokens}
-	stats := ex.router.options.Book
+	work := dispatch.Work{PromptTokens: ex.exchange.Prompt.Tokens, MemoryTokens: ex.exchange.Prompt.Tokens}
+	stats := ex.router.options.Stats
 	stats.Begin(time.Now(), choice.Endpoint, work)
 	start := time.Now()
-	expected := stats.ReadingTime(ex.service, ex.exchange.Prompt.Tokens, choice.Before)
+	expected := stats.EstimatePrefillDuration(ex.service, ex.exchange.Prompt.Tokens, choice.EndpointLoad)
 	prefillCtx, cancel := context.WithTimeoutCause(ctx, max(minPrefillTimeout, prefillTimeoutFactor*expected), errNoResponse)
 	defer cancel()
 	result, outcome, arrived := ex.sendPrefill(prefillCtx, choice.Endpoint)
 	ex.settlePrefillBudget(reservation, choice.Endpoint, outcome, arrived)
 	ex.progress.prefillMs = time.Since(start).Milliseconds()
-	ex.reportPrefillDelay(outcome, stats.ReadingTime(ex.service, ex.exchange.Prompt.Tokens, 0), time.Since(start))
+	ex.reportPrefillDelay(outcome, stats.EstimatePrefillDuration(ex.service, ex.exchange.Prompt.Tokens, 0), time.Since(start))
 	ex.router.metrics.prefillTime.Observe(time.Since(start).Seconds())
 	if outcome == dispatch.OutcomeServed {
-		stats.HaveRead(time.Now(), choice.Endpoint, ex.exchange.Prompt.Tokens, time.Since(start))
+		stats.RecordPrefill(time.Now(), choice.Endpoint, ex.exchange.Prompt.Tokens, time.Since(start))
 	}
 	stats.End(time.Now(), choice.Endpoint, work, outcome)
 	return result
@@ -63,54 +63,54 @@
 // return at once with prompts that must be read again. Their answers are late in any case,
 // while new requests that queue behind them at the prefill endpoints miss their targets.
 func (ex *activeExchange) skipsPrefill() bool {
-	return ex.exchange.Prompt == nil || ex.prefillAttempted || ex.isResumption() && ex.router.options.Policy.Has(dispatch.ReturnedReadOwn)
+	return ex.exchange.Prompt == nil || ex.prefillAttempted || ex.isResumption() && ex.router.options.Policy.Has(dispatch.LocalPrefillOnResume)
 }
 
 // isResumption reports whether the caller already has a part of the answer.
-func (ex *activeExchange) isResumption() bool { return ex.exchange.After != "" }
+func (ex *activeExchange) isResumption() bool { return ex.exchange.LastEventID != "" }
 
 // permittedPrefillEndpoint returns prefillEndpoint's choice, within the retry budget and
 // the endpoint's limit. Without one of these the decode endpoint reads the prompt.
-func (ex *activeExchange) permittedPrefillEndpoint(ctx context.Context) (dispatch.Choice, dispatch.Place, *retrybudget.Reservation) {
+func (ex *activeExchange) permittedPrefillEndpoint(ctx context.Context) (dispatch.Choice, dispatch.PrefillMode, *retrybudget.Reservation) {
 	choice, place := ex.prefillEndpoint()
-	if place != dispatch.PlaceReader {
+	if place != dispatch.PrefillRemote {
 		return choice, place, nil
 	}
 	reservation, allowed := ex.reservePrefillBudget(choice.Endpoint)
 	if allowed && ex.acquirePermit(ctx, choice.Endpoint) {
-		return choice, dispatch.PlaceReader, reservation
+		return choice, dispatch.PrefillRemote, reservation
 	}
 	if reservation != nil {
 		reservation.Cancel()
 	}
-	return choice, dispatch.PlaceOwn, nil
+	return choice, dispatch.PrefillLocal, nil
 }
 
 // prefillEndpoint returns the prefill endpoint that the home named, or one chosen here.
-func (ex *activeExchange) prefillEndpoint() (dispatch.Choice, dispatch.Place) {
+func (ex *activeExchange) prefillEndpoint() (dispatch.Choice, dispatch.PrefillMode) {
 	if ex.allocated == nil {
 		return ex.choosePrefillEndpoint()
 	}
-	e := ex.findEndpoint(dispatch.StagePrefill, ex.allocated.Reader)
+	e := ex.findEndpoint(dispatch.StagePrefill, ex.allocated.PrefillEndpoint)
 	if e == nil {
-		return dispatch.Choice{}, dispatch.PlaceOwn
+		return dispatch.Choice{}, dispatch.PrefillLocal
 	}
-	readingTime := ex.router.options.Book.ReadingTime(ex.service, ex.exchange.Prompt.Tokens, 0)
-	queued := float64(ex.allocated.Backlog) / float64(max(readingTime, time.Millisecond))
-	return dispatch.Choice{Endpoint: e, Before: queued}, dispatch.PlaceReader
+	readingTime := ex.router.options.Stats.EstimatePrefillDuration(ex.service, ex.exchange.Prompt.Tokens, 0)
+	queued := float64(ex.allocated.PrefillBacklog) / float64(max(readingTime, time.Millisecond))
+	return dispatch.Choice{Endpoint: e, EndpointLoad: queued}, dispatch.PrefillRemote
 }
 
 // choosePrefillEndpoint chooses the prefill endpoint with the least work queued, and
 // returns where the prompt of this exchange is read.
-func (ex *activeExchange) choosePrefillEndpoint() (dispatch.Choice, dispatch.Place) {
-	stats, tokens := ex.router.options.Book, ex.exchange.Prompt.Tokens
+func (ex *activeExchange) choosePrefillEndpoint() (dispatch.Choice, dispatch.PrefillMode) {
+	stats, tokens := ex.router.options.Stats, ex.exchange.Prompt.Tokens
 	choice, ok := ex.chooseEndpoint(dispatch.StagePrefill, nil, byPromptTokens(tokens))
 	if !ok {
-		return choice, dispatch.PlaceOwn
+		return choice, dispatch.PrefillLocal
 	}
-	readingTime := stats.ReadingTime(ex.service, tokens, 0)
-	reading := dispatch.Reading{Gap: ex.route.EventGap, Policy: ex.router.options.Policy}
-	return choice, reading.Choose(readingTime, stats.ReadingTime(ex.service, tokens, choice.Before))
+	readingTime := stats.EstimatePrefillDuration(ex.service, tokens, 0)
+	reading := dispatch.PrefillPlacement{MaxEventGap: ex.route.MaxEventGap, Policy: ex.router.options.Policy}
+	return choice, reading.Choose(readingTime, stats.EstimatePrefillDuration(ex.service, tokens, choice.EndpointLoad))
 }
 
 // sendPrefill sends a prefill. arrived reports whether the call counts as an arrival: one
@@ -132,24 +132,24 @@
 		case errors.Is(err, errNoResponse):
 			return nil, dispatch.OutcomeUnreachable, arrived
 		case ctx.Err() != nil:
-			return nil, dispatch.OutcomeGivenUp, arrived
+			return nil, dispatch.OutcomeCanceled, arrived
 		}
 		return nil, sendOutcome(err), arrived
 	}
 	defer reply.Body.Close()
 	ex.receiveSignals(e, sent, reply)
 	if reply.Load != nil {
-		ex.router.options.Book.Told(time.Now(), e, *reply.Load)
+		ex.router.options.Stats.RecordLoad(time.Now(), e, *reply.Load)
 	}
 	switch {
-	case reply.Misfit:
-		return nil, dispatch.OutcomeMisfit, true
+	case reply.WrongIncarnation:
+		return nil, dispatch.OutcomeWrongIncarnation, true
 	case reply.NotRun:
 		return nil, dispatch.OutcomeFull, true
 	case reply.Status != http.StatusOK:
 		return nil, dispatch.OutcomeFailed, true
 	}
-	accepted, err := ex.router.options.Endpoints.Prefilled(reply)
+	accepted, err := ex.router.options.Endpoints.ReadPrefillResult(reply)
 	if err != nil {
 		ex.logDecision("Prefill's answer was cut off.", "endpoint", e.ID, "err", err)
 		return nil, dispatch.OutcomeLost, false
@@ -171,12 +171,12 @@
 		return true
 	}
 	_, place := ex.choosePrefillEndpoint()
-	return place != dispatch.PlaceLater
+	return place != dispatch.PrefillDeferred
 }
 
 // byPromptTokens measures a prefill endpoint by the prompts queued before this one, in
 // units of this one: each delays it by its own reading time.
-func byPromptTokens(tokens int) dispatch.Measure {
+func byPromptTokens(tokens int) dispatch.LoadFunc {
 	return func(_ *dispatch.Endpoint, _ int, prompt, _ int, others float64) float64 {
 		return float64(prompt)/float64(max(1, tokens)) + others
 	}
--- a/internal/relay/priority.go
+++ b/internal/relay/priority.go
@@ -22,7 +22,7 @@
 
 // priority returns the priority that engines are told.
 func (ex *activeExchange) priority() int {
-	if !ex.router.options.Policy.Has(dispatch.Ranks) {
+	if !ex.router.options.Policy.Has(dispatch.EnginePriorities) {
 		return noPriority
 	}
 	waited := time.Since(ex.exchange.Received)
--- a/internal/relay/progress.go
+++ b/internal/relay/progress.go
@@ -39,5 +39,5 @@
 // after a longer pause than the route's EventGap.
 func (ex *activeExchange) isLate() bool {
 	lateFirst := ex.route.Target > 0 && ex.progress.firstAt.Sub(ex.exchange.Received) > ex.route.Target
-	return lateFirst || ex.route.EventGap > 0 && ex.progress.pause > ex.route.EventGap
+	return lateFirst || ex.route.MaxEventGap > 0 && ex.progress.pause > ex.route.MaxEventGap
 }
--- a/internal/relay/quota.go
+++ b/internal/relay/quota.go
@@ -56,7 +56,7 @@
 		if err == nil {
 			return &grant, nil
 		}
-		var spentErr *quota.SpentError
+		var spentErr *quota.ExhaustedError
 		if errors.As(err, &spentErr) {
 			return nil, r.refuseOverQuota(x, route, team, cost, spentErr)
 		}
@@ -69,17 +69,17 @@
 	}
 }
 
-func (r *Router) refuseOverQuota(x *Exchange, route *routetable.Route, team *routetable.Team, cost float64, spent *quota.SpentError) *Refusal {
+func (r *Router) refuseOverQuota(x *Exchange, route *routetable.Route, team *routetable.Team, cost float64, spent *quota.ExhaustedError) *Refusal {
 	r.options.Part.Info("The quota is spent.", "request", x.ID, "route", route.Name, "team", team.Name,
-		"cost", rounded(cost), "per_second", rounded(team.Quota.PerSecond), "burst", rounded(team.Quota.Burst), "again_ms", spent.Again.Milliseconds())
+		"cost", rounded(cost), "per_second", rounded(team.Quota.PerSecond), "burst", rounded(team.Quota.Burst), "again_ms", spent.RetryAfter.Milliseconds())
 	return &Refusal{Verdict: VerdictOverQuota, Reason: "the team's quota is spent", RetryAfter: r.overQuotaRetryAfter(x, route, spent)}
 }
 
-func (r *Router) overQuotaRetryAfter(x *Exchange, route *routetable.Route, spent *quota.SpentError) time.Duration {
-	if r.options.Policy.Has(dispatch.QuotaReturn) {
-		return quotaRetryAfter(spent.Again, route.Target, r.options.Random())
+func (r *Router) overQuotaRetryAfter(x *Exchange, route *routetable.Route, spent *quota.ExhaustedError) time.Duration {
+	if r.options.Policy.Has(dispatch.QuotaRepeatInTarget) {
+		return quotaRetryAfter(spent.RetryAfter, route.Target, r.options.Random())
 	}
-	return max(spent.Again, retryAfter(x.Patience, r.options.Random()))
+	return max(spent.RetryAfter, retryAfter(x.CallerTimeout, r.options.Random()))
 }
 
 // quotaRetryAfter returns when a caller whose team has spent its quota may return: when
--- a/internal/relay/quota_test.go
+++ b/internal/relay/quota_test.go
@@ -17,7 +17,7 @@
 	q := &fakeQuotas{take: take, done: make(chan struct{}, 10)}
 	fx.withTeams()
 	fx.router.options.Quotas = q
-	fx.view.Table.TeamOf(keyhash.Of("a1")).Quota = routetable.Quota{Unit: routetable.UnitToken, PerSecond: 100, Burst: 100, Unsized: 7}
+	fx.view.Table.TeamOf(keyhash.Of("a1")).Quota = routetable.Quota{Unit: routetable.UnitToken, PerSecond: 100, Burst: 100, DefaultTokens: 7}
 	return q
 }
 
@@ -43,7 +43,7 @@
 func TestSpentQuotaIsRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fx := newFixture(idempotent)
-		fx.withQuota(func() error { return &quota.SpentError{Again: 3 * time.Second} })
+		fx.withQuota(func() error { return &quota.ExhaustedError{RetryAfter: 3 * time.Second} })
 		began := time.Now()
 		_, refusal := fx.serve(t, exchangeWithKey("a1"))
 		assert.Equal(t, refusal.Verdict, VerdictOverQuota)
@@ -113,12 +113,12 @@
 				began := time.Now()
 				fx.withQuota(func() error {
 					if time.Since(began) < test.back {
-						return quota.ErrNoKeeper
+						return quota.ErrNoQuotaServer
 					}
 					return nil
 				})
 				fx.router.options.Uptime = func() time.Duration { return time.Hour }
-				fx.view.Confirmed.Raise(time.Hour - time.Second)
+				fx.view.Confirmed.Advance(time.Hour - time.Second)
 				if test.cutOff {
 					fx.view.Confirmed = &Confirmation{}
 				}
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -26,7 +26,7 @@
 
 func misfit() *Reply {
 	r := notRun()
-	r.Misfit = true
+	r.WrongIncarnation = true
 	return r
 }
 
--- a/internal/relay/release.go
+++ b/internal/relay/release.go
@@ -48,7 +48,7 @@
 
 // releasePlace releases the place that was assigned to the exchange and its memory.
 func (ex *activeExchange) releasePlace(at *place) {
-	ex.settleActiveAllocation(dispatch.OutcomeGivenUp)
+	ex.settleActiveAllocation(dispatch.OutcomeCanceled)
 	ex.releaseReservation(at)
 }
 
@@ -56,7 +56,9 @@
 	if at.reservationID == "" {
 		return
 	}
-	ex.releaseAsync(func(ctx context.Context) { ex.router.options.Endpoints.DropHold(ctx, at.endpoint, at.reservationID) })
+	ex.releaseAsync(func(ctx context.Context) {
+		ex.router.options.Endpoints.ReleaseReservation(ctx, at.endpoint, at.reservationID)
+	})
 }
 
 // releaseUnusedPrefill frees a prefill result that no endpoint will use.
@@ -66,7 +68,9 @@
 		return
 	}
 	ex.unusedPrefill = nil
-	ex.releaseAsync(func(ctx context.Context) { ex.router.options.Endpoints.Release(ctx, result.endpoint, result.handle) })
+	ex.releaseAsync(func(ctx context.Context) {
+		ex.router.options.Endpoints.ReleasePrefill(ctx, result.endpoint, result.handle)
+	})
 }
 
 func (ex *activeExchange) releaseAsync(free func(ctx context.Context)) { ex.router.releaseAsync(free) }
--- a/internal/relay/resumption_test.go
+++ b/internal/relay/resumption_test.go
@@ -36,7 +36,7 @@
 		var all sync.WaitGroup
 		send := func(n int, after string) {
 			x := randomRequest(random, n)
-			x.After = after
+			x.LastEventID = after
 			entry := entries[random.IntN(len(entries))]
 			all.Go(func() {
 				c := &timedCaller{}
@@ -74,7 +74,7 @@
 // them at the prefill endpoints would miss their targets, and the resumed answers are late
 // in any case.
 func TestNewRequestsBesideResumptions(t *testing.T) {
-	with, without := runResumptions(t), runResumptions(t, dispatch.ReturnedReadOwn)
+	with, without := runResumptions(t), runResumptions(t, dispatch.LocalPrefillOnResume)
 	t.Logf("read where they go on: %+v; by readers: %+v", with, without)
 	assert.Assert(t, with.freshInTarget > without.freshInTarget)
 	assert.Assert(t, with.returnedServed >= without.returnedServed)
--- a/internal/relay/retry.go
+++ b/internal/relay/retry.go
@@ -55,7 +55,7 @@
 	switch s.Outcome {
 	case dispatch.OutcomeUnreachable:
 		return ActionRetry
-	case dispatch.OutcomeFull, dispatch.OutcomeMisfit:
+	case dispatch.OutcomeFull, dispatch.OutcomeWrongIncarnation:
 		if s.BudgetLeft && s.HasUntriedEndpoint {
 			return ActionRetry
 		}
--- a/internal/relay/router.go
+++ b/internal/relay/router.go
@@ -27,7 +27,7 @@
 // New returns a Router.
 func New(options Options) *Router {
 	if options.Limits == nil {
-		options.Limits = endpointlimit.Unkept()
+		options.Limits = endpointlimit.NewDisconnectedClient()
 	}
 	return &Router{options: options, metrics: newMetrics(options.Metrics), releaser: newReleaser(), lossWatchers: make(chan struct{}, maxWatchedLosses)}
 }
@@ -54,17 +54,17 @@
 func (r *Router) run(ctx context.Context, x *Exchange, caller Caller, a admitted) (refusal *Refusal, ran bool) {
 	route := a.route
 	deadline := x.Received.Add(route.Timeout)
-	if x.Patience > 0 && x.Patience < route.Timeout {
-		deadline = x.Received.Add(x.Patience)
+	if x.CallerTimeout > 0 && x.CallerTimeout < route.Timeout {
+		deadline = x.Received.Add(x.CallerTimeout)
 	}
 	deadline = deadline.Add(-timeoutMargin)
 	ctx, cancel := context.WithDeadlineCause(ctx, deadline, errDeadline)
 	defer cancel()
-	service := route.Choose(r.options.Random())
+	service := route.ChooseService(r.options.Random())
 	active := &activeExchange{
 		router: r, exchange: x, caller: caller, route: route, team: a.team, version: a.view.Table.Version,
 		service: service, engine: engineOf(a.view.Table, service), deadline: deadline,
-		budgetAccount: r.options.Budget.Open(time.Now(), service),
+		budgetAccount: r.options.Budget.OpenAccount(time.Now(), service),
 	}
 	r.metrics.running.Inc()
 	defer r.metrics.running.Dec()
@@ -84,7 +84,7 @@
 // candidates returns a service's endpoints of a stage that were not tried and are not
 // blocked.
 func (r *Router) candidates(service string, stage dispatch.Stage, model string, tried map[dispatch.Incarnation]bool) []*dispatch.Endpoint {
-	return r.options.Book.Unblocked(time.Now(), r.untried(service, stage, model, tried))
+	return r.options.Stats.Unblocked(time.Now(), r.untried(service, stage, model, tried))
 }
 
 // untried returns a service's endpoints of a stage that were not tried.
--- a/internal/relay/shutdown.go
+++ b/internal/relay/shutdown.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// AddressKeep is the maximum time that callers are asked to cache an address.
-const AddressKeep = time.Second
+// MaxAddressTTL is the maximum time that callers are asked to cache an address.
+const MaxAddressTTL = time.Second
 
 // Constants of a planned shutdown.
 const (
@@ -14,19 +14,21 @@
 	shutdownMargin = 500 * time.Millisecond
 )
 
-// Leaving plans an entry's shutdown: it leaves the address lists, keeps serving until
+// ShutdownPlan plans an entry's shutdown: it leaves the address lists, keeps serving until
 // callers have moved, and ends when nothing is in flight or its time is up.
 //
 // Load pattern: entries are stopped one after another under full load, and callers that
 // cached an address past its time still connect. An entry that closed its listener at once
 // would refuse them.
-type Leaving struct {
-	Within time.Duration // time from the start of the shutdown until the process is killed
+type ShutdownPlan struct {
+	Timeout time.Duration // time from the start of the shutdown until the process is killed
 }
 
-// Limit returns when to end at the latest, counted from the start of the shutdown.
-func (l Leaving) Limit() time.Duration { return max(0, l.Within-shutdownMargin) }
+// MaxDuration returns when to end at the latest, counted from the start of the shutdown.
+func (l ShutdownPlan) MaxDuration() time.Duration { return max(0, l.Timeout-shutdownMargin) }
 
-// Linger returns how long to accept new requests: as long as callers cache an address, but
+// AcceptDuration returns how long to accept new requests: as long as callers cache an address, but
 // at most three quarters of Limit, so that requests still in flight can finish.
-func (l Leaving) Linger() time.Duration { return min(addressTTLFactor*AddressKeep, l.Limit()*3/4) }
+func (l ShutdownPlan) AcceptDuration() time.Duration {
+	return min(addressTTLFactor*MaxAddressTTL, l.MaxDuration()*3/4)
+}
--- a/internal/relay/shutdown_test.go
+++ b/internal/relay/shutdown_test.go
@@ -13,8 +13,8 @@
 		{2500 * time.Millisecond, 2 * time.Second, 1500 * time.Millisecond},
 		{100 * time.Millisecond, 0, 0},
 	} {
-		l := Leaving{Within: test.within}
-		assert.Equal(t, l.Limit(), test.limit)
-		assert.Equal(t, l.Linger(), test.linger)
+		l := ShutdownPlan{Timeout: test.within}
+		assert.Equal(t, l.MaxDuration(), test.limit)
+		assert.Equal(t, l.AcceptDuration(), test.linger)
 	}
 }
--- a/internal/relay/signals.go
+++ b/internal/relay/signals.go
@@ -7,33 +7,33 @@
 	"github.com/hyssopsail/hyssopsail/internal/endpointlimit"
 )
 
-// Words are the signals of an answer about which requests its endpoint accepts.
-type Words struct {
-	Limit   endpointlimit.Word // how much it accepts from all entries
-	Rest    time.Duration      // cooldown in which it wants nothing from this entry; 0 for none
-	Leaving bool               // it accepts no new work
+// Signals are the signals of an answer about which requests its endpoint accepts.
+type Signals struct {
+	Limit    endpointlimit.Signal // how much it accepts from all entries
+	Cooldown time.Duration        // cooldown in which it wants nothing from this entry; 0 for none
+	Leaving  bool                 // it accepts no new work
 }
 
 // receiveSignals processes the signals of an answer to a request that was sent at sent. If
 // another incarnation answered, they say nothing about the one that was meant.
 func (ex *activeExchange) receiveSignals(e *dispatch.Endpoint, sent time.Time, reply *Reply) {
-	if reply.Misfit {
+	if reply.WrongIncarnation {
 		return
 	}
 	ex.receiveLimit(e, sent, reply.Limit)
-	ex.receiveUnwanted(e, reply.Words)
+	ex.receiveUnwanted(e, reply.Signals)
 }
 
 // receiveUnwanted processes that an endpoint asks for a cooldown, or leaves.
-func (ex *activeExchange) receiveUnwanted(e *dispatch.Endpoint, w Words) {
-	now, stats := time.Now(), ex.router.options.Book
-	if w.Rest > 0 {
-		stats.Rest(now, e, w.Rest)
-		ex.router.metrics.unwantedSignals.WithLabelValues(dispatch.Resting.String()).Inc()
+func (ex *activeExchange) receiveUnwanted(e *dispatch.Endpoint, w Signals) {
+	now, stats := time.Now(), ex.router.options.Stats
+	if w.Cooldown > 0 {
+		stats.StartCooldown(now, e, w.Cooldown)
+		ex.router.metrics.unwantedSignals.WithLabelValues(dispatch.CoolingDown.String()).Inc()
 		ex.router.options.Part.Info("Endpoint asked for a cooldown.", "endpoint", e.ID, "service", ex.service,
-			"rest_ms", w.Rest.Milliseconds(), "request", ex.exchange.ID)
+			"rest_ms", w.Cooldown.Milliseconds(), "request", ex.exchange.ID)
 	}
-	if w.Leaving && stats.Leave(now, e) {
+	if w.Leaving && stats.RecordLeaving(now, e) {
 		ex.router.metrics.unwantedSignals.WithLabelValues(dispatch.Leaving.String()).Inc()
 		ex.router.options.Part.Info("Endpoint is leaving.", "endpoint", e.ID, "service", ex.service, "request", ex.exchange.ID)
 	}
@@ -42,8 +42,8 @@
 // recordAttempt records an attempt to an endpoint that has a limit, is in cooldown or leaving.
 func (ex *activeExchange) recordAttempt(e *dispatch.Endpoint, kind attemptKind) {
 	ex.consumePermit(e, kind)
-	unwanted := ex.router.options.Book.Unwanted(time.Now(), e)
-	if unwanted == dispatch.Wanted {
+	unwanted := ex.router.options.Stats.Availability(time.Now(), e)
+	if unwanted == dispatch.Accepting {
 		return
 	}
 	ex.router.metrics.unwantedAttempts.WithLabelValues(unwanted.String(), string(kind)).Inc()
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -20,7 +20,7 @@
 				return attemptResult{outcome: dispatch.OutcomeLost, reply: reply, err: errOutOfOrder}
 			}
 			if !ex.forwardChunk(reply, whole) {
-				return attemptResult{outcome: dispatch.OutcomeGivenUp, reply: reply}
+				return attemptResult{outcome: dispatch.OutcomeCanceled, reply: reply}
 			}
 			events.discard(len(whole))
 			if lastID != "" {
@@ -60,7 +60,7 @@
 		ex.forwardHead(reply, -1)
 	}
 	if events.hasPartial() && !ex.forwardPart(events.buffered) {
-		return attemptResult{outcome: dispatch.OutcomeGivenUp, reply: reply}
+		return attemptResult{outcome: dispatch.OutcomeCanceled, reply: reply}
 	}
 	return attemptResult{outcome: dispatch.OutcomeServed, reply: reply}
 }
--- a/internal/relay/stream_test.go
+++ b/internal/relay/stream_test.go
@@ -19,7 +19,7 @@
 	c, refusal := fx.serve(t, newExchange())
 	assert.Assert(t, refusal == nil)
 	assert.Equal(t, c.text.String(), event("1")+event("2")+event("3")+event("4"))
-	assert.Equal(t, fx.endpoints.calls[1].After, "2")
+	assert.Equal(t, fx.endpoints.calls[1].LastEventID, "2")
 	assert.Equal(t, c.begun, 1)
 	assert.Assert(t, !c.aborted)
 }
--- a/internal/replica/failures_test.go
+++ b/internal/replica/failures_test.go
@@ -157,7 +157,7 @@
 		c.proposeMany("x", 10)
 		old := c.leader()
 		began := time.Now()
-		assert.NilError(t, old.node.HandOver(shortContext(t)))
+		assert.NilError(t, old.node.TransferLeadership(shortContext(t)))
 		next := c.waitForLeader(c.others(old))
 		assert.Assert(t, time.Since(began) <= 100*time.Millisecond, "%s", time.Since(began))
 		c.proposeTo(next, "last")
--- a/internal/replica/group.go
+++ b/internal/replica/group.go
@@ -67,10 +67,10 @@
 	}
 }
 
-// HandOver transfers leadership before a planned stop. It returns nil once this
+// TransferLeadership transfers leadership before a planned stop. It returns nil once this
 // member is not the leader, also if it was not before, and the error of ctx if
 // no other member took over in time. Run and the transport must be running.
-func (n *Node) HandOver(ctx context.Context) error {
+func (n *Node) TransferLeadership(ctx context.Context) error {
 	retry := time.NewTicker(n.options.ElectionTimeout)
 	defer retry.Stop()
 	for n.Status().IsLeader {
--- a/internal/replica/retry.go
+++ b/internal/replica/retry.go
@@ -15,13 +15,13 @@
 // full or stalled disk often works again within seconds.
 const reopenRetryInterval = 500 * time.Millisecond
 
-// NewPatient is like New, but retries until the folder opens or ctx ends, and
+// NewWithRetry is like New, but retries until the folder opens or ctx ends, and
 // sets Options.Reopen. It doesn't retry for a corrupt folder or invalid options.
 //
 // A full disk fails the first write of a start. If the process ended, it would
 // be restarted repeatedly, and its supervisor would delay the restart just when
 // the disk works again.
-func NewPatient(ctx context.Context, options Options) (*Node, error) {
+func NewWithRetry(ctx context.Context, options Options) (*Node, error) {
 	options.Reopen = true
 	for {
 		node, err := New(options)
--- a/internal/replica/retry_test.go
+++ b/internal/replica/retry_test.go
@@ -24,7 +24,7 @@
 			disk.SetCapacity(0)
 		}()
 		began := time.Now()
-		node, err := NewPatient(t.Context(), options)
+		node, err := NewWithRetry(t.Context(), options)
 		assert.NilError(t, err)
 		assert.Assert(t, node.DiskID() != "")
 		assert.Assert(t, time.Since(began) < 5*time.Second)
@@ -34,9 +34,9 @@
 		options.FS = disk
 		ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 		defer cancel()
-		_, err = NewPatient(ctx, options)
+		_, err = NewWithRetry(ctx, options)
 		assert.ErrorIs(t, err, context.DeadlineExceeded)
-		_, err = NewPatient(t.Context(), Options{})
+		_, err = NewWithRetry(t.Context(), Options{})
 		assert.Assert(t, err != nil, "invalid options must not be retried")
 	})
 }
@@ -47,7 +47,7 @@
 func TestRunningNodeRecoversFromFullDisk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		disk := faultfs.New()
-		node, err := NewPatient(t.Context(), Options{
+		node, err := NewWithRetry(t.Context(), Options{
 			InstanceID: "a", RPCAddress: "a", Dir: "data", FS: disk, Machine: &commandLog{}, Transport: linkTransport{&link{}, "a"},
 		})
 		assert.NilError(t, err)
--- a/internal/retrybudget/account.go
+++ b/internal/retrybudget/account.go
@@ -11,14 +11,14 @@
 	reservation *Reservation // for the next attempt; nil if none
 }
 
-// Open opens the account of a request for a service, and counts the request.
-func (b *Budget) Open(now time.Time, service string) *Account {
+// OpenAccount opens the account of a request for a service, and counts the request.
+func (b *Budget) OpenAccount(now time.Time, service string) *Account {
 	b.RecordRequest(now, service)
 	return &Account{budget: b, service: service}
 }
 
-// Seen returns the number of arrivals so far.
-func (a *Account) Seen() int { return a.arrivals }
+// Arrivals returns the number of arrivals so far.
+func (a *Account) Arrivals() int { return a.arrivals }
 
 // MaySend reports whether the next attempt may be sent. For an extra arrival it takes a
 // reservation, which is kept until an attempt has arrived or the account is closed.
@@ -33,9 +33,9 @@
 // returns nil if the budget is used up.
 func (a *Account) Reserve(now time.Time) *Reservation { return a.budget.Reserve(now, a.service) }
 
-// Arrived records that an endpoint has received an attempt, or may have, and reports whether
+// RecordArrival records that an endpoint has received an attempt, or may have, and reports whether
 // it was an extra arrival.
-func (a *Account) Arrived(now time.Time) bool {
+func (a *Account) RecordArrival(now time.Time) bool {
 	a.arrivals++
 	if a.reservation != nil {
 		a.reservation.Commit(now)
@@ -44,9 +44,9 @@
 	return a.arrivals > 1
 }
 
-// ArrivedWith is Arrived for an attempt with a reservation of its own, which may be nil. If
+// RecordArrivalWith is Arrived for an attempt with a reservation of its own, which may be nil. If
 // the attempt was the first arrival, the reservation is kept for the next attempt.
-func (a *Account) ArrivedWith(now time.Time, own *Reservation) bool {
+func (a *Account) RecordArrivalWith(now time.Time, own *Reservation) bool {
 	a.arrivals++
 	if a.arrivals == 1 {
 		a.reservation = own
@@ -56,8 +56,8 @@
 	return true
 }
 
-// Left returns how many more extra arrivals the budget allows now.
-func (a *Account) Left(now time.Time) float64 { return a.budget.Left(now, a.service) }
+// Remaining returns how many more extra arrivals the budget allows now.
+func (a *Account) Remaining(now time.Time) float64 { return a.budget.Remaining(now, a.service) }
 
 // Close cancels a reservation that no attempt has used.
 func (a *Account) Close() {
--- a/internal/retrybudget/account_test.go
+++ b/internal/retrybudget/account_test.go
@@ -17,18 +17,18 @@
 func TestAccount(t *testing.T) {
 	now := at(0)
 	b := newBudgetOf(1)
-	first, second := b.Open(now, "s"), b.Open(now, "s")
+	first, second := b.OpenAccount(now, "s"), b.OpenAccount(now, "s")
 	assert.Assert(t, first.MaySend(now) && second.MaySend(now), "the first arrival needs no reservation")
-	assert.Assert(t, !first.Arrived(now) && !second.Arrived(now))
+	assert.Assert(t, !first.RecordArrival(now) && !second.RecordArrival(now))
 	assert.Assert(t, first.MaySend(now))
 	assert.Assert(t, first.MaySend(now), "one reservation is enough")
 	assert.Assert(t, !second.MaySend(now))
 	first.Close()
 	assert.Assert(t, second.MaySend(now))
-	assert.Assert(t, second.Arrived(now))
+	assert.Assert(t, second.RecordArrival(now))
 	second.Close()
 	assert.Assert(t, !first.MaySend(now), "a used reservation is not returned")
-	assert.Equal(t, second.Seen(), 2)
+	assert.Equal(t, second.Arrivals(), 2)
 }
 
 // Covers an attempt whose arrival may not count, which has a reservation of its own: as the
@@ -36,13 +36,13 @@
 func TestAccountWithOwnReservation(t *testing.T) {
 	now := at(0)
 	b := newBudgetOf(2)
-	a := b.Open(now, "s")
-	assert.Assert(t, !a.ArrivedWith(now, a.Reserve(now)))
+	a := b.OpenAccount(now, "s")
+	assert.Assert(t, !a.RecordArrivalWith(now, a.Reserve(now)))
 	assert.Assert(t, a.MaySend(now))
-	assert.Equal(t, a.Left(now), 1.0)
-	assert.Assert(t, a.ArrivedWith(now, a.Reserve(now)))
+	assert.Equal(t, a.Remaining(now), 1.0)
+	assert.Assert(t, a.RecordArrivalWith(now, a.Reserve(now)))
 	assert.Assert(t, a.MaySend(now))
 	assert.Assert(t, a.Reserve(now) == nil)
-	assert.Assert(t, a.Arrived(now))
-	assert.Equal(t, a.Seen(), 3)
+	assert.Assert(t, a.RecordArrival(now))
+	assert.Equal(t, a.Arrivals(), 3)
 }
--- a/internal/retrybudget/budget.go
+++ b/internal/retrybudget/budget.go
@@ -27,9 +27,9 @@
 	}
 }
 
-// Entries sets how many entries may send, as just reported by a control instance with which
+// SetEntries sets how many entries may send, as just reported by a control instance with which
 // this entry is in contact.
-func (b *Budget) Entries(now time.Time, n int) {
+func (b *Budget) SetEntries(now time.Time, n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.share.report(now, n)
@@ -71,15 +71,15 @@
 	return &Reservation{budget: b, service: service}
 }
 
-// Left returns how many more extra arrivals of a service are allowed now.
-func (b *Budget) Left(now time.Time, service string) float64 {
+// Remaining returns how many more extra arrivals of a service are allowed now.
+func (b *Budget) Remaining(now time.Time, service string) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.remaining(now, b.usageAt(now, service))
 }
 
-// Share returns this entry's current fraction of the slack, from 0 to 1.
-func (b *Budget) Share(now time.Time) float64 {
+// SlackShare returns this entry's current fraction of the slack, from 0 to 1.
+func (b *Budget) SlackShare(now time.Time) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.share.fraction(now)
--- a/internal/retrybudget/budget_test.go
+++ b/internal/retrybudget/budget_test.go
@@ -15,7 +15,7 @@
 // number of entries.
 func newWarmBudget(limits Limits, entries int) *Budget {
 	b := New(at(-time.Minute), limits)
-	b.Entries(at(0), entries)
+	b.SetEntries(at(0), entries)
 	return b
 }
 
@@ -40,13 +40,13 @@
 		b := newWarmBudget(limits, entries)
 		for n := range 2 * requests {
 			now := at(time.Duration(n) * limits.Window / requests)
-			b.Entries(now, entries)
+			b.SetEntries(now, entries)
 			b.RecordRequest(now, "s")
 			for n >= requests && sendExtra(b, now, "s") {
 				total++
 			}
 		}
-		assert.Assert(t, b.Left(end, "s") < 1)
+		assert.Assert(t, b.Remaining(end, "s") < 1)
 		assert.Assert(t, sendExtra(b, end, "other"), "each service has its own budget")
 	}
 	bound := limits.Ratio*entries*requests + limits.Slack
@@ -60,7 +60,7 @@
 	for n := range 100 {
 		b.RecordRequest(at(time.Duration(n)*20*time.Millisecond), "s")
 	}
-	left := b.Left(at(2*time.Second), "s")
+	left := b.Remaining(at(2*time.Second), "s")
 	assert.Assert(t, left > 7.5 && left < 8.5, "%v", left)
 }
 
@@ -69,7 +69,7 @@
 func TestBudgetAfterARestart(t *testing.T) {
 	countExtras := func(age time.Duration) int {
 		b := New(at(0), Limits{Ratio: 0.2, Slack: 54, Window: 10 * time.Second})
-		b.Entries(at(age), 1)
+		b.SetEntries(at(age), 1)
 		n := 0
 		for sendExtra(b, at(age), "s") {
 			n++
@@ -86,9 +86,9 @@
 	for sendExtra(b, at(0), "s") {
 	}
 	assert.Assert(t, !sendExtra(b, at(8*time.Second), "s"))
-	b.Entries(at(11*time.Second), 1)
+	b.SetEntries(at(11*time.Second), 1)
 	assert.Assert(t, sendExtra(b, at(11*time.Second), "s"))
-	b.Entries(at(10*time.Minute), 1)
+	b.SetEntries(at(10*time.Minute), 1)
 	assert.Assert(t, sendExtra(b, at(10*time.Minute), "s"))
 }
 
@@ -96,13 +96,13 @@
 // only few of the entries, or none answers.
 func TestShareOfTheSlack(t *testing.T) {
 	b := newWarmBudget(Limits{Slack: 10, Window: 10 * time.Second}, 7)
-	b.Entries(at(time.Second), 2)
-	assert.Equal(t, b.Share(at(2*time.Second)), 1.0/7)
-	b.Entries(at(9*time.Second), 2)
-	assert.Equal(t, b.Share(at(11*time.Second)), 1.0/2, "seven was reported more than a window ago")
-	assert.Equal(t, b.Share(at(20*time.Second)), 0.0, "no number was reported for a window")
-	b.Entries(at(21*time.Second), 3)
-	assert.Equal(t, b.Share(at(21*time.Second)), 1.0/3)
+	b.SetEntries(at(time.Second), 2)
+	assert.Equal(t, b.SlackShare(at(2*time.Second)), 1.0/7)
+	b.SetEntries(at(9*time.Second), 2)
+	assert.Equal(t, b.SlackShare(at(11*time.Second)), 1.0/2, "seven was reported more than a window ago")
+	assert.Equal(t, b.SlackShare(at(20*time.Second)), 0.0, "no number was reported for a window")
+	b.SetEntries(at(21*time.Second), 3)
+	assert.Equal(t, b.SlackShare(at(21*time.Second)), 1.0/3)
 }
 
 // Guards against counting an arrival at the time of its decision only: a delayed attempt may
@@ -114,7 +114,7 @@
 		held = append(held, reservation)
 	}
 	assert.Equal(t, len(held), 4)
-	b.Entries(at(11*time.Second), 1)
+	b.SetEntries(at(11*time.Second), 1)
 	assert.Assert(t, b.Reserve(at(11*time.Second), "s") == nil)
 	held[0].Commit(at(11 * time.Second))
 	held[0].Cancel()
@@ -131,8 +131,8 @@
 	b.RecordRequest(at(0), "unused")
 	held := b.Reserve(at(0), "held")
 	b.RecordRequest(at(25*time.Second), "used")
-	b.Entries(at(25*time.Second), 1)
+	b.SetEntries(at(25*time.Second), 1)
 	assert.Equal(t, len(b.services), 2)
 	held.Commit(at(25 * time.Second))
-	assert.Equal(t, b.Left(at(25*time.Second), "held"), 3.0)
+	assert.Equal(t, b.Remaining(at(25*time.Second), "held"), 3.0)
 }
--- a/internal/retrybudget/window_test.go
+++ b/internal/retrybudget/window_test.go
@@ -143,7 +143,7 @@
 			if entries[n] == nil || c.restarts != nil && c.restarts(n, at) {
 				entries[n] = New(now, Limits{Ratio: windowRatio, Slack: windowSlack, Window: windowLength})
 			}
-			entries[n].Entries(now, c.reportedEntriesAt(n, at))
+			entries[n].SetEntries(now, c.reportedEntriesAt(n, at))
 			if random.Float64() < c.rateAt(n, at)*windowTick.Seconds() {
 				requests = append(requests, at)
 				entries[n].RecordRequest(now, "s")
--- a/internal/route/abort_test.go
+++ b/internal/route/abort_test.go
@@ -51,7 +51,7 @@
 		}}
 		request := modelRequest()
 		request.Key = "gloss-1"
-		a := r.Model(t.Context(), request, s)
+		a := r.Complete(t.Context(), request, s)
 		assert.Assert(t, a.Failure != nil)
 		assert.Equal(t, a.Failure.Code, callerapi.CodeNotCurrent)
 		assert.Assert(t, a.Failure.Outcome != callerapi.OutcomeNotRun)
--- a/internal/route/arrival.go
+++ b/internal/route/arrival.go
@@ -24,7 +24,7 @@
 }
 
 func (r *Router) openArrivals(request fleet.RequestID, pool string) *arrivals {
-	return &arrivals{router: r, request: request, pool: pool, account: r.opts.Budget.Open(time.Now(), pool)}
+	return &arrivals{router: r, request: request, pool: pool, account: r.opts.Budget.OpenAccount(time.Now(), pool)}
 }
 
 // reserveSend reports whether the fleet's retry budget allows the next send, and
@@ -34,7 +34,7 @@
 		return true
 	}
 	a.router.metrics.extraRefused.Inc()
-	a.router.opts.Part.Info("Retry budget exhausted; not sending the request again.", "request", a.request, "pool", a.pool, "budget_left", a.account.Left(time.Now()))
+	a.router.opts.Logger.Info("Retry budget exhausted; not sending the request again.", "request", a.request, "pool", a.pool, "budget_left", a.account.Remaining(time.Now()))
 	return false
 }
 
@@ -42,12 +42,12 @@
 // answered. A send counts as an arrival unless err proves that no byte was sent.
 func (a *arrivals) recordSend(at fleet.EndpointID, err error) {
 	a.router.recordCooldownFromError(err)
-	if provesNotSent(err) || !a.account.Arrived(time.Now()) {
+	if provesNotSent(err) || !a.account.RecordArrival(time.Now()) {
 		return
 	}
 	a.router.metrics.extraArrivals.Inc()
-	a.router.opts.Part.Info("Extra arrival at an endpoint pool.", "request", a.request, "pool", a.pool, "endpoint", at,
-		"arrivals", a.account.Seen(), "budget_left", a.account.Left(time.Now()), "share", a.router.opts.Budget.Share(time.Now()))
+	a.router.opts.Logger.Info("Extra arrival at an endpoint pool.", "request", a.request, "pool", a.pool, "endpoint", at,
+		"arrivals", a.account.Arrivals(), "budget_left", a.account.Remaining(time.Now()), "share", a.router.opts.Budget.SlackShare(time.Now()))
 }
 
 // overBudgetFailure returns the failure of an attempt that the fleet's retry
--- a/internal/route/bench_test.go
+++ b/internal/route/bench_test.go
@@ -52,7 +52,7 @@
 
 type discard struct{}
 
-func (discard) Pass(engineapi.Chunk) error { return nil }
+func (discard) WriteChunk(engineapi.Chunk) error { return nil }
 
 const benchTokens = 2000
 
@@ -65,7 +65,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		request.Arrived = time.Now()
-		if a := r.Model(b.Context(), request, discard{}); a.Failure != nil {
+		if a := r.Complete(b.Context(), request, discard{}); a.Failure != nil {
 			b.Fatal(a.Failure)
 		}
 		w.clearRecords()
@@ -87,7 +87,7 @@
 				if key != "" {
 					request.Key = strconv.Itoa(n)
 				}
-				if a := r.Model(b.Context(), request, discard{}); a.Failure != nil {
+				if a := r.Complete(b.Context(), request, discard{}); a.Failure != nil {
 					b.Fatal(a.Failure)
 				}
 				w.clearRecords()
--- a/internal/route/bounds.go
+++ b/internal/route/bounds.go
@@ -7,7 +7,7 @@
 	MaxAttempts          int           // attempts per request, including the first
 	DefaultPatience      time.Duration // if neither caller nor settings state one
 	MaxPatience          time.Duration // upper limit of the caller's own patience
-	StreamTime           time.Duration // maximum duration of a request
+	MaxRequestDuration   time.Duration // maximum duration of a request
 	DefaultOutputTokens  int           // if the caller sets no max_tokens
 	MaxReplayBytes       int           // output text kept for repeats that join a running request
 	MaxCallResponseBytes int64         // response body of a plain service
@@ -23,7 +23,7 @@
 	MaxAttempts:          4,
 	DefaultPatience:      10 * time.Second,
 	MaxPatience:          10 * time.Minute,
-	StreamTime:           15 * time.Minute,
+	MaxRequestDuration:   15 * time.Minute,
 	DefaultOutputTokens:  256,
 	MaxReplayBytes:       1 << 20,
 	MaxCallResponseBytes: 8 << 20,
@@ -39,7 +39,7 @@
 	b.MaxAttempts = intOrDefault(b.MaxAttempts, d.MaxAttempts)
 	b.DefaultPatience = durationOrDefault(b.DefaultPatience, d.DefaultPatience)
 	b.MaxPatience = durationOrDefault(b.MaxPatience, d.MaxPatience)
-	b.StreamTime = durationOrDefault(b.StreamTime, d.StreamTime)
+	b.MaxRequestDuration = durationOrDefault(b.MaxRequestDuration, d.MaxRequestDuration)
 	b.DefaultOutputTokens = intOrDefault(b.DefaultOutputTokens, d.DefaultOutputTokens)
 	b.MaxReplayBytes = intOrDefault(b.MaxReplayBytes, d.MaxReplayBytes)
 	if b.MaxCallResponseBytes <= 0 {
--- a/internal/route/broadcast.go
+++ b/internal/route/broadcast.go
@@ -20,7 +20,7 @@
 	bytes         int
 	writerWaiting bool // the writer waits for a reader
 	readers       map[*reader]struct{}
-	answer        *Answer       // set when the request has ended
+	answer        *ModelResult  // set when the request has ended
 	changed       chan struct{} // closed and replaced at each change
 }
 
@@ -104,7 +104,7 @@
 	b.dropped = slowest
 }
 
-func (b *broadcast) finish(a Answer) {
+func (b *broadcast) finish(a ModelResult) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.answer = &a
@@ -121,7 +121,7 @@
 // batch is the result of one read.
 type batch struct {
 	chunks  []engineapi.Chunk
-	answer  *Answer
+	answer  *ModelResult
 	changed <-chan struct{}
 }
 
--- a/internal/route/call.go
+++ b/internal/route/call.go
@@ -103,7 +103,7 @@
 		Team:          c.req.Team,
 		Limits:        c.params.team.Limits,
 		Share:         c.params.team.Share,
-		Work:          1,
+		WorkMs:        1,
 		Patience:      time.Until(c.deadline),
 		PredictedWait: w.decode,
 		Queued:        w.queued,
@@ -156,12 +156,12 @@
 }
 
 func (c *activeCall) requestGrant(ctx context.Context, candidate endpoint.Candidate, id fleet.AttemptID, alone bool, wait time.Duration) (*heldGrant, *attemptFailure) {
-	grant, refusal, err := c.router.opts.Follower.Take(ctx, endpoint.GrantRequest{
+	grant, refusal, err := c.router.opts.Follower.Acquire(ctx, endpoint.GrantRequest{
 		Endpoint:    candidate.ID,
 		Kind:        fleet.RolePlain,
 		Attempt:     id,
 		Team:        c.req.Team,
-		Wait:        wait,
+		MaxWait:     wait,
 		Share:       c.params.team.Share,
 		Priority:    c.params.priority,
 		Fingerprint: c.fingerprint,
--- a/internal/route/callers_test.go
+++ b/internal/route/callers_test.go
@@ -320,8 +320,8 @@
 	assert.NilError(t, err)
 	_, err = bufio.NewReaderSize(conn, 16).ReadByte()
 	assert.NilError(t, err)
-	eventually(func() bool { return r.Running() == 0 })
-	assert.Equal(t, r.Running(), 0)
+	eventually(func() bool { return r.RunningRequests() == 0 })
+	assert.Equal(t, r.RunningRequests(), 0)
 	assert.Equal(t, w.grantCount(), 0)
 }
 
--- a/internal/route/claim.go
+++ b/internal/route/claim.go
@@ -174,7 +174,7 @@
 	defer cancel()
 	err := r.opts.Ledger.Finish(ctx, claim, kind, statusCode)
 	if err != nil {
-		r.opts.Part.Warn("outcome not yet recorded at the ledger", "attempt", claim.Attempt, "err", err)
+		r.opts.Logger.Warn("outcome not yet recorded at the ledger", "attempt", claim.Attempt, "err", err)
 		return
 	}
 	r.record(timeline.Event{Kind: timeline.KindLedgerDone, Attempt: claim.Attempt, Detail: kind.String()})
--- a/internal/route/cooldown.go
+++ b/internal/route/cooldown.go
@@ -86,7 +86,7 @@
 	}
 	r.cooldowns.add(time.Now(), t, d)
 	r.metrics.cooldowns.Inc()
-	r.opts.Part.Info("An endpoint asks for a cooldown.", "endpoint", t.ID, "rest_ms", d.Milliseconds())
+	r.opts.Logger.Info("An endpoint asks for a cooldown.", "endpoint", t.ID, "rest_ms", d.Milliseconds())
 }
 
 // recordCooldownFromError records the cooldown that a failed call's answer asked for.
@@ -119,5 +119,5 @@
 
 // requestedCooldown returns the cooldown that a response to a plain call asks for.
 func requestedCooldown(answer *CallResponse) time.Duration {
-	return dispatch.RestOf(answer.StatusCode, answer.Header)
+	return dispatch.CooldownFromAnswer(answer.StatusCode, answer.Header)
 }
--- a/internal/route/cooldown_test.go
+++ b/internal/route/cooldown_test.go
@@ -42,7 +42,7 @@
 					_, _ = router.Call(t.Context(), request)
 					return
 				}
-				_ = router.Model(t.Context(), modelRequest(), &sink{})
+				_ = router.Complete(t.Context(), modelRequest(), &sink{})
 			}
 			for began := time.Now(); time.Since(began) < 2900*time.Millisecond; time.Sleep(200 * time.Millisecond) {
 				ask()
--- a/internal/route/decode.go
+++ b/internal/route/decode.go
@@ -44,7 +44,7 @@
 func (a *attempt) decodeRequest() engineapi.DecodeRequest {
 	m := a.request
 	return engineapi.DecodeRequest{
-		Work:      a.engineWork(a.decode.target, m.router.bounds.StreamTime),
+		Work:      a.engineWork(a.decode.target, m.router.bounds.MaxRequestDuration),
 		Prompt:    m.req.Prompt,
 		MaxTokens: m.params.maxOutputTokens,
 		Offset:    m.passedTokens,
@@ -101,7 +101,7 @@
 		return false, &attemptFailure{cause: causeRefused, endpoint: a.decode.target.ID}
 	}
 	a.recordFirstToken(c)
-	if err := m.sink.Pass(c); err != nil {
+	if err := m.sink.WriteChunk(c); err != nil {
 		return false, &attemptFailure{cause: causeCallerGone}
 	}
 	m.passedTokens += c.Tokens
--- a/internal/route/engines_test.go
+++ b/internal/route/engines_test.go
@@ -30,13 +30,13 @@
 	return out
 }
 
-func (w *fakeFleet) Surveyed() (time.Time, bool) {
+func (w *fakeFleet) FirstPollTime() (time.Time, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.surveyedAt, !w.surveying
 }
 
-func (w *fakeFleet) Take(ctx context.Context, r endpoint.GrantRequest) (*endpoint.Grant, *endpoint.Refusal, error) {
+func (w *fakeFleet) Acquire(ctx context.Context, r endpoint.GrantRequest) (*endpoint.Grant, *endpoint.Refusal, error) {
 	if f := w.next("take", r.Endpoint); f.stall {
 		<-ctx.Done()
 		return nil, nil, ctx.Err()
@@ -61,7 +61,7 @@
 	return nil, &endpoint.Refusal{Status: pb.GrantStatus_GRANT_STATUS_UNKNOWN_ENDPOINT}, nil
 }
 
-func (w *fakeFleet) Give(r endpoint.Release) {
+func (w *fakeFleet) Release(r endpoint.Release) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.releases = append(w.releases, r)
--- a/internal/route/fakefleet_test.go
+++ b/internal/route/fakefleet_test.go
@@ -129,7 +129,7 @@
 // limits that aren't reached.
 func testBudget(slack float64) *retrybudget.Budget {
 	b := retrybudget.New(time.Now().Add(-time.Hour), retrybudget.Limits{Slack: slack, Window: time.Minute})
-	b.Entries(time.Now(), 1)
+	b.SetEntries(time.Now(), 1)
 	return b
 }
 
--- a/internal/route/fakes_test.go
+++ b/internal/route/fakes_test.go
@@ -46,11 +46,11 @@
 
 func (w *fakeFleet) Done(time.Time, admission.Request) {}
 
-func (w *fakeFleet) FirstToken(time.Time, admission.Request, time.Duration) {}
+func (w *fakeFleet) ObserveFirstToken(time.Time, admission.Request, time.Duration) {}
 
-func (w *fakeFleet) MayRetry(time.Time, fleet.Team, fleet.EndpointID) bool { return !w.noBudget }
+func (w *fakeFleet) TakeRetry(time.Time, fleet.Team, fleet.EndpointID) bool { return !w.noBudget }
 
-func (w *fakeFleet) Succeeded(time.Time, fleet.Team, fleet.EndpointID) {}
+func (w *fakeFleet) RecordSuccess(time.Time, fleet.Team, fleet.EndpointID) {}
 
 func (w *fakeFleet) Plan(schedule.StartInput) schedule.StartPlan { return w.plan }
 
@@ -76,7 +76,7 @@
 	after func(engineapi.Chunk)
 }
 
-func (s *sink) Pass(c engineapi.Chunk) error {
+func (s *sink) WriteChunk(c engineapi.Chunk) error {
 	s.mu.Lock()
 	s.text.WriteString(c.Text)
 	s.mu.Unlock()
@@ -109,9 +109,9 @@
 }
 
 // served runs a request that must be served: s must receive each token once.
-func served(t *testing.T, r *route.Router, request route.ModelRequest, s *sink) route.Answer {
+func served(t *testing.T, r *route.Router, request route.ModelRequest, s *sink) route.ModelResult {
 	t.Helper()
-	a := r.Model(t.Context(), request, s)
+	a := r.Complete(t.Context(), request, s)
 	assert.Assert(t, a.Failure == nil, "%v", a.Failure)
 	assert.Equal(t, s.got(), tokens(request.MaxTokens))
 	return a
@@ -120,7 +120,7 @@
 // failed runs a request that must fail.
 func failed(t *testing.T, r *route.Router, request route.ModelRequest) *route.Failure {
 	t.Helper()
-	a := r.Model(t.Context(), request, &sink{})
+	a := r.Complete(t.Context(), request, &sink{})
 	assert.Assert(t, a.Failure != nil)
 	return a.Failure
 }
--- a/internal/route/grants.go
+++ b/internal/route/grants.go
@@ -18,7 +18,7 @@
 // slotRequest describes the slot that a stage needs.
 type slotRequest struct {
 	kind    fleet.EndpointRole
-	choice  schedule.Choice
+	choice  schedule.ChoicePolicy
 	maxWait time.Duration // in a home's queue
 	lead    time.Duration
 }
@@ -115,8 +115,8 @@
 func (a *attempt) scheduleRequest(avoid endpointSet) schedule.Request {
 	m := a.request
 	var prefixes []uint64
-	if m.router.opts.Prefixes != nil {
-		prefixes = m.router.opts.Prefixes(m.params.model, m.req.Prompt)
+	if m.router.opts.PrefixHashes != nil {
+		prefixes = m.router.opts.PrefixHashes(m.params.model, m.req.Prompt)
 	}
 	return schedule.Request{
 		Team:           m.req.Team,
@@ -131,10 +131,10 @@
 
 func (a *attempt) requestGrant(ctx context.Context, w slotRequest, c endpoint.Candidate, wait time.Duration) (*heldGrant, *attemptFailure) {
 	m := a.request
-	if c.Queued > 0 || c.NextFree > 0 {
+	if c.Queued > 0 || c.SlotWait > 0 {
 		m.recordEvent(timeline.KindQueued, a.id, c.ID)
 	}
-	grant, refusal, err := m.router.opts.Follower.Take(ctx, endpoint.GrantRequest{
+	grant, refusal, err := m.router.opts.Follower.Acquire(ctx, endpoint.GrantRequest{
 		Endpoint:       c.ID,
 		Kind:           w.kind,
 		Attempt:        a.id,
@@ -142,7 +142,7 @@
 		Model:          m.params.model,
 		PromptTokens:   m.params.promptTokens,
 		ExpectedTokens: m.params.maxOutputTokens - m.passedTokens,
-		Wait:           wait,
+		MaxWait:        wait,
 		Lead:           w.lead,
 		Share:          m.params.team.Share,
 		Priority:       m.params.priority,
--- a/internal/route/heldgrant.go
+++ b/internal/route/heldgrant.go
@@ -40,7 +40,7 @@
 	if h.maybeSent && !h.finished {
 		r.opts.Engine.Cancel(h.target, h.grant.Attempt)
 	}
-	r.opts.Follower.Give(endpoint.Release{
+	r.opts.Follower.Release(endpoint.Release{
 		Grant:        h.grant,
 		Reason:       releaseReason(h, failed),
 		OutputTokens: tokens,
--- a/internal/route/keyed.go
+++ b/internal/route/keyed.go
@@ -58,7 +58,7 @@
 // runOrJoin joins the running request with the same key or starts one. A shared
 // request isn't bound to the caller that started it; it ends when its last caller
 // disconnects.
-func (r *Router) runOrJoin(ctx context.Context, req ModelRequest, params modelParams, f fleet.Fingerprint, sink Sink) Answer {
+func (r *Router) runOrJoin(ctx context.Context, req ModelRequest, params modelParams, f fleet.Fingerprint, sink Sink) ModelResult {
 	key := r.hash.recordKey(req.Team, req.Key, 0)
 	for {
 		runCtx, cancel := r.sharedContext(ctx)
@@ -80,7 +80,7 @@
 // sharedContext returns a context for a shared request, independent of its callers.
 func (r *Router) sharedContext(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, stop := r.withAbort(context.WithoutCancel(ctx))
-	ctx, cancel := context.WithTimeout(ctx, r.bounds.StreamTime)
+	ctx, cancel := context.WithTimeout(ctx, r.bounds.MaxRequestDuration)
 	return ctx, func() {
 		cancel()
 		stop()
@@ -90,14 +90,14 @@
 // join follows a request that already runs. joined is false if that request had
 // failed, or was cancelled because all its callers had disconnected, and has ended:
 // the request then runs again.
-func (r *Router) join(ctx context.Context, running *sharedRequest, f fleet.Fingerprint, sink Sink) (answer Answer, joined bool) {
+func (r *Router) join(ctx context.Context, running *sharedRequest, f fleet.Fingerprint, sink Sink) (answer ModelResult, joined bool) {
 	if running.fingerprint != f {
-		return Answer{Failure: keyReusedFailure()}, true
+		return ModelResult{Failure: keyReusedFailure()}, true
 	}
 	if !running.out.failed() {
 		position, ok := running.out.addReader()
 		if !ok {
-			return Answer{Failure: inFlightFailure()}, true
+			return ModelResult{Failure: inFlightFailure()}, true
 		}
 		answer = running.follow(ctx, position, sink)
 		abandoned := answer.Failure != nil && answer.Failure.Code == codeAbandoned
@@ -107,9 +107,9 @@
 	}
 	select {
 	case <-running.done:
-		return Answer{}, false
+		return ModelResult{}, false
 	case <-ctx.Done():
-		return Answer{Failure: followerFailure(ctx)}, true
+		return ModelResult{Failure: followerFailure(ctx)}, true
 	}
 }
 
@@ -128,8 +128,8 @@
 	// a panic here would end the process and all its requests.
 	defer func() {
 		if cause := recover(); cause != nil {
-			r.opts.Part.Error("a keyed model request panicked", "request", req.ID)
-			shared.out.finish(Answer{Failure: panicFailure()})
+			r.opts.Logger.Error("a keyed model request panicked", "request", req.ID)
+			shared.out.finish(ModelResult{Failure: panicFailure()})
 		}
 	}()
 	r.claimAndRun(ctx, req, params, shared)
@@ -137,7 +137,7 @@
 
 // markAbandoned marks the failure of a request that was cancelled because all its
 // callers had disconnected, so that callers that join it run it again.
-func markAbandoned(ctx context.Context, a Answer) Answer {
+func markAbandoned(ctx context.Context, a ModelResult) ModelResult {
 	if a.Failure == nil || ctx.Err() != context.Canceled || isAborted(ctx) {
 		return a
 	}
@@ -161,7 +161,7 @@
 func (r *Router) claimAndRun(ctx context.Context, req ModelRequest, params modelParams, shared *sharedRequest) {
 	claim, failure := r.claimKey(ctx, req, params, shared.fingerprint)
 	if failure != nil {
-		shared.out.finish(markAbandoned(ctx, Answer{Failure: failure}))
+		shared.out.finish(markAbandoned(ctx, ModelResult{Failure: failure}))
 		return
 	}
 	m := r.newActiveModelRequest(req, params, shared.fingerprint, broadcastSink{ctx: ctx, out: shared.out})
@@ -196,12 +196,12 @@
 	out *broadcast
 }
 
-// Pass implements Sink.
-func (s broadcastSink) Pass(c engineapi.Chunk) error { return s.out.append(s.ctx, c) }
+// WriteChunk implements Sink.
+func (s broadcastSink) WriteChunk(c engineapi.Chunk) error { return s.out.append(s.ctx, c) }
 
 // follow passes the output to one caller until its end. When the last caller leaves,
 // it cancels the request.
-func (s *sharedRequest) follow(ctx context.Context, reader *reader, sink Sink) Answer {
+func (s *sharedRequest) follow(ctx context.Context, reader *reader, sink Sink) ModelResult {
 	defer func() {
 		if s.out.removeReader(reader) {
 			s.cancel()
@@ -210,8 +210,8 @@
 	for {
 		b := s.out.read(reader)
 		for _, chunk := range b.chunks {
-			if err := sink.Pass(chunk); err != nil {
-				return Answer{Failure: callerGoneFailure()}
+			if err := sink.WriteChunk(chunk); err != nil {
+				return ModelResult{Failure: callerGoneFailure()}
 			}
 		}
 		if b.answer != nil && len(b.chunks) == 0 {
@@ -223,7 +223,7 @@
 		select {
 		case <-b.changed:
 		case <-ctx.Done():
-			return Answer{Failure: followerFailure(ctx)}
+			return ModelResult{Failure: followerFailure(ctx)}
 		}
 	}
 }
--- a/internal/route/keyed_test.go
+++ b/internal/route/keyed_test.go
@@ -27,10 +27,10 @@
 	withFakeFleet(t, func(t *testing.T, w *fakeFleet) {
 		r := w.router(route.Bounds{})
 		one, two := &sink{}, &sink{}
-		ends := make(chan route.Answer, 2)
-		go func() { ends <- r.Model(t.Context(), keyedRequest(), one) }()
+		ends := make(chan route.ModelResult, 2)
+		go func() { ends <- r.Complete(t.Context(), keyedRequest(), one) }()
 		time.Sleep(5 * time.Millisecond)
-		go func() { ends <- r.Model(t.Context(), keyedRequest(), two) }()
+		go func() { ends <- r.Complete(t.Context(), keyedRequest(), two) }()
 		for range 2 {
 			a := <-ends
 			assert.Assert(t, a.Failure == nil, "%v", a.Failure)
@@ -48,11 +48,11 @@
 	withFakeFleet(t, func(t *testing.T, w *fakeFleet) {
 		r := w.router(route.Bounds{})
 		ctx, cancel := context.WithCancel(t.Context())
-		ends := make(chan route.Answer, 2)
-		go func() { ends <- r.Model(ctx, keyedRequest(), &sink{}) }()
+		ends := make(chan route.ModelResult, 2)
+		go func() { ends <- r.Complete(ctx, keyedRequest(), &sink{}) }()
 		time.Sleep(3 * time.Millisecond)
 		s := &sink{}
-		go func() { ends <- r.Model(t.Context(), keyedRequest(), s) }()
+		go func() { ends <- r.Complete(t.Context(), keyedRequest(), s) }()
 		time.Sleep(2 * time.Millisecond)
 		cancel()
 		left, stayed := <-ends, <-ends
@@ -68,16 +68,16 @@
 func TestRepeatElsewhere(t *testing.T) {
 	withFakeFleet(t, func(t *testing.T, w *fakeFleet) {
 		one, two := w.router(route.Bounds{}), w.router(route.Bounds{})
-		end := make(chan route.Answer, 1)
-		go func() { end <- one.Model(t.Context(), keyedRequest(), &sink{}) }()
+		end := make(chan route.ModelResult, 1)
+		go func() { end <- one.Complete(t.Context(), keyedRequest(), &sink{}) }()
 		time.Sleep(5 * time.Millisecond)
 		failure := failed(t, two, keyedRequest())
 		assert.Equal(t, failure.Code, callerapi.CodeInFlight)
 		assert.Assert(t, failure.RetryAfter > 0)
 		other := keyedRequest()
 		other.Prompt = "Another bale."
-		assert.Equal(t, two.Model(t.Context(), other, &sink{}).Failure.Code, callerapi.CodeKeyReused)
-		assert.Equal(t, one.Model(t.Context(), other, &sink{}).Failure.Code, callerapi.CodeKeyReused)
+		assert.Equal(t, two.Complete(t.Context(), other, &sink{}).Failure.Code, callerapi.CodeKeyReused)
+		assert.Equal(t, one.Complete(t.Context(), other, &sink{}).Failure.Code, callerapi.CodeKeyReused)
 		assert.Assert(t, (<-end).Failure == nil)
 		time.Sleep(time.Millisecond)
 		served(t, two, keyedRequest(), &sink{})
@@ -109,7 +109,7 @@
 	withFakeFleet(t, func(t *testing.T, w *fakeFleet) {
 		r := w.router(route.Bounds{})
 		ctx, cancel := context.WithCancel(t.Context())
-		_ = r.Model(ctx, keyedRequest(), &sink{after: func(c engineapi.Chunk) {
+		_ = r.Complete(ctx, keyedRequest(), &sink{after: func(c engineapi.Chunk) {
 			if c.Offset == 3 {
 				cancel()
 			}
@@ -142,7 +142,7 @@
 		w.cancelLag = 300 * time.Millisecond
 		one, two := w.router(route.Bounds{}), w.router(route.Bounds{})
 		ctx, cancel := context.WithCancel(t.Context())
-		_ = one.Model(ctx, keyedRequest(), &sink{after: func(engineapi.Chunk) { cancel() }})
+		_ = one.Complete(ctx, keyedRequest(), &sink{after: func(engineapi.Chunk) { cancel() }})
 		time.Sleep(200 * time.Millisecond)
 		failure := failed(t, two, keyedRequest())
 		assert.Equal(t, failure.Code, callerapi.CodeInFlight)
--- a/internal/route/lastseen.go
+++ b/internal/route/lastseen.go
@@ -65,7 +65,7 @@
 	if last, known := r.lastSeen.last(key); known {
 		return now.Before(last.Add(maxHomeMoveDuration))
 	}
-	surveyed, done := r.opts.Follower.Surveyed()
+	surveyed, done := r.opts.Follower.FirstPollTime()
 	return !done || now.Before(surveyed.Add(maxHomeMoveDuration))
 }
 
--- a/internal/route/links.go
+++ b/internal/route/links.go
@@ -93,5 +93,5 @@
 // predictPrefill returns the predicted prefill time of the prompt and its spread.
 func (m *activeModelRequest) predictPrefill() (work, spread time.Duration) {
 	p := m.router.opts.Prefill
-	return p.Predict(m.params.promptTokens), p.Spread()
+	return p.Predict(m.params.promptTokens), p.StdDev()
 }
--- a/internal/route/links_test.go
+++ b/internal/route/links_test.go
@@ -31,7 +31,7 @@
 				}
 			}
 			r := w.router(route.Bounds{})
-			a := r.Model(t.Context(), modelRequest(), &sink{})
+			a := r.Complete(t.Context(), modelRequest(), &sink{})
 			assert.Equal(t, a.Failure == nil, name == "whole", "%v", a.Failure)
 			assert.Assert(t, during > 90*time.Millisecond, "%v", during) // 9 tokens of 1000 bytes come first
 			assert.Equal(t, predicted(), 10*time.Millisecond)
--- a/internal/route/model.go
+++ b/internal/route/model.go
@@ -10,30 +10,30 @@
 	"github.com/hyssopsail/hyssopsail/internal/timeline"
 )
 
-// Model runs a completion and passes its chunks to sink as they arrive. It returns
+// Complete runs a completion and passes its chunks to sink as they arrive. It returns
 // once this call holds nothing for the request. The end of ctx cancels it at any
 // stage.
-func (r *Router) Model(ctx context.Context, req ModelRequest, sink Sink) Answer {
+func (r *Router) Complete(ctx context.Context, req ModelRequest, sink Sink) ModelResult {
 	a := r.model(ctx, req, sink)
 	r.metrics.requestEnded(kindModel, a.Failure)
 	r.recordEnd(req.ID, req.Team, a.Failure)
 	return a
 }
 
-func (r *Router) model(ctx context.Context, req ModelRequest, sink Sink) Answer {
+func (r *Router) model(ctx context.Context, req ModelRequest, sink Sink) ModelResult {
 	leave, failure := r.enter(req.Team)
 	if failure != nil {
-		return Answer{Failure: unknownIfKeyed(req.Key, failure)}
+		return ModelResult{Failure: unknownIfKeyed(req.Key, failure)}
 	}
 	defer leave()
 	r.record(timeline.Event{Kind: timeline.KindReceived, Request: req.ID, Team: req.Team})
 	params, failure := resolveModelParams(r.opts.Source.State().Tree, req, r.bounds)
 	if failure != nil {
-		return Answer{Failure: failure}
+		return ModelResult{Failure: failure}
 	}
 	ctx, stop := r.withAbort(ctx)
 	defer stop()
-	ctx, cancel := context.WithTimeout(ctx, r.bounds.StreamTime)
+	ctx, cancel := context.WithTimeout(ctx, r.bounds.MaxRequestDuration)
 	defer cancel()
 	f := r.hash.modelFingerprint(req, params.model, params.maxOutputTokens)
 	if req.Key != "" {
@@ -55,17 +55,17 @@
 	return &out
 }
 
-func (m *activeModelRequest) admitAndRun(ctx context.Context) Answer {
+func (m *activeModelRequest) admitAndRun(ctx context.Context) ModelResult {
 	done, failure := m.admit()
 	if failure != nil {
-		return Answer{Failure: failure}
+		return ModelResult{Failure: failure}
 	}
 	defer done()
 	return m.result(m.run(ctx))
 }
 
-func (m *activeModelRequest) result(f *Failure) Answer {
-	return Answer{Finish: m.finish, PromptTokens: m.promptTokens, OutputTokens: m.passedTokens, Failure: f}
+func (m *activeModelRequest) result(f *Failure) ModelResult {
+	return ModelResult{Finish: m.finish, PromptTokens: m.promptTokens, OutputTokens: m.passedTokens, Failure: f}
 }
 
 // admit asks the admission controller once, with the waits that the candidates report
@@ -100,7 +100,7 @@
 		Team:          m.req.Team,
 		Limits:        m.params.team.Limits,
 		Share:         m.params.team.Share,
-		Work:          float64(prefill.Milliseconds()) + float64(w.tokenTime.Milliseconds())*float64(m.params.maxOutputTokens),
+		WorkMs:        float64(prefill.Milliseconds()) + float64(w.tokenTime.Milliseconds())*float64(m.params.maxOutputTokens),
 		Patience:      m.admissionPatience(prefill + transfer),
 		PredictedWait: w.timeToFirstToken(prefill, transfer),
 		DrainPerSec:   w.drainPerSec,
--- a/internal/route/model_test.go
+++ b/internal/route/model_test.go
@@ -35,7 +35,7 @@
 	plans := map[string]schedule.StartPlan{
 		"reserve first": {ReserveFirst: true},
 		"optimistic":    {},
-		"delayed":       {Delay: 50 * time.Millisecond, Lead: 10 * time.Millisecond},
+		"delayed":       {Delay: 50 * time.Millisecond, LeadTime: 10 * time.Millisecond},
 	}
 	for name, plan := range plans {
 		runWithFakeFleet(t, name, func(t *testing.T, w *fakeFleet) {
@@ -70,11 +70,11 @@
 				began := time.Now()
 				request := modelRequest()
 				request.Key = key
-				a := r.Model(ctx, request, &sink{})
+				a := r.Complete(ctx, request, &sink{})
 				synctest.Wait()
 				assert.Assert(t, a.Failure != nil)
 				assert.Equal(t, time.Since(began), 100*time.Millisecond)
-				assert.Equal(t, r.Running(), 0)
+				assert.Equal(t, r.RunningRequests(), 0)
 				w.assertNothingHeld(t)
 			})
 		}
@@ -210,7 +210,7 @@
 	withFakeFleet(t, func(t *testing.T, w *fakeFleet) {
 		w.setDecodeFaults("decode", fault{broken: true, after: 2})
 		s := &sink{}
-		a := w.router(route.Bounds{}).Model(t.Context(), modelRequest(), s)
+		a := w.router(route.Bounds{}).Complete(t.Context(), modelRequest(), s)
 		assert.Assert(t, a.Failure != nil)
 		assert.Equal(t, a.Failure.Outcome, callerapi.OutcomeFailed)
 		assert.Assert(t, a.Failure.RetryAfter > 0)
@@ -253,13 +253,13 @@
 func TestDrain(t *testing.T) {
 	withFakeFleet(t, func(t *testing.T, w *fakeFleet) {
 		r := w.router(route.Bounds{})
-		ends := make(chan route.Answer, 1)
+		ends := make(chan route.ModelResult, 1)
 		long := modelRequest()
 		long.MaxTokens = 4000
 		output := &sink{}
 		go func() {
 			time.Sleep(3 * time.Second)
-			ends <- r.Model(t.Context(), long, output)
+			ends <- r.Complete(t.Context(), long, output)
 		}()
 		began := time.Now()
 		done := make(chan error, 1)
@@ -268,7 +268,7 @@
 		assert.Assert(t, r.Draining())
 		served(t, r, modelRequest(), &sink{})
 		time.Sleep(200 * time.Millisecond)
-		late := r.Model(t.Context(), modelRequest(), &sink{})
+		late := r.Complete(t.Context(), modelRequest(), &sink{})
 		assert.Equal(t, late.Failure.Code, callerapi.CodeDraining)
 		assert.Equal(t, late.Failure.Outcome, callerapi.OutcomeNotRun)
 		assert.NilError(t, <-done)
@@ -286,10 +286,10 @@
 		r := w.router(route.Bounds{})
 		assert.NilError(t, r.Drain(t.Context()))
 		w.setStale(true)
-		late := r.Model(t.Context(), modelRequest(), &sink{})
+		late := r.Complete(t.Context(), modelRequest(), &sink{})
 		assert.Equal(t, late.Failure.Code, callerapi.CodeDraining)
 		assert.Equal(t, late.Failure.Outcome, callerapi.OutcomeNotRun)
-		assert.Equal(t, r.Refuses(fleet.Team("none"), "").Code, callerapi.CodeDraining)
+		assert.Equal(t, r.EarlyRefusal(fleet.Team("none"), "").Code, callerapi.CodeDraining)
 	})
 }
 
@@ -302,7 +302,7 @@
 		w.takeLag = 200 * time.Millisecond
 		ctx, cancel := context.WithCancel(t.Context())
 		w.afterSend = func(string) { cancel() }
-		a := w.router(route.Bounds{}).Model(ctx, modelRequest(), &sink{})
+		a := w.router(route.Bounds{}).Complete(ctx, modelRequest(), &sink{})
 		assert.Assert(t, a.Failure != nil)
 		time.Sleep(time.Second)
 		w.assertNothingHeld(t)
@@ -331,9 +331,9 @@
 		w.noBudget = true
 		w.setFault("decode", "d1", 20, fault{broken: true, after: 5})
 		r := w.router(route.Bounds{})
-		ends := make(chan route.Answer, 20)
+		ends := make(chan route.ModelResult, 20)
 		for range 20 {
-			go func() { ends <- r.Model(t.Context(), modelRequest(), &sink{}) }()
+			go func() { ends <- r.Complete(t.Context(), modelRequest(), &sink{}) }()
 		}
 		for range 20 {
 			a := <-ends
--- a/internal/route/once_test.go
+++ b/internal/route/once_test.go
@@ -117,7 +117,7 @@
 		r := w.router(route.Bounds{})
 		_, failure := r.Call(ctx, request)
 		assert.Assert(t, failure == nil, "%v", failure)
-		known, failure := r.Lookup(t.Context(), "sutokatha", "slip-7")
+		known, failure := r.LookupKey(t.Context(), "sutokatha", "slip-7")
 		assert.Assert(t, failure == nil)
 		assert.Equal(t, known.Outcome, callerapi.OutcomeCompleted)
 		assert.Equal(t, known.StatusCode, 201)
@@ -146,7 +146,7 @@
 	withFakeFleet(t, func(t *testing.T, w *fakeFleet) {
 		w.setFault("call", "s1", 9, fault{broken: true})
 		request := callRequest()
-		request.Method, request.Once = "GET", true
+		request.Method, request.AtMostOnce = "GET", true
 		failure := callFailed(t, w.router(route.Bounds{}), request)
 		assert.Equal(t, failure.Outcome, callerapi.OutcomeUnknown)
 		assert.Equal(t, w.sent("call"), 1)
--- a/internal/route/options.go
+++ b/internal/route/options.go
@@ -35,20 +35,20 @@
 	// the choices. nil: the router creates its own.
 	Prefill *schedule.PrefillPredictor
 	Links   *schedule.LinkTable
-	// Prefixes returns the hashes of a prompt's blocks, computed as the engines do.
+	// PrefixHashes returns the hashes of a prompt's blocks, computed as the engines do.
 	// nil: no cache affinity.
-	Prefixes   func(model engineapi.ModelRef, prompt string) []uint64
-	Secret     []byte // key of the hashes of request keys and fingerprints; the same in the whole fleet
-	Seed       uint64 // seed of the random source of the choices
-	Part       logging.Part
-	Registerer prometheus.Registerer // nil: no metrics
-	Bounds     Bounds                // zero fields take the values of DefaultBounds
+	PrefixHashes func(model engineapi.ModelRef, prompt string) []uint64
+	Secret       []byte // key of the hashes of request keys and fingerprints; the same in the whole fleet
+	Seed         uint64 // seed of the random source of the choices
+	Logger       logging.Part
+	Registerer   prometheus.Registerer // nil: no metrics
+	Bounds       Bounds                // zero fields take the values of DefaultBounds
 }
 
 // Policies are the scheduling choices in force.
 type Policies struct {
-	Prefill schedule.Choice
-	Decode  schedule.Choice
-	Plain   schedule.Choice
-	Start   schedule.Start
+	Prefill schedule.ChoicePolicy
+	Decode  schedule.ChoicePolicy
+	Plain   schedule.ChoicePolicy
+	Start   schedule.StartPolicy
 }
--- a/internal/route/outcomes.go
+++ b/internal/route/outcomes.go
@@ -17,8 +17,8 @@
 	Age        time.Duration
 }
 
-// Lookup returns the status of the latest generation of a team's key.
-func (r *Router) Lookup(ctx context.Context, team fleet.Team, key string) (KeyStatus, *Failure) {
+// LookupKey returns the status of the latest generation of a team's key.
+func (r *Router) LookupKey(ctx context.Context, team fleet.Team, key string) (KeyStatus, *Failure) {
 	leave, failure := r.enter(team)
 	if failure != nil {
 		return KeyStatus{}, unknownIfKeyed(key, failure)
--- a/internal/route/predict.go
+++ b/internal/route/predict.go
@@ -32,8 +32,8 @@
 	}
 	var sum time.Duration
 	for n, c := range decode {
-		if n == 0 || c.NextFree < w.decode {
-			w.decode = c.NextFree
+		if n == 0 || c.SlotWait < w.decode {
+			w.decode = c.SlotWait
 		}
 		w.queued += c.Queued
 		sum += c.TokenTime
--- a/internal/route/prefill.go
+++ b/internal/route/prefill.go
@@ -33,7 +33,7 @@
 }
 
 func (a *attempt) decodeSlotRequest(wait time.Duration) slotRequest {
-	return slotRequest{kind: fleet.RoleDecode, choice: a.request.policies.Decode, maxWait: wait, lead: max(a.plan.Lead, 0)}
+	return slotRequest{kind: fleet.RoleDecode, choice: a.request.policies.Decode, maxWait: wait, lead: max(a.plan.LeadTime, 0)}
 }
 
 func (a *attempt) startInput(decodeReady time.Duration) schedule.StartInput {
@@ -42,12 +42,12 @@
 	work, spread := m.predictPrefill()
 	queue := predictWaits(r.opts.Follower.Candidates(a.query(fleet.RolePrefill)), nil, 0).prefill
 	return schedule.StartInput{
-		DecodeReadyIn: decodeReady,
-		PrefillTime:   queue + work,
-		TransferTime:  a.transferTime(),
-		KVLife:        m.params.timeouts.KVLife,
-		WasteWeight:   m.params.team.WastedPrefillWeight,
-		Spread:        spread,
+		DecodeReadyIn:    decodeReady,
+		PrefillTime:      queue + work,
+		TransferTime:     a.transferTime(),
+		KVLife:           m.params.timeouts.KVLife,
+		WasteWeight:      m.params.team.WastedPrefillWeight,
+		PredictionStdDev: spread,
 	}
 }
 
--- a/internal/route/relaycost_test.go
+++ b/internal/route/relaycost_test.go
@@ -155,7 +155,7 @@
 
 func (f *relayFleet) Valid(time.Time, endpoint.Grant) bool { return true }
 
-func (f *relayFleet) Give(endpoint.Release) {}
+func (f *relayFleet) Release(endpoint.Release) {}
 
 func (f *relayFleet) End(fleet.Fingerprint, fleet.ZoneSet, fleet.AttemptID, bool, bool) {}
 
@@ -167,9 +167,9 @@
 	return []endpoint.Candidate{{ID: "x1", Incarnation: relayIncarnation, Zone: "howrah", Address: f.engine, Role: q.Kind, Slots: 1 << 20}}
 }
 
-func (f *relayFleet) Surveyed() (time.Time, bool) { return time.Time{}, true }
+func (f *relayFleet) FirstPollTime() (time.Time, bool) { return time.Time{}, true }
 
-func (f *relayFleet) Take(_ context.Context, r endpoint.GrantRequest) (*endpoint.Grant, *endpoint.Refusal, error) {
+func (f *relayFleet) Acquire(_ context.Context, r endpoint.GrantRequest) (*endpoint.Grant, *endpoint.Refusal, error) {
 	return &endpoint.Grant{
 		Endpoint: "x1", Incarnation: relayIncarnation, Address: f.engine, Zone: "howrah", Attempt: r.Attempt, Kind: r.Kind,
 	}, nil, nil
--- a/internal/route/request.go
+++ b/internal/route/request.go
@@ -32,7 +32,7 @@
 	Query      string
 	Header     http.Header // the caller's headers, without internal ones
 	Body       []byte
-	Once       bool // the caller states that it must not be repeated
+	AtMostOnce bool // the caller states that it must not be repeated
 	CallerKind string
 	Patience   time.Duration
 	Arrived    time.Time
@@ -45,9 +45,9 @@
 	Body       []byte
 }
 
-// Answer is the result of a model request. If Failure is nil, the whole output
+// ModelResult is the result of a model request. If Failure is nil, the whole output
 // was passed to the Sink.
-type Answer struct {
+type ModelResult struct {
 	Finish       engineapi.Finish
 	PromptTokens int
 	OutputTokens int
@@ -57,5 +57,5 @@
 // Sink receives the output chunks in order, without gaps or repeats. An error
 // means that the caller has disconnected.
 type Sink interface {
-	Pass(c engineapi.Chunk) error
+	WriteChunk(c engineapi.Chunk) error
 }
--- a/internal/route/router.go
+++ b/internal/route/router.go
@@ -58,10 +58,10 @@
 	return r
 }
 
-// Refuses returns the failure of a request that team may not make at this entry,
+// EarlyRefusal returns the failure of a request that team may not make at this entry,
 // whatever its body, or nil. Callers check it before they read the body, so that
 // no body enters an availability zone that the team's settings forbid.
-func (r *Router) Refuses(team fleet.Team, key string) *Failure {
+func (r *Router) EarlyRefusal(team fleet.Team, key string) *Failure {
 	if r.inFlight.closed(time.Now()) {
 		return unknownIfKeyed(key, drainingFailure())
 	}
@@ -123,13 +123,13 @@
 func (r *Router) admissionFirstToken(a admission.Request, waited time.Duration) {
 	r.admissionMu.Lock()
 	defer r.admissionMu.Unlock()
-	r.opts.Admission.FirstToken(time.Now(), a, waited)
+	r.opts.Admission.ObserveFirstToken(time.Now(), a, waited)
 }
 
 func (r *Router) mayRetry(team fleet.Team, failed fleet.EndpointID) bool {
 	r.admissionMu.Lock()
 	defer r.admissionMu.Unlock()
-	return r.opts.Admission.MayRetry(time.Now(), team, failed)
+	return r.opts.Admission.TakeRetry(time.Now(), team, failed)
 }
 
 // mayRetryAfter reports whether the retry budgets of the team and the endpoint allow a
@@ -143,10 +143,10 @@
 func (r *Router) recordSuccess(team fleet.Team, by fleet.EndpointID) {
 	r.admissionMu.Lock()
 	defer r.admissionMu.Unlock()
-	r.opts.Admission.Succeeded(time.Now(), team, by)
+	r.opts.Admission.RecordSuccess(time.Now(), team, by)
 }
 
-func (r *Router) choose(c schedule.Choice, q schedule.Request, from []endpoint.Candidate) (endpoint.Candidate, bool) {
+func (r *Router) choose(c schedule.ChoicePolicy, q schedule.Request, from []endpoint.Candidate) (endpoint.Candidate, bool) {
 	r.randomMu.Lock()
 	defer r.randomMu.Unlock()
 	return c.Choose(q, from, r.random)
@@ -156,5 +156,5 @@
 
 func (r *Router) owner() fleet.Owner { return r.opts.Source.Self().Owner() }
 
-// Running returns the number of requests in flight at this entry.
-func (r *Router) Running() int { return r.inFlight.running() }
+// RunningRequests returns the number of requests in flight at this entry.
+func (r *Router) RunningRequests() int { return r.inFlight.running() }
--- a/internal/route/service.go
+++ b/internal/route/service.go
@@ -35,7 +35,7 @@
 	return callParams{
 		team:       team,
 		permitted:  team.Permitted(),
-		idempotent: !r.Once && idempotentCall(service, r.Method, r.Path),
+		idempotent: !r.AtMostOnce && idempotentCall(service, r.Method, r.Path),
 		patience:   patience(kind, r.Patience, b),
 		callTime:   durationOrDefault(service.Timeout, b.DefaultCallTimeout),
 		priority:   kind.Priority,
--- a/internal/routetable/document.go
+++ b/internal/routetable/document.go
@@ -52,8 +52,8 @@
 	// Target is the target time for an answer, or for the first event of a stream; a later one
 	// is worth less to its caller. 0 for none.
 	Target time.Duration
-	// EventGap is the longest pause between events of a stream that meets its target.
-	EventGap time.Duration
+	// MaxEventGap is the longest pause between events of a stream that meets its target.
+	MaxEventGap time.Duration
 	// Priority is the rank of the route; 0 is the most urgent.
 	Priority int
 	// MaxAttempts is the maximum number of endpoints on which one exchange may run.
@@ -115,16 +115,16 @@
 
 // Engine describes what the model endpoints of a service can do.
 type Engine struct {
-	Slots           int     // maximum number of requests in one batch
-	KVTokens        int     // tokens that fit into the memory of one endpoint
-	KVBytesPerToken float64 // size of the KV cache
-	LinkMbps        float64 // for the transfer of KV caches between endpoints
-	Moves, Backups  bool
-	Block           int           // tokens per memory block
-	HandleLife      time.Duration // how long the result of a prefill is kept
-	// HoldLife is the longest time that an endpoint reserves memory for a request before it
+	Slots            int     // maximum number of requests in one batch
+	KVTokens         int     // tokens that fit into the memory of one endpoint
+	KVBytesPerToken  float64 // size of the KV cache
+	LinkMbps         float64 // for the transfer of KV caches between endpoints
+	Moves, Backups   bool
+	BlockTokens      int           // tokens per memory block
+	PrefillResultTTL time.Duration // how long the result of a prefill is kept
+	// MaxReservationDuration is the longest time that an endpoint reserves memory for a request before it
 	// arrives; 0 if endpoints don't.
-	HoldLife time.Duration
+	MaxReservationDuration time.Duration
 }
 
 // Limits bounds what a caller may send.
--- a/internal/routetable/routetable_test.go
+++ b/internal/routetable/routetable_test.go
@@ -71,7 +71,7 @@
 func TestChooseByWeight(t *testing.T) {
 	r := Route{Backends: []Backend{{"a", 90}, {"b", 0}, {"c", 10}}}
 	for point, want := range map[float64]string{0: "a", 0.899: "a", 0.9: "c", 0.9999: "c"} {
-		assert.Equal(t, r.Choose(point), want)
+		assert.Equal(t, r.ChooseService(point), want)
 	}
 }
 
--- a/internal/routetable/table.go
+++ b/internal/routetable/table.go
@@ -97,8 +97,8 @@
 // Service returns a service by name, or nil if it is unknown.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// Choose picks a service of the route by weight; point is uniformly distributed in [0, 1).
-func (r *Route) Choose(point float64) string {
+// ChooseService picks a service of the route by weight; point is uniformly distributed in [0, 1).
+func (r *Route) ChooseService(point float64) string {
 	total := 0.0
 	for _, b := range r.Backends {
 		total += b.Weight
--- a/internal/routetable/team.go
+++ b/internal/routetable/team.go
@@ -33,8 +33,8 @@
 	Unit      Unit
 	PerSecond float64 // 0 for no limit
 	Burst     float64 // maximum that accrues while the quota is not used
-	// Unsized is the cost of a request without a stated size, if tokens are counted.
-	Unsized float64
+	// DefaultTokens is the cost of a request without a stated size, if tokens are counted.
+	DefaultTokens float64
 }
 
 // Limited reports whether there is a limit.
@@ -49,14 +49,14 @@
 	case sized:
 		return float64(tokens)
 	}
-	return q.Unsized
+	return q.DefaultTokens
 }
 
 func (t *Team) check() error {
 	if t.Name == "" {
 		return trace.BadParameter("a team has no name")
 	}
-	for _, value := range []float64{t.Quota.PerSecond, t.Quota.Burst, t.Quota.Unsized} {
+	for _, value := range []float64{t.Quota.PerSecond, t.Quota.Burst, t.Quota.DefaultTokens} {
 		if value < 0 || math.IsNaN(value) || math.IsInf(value, 0) {
 			return trace.BadParameter("team %q has a quota of %v", t.Name, value)
 		}
--- a/internal/schedule/choice_test.go
+++ b/internal/schedule/choice_test.go
@@ -30,7 +30,7 @@
 	prompt := strings.Repeat("spin", 2000)
 	prefixes := Prefixes(fibre, prompt)
 	request := Request{EntryZone: "howrah", PromptTokens: Tokens(prompt), Prefixes: prefixes, KVBytes: 50e6}
-	busy := endpoint.Candidate{ID: "busy", Zone: "howrah", Slots: 20, Granted: 20, NextFree: 400 * ms}
+	busy := endpoint.Candidate{ID: "busy", Zone: "howrah", Slots: 20, Granted: 20, SlotWait: 400 * ms}
 	idle := endpoint.Candidate{ID: "idle", Zone: "howrah", Slots: 20}
 	far := endpoint.Candidate{ID: "far", Zone: "durgapur", Slots: 20}
 	warm := endpoint.Candidate{ID: "warm", Zone: "howrah", Slots: 20, Granted: 3, QueuedWork: 50 * ms, CachedPrefixes: cacheOf(prefixes)}
@@ -147,7 +147,7 @@
 	candidates := subset(576, r.Prefixes)
 	random := seeded()
 	for n := range candidates {
-		candidates[n].NextFree = time.Duration(random.IntN(400)) * ms
+		candidates[n].SlotWait = time.Duration(random.IntN(400)) * ms
 		candidates[n].Granted = random.IntN(21)
 	}
 	return r, candidates
@@ -176,7 +176,7 @@
 	b.Run("least-wait-all-idle-no-cache", func(b *testing.B) { run(b, policy, r, subset(576, nil)) })
 }
 
-func run(b *testing.B, policy Choice, r Request, candidates []endpoint.Candidate) {
+func run(b *testing.B, policy ChoicePolicy, r Request, candidates []endpoint.Candidate) {
 	random := seeded()
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/schedule/contract.go
+++ b/internal/schedule/contract.go
@@ -20,25 +20,25 @@
 	Avoid          map[fleet.EndpointID]struct{} // endpoints that already failed this request
 }
 
-// Choice is a policy that picks one endpoint from the candidates. ok is false
+// ChoicePolicy is a policy that picks one endpoint from the candidates. ok is false
 // when no candidate is eligible.
-type Choice interface {
+type ChoicePolicy interface {
 	Choose(r Request, candidates []endpoint.Candidate, random *rand.Rand) (chosen endpoint.Candidate, ok bool)
 }
 
 // StartInput holds the predictions for a request whose prefill could start now.
 type StartInput struct {
-	DecodeReadyIn time.Duration // predicted wait for the decode slot
-	PrefillTime   time.Duration // predicted, including the queue at the prefill engine
-	TransferTime  time.Duration // predicted for the link, including its queue
-	KVLife        time.Duration
-	WasteWeight   float64       // the team's weight of wasted prefill work, 0 to 1
-	Spread        time.Duration // standard deviation of the prediction error
+	DecodeReadyIn    time.Duration // predicted wait for the decode slot
+	PrefillTime      time.Duration // predicted, including the queue at the prefill engine
+	TransferTime     time.Duration // predicted for the link, including its queue
+	KVLife           time.Duration
+	WasteWeight      float64       // the team's weight of wasted prefill work, 0 to 1
+	PredictionStdDev time.Duration // standard deviation of the prediction error
 }
 
-// Start is a policy that decides how long to delay a prefill, and whether the
+// StartPolicy is a policy that decides how long to delay a prefill, and whether the
 // decode slot is reserved before or after it.
-type Start interface {
+type StartPolicy interface {
 	Plan(in StartInput) StartPlan
 }
 
@@ -46,5 +46,5 @@
 type StartPlan struct {
 	Delay        time.Duration // delay before the prefill starts
 	ReserveFirst bool          // hold the decode grant before the prefill starts
-	Lead         time.Duration // request the grant from the home this long before a slot is free
+	LeadTime     time.Duration // request the grant from the home this long before a slot is free
 }
--- a/internal/schedule/leastwait.go
+++ b/internal/schedule/leastwait.go
@@ -64,7 +64,7 @@
 			continue
 		}
 		s.considered++
-		wait := c.NextFree + c.QueuedWork
+		wait := c.SlotWait + c.QueuedWork
 		if wait > s.bestScore+tieThreshold {
 			continue
 		}
--- a/internal/schedule/names.go
+++ b/internal/schedule/names.go
@@ -39,13 +39,13 @@
 
 // ChoiceByName returns the policy called name for work of a kind (RolePrefill,
 // RoleDecode or RolePlain) with default options. The error is a BadParameter.
-func ChoiceByName(kind fleet.EndpointRole, name string) (Choice, error) {
+func ChoiceByName(kind fleet.EndpointRole, name string) (ChoicePolicy, error) {
 	return NewChoice(kind, name, ChoiceOptions{})
 }
 
 // NewChoice is ChoiceByName with options. The policy is safe for concurrent use
 // if each caller passes its own random source.
-func NewChoice(kind fleet.EndpointRole, name string, options ChoiceOptions) (Choice, error) {
+func NewChoice(kind fleet.EndpointRole, name string, options ChoiceOptions) (ChoicePolicy, error) {
 	options = options.withDefaults()
 	if name == NameDefault {
 		name = defaultChoice(kind)
@@ -74,7 +74,7 @@
 
 // StartByName returns the Start policy called name. The error is a
 // BadParameter.
-func StartByName(name string) (Start, error) {
+func StartByName(name string) (StartPolicy, error) {
 	switch name {
 	case NamePredictedRoom, NameDefault:
 		return predictedRoom{}, nil
--- a/internal/schedule/prefillpredictor.go
+++ b/internal/schedule/prefillpredictor.go
@@ -53,8 +53,8 @@
 	return fromMilliseconds(line.baseMs + line.perTokenMs*float64(tokens))
 }
 
-// Spread returns the standard deviation of the prediction error.
-func (p *PrefillPredictor) Spread() time.Duration {
+// StdDev returns the standard deviation of the prediction error.
+func (p *PrefillPredictor) StdDev() time.Duration {
 	return fromMilliseconds(p.line.Load().stdDevMs)
 }
 
--- a/internal/schedule/start.go
+++ b/internal/schedule/start.go
@@ -24,10 +24,10 @@
 // Plan implements Start.
 func (predictedRoom) Plan(in StartInput) StartPlan {
 	weight := min(max(in.WasteWeight, 0), 1)
-	earliness := interpolatedMargin(in.Spread, idleMarginGoodput, idleMarginWaste, weight)
-	latest := in.KVLife - in.TransferTime - interpolatedMargin(in.Spread, lateMarginGoodput, lateMarginWaste, weight)
+	earliness := interpolatedMargin(in.PredictionStdDev, idleMarginGoodput, idleMarginWaste, weight)
+	latest := in.KVLife - in.TransferTime - interpolatedMargin(in.PredictionStdDev, lateMarginGoodput, lateMarginWaste, weight)
 	lead := in.PrefillTime + min(earliness, latest)
-	return StartPlan{ReserveFirst: true, Lead: max(0, lead)}
+	return StartPlan{ReserveFirst: true, LeadTime: max(0, lead)}
 }
 
 // interpolatedMargin interpolates between the margins goodput (weight 0) and
--- a/internal/schedule/start_test.go
+++ b/internal/schedule/start_test.go
@@ -8,23 +8,23 @@
 )
 
 func TestPredictedRoom(t *testing.T) {
-	typical := StartInput{PrefillTime: 200 * ms, TransferTime: 20 * ms, KVLife: 800 * ms, WasteWeight: 0.5, Spread: 50 * ms}
+	typical := StartInput{PrefillTime: 200 * ms, TransferTime: 20 * ms, KVLife: 800 * ms, WasteWeight: 0.5, PredictionStdDev: 50 * ms}
 	plan := predictedRoom{}.Plan(typical)
 	assert.Assert(t, plan.ReserveFirst)
-	assert.Assert(t, plan.Lead > typical.PrefillTime, "the slot would idle: lead %v", plan.Lead)
-	assert.Assert(t, plan.Lead < typical.PrefillTime+typical.KVLife-typical.TransferTime)
+	assert.Assert(t, plan.LeadTime > typical.PrefillTime, "the slot would idle: lead %v", plan.LeadTime)
+	assert.Assert(t, plan.LeadTime < typical.PrefillTime+typical.KVLife-typical.TransferTime)
 
 	careful, eager := typical, typical
 	careful.WasteWeight, eager.WasteWeight = 1, 0
-	assert.Assert(t, predictedRoom{}.Plan(careful).Lead < predictedRoom{}.Plan(eager).Lead)
+	assert.Assert(t, predictedRoom{}.Plan(careful).LeadTime < predictedRoom{}.Plan(eager).LeadTime)
 
 	unsure := typical
-	unsure.Spread = 2000 * ms
-	assert.Equal(t, predictedRoom{}.Plan(unsure).Lead, 0*ms)
+	unsure.PredictionStdDev = 2000 * ms
+	assert.Equal(t, predictedRoom{}.Plan(unsure).LeadTime, 0*ms)
 
 	stalled := careful
 	stalled.TransferTime = 900 * ms
-	assert.Assert(t, predictedRoom{}.Plan(stalled).Lead < stalled.PrefillTime)
+	assert.Assert(t, predictedRoom{}.Plan(stalled).LeadTime < stalled.PrefillTime)
 }
 
 // A team that weighs only waste must not lose a prefill because the slot became
@@ -32,8 +32,8 @@
 // expire before that and the prefill work would be wasted.
 func TestKVCacheOutlivesALateSlot(t *testing.T) {
 	for _, spread := range []time.Duration{10 * ms, 50 * ms, 100 * ms, 200 * ms, 300 * ms, 900 * ms} {
-		in := StartInput{PrefillTime: 200 * ms, TransferTime: 50 * ms, KVLife: 800 * ms, WasteWeight: 1, Spread: spread}
-		lead := predictedRoom{}.Plan(in).Lead
+		in := StartInput{PrefillTime: 200 * ms, TransferTime: 50 * ms, KVLife: 800 * ms, WasteWeight: 1, PredictionStdDev: spread}
+		lead := predictedRoom{}.Plan(in).LeadTime
 		if lead == 0 {
 			continue // held before the prefill: the slot can't be late
 		}
--- a/internal/schedule/twochoices.go
+++ b/internal/schedule/twochoices.go
@@ -62,8 +62,8 @@
 	if (freeA > 0) != (freeB > 0) {
 		return freeA > 0
 	}
-	waitA := a.NextFree + a.QueuedWork + p.links.Cost(r.EntryZone, a.Zone, r.KVBytes)
-	waitB := b.NextFree + b.QueuedWork + p.links.Cost(r.EntryZone, b.Zone, r.KVBytes)
+	waitA := a.SlotWait + a.QueuedWork + p.links.Cost(r.EntryZone, a.Zone, r.KVBytes)
+	waitB := b.SlotWait + b.QueuedWork + p.links.Cost(r.EntryZone, b.Zone, r.KVBytes)
 	if difference := waitA - waitB; difference > tieThreshold || difference < -tieThreshold {
 		return difference < 0
 	}
--- a/internal/staging/planner.go
+++ b/internal/staging/planner.go
@@ -9,8 +9,8 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// Server is the known state of one endpoint.
-type Server struct {
+// Endpoint is the known state of one endpoint.
+type Endpoint struct {
 	ID         string
 	Stage      pb.Stage
 	Ready      bool     // accepts requests, or changes its stage
@@ -56,10 +56,10 @@
 
 // Step returns the change that is due; ok is false if there is none. Only a few
 // changes run at a time, since each takes an endpoint out of service.
-func (p *Planner) Step(now time.Time, endpoints []Server) (change Change, ok bool) {
+func (p *Planner) Step(now time.Time, endpoints []Endpoint) (change Change, ok bool) {
 	ready := readyOf(endpoints)
 	prefill, changing := countPrefill(ready)
-	target := Due(len(ready))
+	target := TargetPrefillCount(len(ready))
 	if changing >= max(1, len(ready)/endpointsPerChange) || len(ready) < 2 || prefill == target {
 		p.imbalancedSince = time.Time{}
 		return Change{}, false
@@ -77,14 +77,14 @@
 	return changeNewest(ready, pb.Stage_STAGE_PREFILL, pb.Stage_STAGE_DECODE)
 }
 
-// Due returns the number of prefill endpoints that n endpoints should include.
-func Due(n int) int {
+// TargetPrefillCount returns the number of prefill endpoints that n endpoints should include.
+func TargetPrefillCount(n int) int {
 	load := prefillLoadShare * float64(n)
 	return max(1, int(math.Round(load+sparePrefillFactor*math.Sqrt(load))))
 }
 
-func readyOf(endpoints []Server) []Server {
-	var ready []Server
+func readyOf(endpoints []Endpoint) []Endpoint {
+	var ready []Endpoint
 	for _, e := range endpoints {
 		if e.Ready && e.Stage != pb.Stage_STAGE_UNSPECIFIED {
 			ready = append(ready, e)
@@ -95,7 +95,7 @@
 
 // countPrefill counts the prefill endpoints that there will be once the changes under
 // way are done, and these changes.
-func countPrefill(endpoints []Server) (prefill, changing int) {
+func countPrefill(endpoints []Endpoint) (prefill, changing int) {
 	for _, e := range endpoints {
 		if cmp.Or(e.Assigned, e.Stage) == pb.Stage_STAGE_PREFILL {
 			prefill++
@@ -109,11 +109,11 @@
 
 // changeNewest returns a change of the newest endpoint of a stage: it caches the fewest
 // prompts.
-func changeNewest(endpoints []Server, from, to pb.Stage) (Change, bool) {
-	candidates := slices.DeleteFunc(slices.Clone(endpoints), func(e Server) bool { return e.Stage != from || e.Assigned != pb.Stage_STAGE_UNSPECIFIED })
+func changeNewest(endpoints []Endpoint, from, to pb.Stage) (Change, bool) {
+	candidates := slices.DeleteFunc(slices.Clone(endpoints), func(e Endpoint) bool { return e.Stage != from || e.Assigned != pb.Stage_STAGE_UNSPECIFIED })
 	if len(candidates) == 0 {
 		return Change{}, false
 	}
-	newest := slices.MaxFunc(candidates, func(a, b Server) int { return cmp.Compare(a.Registered, b.Registered) })
+	newest := slices.MaxFunc(candidates, func(a, b Endpoint) int { return cmp.Compare(a.Registered, b.Registered) })
 	return Change{ID: newest.ID, Stage: to}, true
 }
--- a/internal/staging/planner_test.go
+++ b/internal/staging/planner_test.go
@@ -11,20 +11,20 @@
 )
 
 // endpoints returns ready endpoints, prefill before decode, the newest last.
-func endpoints(prefill, decode int) []Server {
-	var list []Server
+func endpoints(prefill, decode int) []Endpoint {
+	var list []Endpoint
 	for n := range prefill + decode {
 		stage := pb.Stage_STAGE_PREFILL
 		if n >= prefill {
 			stage = pb.Stage_STAGE_DECODE
 		}
-		list = append(list, Server{ID: fmt.Sprint(n), Stage: stage, Ready: true, Registered: uint64(n)})
+		list = append(list, Endpoint{ID: fmt.Sprint(n), Stage: stage, Ready: true, Registered: uint64(n)})
 	}
 	return list
 }
 
 // run steps a planner for the given time and returns the first change.
-func run(p *Planner, list []Server, d time.Duration) (Change, bool) {
+func run(p *Planner, list []Endpoint, d time.Duration) (Change, bool) {
 	start := time.Unix(0, 0)
 	for at := time.Duration(0); at <= d; at += 400 * time.Millisecond {
 		if c, ok := p.Step(start.Add(at), list); ok {
@@ -87,6 +87,6 @@
 // The share of prefill endpoints falls with the size of the fleet: a quarter of a small one.
 func TestPrefillShareFallsWithSize(t *testing.T) {
 	for n, want := range map[int]int{1: 1, 8: 2, 12: 3, 15: 4, 60: 11, 90: 16, 300: 45} {
-		assert.Equal(t, Due(n), want, "%d endpoints", n)
+		assert.Equal(t, TargetPrefillCount(n), want, "%d endpoints", n)
 	}
 }
--- a/internal/suspect/apply.go
+++ b/internal/suspect/apply.go
@@ -9,9 +9,9 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// AloneCrashes is the number of crashes after which a fingerprint is quarantined, if at the
+// SoleSuspectCrashes is the number of crashes after which a fingerprint is quarantined, if at the
 // last one it was the only suspect on the endpoint.
-const AloneCrashes = 2
+const SoleSuspectCrashes = 2
 
 // MultiSuspectCrashes is the number of crashes after which a suspect is quarantined even if
 // other suspects were on the endpoint each time. Suspects run apart as long as their guard
@@ -42,7 +42,7 @@
 			s := suspects[f]
 			s.Crashes++
 			s.Updated = now
-			s.Quarantined = s.Quarantined || s.Crashes >= MultiSuspectCrashes || (len(known) == 1 && s.Crashes >= AloneCrashes)
+			s.Quarantined = s.Quarantined || s.Crashes >= MultiSuspectCrashes || (len(known) == 1 && s.Crashes >= SoleSuspectCrashes)
 			changed = append(changed, s)
 		}
 	}
@@ -76,7 +76,7 @@
 	var known []fleet.Fingerprint
 	for _, f := range ran {
 		s, ok := suspects[f]
-		if ok && now.Sub(s.Updated) < limits.Life {
+		if ok && now.Sub(s.Updated) < limits.TTL {
 			known = append(known, f)
 		}
 	}
@@ -88,7 +88,7 @@
 func expiredRemovals(suspects map[fleet.Fingerprint]fleet.Suspect, ran []fleet.Fingerprint, now time.Time, limits Limits) []fleet.Suspect {
 	var out []fleet.Suspect
 	for f, s := range suspects {
-		if now.Sub(s.Updated) >= limits.Life && !slices.Contains(ran, f) {
+		if now.Sub(s.Updated) >= limits.TTL && !slices.Contains(ran, f) {
 			out = append(out, fleet.Suspect{Fingerprint: f})
 		}
 	}
@@ -110,7 +110,7 @@
 		}
 		after[s.Fingerprint] = s
 	}
-	excess := len(after) - limits.Most
+	excess := len(after) - limits.MaxTracked
 	if excess <= 0 {
 		return nil
 	}
--- a/internal/suspect/apply_test.go
+++ b/internal/suspect/apply_test.go
@@ -61,14 +61,14 @@
 // with many requests die one after another.
 func TestSuspectsAreBounded(t *testing.T) {
 	limits := DefaultLimits
-	limits.Most = 10
+	limits.MaxTracked = 10
 	now := time.Unix(1_000_000, 0)
 	suspects := make(map[fleet.Fingerprint]fleet.Suspect)
 	testkit.PutSuspects(suspects, []fleet.Suspect{{Fingerprint: fleet.Fingerprint{255}, Crashes: 2, Quarantined: true, Updated: now}})
 	for n := range byte(50) {
 		now = now.Add(time.Second)
 		testkit.PutSuspects(suspects, Apply(suspects, reportOf(3*n, 3*n+1, 3*n+2), now, limits))
-		assert.Assert(t, len(suspects) <= limits.Most)
+		assert.Assert(t, len(suspects) <= limits.MaxTracked)
 	}
 	assert.Assert(t, suspects[fleet.Fingerprint{255}].Quarantined)
 }
--- a/internal/suspect/bench_test.go
+++ b/internal/suspect/bench_test.go
@@ -21,13 +21,13 @@
 // BenchmarkLosses measures adding losses to a full table, as after the deaths of many
 // endpoints.
 func BenchmarkLosses(b *testing.B) {
-	l := NewLosses(DefaultLimits)
+	l := NewLossTracker(DefaultLimits)
 	now := time.Unix(1_000_000, 0)
 	n := uint64(0)
 	for b.Loop() {
 		n++
 		var f fleet.Fingerprint
 		binary.BigEndian.PutUint64(f[:], n)
-		l.Lost(now, Loss{Fingerprint: f, Sent: now, Ended: now, Exchange: "x", Nth: 1})
+		l.RecordLoss(now, Loss{Fingerprint: f, Sent: now, Ended: now, Exchange: "x", Sequence: 1})
 	}
 }
--- a/internal/suspect/loss.go
+++ b/internal/suspect/loss.go
@@ -13,10 +13,10 @@
 	Sent        time.Time // when the request was sent to the endpoint
 	Ended       time.Time // when the connection ended
 	Exchange    string    // ID of the exchange, unique in the fleet
-	Nth         int       // number of this loss among those of the exchange, from 1
-	// Outlived reports whether other connections to the endpoint stayed open. Then perhaps only
+	Sequence    int       // number of this loss among those of the exchange, from 1
+	// EndpointSurvived reports whether other connections to the endpoint stayed open. Then perhaps only
 	// the answer was lost, and the loss counts half.
-	Outlived bool
+	EndpointSurvived bool
 }
 
 // Weights of losses.
@@ -26,7 +26,7 @@
 )
 
 func (l Loss) weight() int {
-	if l.Outlived {
+	if l.EndpointSurvived {
 		return survivedWeight
 	}
 	return crashWeight
@@ -43,5 +43,5 @@
 // Quarantined reports whether the request is refused at now, by the rule for a request of which
 // it isn't known what else ran on the endpoints.
 func (f Finding) Quarantined(now time.Time, limits Limits) bool {
-	return !f.Proven && f.Weight >= MultiSuspectCrashes*crashWeight && now.Sub(f.Updated) < limits.Life
+	return !f.Proven && f.Weight >= MultiSuspectCrashes*crashWeight && now.Sub(f.Updated) < limits.TTL
 }
--- a/internal/suspect/losses.go
+++ b/internal/suspect/losses.go
@@ -19,14 +19,14 @@
 	evictionKeepFraction = 0.75
 )
 
-// Losses finds the requests that crash endpoints where no process knows every request that
+// LossTracker finds the requests that crash endpoints where no process knows every request that
 // ran on an endpoint when it died. It counts the consecutive losses of each request.
 //
 // Losses of concurrent runs count as one. A request that many callers send runs on many
 // endpoints; if several of these died at once, it would otherwise be blamed for each death.
 //
 // It does no I/O and is not safe for concurrent use.
-type Losses struct {
+type LossTracker struct {
 	limits   Limits
 	records  map[fleet.Fingerprint]*lossRecord
 	revision uint64
@@ -39,20 +39,20 @@
 	countedLosses uint64 // bit set of the counted losses of lastExchange, see lossBit
 }
 
-// NewLosses returns an empty table.
-func NewLosses(limits Limits) *Losses {
-	return &Losses{limits: limits, records: map[fleet.Fingerprint]*lossRecord{}}
+// NewLossTracker returns an empty table.
+func NewLossTracker(limits Limits) *LossTracker {
+	return &LossTracker{limits: limits, records: map[fleet.Fingerprint]*lossRecord{}}
 }
 
 // Len returns the number of requests that have a finding.
-func (l *Losses) Len() int { return len(l.records) }
+func (l *LossTracker) Len() int { return len(l.records) }
 
 // Revision returns the number of changes so far.
-func (l *Losses) Revision() uint64 { return l.revision }
+func (l *LossTracker) Revision() uint64 { return l.revision }
 
-// Lost records a loss, which may have happened some time ago, and returns the resulting
+// RecordLoss records a loss, which may have happened some time ago, and returns the resulting
 // finding.
-func (l *Losses) Lost(now time.Time, loss Loss) Finding {
+func (l *LossTracker) RecordLoss(now time.Time, loss Loss) Finding {
 	r := l.getOrCreate(now, loss.Fingerprint)
 	if !r.Proven && r.isConsecutive(loss) {
 		r.Weight += loss.weight()
@@ -72,7 +72,7 @@
 	if r.lastExchange == loss.Exchange {
 		return r.countedLosses&lossBit(loss) == 0
 	}
-	return r.Weight == 0 || loss.Nth > 1 || !loss.Sent.Before(r.Updated)
+	return r.Weight == 0 || loss.Sequence > 1 || !loss.Sent.Before(r.Updated)
 }
 
 // markCounted records that a loss has been counted.
@@ -84,11 +84,11 @@
 }
 
 // lossBit returns the bit of a loss among those of its exchange, which has few of them.
-func lossBit(loss Loss) uint64 { return 1 << (loss.Nth % 64) }
+func lossBit(loss Loss) uint64 { return 1 << (loss.Sequence % 64) }
 
-// Answered records that an endpoint has run a request and answered it. It reports whether this
+// RecordAnswer records that an endpoint has run a request and answered it. It reports whether this
 // changed the table.
-func (l *Losses) Answered(now time.Time, f fleet.Fingerprint) bool {
+func (l *LossTracker) RecordAnswer(now time.Time, f fleet.Fingerprint) bool {
 	r := l.records[f]
 	if r == nil || r.Proven {
 		return false
@@ -100,8 +100,8 @@
 }
 
 // Merge records a finding of another process, and reports whether this changed the table.
-func (l *Losses) Merge(now time.Time, f Finding) bool {
-	if f.Weight < 1 || now.Sub(f.Updated) >= l.limits.Life {
+func (l *LossTracker) Merge(now time.Time, f Finding) bool {
+	if f.Weight < 1 || now.Sub(f.Updated) >= l.limits.TTL {
 		return false
 	}
 	r := l.getOrCreate(now, f.Fingerprint)
@@ -116,7 +116,7 @@
 }
 
 // Find returns the finding on a request, or the zero Finding if there is none.
-func (l *Losses) Find(f fleet.Fingerprint) Finding {
+func (l *LossTracker) Find(f fleet.Fingerprint) Finding {
 	if r := l.records[f]; r != nil {
 		return r.Finding
 	}
@@ -125,7 +125,7 @@
 
 // SharedSince returns the findings that should be shared with other processes and that have
 // changed after a revision, in the order of their changes.
-func (l *Losses) SharedSince(revision uint64) []Finding {
+func (l *LossTracker) SharedSince(revision uint64) []Finding {
 	var changed []*lossRecord
 	for _, r := range l.records {
 		if r.revision > revision && r.Weight >= minSharedWeight {
@@ -141,7 +141,7 @@
 }
 
 // Sweep removes expired findings.
-func (l *Losses) Sweep(now time.Time) {
+func (l *LossTracker) Sweep(now time.Time) {
 	for f, r := range l.records {
 		if l.isExpired(now, r) {
 			delete(l.records, f)
@@ -149,8 +149,8 @@
 	}
 }
 
-func (l *Losses) isExpired(now time.Time, r *lossRecord) bool {
-	ttl := l.limits.Life
+func (l *LossTracker) isExpired(now time.Time, r *lossRecord) bool {
+	ttl := l.limits.TTL
 	if r.Proven {
 		ttl = ProvenTTL
 	}
@@ -159,7 +159,7 @@
 
 // getOrCreate returns the record of a request. It creates one if there is none, or if the old
 // one has expired.
-func (l *Losses) getOrCreate(now time.Time, f fleet.Fingerprint) *lossRecord {
+func (l *LossTracker) getOrCreate(now time.Time, f fleet.Fingerprint) *lossRecord {
 	r := l.records[f]
 	if r == nil || l.isExpired(now, r) {
 		l.evictIfFull()
@@ -170,15 +170,15 @@
 }
 
 // bumpRevision marks a record as changed.
-func (l *Losses) bumpRevision(r *lossRecord) {
+func (l *LossTracker) bumpRevision(r *lossRecord) {
 	l.revision++
 	r.revision = l.revision
 }
 
 // evictIfFull evicts records if the table is full: those with the lowest rank first, among
 // these the oldest first.
-func (l *Losses) evictIfFull() {
-	if len(l.records) < l.limits.Most {
+func (l *LossTracker) evictIfFull() {
+	if len(l.records) < l.limits.MaxTracked {
 		return
 	}
 	all := make([]*lossRecord, 0, len(l.records))
@@ -188,7 +188,7 @@
 	slices.SortFunc(all, func(a, b *lossRecord) int {
 		return cmp.Or(cmp.Compare(a.evictionRank(), b.evictionRank()), a.Updated.Compare(b.Updated))
 	})
-	for _, r := range all[:len(all)-int(evictionKeepFraction*float64(l.limits.Most))] {
+	for _, r := range all[:len(all)-int(evictionKeepFraction*float64(l.limits.MaxTracked))] {
 		delete(l.records, r.Fingerprint)
 	}
 }
--- a/internal/suspect/neighbours_test.go
+++ b/internal/suspect/neighbours_test.go
@@ -24,7 +24,7 @@
 type simulation struct {
 	random  *rand.Rand
 	now     time.Duration
-	losses  *Losses
+	losses  *LossTracker
 	running []*simRequest
 	refused []*simRequest
 	served  int
@@ -40,7 +40,7 @@
 }
 
 func newSimulation() *simulation {
-	return &simulation{random: rand.New(rand.NewPCG(1, 2)), losses: NewLosses(DefaultLimits)}
+	return &simulation{random: rand.New(rand.NewPCG(1, 2)), losses: NewLossTracker(DefaultLimits)}
 }
 
 func (s *simulation) at() time.Time { return lossAt(s.now) }
@@ -74,7 +74,7 @@
 			remaining = append(remaining, r)
 			continue
 		}
-		s.losses.Answered(s.at(), r.fingerprint)
+		s.losses.RecordAnswer(s.at(), r.fingerprint)
 		s.served++
 	}
 	s.running = remaining
@@ -94,7 +94,7 @@
 	s.running = remaining
 	for _, r := range lost {
 		r.deathsMet++
-		s.losses.Lost(s.at(), Loss{Fingerprint: r.fingerprint, Sent: lossAt(r.sent), Ended: s.at(), Exchange: fmt.Sprint(r.fingerprint, r.exchange), Nth: r.attempts})
+		s.losses.RecordLoss(s.at(), Loss{Fingerprint: r.fingerprint, Sent: lossAt(r.sent), Ended: s.at(), Exchange: fmt.Sprint(r.fingerprint, r.exchange), Sequence: r.attempts})
 		if r.attempts == simMaxAttempts {
 			r.exchange, r.attempts = r.exchange+1, 0
 		}
@@ -114,7 +114,7 @@
 			return
 		}
 		crashes++
-		s.losses.Lost(s.at(), Loss{Fingerprint: fleet.Fingerprint{1}, Sent: s.at(), Ended: s.at(), Exchange: now.String(), Nth: 1})
+		s.losses.RecordLoss(s.at(), Loss{Fingerprint: fleet.Fingerprint{1}, Sent: s.at(), Ended: s.at(), Exchange: now.String(), Sequence: 1})
 		s.crash(s.random.IntN(simEndpoints))
 	})
 	assert.Equal(t, crashes, MultiSuspectCrashes)
