--- a/internal/outcome/acceptor_copy.go
+++ b/internal/outcome/acceptor_copy.go
@@ -6,17 +6,18 @@
 	"time"
 )
 
-// CopiedRecord is a record on its way to another replica.
+// CopiedRecord is a record that is copied to another replica.
 type CopiedRecord struct {
-	Key  Key
-	Held Held
+	Key    Key
+	Record StoredRecord
 }
 
-// keys gives the keys that have something accepted, sorted.
-func (a *Acceptor) keys(now time.Time) []Key {
+// acceptedKeys returns the sorted keys of the live records that have an accepted
+// decision.
+func (a *Acceptor) acceptedKeys(now time.Time) []Key {
 	keys := make([]Key, 0, len(a.records))
 	for k := range a.records {
-		if r := a.live(now, k); r != nil && r.held.Found() {
+		if r := a.liveRecord(now, k); r != nil && r.stored.HasDecision() {
 			keys = append(keys, k)
 		}
 	}
@@ -24,8 +25,8 @@
 	return keys
 }
 
-// page gives up to limit records of the sorted keys after the given one, and
-// whether these are the last.
+// page returns up to limit records of the sorted keys, starting after the given key
+// (nil: from the first), and whether these are the last.
 func (a *Acceptor) page(now time.Time, keys []Key, after *Key, limit int) (records []CopiedRecord, done bool) {
 	first := 0
 	if after != nil {
@@ -33,40 +34,40 @@
 	}
 	last := min(len(keys), first+limit)
 	for _, k := range keys[first:last] {
-		if r := a.live(now, k); r != nil {
-			records = append(records, CopiedRecord{Key: k, Held: r.at(now)})
+		if r := a.liveRecord(now, k); r != nil {
+			records = append(records, CopiedRecord{Key: k, Record: r.snapshot(now)})
 		}
 	}
 	return records, last == len(keys)
 }
 
-// Merge takes over what another replica of an earlier epoch, or of this one,
-// has accepted. An outcome comes first, then the higher ballot: so a value
-// decided there stands here too. Promises aren't copied, since the ballots of
-// a later epoch are all higher. It gives false when there is no room.
+// Merge takes over a record that another replica accepted at this epoch or an earlier
+// one. A record with an outcome takes precedence, then the one with the higher ballot,
+// so that a decided value is kept. Promises aren't copied, since the ballots of a later
+// epoch are all higher. Merge returns false if there is no room.
 func (a *Acceptor) Merge(now time.Time, c CopiedRecord) bool {
-	if c.Held.Age >= a.limits.RecordLife || !c.Held.Found() {
+	if c.Record.Age >= a.limits.RecordLife || !c.Record.HasDecision() {
 		return true
 	}
-	r := a.live(now, c.Key)
+	r := a.liveRecord(now, c.Key)
 	if r == nil {
 		if a.full(now) {
 			return false
 		}
-		r = a.add(now, c.Key)
+		r = a.createOrReset(now, c.Key)
 	}
-	if !c.Held.supersedes(r.held) {
+	if !c.Record.supersedes(r.stored) {
 		return true
 	}
-	fresh := r.held.Found()
-	age := c.Held.Age
-	r.held = c.Held
-	r.held.Age = 0
+	existed := r.stored.HasDecision()
+	age := c.Record.Age
+	r.stored = c.Record
+	r.stored.Age = 0
 	changed := now.Add(-age)
-	// The younger age holds: a record must not vanish here while another
-	// replica still counts on it.
-	if !fresh || changed.After(r.changed) {
-		r.changed = changed
+	// Keep the younger age: a record must not expire here while another replica still
+	// relies on it.
+	if !existed || changed.After(r.changedAt) {
+		r.changedAt = changed
 	}
 	return true
 }
--- a/internal/outcome/acceptor_test.go
+++ b/internal/outcome/acceptor_test.go
@@ -22,15 +22,15 @@
 func TestAcceptor(t *testing.T) {
 	mine := intentOf("attempt-1", fleet.Owner{Instance: "a", Incarnation: 1})
 	other := intentOf("attempt-2", fleet.Owner{Instance: "b", Incarnation: 1})
-	completed := Held{Decision: mine, Outcome: pb.OutcomeKind_OUTCOME_KIND_COMPLETED}
-	failed := Held{Decision: mine, Outcome: pb.OutcomeKind_OUTCOME_KIND_FAILED}
+	completed := StoredRecord{Decision: mine, Outcome: pb.OutcomeKind_OUTCOME_KIND_COMPLETED}
+	failed := StoredRecord{Decision: mine, Outcome: pb.OutcomeKind_OUTCOME_KIND_FAILED}
 	prepare := func(b Ballot) func(*Acceptor) Reply {
 		return func(a *Acceptor) Reply { return a.Prepare(testStart, Key{}, b) }
 	}
 	accept := func(b Ballot, d Decision) func(*Acceptor) Reply {
 		return func(a *Acceptor) Reply { return a.Accept(testStart, Key{}, b, d, "bank-1") }
 	}
-	finish := func(h Held) func(*Acceptor) Reply {
+	finish := func(h StoredRecord) func(*Acceptor) Reply {
 		return func(a *Acceptor) Reply { return a.Finish(testStart, Key{}, h) }
 	}
 	fast := fastBallot(1)
@@ -59,9 +59,9 @@
 				last = step(a)
 			}
 			assert.Equal(t, last.Status, c.want)
-			held := a.Lookup(testStart, Key{}).Held
+			held := a.Lookup(testStart, Key{}).Record
 			assert.Equal(t, held.Decision, c.holds)
-			if held.Ended() {
+			if held.HasOutcome() {
 				assert.Equal(t, held.Outcome, pb.OutcomeKind_OUTCOME_KIND_COMPLETED)
 			}
 		})
@@ -83,32 +83,32 @@
 		assert.Equal(t, a.Accept(testStart, numberedKey(n), fastBallot(1), d, "").Status, want)
 	}
 	later := testStart.Add(30 * time.Second)
-	assert.Equal(t, a.Finish(later, numberedKey(0), Held{Decision: d, Outcome: pb.OutcomeKind_OUTCOME_KIND_COMPLETED}).Status, ReplyOK)
+	assert.Equal(t, a.Finish(later, numberedKey(0), StoredRecord{Decision: d, Outcome: pb.OutcomeKind_OUTCOME_KIND_COMPLETED}).Status, ReplyOK)
 	end := testStart.Add(time.Minute)
-	assert.Assert(t, !a.Lookup(end, numberedKey(1)).Held.Found())
-	assert.Assert(t, a.Lookup(end, numberedKey(0)).Held.Ended())
+	assert.Assert(t, !a.Lookup(end, numberedKey(1)).Record.HasDecision())
+	assert.Assert(t, a.Lookup(end, numberedKey(0)).Record.HasOutcome())
 	assert.Equal(t, a.Accept(end, numberedKey(400), fastBallot(1), d, "").Status, ReplyOK)
 	for range 10 {
 		a.Expire(end, 50)
 	}
 	assert.Equal(t, a.Len(), 2)
-	assert.Assert(t, len(a.marks) <= limits.MaxRecords)
+	assert.Assert(t, len(a.expiryQueue) <= limits.MaxRecords)
 }
 
 // A tombstone is near the end of its life at one replica and gone at the two
 // others, where a new attempt may have been decided since. The caller must be
 // told "unknown", not "not run".
 func TestOldTombstoneIsNotTrusted(t *testing.T) {
-	c := Circumstances{Epoch: 1, Replicas: 1, RecordLife: 10 * time.Minute, Alive: func(fleet.Owner) bool { return true }}
+	c := GroupView{Epoch: 1, Replicas: 1, RecordLife: 10 * time.Minute, InView: func(fleet.Owner) bool { return true }}
 	for age, want := range map[time.Duration]Verdict{time.Minute: VerdictNotRun, 9 * time.Minute: VerdictUnknown} {
 		a := NewAcceptor(DefaultLimits)
 		a.Accept(testStart, Key{}, classic(1), tombstone(), "")
 		p := NewProposer(PurposeClaim, Claim{Attempt: "attempt-2"}, fleet.Owner{Instance: "b"}, 1)
 		now := testStart.Add(age)
 		step := p.Start(c)
-		step = p.Reply(0, *step.Broadcast, a.Prepare(now, Key{}, step.Broadcast.Ballot))
+		step = p.HandleReply(0, *step.Broadcast, a.Prepare(now, Key{}, step.Broadcast.Ballot))
 		q := *step.Broadcast
-		p.Reply(0, q, a.Accept(now, Key{}, q.Ballot, q.Decision, ""))
+		p.HandleReply(0, q, a.Accept(now, Key{}, q.Ballot, q.Decision, ""))
 		verdict, _ := p.Result()
 		assert.Equal(t, verdict, want)
 	}
@@ -118,10 +118,10 @@
 // group. It must not count towards the majority of the present one.
 func TestReplyOfEarlierEpoch(t *testing.T) {
 	p := NewProposer(PurposeResolve, Claim{}, fleet.Owner{Instance: "a"}, 1)
-	old := p.Start(Circumstances{Epoch: 1, Replicas: 3})
-	p.Start(Circumstances{Epoch: 2, Replicas: 3})
+	old := p.Start(GroupView{Epoch: 1, Replicas: 3})
+	p.Start(GroupView{Epoch: 2, Replicas: 3})
 	for from := range 3 {
-		assert.DeepEqual(t, p.Reply(from, *old.Broadcast, Reply{Status: ReplyOK}), Step{})
+		assert.DeepEqual(t, p.HandleReply(from, *old.Broadcast, Reply{Status: ReplyOK}), Step{})
 	}
 }
 
--- a/internal/outcome/ballot.go
+++ b/internal/outcome/ballot.go
@@ -6,35 +6,35 @@
 	"github.com/hyssopsail/hyssopsail/internal/fleet"
 )
 
-// roundBits is the part of a round that counts within an epoch. The bits above
-// are the epoch, so that each ballot of an epoch is higher than all of the
-// epochs before: a replica needs no promises of an earlier epoch.
+// roundBits is the number of low bits of Ballot.Round that count the rounds of an
+// epoch. The bits above hold the epoch, so that every ballot of an epoch is higher than
+// all ballots of the epochs before: a replica needs no promises of an earlier epoch.
 const roundBits = 20
 
-// Ballot orders the proposals for a key. No two proposers share one, but for
+// Ballot orders the proposals for a key. No two proposers share a ballot, except for
 // the fast ballot of an epoch.
 type Ballot struct {
 	Round    uint64
 	Owner    fleet.Owner
-	Proposer uint64 // numbers the proposers of one process
+	Proposer uint64 // unique within the process
 }
 
-// fastBallot is the lowest ballot of an epoch. Any proposer may send one accept
-// with it and without a prepare; it takes all replicas, not a majority, to
-// decide.
+// fastBallot returns the lowest ballot of an epoch. Any proposer may send one accept
+// with it, without a prepare. All replicas, not just a majority, must accept a value to
+// decide it at this ballot.
 func fastBallot(epoch uint64) Ballot {
 	return Ballot{Round: epoch << roundBits}
 }
 
-// Fast tells whether b is the fast ballot of its epoch.
+// Fast reports whether b is the fast ballot of its epoch.
 func (b Ballot) Fast() bool {
 	return b.Round&(1<<roundBits-1) == 0 && b.Round != 0
 }
 
-// Epoch gives the shard epoch that b belongs to.
+// Epoch returns the shard epoch that b belongs to.
 func (b Ballot) Epoch() uint64 { return b.Round >> roundBits }
 
-// Compare gives -1, 0 or 1 as b is below, equal to or above c.
+// Compare returns -1, 0 or 1 if b is lower than, equal to or higher than c.
 func (b Ballot) Compare(c Ballot) int {
 	return cmp.Or(
 		cmp.Compare(b.Round, c.Round),
--- a/internal/outcome/bench_test.go
+++ b/internal/outcome/bench_test.go
@@ -69,7 +69,7 @@
 		assert.NilError(b, err)
 		self.RPCAddress = listener.Addr().String()
 		view.Instances[self.ID] = self
-		o := Options{Source: &membership.Static{Fixed: state, Instance: self}, Dialer: dialer, NoFast: !fast, Limits: Limits{MaxRecords: 10_000_000}}
+		o := Options{Source: &membership.Static{Fixed: state, Instance: self}, Dialer: dialer, DisableFastPath: !fast, Limits: Limits{MaxRecords: 10_000_000}}
 		if n == 3 {
 			o.Registerer = registry
 		} else {
@@ -89,7 +89,7 @@
 		}
 	}
 	for _, s := range services {
-		s.apply()
+		s.applyState()
 	}
 	return services[3]
 }
@@ -162,7 +162,7 @@
 // core, from the bytes of the messages on, and the memory of a record.
 func BenchmarkReplica(b *testing.B) {
 	service := soloService()
-	service.replica.shards[fleet.LedgerShard{ZoneClass: testZones.Class()}].table.limits.MaxRecords = 1 << 30
+	service.replica.shards[fleet.LedgerShard{ZoneClass: testZones.Class()}].acceptor.limits.MaxRecords = 1 << 30
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -182,7 +182,7 @@
 	b.StopTimer()
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(service.replica.Records()), "bytes/record")
+	b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(service.replica.RecordCount()), "bytes/record")
 	runtime.KeepAlive(service)
 }
 
--- a/internal/outcome/choice.go
+++ b/internal/outcome/choice.go
@@ -1,40 +1,41 @@
 package outcome
 
-// choice is what the replies of a majority allow a proposer to propose.
-type choice struct {
-	bound bool // held.Decision may be decided and must be proposed
-	held  Held // what was found; not found: nothing was accepted
+// proposalChoice is what the prepare replies of a majority allow a proposer to propose.
+type proposalChoice struct {
+	bound  bool         // held.Decision may already be decided and must be proposed
+	record StoredRecord // what was found; without a decision, nothing was accepted
 }
 
-// choose applies the rule of the consensus to the prepare replies of a
-// majority. The value of the highest ballot may be decided and binds.
+// chooseProposal applies the rule of the consensus to the prepare replies of a
+// majority: the value of the highest ballot may be decided and must be proposed.
 //
-// A fast ballot is the exception. All replicas decide its value, so when one of
-// this majority has another value, or none, it isn't decided, and can't be any
-// more, since the majority has promised a higher ballot. Then the next lower
-// ballot counts: a replica that missed a value decided at an earlier epoch may
-// have taken the fast value since.
-func choose(replies []Held) choice {
-	var found Held
-	below := replies
+// The fast ballot is the exception. Its value is decided only when all replicas accept
+// it. If one of this majority has another value, or none, the fast value isn't decided,
+// and can't be any more, since the majority has promised a higher ballot. Then the next
+// lower ballot counts: a replica that missed a value decided at an earlier epoch may
+// have accepted the fast value since.
+func chooseProposal(replies []StoredRecord) proposalChoice {
+	var found StoredRecord
+	remaining := replies
 	for {
-		best := highest(below)
-		if !best.Found() {
-			return choice{held: found}
+		best := highestRecord(remaining)
+		if !best.HasDecision() {
+			return proposalChoice{record: found}
 		}
-		if best.Ended() || !best.Accepted.Fast() || unanimous(replies, best) {
-			return choice{bound: true, held: best}
+		if best.HasOutcome() || !best.Accepted.Fast() || unanimous(replies, best) {
+			return proposalChoice{bound: true, record: best}
 		}
-		if !found.Found() {
+		if !found.HasDecision() {
 			found = best
 		}
-		below = without(below, best.Accepted)
+		remaining = withoutBallot(remaining, best.Accepted)
 	}
 }
 
-// highest gives what tells most, with the age of the oldest copy.
-func highest(replies []Held) Held {
-	var best Held
+// highestRecord returns the record that supersedes the others, with the age of the
+// oldest copy of its decision.
+func highestRecord(replies []StoredRecord) StoredRecord {
+	var best StoredRecord
 	for _, h := range replies {
 		if h.supersedes(best) {
 			best = h
@@ -48,7 +49,7 @@
 	return best
 }
 
-func unanimous(replies []Held, best Held) bool {
+func unanimous(replies []StoredRecord, best StoredRecord) bool {
 	for _, h := range replies {
 		if h.Accepted != best.Accepted || h.Decision != best.Decision {
 			return false
@@ -57,8 +58,8 @@
 	return true
 }
 
-func without(replies []Held, b Ballot) []Held {
-	var rest []Held
+func withoutBallot(replies []StoredRecord, b Ballot) []StoredRecord {
+	var rest []StoredRecord
 	for _, h := range replies {
 		if h.Accepted != b {
 			rest = append(rest, h)
--- a/internal/outcome/copy.go
+++ b/internal/outcome/copy.go
@@ -10,50 +10,50 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// The bounds of copying.
+// Bounds of copying a shard.
 const (
-	copyPage = 1000            // records
-	copyTime = 5 * time.Second // of one try at a shard
+	copyPageRecords = 1000
+	copyTimeout     = 5 * time.Second // for one pass over a shard's sources
 )
 
-// copyShard copies a shard from its sources, all at once, until it is whole or
-// none is left to try.
+// copyShard copies a shard from its sources concurrently, until the copy is complete or
+// no source is left.
 func (s *Service) copyShard(ctx context.Context, task CopyTask) {
-	ctx, cancel := context.WithTimeout(ctx, copyTime)
+	ctx, cancel := context.WithTimeout(ctx, copyTimeout)
 	defer cancel()
 	ended := make(chan error, len(task.Sources))
 	for _, source := range task.Sources {
 		go func() { ended <- s.copyFrom(ctx, task, source) }()
 	}
-	whole := s.tryWhole(task.Shard)
+	complete := s.tryComplete(task.Shard)
 	for range task.Sources {
-		if whole {
+		if complete {
 			break
 		}
 		if err := <-ended; err != nil {
-			s.options.Part.Debug("Shard could not be copied.", "class", task.Shard.ZoneClass, "shard", task.Shard.Shard, "err", err)
+			s.options.Part.Debug("Copying a shard from a source failed.", "class", task.Shard.ZoneClass, "shard", task.Shard.Shard, "err", err)
 		}
-		whole = s.tryWhole(task.Shard)
+		complete = s.tryComplete(task.Shard)
 	}
-	if whole {
-		s.options.Part.Info("Shard is whole.", "class", task.Shard.ZoneClass, "shard", task.Shard.Shard, "epoch", task.Epoch)
+	if complete {
+		s.options.Part.Info("Shard copy is complete.", "class", task.Shard.ZoneClass, "shard", task.Shard.Shard, "epoch", task.Epoch)
 	}
 }
 
-func (s *Service) tryWhole(name fleet.LedgerShard) bool {
+func (s *Service) tryComplete(name fleet.LedgerShard) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.replica.TryWhole(name)
+	return s.replica.TryComplete(name)
 }
 
 func (s *Service) copyFrom(ctx context.Context, task CopyTask, source fleet.Owner) error {
-	query := CopyQuery{Shard: task.Shard, Epoch: task.Epoch, Source: source, Limit: copyPage}
+	query := CopyQuery{Shard: task.Shard, Epoch: task.Epoch, Source: source, Limit: copyPageRecords}
 	for {
-		page, err := s.fetch(ctx, query)
+		page, err := s.fetchPage(ctx, query)
 		if err != nil {
 			return trace.Wrap(err)
 		}
-		if !s.merge(query, page) {
+		if !s.mergePage(query, page) {
 			return trace.CompareFailed("source %s gave no page for epoch %d", source, task.Epoch)
 		}
 		if page.Done {
@@ -67,23 +67,23 @@
 	}
 }
 
-func (s *Service) merge(q CopyQuery, page CopyPage) bool {
+func (s *Service) mergePage(q CopyQuery, page CopyPage) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.replica.Merge(time.Now(), q, page)
 }
 
-func (s *Service) source(q CopyQuery) CopyPage {
+func (s *Service) servePage(q CopyQuery) CopyPage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.replica.Source(time.Now(), q)
+	return s.replica.ServePage(time.Now(), q)
 }
 
-func (s *Service) fetch(ctx context.Context, q CopyQuery) (CopyPage, error) {
+func (s *Service) fetchPage(ctx context.Context, q CopyQuery) (CopyPage, error) {
 	if q.Source == s.self {
-		return s.source(q), nil
+		return s.servePage(q), nil
 	}
-	client, err := s.client(ctx, q.Source, q.Shard)
+	client, err := s.replicaClient(ctx, q.Source, q.Shard)
 	if err != nil {
 		return CopyPage{}, trace.Wrap(err)
 	}
@@ -105,7 +105,7 @@
 func pageFromProto(reply *pb.CopyShardReply) CopyPage {
 	page := CopyPage{OK: reply.GetOk(), Done: reply.GetDone()}
 	for _, p := range reply.GetRecords() {
-		if record, ok := copiedFromProto(p); ok {
+		if record, ok := copiedRecordFromProto(p); ok {
 			page.Records = append(page.Records, record)
 		}
 	}
--- a/internal/outcome/driver.go
+++ b/internal/outcome/driver.go
@@ -11,46 +11,46 @@
 	"github.com/hyssopsail/hyssopsail/internal/membership"
 )
 
-// driver feeds one proposer with replies and timeouts.
+// driver runs one proposer: it sends its requests and passes it replies and timeouts.
 type driver struct {
-	service  *Service
-	proposer *Proposer
-	claim    Claim
-	current  bool // stop when the settings no longer permit just the claim's zones
-	shard    fleet.LedgerShard
-	random   *rand.Rand
-	arrivals chan arrival
-	group    fleet.LedgerGroup
-	retries  int
+	service             *Service
+	proposer            *Proposer
+	claim               Claim
+	requireCurrentZones bool // fail when the settings no longer permit exactly the claim's zones
+	shard               fleet.LedgerShard
+	random              *rand.Rand
+	replies             chan replicaReply
+	group               fleet.LedgerGroup
+	retries             int
 }
 
-// arrival is a reply on its way to the proposer.
-type arrival struct {
-	from    int
+// replicaReply is a reply for the proposer.
+type replicaReply struct {
+	from    int // index in group.Replicas
 	request *Request
 	reply   Reply
 }
 
-// The waits between rounds, random below a bound that doubles, so that two
-// proposers of one key don't overtake each other for ever.
+// Delays between rounds are random below a bound that doubles with each retry, so
+// that two proposers of one key don't overtake each other forever.
 const (
-	firstWait = time.Millisecond
-	mostWaits = 7 // doublings
+	initialMaxRetryDelay = time.Millisecond
+	maxRetryDoublings    = 7 // doublings
 )
 
 func (s *Service) newDriver(purpose Purpose, c Claim, shard fleet.LedgerShard) *driver {
-	number := s.numbers.Add(1)
+	proposerID := s.lastProposerID.Add(1)
 	return &driver{
 		service:  s,
-		proposer: NewProposer(purpose, c, s.self, number),
+		proposer: NewProposer(purpose, c, s.self, proposerID),
 		claim:    c,
 		shard:    shard,
-		random:   rand.New(rand.NewPCG(s.options.Seed, number)),
-		arrivals: make(chan arrival),
+		random:   rand.New(rand.NewPCG(s.options.Seed, proposerID)),
+		replies:  make(chan replicaReply),
 	}
 }
 
-// run drives the proposer to its end. An error means that ctx ended or the
+// run drives the proposer until it is done. An error means that ctx ended or the
 // settings changed first.
 func (d *driver) run(ctx context.Context) (Verdict, Record, error) {
 	ctx, cancel := context.WithCancel(ctx)
@@ -58,11 +58,11 @@
 	for {
 		changed := d.service.options.Source.Changed()
 		state := d.service.options.Source.State()
-		if d.current && !sameZones(state, d.claim) {
+		if d.requireCurrentZones && !zonesMatch(state, d.claim) {
 			return VerdictUnset, Record{}, errZonesChanged(d.claim)
 		}
 		group, ok := state.Groups[d.shard]
-		if ok && d.atEpoch(ctx, state, group, changed) {
+		if ok && d.runAtEpoch(ctx, state, group, changed) {
 			verdict, record := d.proposer.Result()
 			return verdict, record, nil
 		}
@@ -78,13 +78,13 @@
 	}
 }
 
-// atEpoch drives the proposer until it is done (true), the group changes or
-// ctx ends.
-func (d *driver) atEpoch(ctx context.Context, state *membership.State, group fleet.LedgerGroup, changed <-chan struct{}) bool {
+// runAtEpoch drives the proposer until it is done, the group changes or ctx ends. It
+// reports whether the proposer is done.
+func (d *driver) runAtEpoch(ctx context.Context, state *membership.State, group fleet.LedgerGroup, changed <-chan struct{}) bool {
 	d.group = group
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
-	step := d.proposer.Start(d.service.circumstances(state, group))
+	step := d.proposer.Start(d.service.groupView(state, group))
 	waiting := false
 	for {
 		switch {
@@ -94,20 +94,20 @@
 			return false
 		case step.Broadcast != nil:
 			waiting = false
-			timer.Reset(d.service.options.Call)
+			timer.Reset(d.service.options.CallTimeout)
 			d.broadcast(ctx, step.Broadcast)
 		case step.Retry:
 			waiting = true
-			timer.Reset(d.wait())
+			timer.Reset(d.retryDelay())
 		}
 		step = Step{}
 		select {
-		case a := <-d.arrivals:
+		case a := <-d.replies:
 			if !waiting {
-				step = d.proposer.Reply(a.from, *a.request, a.reply)
+				step = d.proposer.HandleReply(a.from, *a.request, a.reply)
 			}
 		case <-timer.C:
-			step = d.expired(waiting)
+			step = d.handleTimer(waiting)
 		case <-changed:
 			changed = d.service.options.Source.Changed()
 			if d.service.options.Source.State().Groups[d.shard].Epoch != group.Epoch {
@@ -119,28 +119,28 @@
 	}
 }
 
-func (d *driver) expired(waiting bool) Step {
+func (d *driver) handleTimer(waiting bool) Step {
 	if waiting {
 		return d.proposer.Retry()
 	}
-	return d.proposer.Timeout()
+	return d.proposer.HandleTimeout()
 }
 
-func (d *driver) wait() time.Duration {
-	most := firstWait << min(d.retries, mostWaits)
+func (d *driver) retryDelay() time.Duration {
+	maxDelay := initialMaxRetryDelay << min(d.retries, maxRetryDoublings)
 	d.retries++
-	return time.Duration(d.random.Int64N(int64(most))) + 1
+	return time.Duration(d.random.Int64N(int64(maxDelay))) + 1
 }
 
-// broadcast sends to all replicas at once. A call that the proposer no longer
-// waits for goes on, so that the slowest replica gets the record too; it ends
-// within Options.Call, and its goroutine with it.
+// broadcast sends a request to all replicas concurrently. A call that the proposer no
+// longer waits for continues, so that the slowest replica gets the record too; it ends
+// within Options.CallTimeout, and its goroutine with it.
 func (d *driver) broadcast(ctx context.Context, q *Request) {
 	for n, member := range d.group.Replicas {
 		go func() {
-			reply := d.service.ask(context.WithoutCancel(ctx), d.claim.Team, member.Owner, *q)
+			reply := d.service.sendRequest(context.WithoutCancel(ctx), d.claim.Team, member.Owner, *q)
 			select {
-			case d.arrivals <- arrival{from: n, request: q, reply: reply}:
+			case d.replies <- replicaReply{from: n, request: q, reply: reply}:
 			case <-ctx.Done():
 			}
 		}()
--- a/internal/outcome/failure_test.go
+++ b/internal/outcome/failure_test.go
@@ -16,7 +16,7 @@
 
 // twoPhases makes claims prepare first, so that a test can stop them between
 // the phases.
-var twoPhases = Options{NoFast: true, Call: 50 * time.Millisecond}
+var twoPhases = Options{DisableFastPath: true, CallTimeout: 50 * time.Millisecond}
 
 func newFive(t *testing.T, o Options) *testFleet {
 	return newTestFleet(t, o, "a", "b", "c", "d", "e")
--- a/internal/outcome/finish.go
+++ b/internal/outcome/finish.go
@@ -10,21 +10,21 @@
 	"github.com/hyssopsail/hyssopsail/internal/timeline"
 )
 
-// finishWait is the wait between two tries to record an outcome.
-const finishWait = 50 * time.Millisecond
+// finishRetryDelay is the delay before recording an outcome is tried again.
+const finishRetryDelay = 50 * time.Millisecond
 
-// finish records an outcome at a majority, trying until ctx ends.
-func (s *Service) finish(ctx context.Context, c Claim, end Held) error {
+// recordOutcome records an outcome at a majority, retrying until ctx ends.
+func (s *Service) recordOutcome(ctx context.Context, c Claim, end StoredRecord) error {
 	shard := ShardOf(c.Key, c.Permitted)
 	for {
 		state := s.options.Source.State()
 		group, ok := state.Groups[shard]
-		if ok && s.finishAt(ctx, c, finishRequest(s.circumstances(state, group), c.Key, end), group) {
-			s.finished(c, end)
+		if ok && s.recordOutcomeAt(ctx, c, newFinishRequest(s.groupView(state, group), c.Key, end), group) {
+			s.recordFinishEvent(c, end)
 			return nil
 		}
 		select {
-		case <-time.After(finishWait):
+		case <-time.After(finishRetryDelay):
 		case <-ctx.Done():
 			s.metrics.unfinished.Inc()
 			return trace.ConnectionProblem(ctx.Err(), "no majority took the outcome of attempt %s", c.Attempt)
@@ -32,29 +32,29 @@
 	}
 }
 
-// finishAt gives true as soon as a majority has taken the outcome; the calls to
-// the others go on.
-func (s *Service) finishAt(ctx context.Context, c Claim, q Request, g fleet.LedgerGroup) bool {
+// recordOutcomeAt sends an outcome to a group and returns true as soon as a majority
+// has recorded it. Calls to the other replicas continue.
+func (s *Service) recordOutcomeAt(ctx context.Context, c Claim, q Request, g fleet.LedgerGroup) bool {
 	ctx = context.WithoutCancel(ctx)
 	replies := make(chan bool, len(g.Replicas))
 	for _, m := range g.Replicas {
 		go func() {
-			replies <- s.ask(ctx, c.Team, m.Owner, q).Status == ReplyOK
+			replies <- s.sendRequest(ctx, c.Team, m.Owner, q).Status == ReplyOK
 		}()
 	}
-	taken := 0
+	acknowledged := 0
 	for range g.Replicas {
 		if <-replies {
-			taken++
+			acknowledged++
 		}
-		if taken > len(g.Replicas)/2 {
+		if acknowledged > len(g.Replicas)/2 {
 			return true
 		}
 	}
 	return false
 }
 
-func (s *Service) finished(c Claim, end Held) {
+func (s *Service) recordFinishEvent(c Claim, end StoredRecord) {
 	if s.options.Recorder == nil {
 		return
 	}
--- a/internal/outcome/fuzz_test.go
+++ b/internal/outcome/fuzz_test.go
@@ -25,7 +25,7 @@
 		}},
 	}
 	s := NewService(Options{Source: &membership.Static{Fixed: state, Instance: self}, Limits: Limits{MaxRecords: 50, RecordLife: time.Hour}})
-	s.apply()
+	s.applyState()
 	return s
 }
 
@@ -62,26 +62,26 @@
 		}
 		reply, err := receiver(service.Server(), t.Context(), request, nil)
 		assert.Assert(t, err != nil || reply != nil, "%s gave neither a reply nor an error", name)
-		assert.Assert(t, service.replica.Records() <= 50)
+		assert.Assert(t, service.replica.RecordCount() <= 50)
 	})
 }
 
 // FuzzReplies gives a proposer and a copying replica replies from outside.
 func FuzzReplies(f *testing.F) {
 	f.Add([]byte{}, []byte{})
-	reply, err := proto.Marshal(Reply{Status: ReplyOK, Held: Held{Decision: tombstone(), Accepted: classic(1)}}.proto(Key{}))
+	reply, err := proto.Marshal(Reply{Status: ReplyOK, Record: StoredRecord{Decision: tombstone(), Accepted: classic(1)}}.proto(Key{}))
 	assert.NilError(f, err)
 	f.Add(reply, reply)
 	f.Fuzz(func(t *testing.T, verdict, page []byte) {
 		var v pb.LedgerVerdict
 		if proto.Unmarshal(verdict, &v) == nil {
 			p := NewProposer(PurposeClaim, Claim{Attempt: "attempt-2"}, fleet.Owner{Instance: "b"}, 1)
-			step := p.Start(Circumstances{Epoch: 1, Replicas: 1, RecordLife: time.Hour, Alive: func(fleet.Owner) bool { return false }})
+			step := p.Start(GroupView{Epoch: 1, Replicas: 1, RecordLife: time.Hour, InView: func(fleet.Owner) bool { return false }})
 			for range 4 {
 				if step.Broadcast == nil {
 					break
 				}
-				step = p.Reply(0, *step.Broadcast, replyFromProto(&v))
+				step = p.HandleReply(0, *step.Broadcast, replyFromProto(&v))
 			}
 		}
 		var c pb.CopyShardReply
--- a/internal/outcome/health.go
+++ b/internal/outcome/health.go
@@ -7,37 +7,37 @@
 	"github.com/hyssopsail/hyssopsail/internal/fleet"
 )
 
-// healthLife is how long an answer vouches for a replica.
-const healthLife = 5 * time.Second
+// healthTTL is how long after an answer a replica is considered reachable.
+const healthTTL = 5 * time.Second
 
-// mostHealth bounds the replicas remembered; past it all are forgotten, which
-// costs a second round trip for each.
-const mostHealth = 4096
+// maxHealthEntries bounds the replicas remembered. When it is reached, all are
+// forgotten, which costs a second round trip for each.
+const maxHealthEntries = 4096
 
-// health remembers which replicas answered lately.
-type health struct {
-	mu       sync.Mutex
-	answered map[fleet.Owner]time.Time
+// replicaHealth remembers which replicas answered recently.
+type replicaHealth struct {
+	mu         sync.Mutex
+	lastAnswer map[fleet.Owner]time.Time
 }
 
-func newHealth() *health { return &health{answered: make(map[fleet.Owner]time.Time)} }
+func newHealth() *replicaHealth { return &replicaHealth{lastAnswer: make(map[fleet.Owner]time.Time)} }
 
-func (h *health) note(o fleet.Owner, answered bool, now time.Time) {
+func (h *replicaHealth) recordCall(o fleet.Owner, answered bool, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if !answered {
-		delete(h.answered, o)
+		delete(h.lastAnswer, o)
 		return
 	}
-	if len(h.answered) >= mostHealth {
-		clear(h.answered)
+	if len(h.lastAnswer) >= maxHealthEntries {
+		clear(h.lastAnswer)
 	}
-	h.answered[o] = now
+	h.lastAnswer[o] = now
 }
 
-func (h *health) good(o fleet.Owner, now time.Time) bool {
+func (h *replicaHealth) answeredRecently(o fleet.Owner, now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	at, ok := h.answered[o]
-	return ok && now.Sub(at) < healthLife
+	at, ok := h.lastAnswer[o]
+	return ok && now.Sub(at) < healthTTL
 }
--- a/internal/outcome/key.go
+++ b/internal/outcome/key.go
@@ -10,11 +10,11 @@
 	"github.com/hyssopsail/hyssopsail/internal/fleet"
 )
 
-// keyDomain keeps record keys apart from other hashes under the same secret.
+// keyDomain separates record keys from other hashes under the same secret.
 const keyDomain = "hyssopsail/outcome-key/1"
 
-// KeyFor hashes a caller's key with the fleet's secret: what callers choose
-// can't be read from a record, and teams can't meet in one.
+// KeyFor hashes a caller's key with the fleet's secret, so that the caller's text can't
+// be read from a record and the keys of different teams never share one.
 func KeyFor(secret []byte, team fleet.Team, callerKey string) Key {
 	mac := hmac.New(sha256.New, secret)
 	for _, field := range []string{keyDomain, string(team)} {
@@ -29,7 +29,7 @@
 	return k
 }
 
-// ShardOf gives the shard that holds a key's record.
+// ShardOf returns the shard that holds a key's record.
 func ShardOf(key Key, permitted fleet.ZoneSet) fleet.LedgerShard {
 	return fleet.LedgerShard{
 		ZoneClass: permitted.Class(),
@@ -39,7 +39,7 @@
 
 func shardNumber(key Key) uint32 { return uint32(key[0]) % fleet.LedgerShards }
 
-// String gives the hex form for logs.
+// String returns the hex form for logs.
 func (k Key) String() string { return hex.EncodeToString(k[:]) }
 
 func (k Key) compare(o Key) int { return bytes.Compare(k[:], o[:]) }
--- a/internal/outcome/metrics.go
+++ b/internal/outcome/metrics.go
@@ -9,7 +9,7 @@
 type metrics struct {
 	claims     *prometheus.CounterVec
 	duration   prometheus.Histogram
-	messages   *prometheus.CounterVec
+	requests   *prometheus.CounterVec
 	records    prometheus.Gauge
 	copying    prometheus.Gauge
 	unfinished prometheus.Counter
@@ -27,7 +27,7 @@
 			Help:    "Time that a claim takes.",
 			Buckets: prometheus.ExponentialBuckets(0.0001, 2, 14),
 		}),
-		messages: prometheus.NewCounterVec(prometheus.CounterOpts{
+		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "hyssopsail_ledger_requests_total",
 			Help: "Requests to replicas by action, and whether the replica is this process.",
 		}, []string{"action", "local"}),
@@ -49,12 +49,12 @@
 		}),
 	}
 	if r != nil {
-		r.MustRegister(m.claims, m.duration, m.messages, m.records, m.copying, m.unfinished, m.outOfZone)
+		r.MustRegister(m.claims, m.duration, m.requests, m.records, m.copying, m.unfinished, m.outOfZone)
 	}
 	return m
 }
 
-func (m *metrics) claimed(v Verdict, err error, took time.Duration) {
+func (m *metrics) observeClaim(v Verdict, err error, took time.Duration) {
 	label := v.String()
 	if err != nil {
 		label = "error"
@@ -71,10 +71,10 @@
 	ActionLookup:  "lookup",
 }
 
-func (m *metrics) asked(a Action, local bool) {
+func (m *metrics) countRequest(a Action, local bool) {
 	label := "false"
 	if local {
 		label = "true"
 	}
-	m.messages.WithLabelValues(actionNames[a], label).Inc()
+	m.requests.WithLabelValues(actionNames[a], label).Inc()
 }
--- a/internal/outcome/model_control_test.go
+++ b/internal/outcome/model_control_test.go
@@ -168,11 +168,11 @@
 	if n.stuck() {
 		return
 	}
-	for _, g := range n.replica.Whole() {
+	for _, g := range n.replica.CompleteGroups() {
 		w.send(func() { w.markReady(n.self, modelClass(g.Shard), g.Epoch) })
 	}
-	for _, task := range n.replica.Tasks() {
-		n.replica.TryWhole(task.Shard)
+	for _, task := range n.replica.CopyTasks() {
+		n.replica.TryComplete(task.Shard)
 		if len(task.Sources) == 0 {
 			continue
 		}
@@ -201,9 +201,9 @@
 			}
 			s := n.replica.shards[q.Shard]
 			if w.fault == faultOneSource && s.member {
-				s.whole = s.epoch
+				s.completeEpoch = s.epoch
 			}
-			n.replica.TryWhole(q.Shard)
+			n.replica.TryComplete(q.Shard)
 		})
 	})
 }
@@ -214,7 +214,7 @@
 	if s != nil {
 		before = s.epoch
 	}
-	page := n.replica.Source(w.now, q)
+	page := n.replica.ServePage(w.now, q)
 	if s != nil && w.fault == faultNoSeal {
 		s.epoch = before
 	}
--- a/internal/outcome/model_world_test.go
+++ b/internal/outcome/model_world_test.go
@@ -209,7 +209,7 @@
 	}
 	purpose := m.purpose
 	if len(m.before) > 0 {
-		purpose = purpose.beforehand()
+		purpose = purpose.atFormerShard()
 		if w.fault == faultLookAtFormer {
 			purpose = PurposeResolve
 		}
@@ -234,14 +234,14 @@
 	m.group = m.node.state.groups[m.at()]
 	m.epoch = m.group.Epoch
 	view := m.node.state.view
-	w.take(m, m.p.Start(Circumstances{
+	w.take(m, m.p.Start(GroupView{
 		Shard:       modelShard(m.at()),
 		Epoch:       m.epoch,
 		Replicas:    len(m.group.Replicas),
-		Fast:        allReady(m.group.Replicas) && w.random.IntN(3) > 0,
+		FastPath:    allReady(m.group.Replicas) && w.random.IntN(3) > 0,
 		RecordLife:  time.Hour,
 		HistoryLost: m.group.HistoryLostMs != 0 && w.fault != faultForgetHistoryLoss,
-		Alive:       view.Holds,
+		InView:      view.Holds,
 	}))
 }
 
@@ -261,7 +261,7 @@
 
 func (w *world) ended(m *modelProposer) {
 	verdict, record := m.p.Result()
-	if len(m.before) > 0 && passes(verdict) {
+	if len(m.before) > 0 && allowsNextShard(verdict) {
 		m.before = m.before[1:]
 		w.propose(m)
 		return
@@ -295,13 +295,13 @@
 }
 
 func (w *world) reply(m *modelProposer, index int, q Request, r Reply) Step {
-	if w.fault == faultFastNeverBinds && r.Held.Accepted.Fast() && !r.Held.Ended() {
-		r.Held = Held{}
+	if w.fault == faultFastNeverBinds && r.Record.Accepted.Fast() && !r.Record.HasOutcome() {
+		r.Record = StoredRecord{}
 	}
-	s := m.p.Reply(index, q, r)
-	fast := m.p.phase == phaseFast && len(m.p.oks) >= m.p.circumstances.majority()
+	s := m.p.HandleReply(index, q, r)
+	fast := m.p.phase == phaseFast && len(m.p.okRecords) >= m.p.group.majority()
 	if w.fault == faultFastMajority && fast {
-		return m.p.decided()
+		return m.p.answerDecided()
 	}
 	return s
 }
@@ -319,12 +319,12 @@
 func (w *world) handle(n *modelNode, q Request) Reply {
 	s := n.replica.shards[q.Shard]
 	if s != nil && w.fault == faultNoPromise {
-		if r := s.table.records[q.Key]; r != nil {
+		if r := s.acceptor.records[q.Key]; r != nil {
 			r.promised = Ballot{}
 		}
 	}
 	if s != nil && w.fault == faultNoReadyGate && s.member {
-		s.ready = s.epoch
+		s.readyEpoch = s.epoch
 	}
 	return n.replica.Handle(w.now, q)
 }
@@ -342,7 +342,7 @@
 	case m.waiting:
 		w.take(m, m.p.Retry())
 	default:
-		w.take(m, m.p.Timeout())
+		w.take(m, m.p.HandleTimeout())
 	}
 }
 
@@ -357,10 +357,10 @@
 	if v, _ := m.p.Result(); !m.done || v != VerdictRun {
 		return
 	}
-	end := Held{Decision: intentOf(m.claim.Attempt, n.self), Outcome: pb.OutcomeKind_OUTCOME_KIND_COMPLETED}
+	end := StoredRecord{Decision: intentOf(m.claim.Attempt, n.self), Outcome: pb.OutcomeKind_OUTCOME_KIND_COMPLETED}
 	g := n.state.groups[m.class]
 	for index, r := range g.Replicas {
-		q := finishRequest(Circumstances{Shard: g.Shard, Epoch: g.Epoch}, m.claim.Key, end)
+		q := newFinishRequest(GroupView{Shard: g.Shard, Epoch: g.Epoch}, m.claim.Key, end)
 		w.request(nil, index, r.Owner, q)
 	}
 }
--- a/internal/outcome/options.go
+++ b/internal/outcome/options.go
@@ -13,38 +13,37 @@
 	"github.com/hyssopsail/hyssopsail/internal/timeline"
 )
 
-// RunGuard answers the calls of the Ledger service that are about
-// fingerprints; quarantine.Service implements it.
+// RunGuard handles the calls of the Ledger RPC service that concern fingerprints.
+// quarantine.Service implements it.
 type RunGuard interface {
 	BeginRun(ctx context.Context, q *pb.BeginRunRequest) (*pb.BeginRunReply, error)
 	EndRun(ctx context.Context, q *pb.EndRunRequest) (*pb.EndRunReply, error)
 }
 
-// Options are what a Service needs. Zero durations and limits take the
-// defaults.
+// Options configure a Service. Zero durations and limits mean the defaults.
 type Options struct {
 	Source membership.Source
 	Dialer rpc.Dialer
-	// Ready tells the control group which shards this process has copied.
+	// Ready reports to the control group which shards this process has copied.
 	Ready func(ctx context.Context, ready *pb.LedgerReady) error
-	Runs  RunGuard // nil refuses the calls
-	// Seed makes the random waits between rounds.
-	Seed       uint64
-	Limits     Limits
-	Part       logging.Part
-	Recorder   timeline.Recorder     // nil: none
-	Registerer prometheus.Registerer // nil: none
-	Call       time.Duration         // longest call to a replica, default DefaultCall
-	NoFast     bool                  // claims always prepare first
+	Runs  RunGuard // nil: the calls are refused
+	// Seed is the seed of the random delays between rounds.
+	Seed            uint64
+	Limits          Limits
+	Part            logging.Part
+	Recorder        timeline.Recorder     // nil: none
+	Registerer      prometheus.Registerer // nil: none
+	CallTimeout     time.Duration         // of one call to a replica, default DefaultCallTimeout
+	DisableFastPath bool                  // claims always prepare first
 }
 
-// DefaultCall bounds one call to a replica. Replicas are a fraction of a
-// millisecond away; the rest is room for a busy process.
-const DefaultCall = 250 * time.Millisecond
+// DefaultCallTimeout bounds one call to a replica. The round trip takes a fraction of a
+// millisecond; the rest is headroom for a busy process.
+const DefaultCallTimeout = 250 * time.Millisecond
 
 func (o Options) withDefaults() Options {
-	if o.Call == 0 {
-		o.Call = DefaultCall
+	if o.CallTimeout == 0 {
+		o.CallTimeout = DefaultCallTimeout
 	}
 	if o.Limits.MaxRecords == 0 {
 		o.Limits.MaxRecords = DefaultLimits.MaxRecords
--- a/internal/outcome/proposer.go
+++ b/internal/outcome/proposer.go
@@ -5,97 +5,97 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// Purpose is what a proposer wants with a key.
+// Purpose is what a proposer is to decide or learn about a key.
 type Purpose uint8
 
 // The purposes.
 const (
-	PurposeUnset   Purpose = iota
-	PurposeClaim           // decide the own intent
-	PurposeForbid          // decide a tombstone
-	PurposeResolve         // learn, and decide what may be decided
-	PurposeSeal            // decide that the key has moved to a later zone class
+	PurposeUnset     Purpose = iota
+	PurposeClaim             // decide its own intent
+	PurposeForbid            // decide a tombstone
+	PurposeResolve           // read the key, and decide what may already be decided
+	PurposeMarkMoved         // decide that the key has moved to a later zone class
 )
 
 type phase uint8
 
 const (
 	phaseIdle phase = iota
-	phaseRead
+	phaseLookup
 	phaseFast
 	phasePrepare
 	phaseAccept
-	phaseSpread
+	phaseReplicateOutcome
 	phaseDone
 )
 
-// Step is what a proposer wants next: at most one of the fields is set. The
-// zero Step waits for more replies.
+// Step is the proposer's next action: at most one field is set. The zero Step waits for
+// more replies.
 type Step struct {
 	Broadcast *Request // to each replica; the replies go to Reply
-	Retry     bool     // wait a little, then call Retry
-	Done      bool     // Verdict and Record hold the result
+	Retry     bool     // call Proposer.Retry after a short delay
+	Done      bool     // Proposer.Result returns the result
 }
 
-// Proposer coordinates one claim of a key: a state machine that is fed with
-// replies and timeouts. It is pure and not safe for concurrent use.
+// Proposer runs the consensus for one claim of a key. It is a state machine driven by
+// replies and timeouts, does no I/O, and is not safe for concurrent use.
 type Proposer struct {
-	purpose  Purpose
-	key      Key
-	own      Decision
-	endpoint fleet.EndpointID
-	self     fleet.Owner
-	number   uint64
-
-	circumstances Circumstances
-	phase         phase
-	ballot        Ballot
-	highest       uint64 // round seen or used
-	value         Decision
-	held          Held // of value, when it is another's
-	answered      map[int]bool
-	oks           []Held
-	failures      int
-	proposed      bool // an accept of own was sent
-	verdict       Verdict
-	record        Record
+	purpose    Purpose
+	key        Key
+	ownIntent  Decision
+	endpoint   fleet.EndpointID
+	self       fleet.Owner
+	proposerID uint64
+
+	group        GroupView
+	phase        phase
+	ballot       Ballot
+	highestRound uint64 // seen or used at this epoch
+	value        Decision
+	valueRecord  StoredRecord // the replicas' record of value, if another proposed it
+	answered     map[int]bool
+	okRecords    []StoredRecord
+	failures     int
+	acceptSent   bool // an accept of own was sent
+	verdict      Verdict
+	record       Record
 }
 
-// NewProposer makes a proposer for one attempt at a key. number differs from
-// that of each other proposer of this process: two with equal ballots could
-// each decide another value.
-func NewProposer(purpose Purpose, c Claim, self fleet.Owner, number uint64) *Proposer {
+// NewProposer returns a proposer for one attempt at a key. proposerID must differ from
+// that of every other proposer of this process: two proposers with equal ballots could
+// decide different values.
+func NewProposer(purpose Purpose, c Claim, self fleet.Owner, proposerID uint64) *Proposer {
 	return &Proposer{
-		purpose:  purpose,
-		key:      c.Key,
-		own:      intentOf(c.Attempt, self),
-		endpoint: c.Endpoint,
-		self:     self,
-		number:   number,
+		purpose:    purpose,
+		key:        c.Key,
+		ownIntent:  intentOf(c.Attempt, self),
+		endpoint:   c.Endpoint,
+		self:       self,
+		proposerID: proposerID,
 	}
 }
 
-// Start begins at an epoch; it is called again when the group changes. Replies
-// of an earlier epoch don't count.
-func (p *Proposer) Start(c Circumstances) Step {
+// Start begins at an epoch. It is called again when the group changes; replies of an
+// earlier epoch are then ignored.
+func (p *Proposer) Start(group GroupView) Step {
 	if p.phase == phaseDone {
 		return Step{Done: true}
 	}
 	first := p.phase == phaseIdle
-	p.circumstances = c
-	p.highest = c.Epoch << roundBits
-	if first && c.Fast && !c.HistoryLost && (p.purpose == PurposeClaim || p.purpose == PurposeSeal) {
+	p.group = group
+	p.highestRound = group.Epoch << roundBits
+	if first && group.FastPath && !group.HistoryLost && (p.purpose == PurposeClaim || p.purpose == PurposeMarkMoved) {
 		p.phase = phaseFast
-		p.ballot = fastBallot(c.Epoch)
-		return p.propose(p.wanted())
+		p.ballot = fastBallot(group.Epoch)
+		return p.propose(p.preferredDecision())
 	}
 	if p.purpose == PurposeResolve {
-		return p.read()
+		return p.lookUp()
 	}
 	return p.prepare()
 }
 
-// Retry begins a round with a higher ballot.
+// Retry starts a round with a higher ballot.
 func (p *Proposer) Retry() Step {
 	if p.phase == phaseDone {
 		return Step{Done: true}
@@ -103,42 +103,42 @@
 	return p.prepare()
 }
 
-// Proposed tells whether an accept of the own intent may be on its way.
-func (p *Proposer) Proposed() bool { return p.proposed }
+// AcceptSent reports whether an accept of the proposer's own intent may have been sent.
+func (p *Proposer) AcceptSent() bool { return p.acceptSent }
 
-// Result gives the verdict and record after Done.
+// Result returns the verdict and record after a Step that is Done.
 func (p *Proposer) Result() (Verdict, Record) { return p.verdict, p.record }
 
-// Reply takes the reply of the replica at index from to request q.
-func (p *Proposer) Reply(from int, q Request, r Reply) Step {
-	p.highest = max(p.highest, p.ofEpoch(r.Promised))
-	// Lookups have no ballot, so the epoch is compared too: a reply of an
-	// earlier epoch comes from another set of replicas.
-	current := q.Epoch == p.circumstances.Epoch && q.Ballot == p.ballot && q.Action == p.action()
+// HandleReply processes the reply r to request q from the replica at index from.
+func (p *Proposer) HandleReply(from int, q Request, r Reply) Step {
+	p.highestRound = max(p.highestRound, p.roundInEpoch(r.Promised))
+	// Lookups have no ballot, so the epoch is compared too: a reply of an earlier epoch
+	// comes from another set of replicas.
+	current := q.Epoch == p.group.Epoch && q.Ballot == p.ballot && q.Action == p.action()
 	if !current || p.answered[from] {
 		return Step{}
 	}
 	p.answered[from] = true
 	if r.Status != ReplyOK {
-		return p.fail()
+		return p.handleFailure()
 	}
-	p.oks = append(p.oks, r.Held)
-	if len(p.oks) < p.quorum() {
+	p.okRecords = append(p.okRecords, r.Record)
+	if len(p.okRecords) < p.quorum() {
 		return Step{}
 	}
 	switch p.phase {
-	case phaseRead:
-		return p.looked()
+	case phaseLookup:
+		return p.handleLookups()
 	case phasePrepare:
-		return p.prepared()
-	case phaseSpread:
-		return p.done(VerdictRecorded, p.held)
+		return p.handlePromises()
+	case phaseReplicateOutcome:
+		return p.complete(VerdictRecorded, p.valueRecord)
 	}
-	return p.decided()
+	return p.answerDecided()
 }
 
-// Timeout gives up the present phase.
-func (p *Proposer) Timeout() Step {
+// HandleTimeout abandons the current phase.
+func (p *Proposer) HandleTimeout() Step {
 	switch p.phase {
 	case phaseDone:
 		return Step{Done: true}
@@ -148,8 +148,8 @@
 	return Step{Retry: true}
 }
 
-func (p *Proposer) ofEpoch(b Ballot) uint64 {
-	if b.Epoch() != p.circumstances.Epoch {
+func (p *Proposer) roundInEpoch(b Ballot) uint64 {
+	if b.Epoch() != p.group.Epoch {
 		return 0
 	}
 	return b.Round
@@ -157,13 +157,13 @@
 
 func (p *Proposer) action() Action {
 	switch p.phase {
-	case phaseRead:
+	case phaseLookup:
 		return ActionLookup
 	case phasePrepare:
 		return ActionPrepare
 	case phaseFast, phaseAccept:
 		return ActionAccept
-	case phaseSpread:
+	case phaseReplicateOutcome:
 		return ActionFinish
 	}
 	return ActionUnset
@@ -171,14 +171,14 @@
 
 func (p *Proposer) quorum() int {
 	if p.phase == phaseFast {
-		return p.circumstances.Replicas
+		return p.group.Replicas
 	}
-	return p.circumstances.majority()
+	return p.group.majority()
 }
 
-func (p *Proposer) fail() Step {
+func (p *Proposer) handleFailure() Step {
 	p.failures++
-	if p.circumstances.Replicas-p.failures >= p.quorum() {
+	if p.group.Replicas-p.failures >= p.quorum() {
 		return Step{}
 	}
 	if p.phase == phaseFast {
@@ -189,130 +189,130 @@
 
 func (p *Proposer) prepare() Step {
 	p.phase = phasePrepare
-	p.highest++
-	p.ballot = Ballot{Round: p.highest, Owner: p.self, Proposer: p.number}
-	p.reset()
+	p.highestRound++
+	p.ballot = Ballot{Round: p.highestRound, Owner: p.self, Proposer: p.proposerID}
+	p.resetReplies()
 	return p.broadcast(ActionPrepare)
 }
 
 func (p *Proposer) propose(d Decision) Step {
 	p.value = d
-	p.proposed = p.proposed || d == p.own
-	p.reset()
+	p.acceptSent = p.acceptSent || d == p.ownIntent
+	p.resetReplies()
 	return p.broadcast(ActionAccept)
 }
 
-func (p *Proposer) reset() {
-	p.answered = make(map[int]bool, p.circumstances.Replicas)
-	p.oks = p.oks[:0]
+func (p *Proposer) resetReplies() {
+	p.answered = make(map[int]bool, p.group.Replicas)
+	p.okRecords = p.okRecords[:0]
 	p.failures = 0
 }
 
 func (p *Proposer) broadcast(a Action) Step {
 	q := &Request{
 		Action: a,
-		Shard:  p.circumstances.Shard,
-		Epoch:  p.circumstances.Epoch,
+		Shard:  p.group.Shard,
+		Epoch:  p.group.Epoch,
 		Key:    p.key,
 		Ballot: p.ballot,
 	}
 	if a == ActionAccept {
 		q.Decision = p.value
-		q.Endpoint = p.held.Endpoint
-		if p.value == p.own {
+		q.Endpoint = p.valueRecord.Endpoint
+		if p.value == p.ownIntent {
 			q.Endpoint = p.endpoint
 		}
 	}
 	return Step{Broadcast: q}
 }
 
-// read asks without a promise first: a lookup of a key that nobody claimed
-// must not take up a record.
-func (p *Proposer) read() Step {
-	p.phase = phaseRead
+// lookUp asks for no promise: a lookup of a key that nobody claimed must not create a
+// record.
+func (p *Proposer) lookUp() Step {
+	p.phase = phaseLookup
 	p.ballot = Ballot{}
-	p.reset()
+	p.resetReplies()
 	return p.broadcast(ActionLookup)
 }
 
-// looked answers from a majority that agrees, or else goes on to decide.
-func (p *Proposer) looked() Step {
-	first := p.oks[0]
-	for _, h := range p.oks {
-		if h.Accepted != first.Accepted || h.Decision != first.Decision || h.Ended() != first.Ended() {
+// handleLookups answers if the majority agrees, and otherwise starts a round to decide.
+func (p *Proposer) handleLookups() Step {
+	first := p.okRecords[0]
+	for _, h := range p.okRecords {
+		if h.Accepted != first.Accepted || h.Decision != first.Decision || h.HasOutcome() != first.HasOutcome() {
 			return p.prepare()
 		}
 	}
 	switch {
-	case !first.Found() && p.circumstances.HistoryLost:
-		return p.done(VerdictUnknown, Held{})
-	case !first.Found():
-		return p.done(VerdictUnset, Held{})
-	case first.Ended():
-		return p.done(VerdictRecorded, first)
-	case first.Accepted.Fast(), first.Decision.Kind == DecisionTombstone, p.circumstances.HistoryLost:
+	case !first.HasDecision() && p.group.HistoryLost:
+		return p.complete(VerdictUnknown, StoredRecord{})
+	case !first.HasDecision():
+		return p.complete(VerdictUnset, StoredRecord{})
+	case first.HasOutcome():
+		return p.complete(VerdictRecorded, first)
+	case first.Accepted.Fast(), first.Decision.Kind == DecisionTombstone, p.group.HistoryLost:
 		return p.prepare()
 	}
 	p.value = first.Decision
-	p.held = first
-	return p.decided()
+	p.valueRecord = first
+	return p.answerDecided()
 }
 
-// prepared chooses what to propose, or answers where that needs no decision.
-func (p *Proposer) prepared() Step {
-	c := choose(p.oks)
-	if c.held.Ended() {
-		return p.ended(c.held)
+// handlePromises chooses what to propose, or answers if no decision is needed.
+func (p *Proposer) handlePromises() Step {
+	choice := chooseProposal(p.okRecords)
+	if choice.record.HasOutcome() {
+		return p.answerRecorded(choice.record)
 	}
-	other := c.held.Decision.Kind == DecisionIntent && c.held.Decision != p.own
-	if other && p.circumstances.Alive(c.held.Decision.Owner) && (p.purpose == PurposeResolve || p.circumstances.HistoryLost) {
-		return p.done(VerdictInFlight, c.held)
+	other := choice.record.Decision.Kind == DecisionIntent && choice.record.Decision != p.ownIntent
+	if other && p.group.InView(choice.record.Decision.Owner) && (p.purpose == PurposeResolve || p.group.HistoryLost) {
+		return p.complete(VerdictInFlight, choice.record)
 	}
-	if p.circumstances.HistoryLost {
-		return p.done(VerdictUnknown, c.held)
+	if p.group.HistoryLost {
+		return p.complete(VerdictUnknown, choice.record)
 	}
-	// Another's intent is proposed before "in flight" is said. Were a claim to
-	// give up on sight of an undecided one, two claims could give up for each
-	// other: nobody would run the request, and repeats would be told "in
-	// flight" for as long as both owners live.
+	// Another attempt's intent is proposed before "in flight" is answered. If a claim
+	// gave up on seeing an undecided intent, two claims could give up for each other:
+	// nobody would run the request, and repeats would be answered "in flight" for as
+	// long as both owners live.
 	switch {
-	case c.bound, p.purpose == PurposeResolve && c.held.Found():
-		p.held = c.held
-		return p.accept(c.held.Decision)
+	case choice.bound, p.purpose == PurposeResolve && choice.record.HasDecision():
+		p.valueRecord = choice.record
+		return p.accept(choice.record.Decision)
 	case p.purpose == PurposeResolve:
-		return p.done(VerdictUnset, Held{})
+		return p.complete(VerdictUnset, StoredRecord{})
 	}
-	return p.accept(p.wanted())
+	return p.accept(p.preferredDecision())
 }
 
-// wanted is what the proposer decides where nothing binds it.
-func (p *Proposer) wanted() Decision {
+// preferredDecision is what the proposer proposes if no earlier proposal binds it.
+func (p *Proposer) preferredDecision() Decision {
 	switch p.purpose {
 	case PurposeForbid:
 		return tombstone()
-	case PurposeSeal:
+	case PurposeMarkMoved:
 		return moved()
 	}
-	return p.own
+	return p.ownIntent
 }
 
-// ended answers with a recorded outcome. When some of the majority lack it,
-// it is spread to a majority first: else a later repeat, reading through other
-// replicas, would be told less than this one.
-func (p *Proposer) ended(h Held) Step {
-	for _, o := range p.oks {
-		if !o.Ended() {
-			return p.spread(h)
+// answerRecorded answers with a recorded outcome. If some of the majority lack the
+// outcome, it is first replicated to a majority: otherwise a later repeat that reads
+// from other replicas would learn less than this one.
+func (p *Proposer) answerRecorded(h StoredRecord) Step {
+	for _, o := range p.okRecords {
+		if !o.HasOutcome() {
+			return p.replicateOutcome(h)
 		}
 	}
-	return p.done(VerdictRecorded, h)
+	return p.complete(VerdictRecorded, h)
 }
 
-func (p *Proposer) spread(h Held) Step {
-	p.phase = phaseSpread
-	p.held = h
-	p.reset()
-	q := finishRequest(p.circumstances, p.key, h)
+func (p *Proposer) replicateOutcome(h StoredRecord) Step {
+	p.phase = phaseReplicateOutcome
+	p.valueRecord = h
+	p.resetReplies()
+	q := newFinishRequest(p.group, p.key, h)
 	q.Ballot = p.ballot
 	return Step{Broadcast: &q}
 }
@@ -322,47 +322,47 @@
 	return p.propose(d)
 }
 
-// tombstoneTrust is the part of a record's life in which a tombstone found
-// earlier still means "not run". Replicas drop a record at slightly different
-// times; in the rest of its life one may hold a tombstone while the two others
-// have dropped theirs and decided a new intent.
-const tombstoneTrust = 0.8
+// tombstoneTrustFraction is the fraction of a record's life during which a tombstone
+// found still means "not run". Replicas drop a record at slightly different times; in
+// the rest of its life, one replica may hold a tombstone while the two others have
+// dropped theirs and decided a new intent.
+const tombstoneTrustFraction = 0.8
 
-func (p *Proposer) decided() Step {
+func (p *Proposer) answerDecided() Step {
 	switch {
 	case p.value.Kind == DecisionMoved:
-		return p.done(VerdictMoved, Held{Decision: p.value})
-	case p.value.Kind == DecisionTombstone && p.held.Age.Seconds() > tombstoneTrust*p.circumstances.RecordLife.Seconds():
-		return p.done(VerdictUnknown, p.held)
+		return p.complete(VerdictMoved, StoredRecord{Decision: p.value})
+	case p.value.Kind == DecisionTombstone && p.valueRecord.Age.Seconds() > tombstoneTrustFraction*p.group.RecordLife.Seconds():
+		return p.complete(VerdictUnknown, p.valueRecord)
 	case p.value.Kind == DecisionTombstone:
-		return p.done(VerdictNotRun, Held{Decision: p.value})
-	case p.value == p.own && p.purpose == PurposeClaim:
-		return p.done(VerdictRun, Held{Decision: p.own, Endpoint: p.endpoint})
-	case p.circumstances.Alive(p.value.Owner):
-		return p.done(VerdictInFlight, p.held)
+		return p.complete(VerdictNotRun, StoredRecord{Decision: p.value})
+	case p.value == p.ownIntent && p.purpose == PurposeClaim:
+		return p.complete(VerdictRun, StoredRecord{Decision: p.ownIntent, Endpoint: p.endpoint})
+	case p.group.InView(p.value.Owner):
+		return p.complete(VerdictInFlight, p.valueRecord)
 	}
-	return p.done(VerdictUnknown, p.held)
+	return p.complete(VerdictUnknown, p.valueRecord)
 }
 
-func (p *Proposer) done(v Verdict, h Held) Step {
+func (p *Proposer) complete(v Verdict, h StoredRecord) Step {
 	p.phase = phaseDone
 	p.verdict = v
 	p.record = recordOf(v, h)
 	return Step{Done: true}
 }
 
-func recordOf(v Verdict, h Held) Record {
+func recordOf(v Verdict, h StoredRecord) Record {
 	return Record{
 		Outcome:    outcomeOf(v, h),
 		Owner:      h.Decision.Owner,
 		Attempt:    h.Decision.Attempt,
 		Endpoint:   h.Endpoint,
-		StatusCode: int(h.Status),
+		StatusCode: int(h.StatusCode),
 		Age:        h.Age,
 	}
 }
 
-func outcomeOf(v Verdict, h Held) pb.OutcomeKind {
+func outcomeOf(v Verdict, h StoredRecord) pb.OutcomeKind {
 	switch v {
 	case VerdictRecorded:
 		return h.Outcome
--- a/internal/outcome/ask.go
+++ b/internal/outcome/replica_client.go
@@ -11,44 +11,45 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-func (s *Service) circumstances(state *membership.State, g fleet.LedgerGroup) Circumstances {
-	return Circumstances{
+func (s *Service) groupView(state *membership.State, g fleet.LedgerGroup) GroupView {
+	return GroupView{
 		Shard:       g.Shard,
 		Epoch:       g.Epoch,
 		Replicas:    len(g.Replicas),
-		Fast:        !s.options.NoFast && s.fast(g),
+		FastPath:    !s.options.DisableFastPath && s.fastPathLikely(g),
 		RecordLife:  recordLife(s.options, state),
 		HistoryLost: g.HistoryLostMs != 0,
-		Alive:       state.View.Holds,
+		InView:      state.View.Holds,
 	}
 }
 
-// fast tells whether each replica is likely to answer: then one round trip
-// decides a claim. When one doesn't, nothing is lost but time.
-func (s *Service) fast(g fleet.LedgerGroup) bool {
+// fastPathLikely reports whether every replica is likely to answer, so that one round
+// trip decides a claim. If one doesn't answer, the claim only takes longer.
+func (s *Service) fastPathLikely(g fleet.LedgerGroup) bool {
 	for _, m := range g.Replicas {
-		if !m.Ready || (m.Owner != s.self && !s.health.good(m.Owner, time.Now())) {
+		if !m.Ready || (m.Owner != s.self && !s.health.answeredRecently(m.Owner, time.Now())) {
 			return false
 		}
 	}
 	return len(g.Replicas) > 0
 }
 
-// ask gives a replica's reply, calling it directly when it is this process. A
-// replica outside the zones that the settings permit the team now isn't asked.
-func (s *Service) ask(ctx context.Context, team fleet.Team, to fleet.Owner, q Request) Reply {
+// sendRequest sends a request to a replica and returns its reply. If the replica is
+// this process, no RPC is made. A replica in a zone that the settings don't permit the
+// team now isn't contacted.
+func (s *Service) sendRequest(ctx context.Context, team fleet.Team, to fleet.Owner, q Request) Reply {
 	state := s.options.Source.State()
-	if !permits(state, team, state.View.Instances[to.Instance].Zone) {
+	if !zonePermitted(state, team, state.View.Instances[to.Instance].Zone) {
 		return Reply{Status: ReplyUnreachable}
 	}
-	s.metrics.asked(q.Action, to == s.self)
+	s.metrics.countRequest(q.Action, to == s.self)
 	if to == s.self {
 		return s.handle(q)
 	}
-	ctx, cancel := context.WithTimeout(ctx, s.options.Call)
+	ctx, cancel := context.WithTimeout(ctx, s.options.CallTimeout)
 	defer cancel()
 	reply, err := s.callReplica(ctx, to, q)
-	s.health.note(to, err == nil, time.Now())
+	s.health.recordCall(to, err == nil, time.Now())
 	if err != nil {
 		return Reply{Status: ReplyUnreachable}
 	}
@@ -61,9 +62,9 @@
 	return s.replica.Handle(time.Now(), q)
 }
 
-// client gives a connection to a replica, checking at the last moment before
-// bytes leave that the process is in the view and in the shard's zones.
-func (s *Service) client(ctx context.Context, to fleet.Owner, shard fleet.LedgerShard) (pb.DRPCLedgerClient, error) {
+// replicaClient returns a client for a replica. It checks, right before the request is
+// sent, that the replica's process is in the view and in the shard's zones.
+func (s *Service) replicaClient(ctx context.Context, to fleet.Owner, shard fleet.LedgerShard) (pb.DRPCLedgerClient, error) {
 	view := s.options.Source.State().View
 	if !view.Holds(to) {
 		return nil, trace.NotFound("replica %s is not in the view", to)
@@ -80,18 +81,18 @@
 }
 
 func (s *Service) callReplica(ctx context.Context, to fleet.Owner, q Request) (Reply, error) {
-	client, err := s.client(ctx, to, q.Shard)
+	client, err := s.replicaClient(ctx, to, q.Shard)
 	if err != nil {
 		return Reply{}, trace.Wrap(err)
 	}
-	verdict, err := send(ctx, client, q)
+	verdict, err := callRPC(ctx, client, q)
 	if err != nil {
 		return Reply{}, trace.Wrap(err)
 	}
 	return replyFromProto(verdict), nil
 }
 
-func send(ctx context.Context, client pb.DRPCLedgerClient, q Request) (*pb.LedgerVerdict, error) {
+func callRPC(ctx context.Context, client pb.DRPCLedgerClient, q Request) (*pb.LedgerVerdict, error) {
 	ref := shardRef(q.Shard, q.Epoch)
 	switch q.Action {
 	case ActionPrepare:
@@ -112,7 +113,7 @@
 			Owner:        q.Decision.Owner.Proto(),
 			EndpointId:   string(q.Endpoint),
 			Outcome:      q.Outcome,
-			StatusCode:   uint32(q.Status),
+			StatusCode:   uint32(q.StatusCode),
 			TokensPassed: q.Tokens,
 		})
 	case ActionLookup:
--- a/internal/outcome/run.go
+++ b/internal/outcome/run.go
@@ -10,28 +10,28 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// The periods of Run's loops.
+// Periods and limits of Run's loops.
 const (
-	copyPeriod   = 100 * time.Millisecond // between tries to copy or report
-	expirePeriod = time.Second
-	expireBatch  = 5000 // records of a shard in one go, with the lock held
-	copyWorkers  = 4    // shards copied at once
+	copyPeriod          = 100 * time.Millisecond // between attempts to copy or report
+	expirePeriod        = time.Second
+	expireBatchRecords  = 5000 // per shard and expirePeriod, with the lock held
+	maxConcurrentCopies = 4    // shards
 )
 
-// Run follows the shared state until ctx ends: it joins and leaves groups,
-// copies shards, reports them ready and drops old records.
+// Run follows the shared state until ctx ends: it joins and leaves groups, copies
+// shards, reports them ready and drops expired records.
 func (s *Service) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
-	group.Go(func() error { s.follow(ctx); return nil })
-	group.Go(func() error { s.every(ctx, copyPeriod, s.repair); return nil })
-	group.Go(func() error { s.every(ctx, expirePeriod, s.expire); return nil })
+	group.Go(func() error { s.followState(ctx); return nil })
+	group.Go(func() error { s.runEvery(ctx, copyPeriod, s.copyMissingShards); return nil })
+	group.Go(func() error { s.runEvery(ctx, expirePeriod, s.expire); return nil })
 	return group.Wait()
 }
 
-func (s *Service) follow(ctx context.Context) {
+func (s *Service) followState(ctx context.Context) {
 	for {
 		changed := s.options.Source.Changed()
-		s.apply()
+		s.applyState()
 		select {
 		case <-changed:
 		case <-ctx.Done():
@@ -40,13 +40,13 @@
 	}
 }
 
-func (s *Service) apply() {
+func (s *Service) applyState() {
 	state := s.options.Source.State()
 	zone := s.options.Source.Self().Zone
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.replica.SetRecordLife(recordLife(s.options, state))
-	s.replica.Retain(state.Groups)
+	s.replica.LeaveRemovedGroups(state.Groups)
 	for _, g := range state.Groups {
 		if fleet.ParseZoneClass(g.Shard.ZoneClass).Permits(zone) {
 			s.replica.ApplyGroup(g)
@@ -54,7 +54,7 @@
 	}
 }
 
-func (s *Service) every(ctx context.Context, period time.Duration, work func(context.Context)) {
+func (s *Service) runEvery(ctx context.Context, period time.Duration, work func(context.Context)) {
 	ticker := time.NewTicker(period)
 	defer ticker.Stop()
 	for {
@@ -70,38 +70,39 @@
 func (s *Service) expire(context.Context) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.replica.Expire(time.Now(), expireBatch)
-	s.metrics.records.Set(float64(s.replica.Records()))
+	s.replica.Expire(time.Now(), expireBatchRecords)
+	s.metrics.records.Set(float64(s.replica.RecordCount()))
 }
 
-// repair copies what is missing and reports what is whole.
-func (s *Service) repair(ctx context.Context) {
+// copyMissingShards copies the shards that are missing here and reports those that are
+// complete.
+func (s *Service) copyMissingShards(ctx context.Context) {
 	s.mu.Lock()
-	tasks := s.replica.Tasks()
+	tasks := s.replica.CopyTasks()
 	s.mu.Unlock()
 	s.metrics.copying.Set(float64(len(tasks)))
 	var workers errgroup.Group
-	workers.SetLimit(copyWorkers)
+	workers.SetLimit(maxConcurrentCopies)
 	for _, task := range tasks {
 		workers.Go(func() error { s.copyShard(ctx, task); return nil })
 	}
-	// The workers give no errors: what wasn't copied is a task again.
+	// The workers return no errors: a failed copy is a task again in the next period.
 	_ = workers.Wait()
-	s.report(ctx)
+	s.reportReady(ctx)
 }
 
-func (s *Service) report(ctx context.Context) {
+func (s *Service) reportReady(ctx context.Context) {
 	s.mu.Lock()
-	whole := s.replica.Whole()
+	complete := s.replica.CompleteGroups()
 	s.mu.Unlock()
-	if len(whole) == 0 || s.options.Ready == nil {
+	if len(complete) == 0 || s.options.Ready == nil {
 		return
 	}
 	ready := &pb.LedgerReady{
 		InstanceId:  string(s.self.Instance),
 		Incarnation: uint64(s.self.Incarnation),
 	}
-	for _, g := range whole {
+	for _, g := range complete {
 		ready.Shards = append(ready.Shards, &pb.LedgerShardEpoch{
 			ZoneClass: g.Shard.ZoneClass,
 			Shard:     g.Shard.Shard,
@@ -109,6 +110,6 @@
 		})
 	}
 	if err := s.options.Ready(ctx, ready); err != nil {
-		s.options.Part.Debug("Shards could not be reported ready.", "shards", len(whole), "err", err)
+		s.options.Part.Debug("Shards could not be reported ready.", "shards", len(complete), "err", err)
 	}
 }
--- a/internal/outcome/server.go
+++ b/internal/outcome/server.go
@@ -9,14 +9,14 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// Server is the Ledger service that other processes call.
+// Server implements the Ledger RPC service that other processes call.
 type Server struct {
 	service *Service
 }
 
 var _ pb.DRPCLedgerServer = (*Server)(nil)
 
-// Server gives what is to be registered with pb.DRPCRegisterLedger.
+// Server returns the handler to register with pb.DRPCRegisterLedger.
 func (s *Service) Server() *Server { return &Server{service: s} }
 
 // Prepare implements pb.DRPCLedgerServer.
@@ -33,7 +33,7 @@
 		Action:   ActionAccept,
 		Ballot:   ballotFromProto(q.GetBallot()),
 		Decision: decisionFromProto(q.GetDecision()),
-		Endpoint: fleet.EndpointID(shared(q.GetEndpointId())),
+		Endpoint: fleet.EndpointID(intern(q.GetEndpointId())),
 	}, q.GetShard(), q.GetKey())
 }
 
@@ -43,12 +43,12 @@
 		return nil, trace.BadParameter("finish without an attempt or outcome")
 	}
 	return s.serve(Request{
-		Action:   ActionFinish,
-		Decision: intentOf(fleet.AttemptID(q.GetAttemptId()), ownerFromProto(q.GetOwner())),
-		Endpoint: fleet.EndpointID(shared(q.GetEndpointId())),
-		Outcome:  q.GetOutcome(),
-		Status:   uint16(min(q.GetStatusCode(), maxStatus)),
-		Tokens:   q.GetTokensPassed(),
+		Action:     ActionFinish,
+		Decision:   intentOf(fleet.AttemptID(q.GetAttemptId()), ownerFromProto(q.GetOwner())),
+		Endpoint:   fleet.EndpointID(intern(q.GetEndpointId())),
+		Outcome:    q.GetOutcome(),
+		StatusCode: uint16(min(q.GetStatusCode(), maxStatusCode)),
+		Tokens:     q.GetTokensPassed(),
 	}, q.GetShard(), q.GetKey())
 }
 
@@ -62,7 +62,7 @@
 	if !ok {
 		return nil, trace.BadParameter("key of %d bytes", len(rawKey))
 	}
-	if !q.namesFit() {
+	if !q.namesWithinLimit() {
 		return nil, trace.BadParameter("a name is over %d bytes", maxNameBytes)
 	}
 	q.Key = key
@@ -70,8 +70,8 @@
 	return s.service.handle(q).proto(key), nil
 }
 
-func (q Request) namesFit() bool {
-	return namesFit(
+func (q Request) namesWithinLimit() bool {
+	return namesWithinLimit(
 		string(q.Ballot.Owner.Instance),
 		string(q.Decision.Attempt),
 		string(q.Decision.Owner.Instance),
@@ -82,7 +82,7 @@
 // CopyShard implements pb.DRPCLedgerServer.
 func (s *Server) CopyShard(_ context.Context, q *pb.CopyShardRequest) (*pb.CopyShardReply, error) {
 	name, epoch := shardFromRef(q.GetShard())
-	if !s.serveable(name) {
+	if !s.servesShard(name) {
 		return nil, trace.BadParameter("no shard %s/%d here", name.ZoneClass, name.Shard)
 	}
 	query := CopyQuery{
@@ -98,12 +98,12 @@
 		}
 		query.After = &after
 	}
-	return copyReply(s.service.source(query)), nil
+	return copyReply(s.service.servePage(query)), nil
 }
 
-// serveable bounds the shards that a peer can name: those of the shared state,
-// in zones that permit this process.
-func (s *Server) serveable(name fleet.LedgerShard) bool {
+// servesShard reports whether a peer may name the shard: it must be in the shared state
+// and its zones must include that of this process.
+func (s *Server) servesShard(name fleet.LedgerShard) bool {
 	_, known := s.service.options.Source.State().Groups[name]
 	zone := s.service.options.Source.Self().Zone
 	return known && fleet.ParseZoneClass(name.ZoneClass).Permits(zone)
@@ -112,7 +112,7 @@
 func copyReply(page CopyPage) *pb.CopyShardReply {
 	reply := &pb.CopyShardReply{Ok: page.OK, Done: page.Done}
 	for _, r := range page.Records {
-		reply.Records = append(reply.Records, r.Held.proto(r.Key))
+		reply.Records = append(reply.Records, r.Record.proto(r.Key))
 	}
 	return reply
 }
--- a/internal/outcome/server_test.go
+++ b/internal/outcome/server_test.go
@@ -28,7 +28,7 @@
 			s := soloService()
 			_, err := s.Server().Accept(t.Context(), q)
 			assert.Assert(t, err != nil)
-			assert.Equal(t, s.replica.Records(), 0)
+			assert.Equal(t, s.replica.RecordCount(), 0)
 		})
 	}
 	s := soloService()
--- a/internal/outcome/service.go
+++ b/internal/outcome/service.go
@@ -14,18 +14,18 @@
 	"github.com/hyssopsail/hyssopsail/internal/timeline"
 )
 
-// Service is a process' part in the ledger: it claims for local requests,
-// answers other processes as a replica through Server, and keeps its shards
-// copied. It implements Ledger.
+// Service is a process's part in the ledger: it claims for local requests, answers
+// other processes as a replica through Server, and copies its shards. It implements
+// Ledger.
 //
-// Lock order: mu and health.mu are never held together, nor during a call.
+// Lock order: mu and replicaHealth.mu are never held together, nor during a call.
 type Service struct {
-	options Options
-	self    fleet.Owner
-	numbers atomic.Uint64 // of proposers
-	health  *health
-	metrics *metrics
-	behind  chan struct{} // slots of background work
+	options         Options
+	self            fleet.Owner
+	lastProposerID  atomic.Uint64
+	health          *replicaHealth
+	metrics         *metrics
+	backgroundSlots chan struct{} // holds a value for each running background task
 
 	mu      sync.Mutex // guards replica
 	replica *Replica
@@ -33,33 +33,34 @@
 
 var _ Ledger = (*Service)(nil)
 
-// backgroundWork bounds the finishes and clean-ups that outlive their request.
-const backgroundWork = 1024
+// maxBackgroundTasks bounds the tasks, such as recording an outcome, that outlive their
+// request.
+const maxBackgroundTasks = 1024
 
-// backgroundLife bounds each of them.
-const backgroundLife = 30 * time.Second
+// backgroundTimeout bounds the duration of each background task.
+const backgroundTimeout = 30 * time.Second
 
-// NewService makes the service; Run must run for its replica to answer.
+// NewService returns a service. Its replica answers only once Run has been called.
 func NewService(o Options) *Service {
 	o = o.withDefaults()
 	self := o.Source.Self().Owner()
 	return &Service{
-		options: o,
-		self:    self,
-		health:  newHealth(),
-		metrics: newMetrics(o.Registerer),
-		behind:  make(chan struct{}, backgroundWork),
-		replica: NewReplica(self, o.Limits),
+		options:         o,
+		self:            self,
+		health:          newHealth(),
+		metrics:         newMetrics(o.Registerer),
+		backgroundSlots: make(chan struct{}, maxBackgroundTasks),
+		replica:         NewReplica(self, o.Limits),
 	}
 }
 
-// claimPart is the part of a record's life that a claim may take. A process
-// that froze in its claim and wakes after the replicas have dropped the record
+// claimTimeoutDivisor bounds a claim to this fraction of the record life. A process
+// that froze during its claim and resumes after the replicas have dropped the record
 // must not be told to run: another attempt may have run since.
-const claimPart = 10
+const claimTimeoutDivisor = 10
 
-func (s *Service) claimLife(state *membership.State) time.Duration {
-	return recordLife(s.options, state) / claimPart
+func (s *Service) claimTimeout(state *membership.State) time.Duration {
+	return recordLife(s.options, state) / claimTimeoutDivisor
 }
 
 func recordLife(o Options, state *membership.State) time.Duration {
@@ -71,23 +72,23 @@
 
 // Claim implements Ledger.
 func (s *Service) Claim(ctx context.Context, c Claim) (Verdict, Record, error) {
-	if c.Attempt == "" || !namesFit(string(c.Attempt), string(c.Endpoint)) {
+	if c.Attempt == "" || !namesWithinLimit(string(c.Attempt), string(c.Endpoint)) {
 		return VerdictUnset, Record{}, trace.BadParameter("claim without a valid attempt")
 	}
-	begun := time.Now()
-	life := s.claimLife(s.options.Source.State())
-	ctx, cancel := context.WithTimeout(ctx, life)
+	started := time.Now()
+	timeout := s.claimTimeout(s.options.Source.State())
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	verdict, record, proposed, err := s.decide(ctx, PurposeClaim, c)
-	late := verdict == VerdictRun && time.Since(begun) >= life
-	if late {
+	verdict, record, acceptSent, err := s.decide(ctx, PurposeClaim, c)
+	tooLate := verdict == VerdictRun && time.Since(started) >= timeout
+	if tooLate {
 		verdict, record = VerdictUnknown, Record{Outcome: pb.OutcomeKind_OUTCOME_KIND_UNKNOWN}
 	}
-	if late || (err != nil && proposed) {
-		s.disown(c)
+	if tooLate || (err != nil && acceptSent) {
+		s.settleAbandoned(c)
 		verdict, record, err = VerdictUnknown, Record{Outcome: pb.OutcomeKind_OUTCOME_KIND_UNKNOWN}, nil
 	}
-	s.observe(c, verdict, err, time.Since(begun))
+	s.recordClaimEvent(c, verdict, err, time.Since(started))
 	return verdict, record, err
 }
 
@@ -105,18 +106,18 @@
 
 // Finish implements Ledger.
 func (s *Service) Finish(ctx context.Context, c Claim, outcome pb.OutcomeKind, statusCode int) error {
-	end := Held{
-		Decision: intentOf(c.Attempt, s.self),
-		Outcome:  outcome,
-		Endpoint: c.Endpoint,
-		Status:   uint16(min(max(statusCode, 0), maxStatus)),
+	end := StoredRecord{
+		Decision:   intentOf(c.Attempt, s.self),
+		Outcome:    outcome,
+		Endpoint:   c.Endpoint,
+		StatusCode: uint16(min(max(statusCode, 0), maxStatusCode)),
 	}
 	done := make(chan error, 1)
-	started := s.background(func(ctx context.Context) {
-		done <- s.finish(ctx, c, end)
+	started := s.runInBackground(func(ctx context.Context) {
+		done <- s.recordOutcome(ctx, c, end)
 	})
 	if !started {
-		return trace.Wrap(s.finish(ctx, c, end))
+		return trace.Wrap(s.recordOutcome(ctx, c, end))
 	}
 	select {
 	case err := <-done:
@@ -126,47 +127,47 @@
 	}
 }
 
-// background runs work that outlives its request, and gives false when too
-// much of it runs already.
-func (s *Service) background(work func(ctx context.Context)) bool {
+// runInBackground runs work that outlives its request. It returns false if
+// maxBackgroundTasks are running already.
+func (s *Service) runInBackground(work func(ctx context.Context)) bool {
 	select {
-	case s.behind <- struct{}{}:
+	case s.backgroundSlots <- struct{}{}:
 	default:
 		return false
 	}
 	go func() {
-		defer func() { <-s.behind }()
-		ctx, cancel := context.WithTimeout(context.Background(), backgroundLife)
+		defer func() { <-s.backgroundSlots }()
+		ctx, cancel := context.WithTimeout(context.Background(), backgroundTimeout)
 		defer cancel()
 		work(ctx)
 	}()
 	return true
 }
 
-// disown settles the record of an attempt whose claim ended without a
-// decision. The attempt won't run, but its intent may be decided: without the
-// settling, repeats would be told "in flight" for as long as this process
-// lives. The shard of the claim settles it, also when the team's zones have
-// changed since: what the former shards decided stands.
-func (s *Service) disown(c Claim) {
-	s.background(func(ctx context.Context) {
+// settleAbandoned settles the record of an attempt whose claim ended without a
+// decision. The attempt won't run, but its intent may be decided: otherwise repeats
+// would be answered "in flight" for as long as this process lives. The claim's own
+// shard settles it, even if the team's zones have changed since: what the former shards
+// decided stays.
+func (s *Service) settleAbandoned(c Claim) {
+	s.runInBackground(func(ctx context.Context) {
 		verdict, record, err := s.newDriver(PurposeForbid, c, ShardOf(c.Key, c.Permitted)).run(ctx)
 		if err != nil || verdict != VerdictInFlight || record.Attempt != c.Attempt {
 			return
 		}
-		end := Held{
+		end := StoredRecord{
 			Decision: intentOf(c.Attempt, s.self),
 			Outcome:  pb.OutcomeKind_OUTCOME_KIND_NOT_RUN,
 			Endpoint: c.Endpoint,
 		}
-		// When this fails too, the repeats' "in flight" lasts until the record
-		// or this process goes; it is never wrong to the unsafe side.
-		_ = s.finish(ctx, c, end)
+		// If this fails too, repeats are answered "in flight" until the record expires
+		// or this process leaves the view. That never lets a request run twice.
+		_ = s.recordOutcome(ctx, c, end)
 	})
 }
 
-func (s *Service) observe(c Claim, v Verdict, err error, took time.Duration) {
-	s.metrics.claimed(v, err, took)
+func (s *Service) recordClaimEvent(c Claim, v Verdict, err error, took time.Duration) {
+	s.metrics.observeClaim(v, err, took)
 	if s.options.Recorder == nil {
 		return
 	}
--- a/internal/outcome/service_test.go
+++ b/internal/outcome/service_test.go
@@ -97,7 +97,7 @@
 // An entry is cut off from the two other replicas and a caller sends it a
 // request. No accept has left, so the answer is an error: truly not run.
 func TestCutOffBeforeAccept(t *testing.T) {
-	f := newTestFleet(t, Options{NoFast: true, Call: 20 * time.Millisecond}, "a", "b", "c")
+	f := newTestFleet(t, Options{DisableFastPath: true, CallTimeout: 20 * time.Millisecond}, "a", "b", "c")
 	f.net.SetCut(true, "a", "b", "c")
 	_, _, err := f.claimWithin(t, 200*time.Millisecond, "a", claimOf("slip", "attempt-1"))
 	assert.Assert(t, err != nil)
--- a/internal/outcome/wire.go
+++ b/internal/outcome/wire.go
@@ -25,13 +25,13 @@
 	}
 }
 
-// shared gives one copy of a name that many records hold, such as an
-// instance's: else each record would keep its own.
-func shared(name string) string { return unique.Make(name).Value() }
+// intern returns a shared copy of a name that many records hold, such as an instance
+// ID, to save memory.
+func intern(name string) string { return unique.Make(name).Value() }
 
 func ownerFromProto(p *pb.Owner) fleet.Owner {
 	return fleet.Owner{
-		Instance:    fleet.InstanceID(shared(p.GetInstanceId())),
+		Instance:    fleet.InstanceID(intern(p.GetInstanceId())),
 		Incarnation: fleet.Incarnation(p.GetIncarnation()),
 	}
 }
@@ -40,7 +40,7 @@
 	return Ballot{
 		Round: p.GetRound(),
 		Owner: fleet.Owner{
-			Instance:    fleet.InstanceID(shared(p.GetInstanceId())),
+			Instance:    fleet.InstanceID(intern(p.GetInstanceId())),
 			Incarnation: fleet.Incarnation(p.GetIncarnation()),
 		},
 		Proposer: p.GetProposer(),
@@ -58,7 +58,7 @@
 	}
 }
 
-// decisionFromProto gives the zero Decision for what no proposer sends. A
+// decisionFromProto returns the zero Decision for values that no proposer sends. A
 // tombstone has no attempt, so that all tombstones are equal.
 func decisionFromProto(p *pb.Decision) Decision {
 	switch p.GetKind() {
@@ -75,12 +75,12 @@
 	return Decision{}
 }
 
-// maxNameBytes bounds each name in a record, so that a record's memory is
-// bounded whatever a peer sends.
+// maxNameBytes bounds each name in a record, so that a record's memory is bounded
+// whatever a peer sends.
 const maxNameBytes = 128
 
-func (h Held) proto(key Key) *pb.OutcomeRecord {
-	if !h.Found() {
+func (h StoredRecord) proto(key Key) *pb.OutcomeRecord {
+	if !h.HasDecision() {
 		return nil
 	}
 	return &pb.OutcomeRecord{
@@ -89,31 +89,31 @@
 		Accepted:       h.Decision.proto(),
 		Outcome:        h.Outcome,
 		EndpointId:     string(h.Endpoint),
-		StatusCode:     uint32(h.Status),
+		StatusCode:     uint32(h.StatusCode),
 		TokensPassed:   h.Tokens,
 		AgeMs:          uint64(h.Age.Milliseconds()),
 	}
 }
 
-func heldFromProto(p *pb.OutcomeRecord) Held {
+func storedRecordFromProto(p *pb.OutcomeRecord) StoredRecord {
 	decision := decisionFromProto(p.GetAccepted())
-	if decision.Kind == DecisionUnset || !namesFit(p.GetEndpointId()) {
-		return Held{}
-	}
-	return Held{
-		Accepted: ballotFromProto(p.GetAcceptedBallot()),
-		Decision: decision,
-		Outcome:  knownOutcome(p.GetOutcome()),
-		Endpoint: fleet.EndpointID(shared(p.GetEndpointId())),
-		Status:   uint16(min(p.GetStatusCode(), maxStatus)),
-		Tokens:   p.GetTokensPassed(),
-		Age:      time.Duration(min(p.GetAgeMs(), maxAgeMs)) * time.Millisecond,
+	if decision.Kind == DecisionUnset || !namesWithinLimit(p.GetEndpointId()) {
+		return StoredRecord{}
+	}
+	return StoredRecord{
+		Accepted:   ballotFromProto(p.GetAcceptedBallot()),
+		Decision:   decision,
+		Outcome:    knownOutcome(p.GetOutcome()),
+		Endpoint:   fleet.EndpointID(intern(p.GetEndpointId())),
+		StatusCode: uint16(min(p.GetStatusCode(), maxStatusCode)),
+		Tokens:     p.GetTokensPassed(),
+		Age:        time.Duration(min(p.GetAgeMs(), maxAgeMs)) * time.Millisecond,
 	}
 }
 
 const (
-	maxStatus = 999
-	maxAgeMs  = uint64(24 * time.Hour / time.Millisecond)
+	maxStatusCode = 999
+	maxAgeMs      = uint64(24 * time.Hour / time.Millisecond)
 )
 
 func knownOutcome(o pb.OutcomeKind) pb.OutcomeKind {
@@ -123,7 +123,7 @@
 	return o
 }
 
-func namesFit(names ...string) bool {
+func namesWithinLimit(names ...string) bool {
 	for _, n := range names {
 		if len(n) > maxNameBytes {
 			return false
@@ -137,7 +137,7 @@
 		Ok:         r.Status == ReplyOK,
 		WrongEpoch: r.Status == ReplyWrongEpoch,
 		Full:       r.Status == ReplyFull,
-		Record:     r.Held.proto(key),
+		Record:     r.Record.proto(key),
 	}
 	if r.Status == ReplyRefused {
 		v.Promised = r.Promised.proto()
@@ -149,7 +149,7 @@
 	r := Reply{
 		Status:   ReplyRefused,
 		Promised: ballotFromProto(v.GetPromised()),
-		Held:     heldFromProto(v.GetRecord()),
+		Record:   storedRecordFromProto(v.GetRecord()),
 	}
 	switch {
 	case v.GetOk():
@@ -162,8 +162,8 @@
 	return r
 }
 
-func copiedFromProto(p *pb.OutcomeRecord) (CopiedRecord, bool) {
+func copiedRecordFromProto(p *pb.OutcomeRecord) (CopiedRecord, bool) {
 	key, ok := keyFromBytes(p.GetKey())
-	held := heldFromProto(p)
-	return CopiedRecord{Key: key, Held: held}, ok && held.Found()
+	record := storedRecordFromProto(p)
+	return CopiedRecord{Key: key, Record: record}, ok && record.HasDecision()
 }
--- a/internal/outcome/zonechange_test.go
+++ b/internal/outcome/zonechange_test.go
@@ -139,7 +139,7 @@
 		waiting <- err
 	}()
 	d := f.ledger("d")
-	f.await(t, "claim under way", func() bool { return d.numbers.Load() > 0 })
+	f.await(t, "claim under way", func() bool { return d.lastProposerID.Load() > 0 })
 	f.setZones(fleet.NewZoneSet("durgapur", "howrah"), "a", "b", "e")
 	f.setGroups(otherZone, "a", "d")
 	assert.ErrorContains(t, <-waiting, "no longer")
