--- a/internal/outcome/acceptor.go
+++ b/internal/outcome/acceptor.go
@@ -136,9 +136,9 @@
 }
 
 func (r *record) snapshot(now time.Time) StoredRecord {
-	h := r.stored
-	h.Age = max(0, now.Sub(r.changedAt))
-	return h
+	stored := r.stored
+	stored.Age = max(0, now.Sub(r.changedAt))
+	return stored
 }
 
 // liveRecord returns the key's record, or nil if there is none or it has expired.
--- a/internal/outcome/acceptor_test.go
+++ b/internal/outcome/acceptor_test.go
@@ -68,9 +68,9 @@
 	}
 }
 
-// A flood of keys fills a shard. A new key must be refused, since dropping a
-// live record would let its request run again; when records have outlived
-// their life, there is room again.
+// A flood of keys fills a shard. A new key must be refused, since dropping a live
+// record would let its request run again. Once records have expired, new keys are
+// accepted again.
 func TestRecordsAreBoundedAndAge(t *testing.T) {
 	limits := Limits{RecordLife: time.Minute, MaxRecords: 100}
 	a := NewAcceptor(limits)
@@ -95,9 +95,9 @@
 	assert.Assert(t, len(a.expiryQueue) <= limits.MaxRecords)
 }
 
-// A tombstone is near the end of its life at one replica and gone at the two
-// others, where a new attempt may have been decided since. The caller must be
-// told "unknown", not "not run".
+// One replica holds a tombstone near the end of its life, while the two others have
+// dropped theirs and may have decided a new attempt since. The caller must be told
+// "unknown", not "not run".
 func TestOldTombstoneIsNotTrusted(t *testing.T) {
 	c := GroupView{Epoch: 1, Replicas: 1, RecordLife: 10 * time.Minute, InView: func(fleet.Owner) bool { return true }}
 	for age, want := range map[time.Duration]Verdict{time.Minute: VerdictNotRun, 9 * time.Minute: VerdictUnknown} {
@@ -114,8 +114,8 @@
 	}
 }
 
-// A reply of an earlier epoch comes from a replica that may have left the
-// group. It must not count towards the majority of the present one.
+// A reply of an earlier epoch comes from a replica that may have left the group. It
+// must not count towards the majority of the current epoch.
 func TestReplyOfEarlierEpoch(t *testing.T) {
 	p := NewProposer(PurposeResolve, Claim{}, fleet.Owner{Instance: "a"}, 1)
 	old := p.Start(GroupView{Epoch: 1, Replicas: 3})
@@ -125,8 +125,8 @@
 	}
 }
 
-// Regulated data must not stay in the ledger. A record has no field that
-// could hold a body: only short names, numbers and times.
+// Regulated data must not be kept in the ledger. A record has no field that could hold
+// a request body: only short names, numbers and times.
 func TestRecordHasNoBody(t *testing.T) {
 	var names []string
 	var walk func(reflect.Type)
--- a/internal/outcome/bench_test.go
+++ b/internal/outcome/bench_test.go
@@ -22,7 +22,7 @@
 	"github.com/hyssopsail/hyssopsail/internal/timeline"
 )
 
-// directDialer calls services of this process.
+// directDialer connects to services of this process by direct calls.
 type directDialer map[string]*Service
 
 func (d directDialer) Conn(_ context.Context, address string) (drpc.Conn, error) {
@@ -44,13 +44,13 @@
 	return nil
 }
 
-// benchEntry gives an entry that isn't a replica itself, the usual case, and
-// its three replicas, over loopback TCP with TLS or by direct calls. The team
-// has left the former classes.
+// benchEntry returns an entry that isn't a replica itself, which is the usual case. It
+// reaches its three replicas over loopback TCP with TLS, or by direct calls. former
+// lists the zone classes that the team has left.
 func benchEntry(b *testing.B, overNetwork, fast bool, registry prometheus.Registerer, former ...string) *Service {
 	group := make(map[fleet.LedgerShard]fleet.LedgerGroup)
 	view := fleet.View{Instances: make(map[fleet.InstanceID]fleet.Instance)}
-	state := &membership.State{View: view, Groups: group, Tree: treeOf(testZones), Former: map[fleet.Team][]string{testTeam: former}}
+	state := &membership.State{View: view, Groups: group, Tree: settingsTree(testZones), Former: map[fleet.Team][]string{testTeam: former}}
 	direct := directDialer{}
 	var dialer rpc.Dialer = direct
 	config, err := rpc.LoadTLS(testkit.Keys(b, b.TempDir(), "entry-0"))
@@ -94,8 +94,8 @@
 	return services[3]
 }
 
-func claimNumber(b *testing.B, entry *Service, n int) Claim {
-	c := claimOf(fmt.Sprint(n), fmt.Sprintf("%032x", n))
+func benchClaim(b *testing.B, entry *Service, n int) Claim {
+	c := newClaim(fmt.Sprint(n), fmt.Sprintf("%032x", n))
 	verdict, _, err := entry.Claim(b.Context(), c)
 	if err != nil || verdict != VerdictRun {
 		b.Fatalf("claim %d: %v %v", n, verdict, err)
@@ -107,7 +107,7 @@
 	registry := prometheus.NewRegistry()
 	entry := benchEntry(b, overNetwork, fast, registry)
 	run := func(n int) {
-		c := claimNumber(b, entry, n)
+		c := benchClaim(b, entry, n)
 		if err := entry.Finish(b.Context(), c, pb.OutcomeKind_OUTCOME_KIND_COMPLETED, 200); err != nil {
 			b.Fatal(err)
 		}
@@ -115,16 +115,16 @@
 	for n := range 100 {
 		run(-n - 1)
 	}
-	before := requests(b, registry)
+	before := requestCount(b, registry)
 	b.ResetTimer()
 	for n := range b.N {
 		run(n)
 	}
 	b.StopTimer()
-	b.ReportMetric((requests(b, registry)-before)/float64(b.N), "requests/op")
+	b.ReportMetric((requestCount(b, registry)-before)/float64(b.N), "requests/op")
 }
 
-func requests(b *testing.B, registry *prometheus.Registry) float64 {
+func requestCount(b *testing.B, registry *prometheus.Registry) float64 {
 	families, err := registry.Gather()
 	assert.NilError(b, err)
 	total := 0.0
@@ -145,23 +145,24 @@
 	b.Run("loopback-tls/two-phases", func(b *testing.B) { benchmarkClaim(b, true, false) })
 }
 
-// BenchmarkClaimOnly is what a request waits for before its first byte may go.
+// BenchmarkClaimOnly measures the claim that a request waits for before its first byte
+// may be sent.
 func BenchmarkClaimOnly(b *testing.B) {
 	wider := fleet.NewZoneSet(append(testZones.Zones(), "rende")...).Class()
 	for name, former := range map[string][]string{"fast": nil, "two-phases": nil, "fast, zones changed": {wider}} {
 		b.Run(name, func(b *testing.B) {
 			entry := benchEntry(b, true, name != "two-phases", nil, former...)
 			for n := range b.N {
-				claimNumber(b, entry, n)
+				benchClaim(b, entry, n)
 			}
 		})
 	}
 }
 
-// BenchmarkReplica is a replica's own work for a claim and its finish on one
-// core, from the bytes of the messages on, and the memory of a record.
+// BenchmarkReplica measures a replica's own work for a claim and its finish on one
+// core, including the decoding of messages, and the memory of a record.
 func BenchmarkReplica(b *testing.B) {
-	service := soloService()
+	service := newSingleReplicaService()
 	service.replica.shards[fleet.LedgerShard{ZoneClass: testZones.Class()}].acceptor.limits.MaxRecords = 1 << 30
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -174,9 +175,9 @@
 		d := intentOf(fleet.AttemptID(fmt.Sprintf("%032x", n)), owner)
 		accept := pb.AcceptRequest{Shard: ref, Key: key[:], Ballot: fastBallot(1).proto(), Decision: d.proto(), EndpointId: "bank-1"}
 		finish := pb.FinishRequest{Shard: ref, Key: key[:], AttemptId: string(d.Attempt), Owner: owner.Proto(), EndpointId: "bank-1", Outcome: pb.OutcomeKind_OUTCOME_KIND_COMPLETED}
-		_, err := service.Server().Accept(b.Context(), overWire(b, &accept, &pb.AcceptRequest{}))
+		_, err := service.Server().Accept(b.Context(), marshalRoundTrip(b, &accept, &pb.AcceptRequest{}))
 		assert.NilError(b, err)
-		_, err = service.Server().Finish(b.Context(), overWire(b, &finish, &pb.FinishRequest{}))
+		_, err = service.Server().Finish(b.Context(), marshalRoundTrip(b, &finish, &pb.FinishRequest{}))
 		assert.NilError(b, err)
 	}
 	b.StopTimer()
@@ -186,7 +187,7 @@
 	runtime.KeepAlive(service)
 }
 
-func overWire[M proto.Message](b *testing.B, from, to M) M {
+func marshalRoundTrip[M proto.Message](b *testing.B, from, to M) M {
 	data, err := proto.Marshal(from)
 	assert.NilError(b, err)
 	assert.NilError(b, proto.Unmarshal(data, to))
--- a/internal/outcome/choice.go
+++ b/internal/outcome/choice.go
@@ -2,7 +2,7 @@
 
 // proposalChoice is what the prepare replies of a majority allow a proposer to propose.
 type proposalChoice struct {
-	bound  bool         // held.Decision may already be decided and must be proposed
+	bound  bool         // record.Decision may already be decided and must be proposed
 	record StoredRecord // what was found; without a decision, nothing was accepted
 }
 
@@ -36,22 +36,22 @@
 // oldest copy of its decision.
 func highestRecord(replies []StoredRecord) StoredRecord {
 	var best StoredRecord
-	for _, h := range replies {
-		if h.supersedes(best) {
-			best = h
+	for _, r := range replies {
+		if r.supersedes(best) {
+			best = r
 		}
 	}
-	for _, h := range replies {
-		if h.Decision == best.Decision {
-			best.Age = max(best.Age, h.Age)
+	for _, r := range replies {
+		if r.Decision == best.Decision {
+			best.Age = max(best.Age, r.Age)
 		}
 	}
 	return best
 }
 
 func unanimous(replies []StoredRecord, best StoredRecord) bool {
-	for _, h := range replies {
-		if h.Accepted != best.Accepted || h.Decision != best.Decision {
+	for _, r := range replies {
+		if r.Accepted != best.Accepted || r.Decision != best.Decision {
 			return false
 		}
 	}
@@ -60,9 +60,9 @@
 
 func withoutBallot(replies []StoredRecord, b Ballot) []StoredRecord {
 	var rest []StoredRecord
-	for _, h := range replies {
-		if h.Accepted != b {
-			rest = append(rest, h)
+	for _, r := range replies {
+		if r.Accepted != b {
+			rest = append(rest, r)
 		}
 	}
 	return rest
--- a/internal/outcome/contract.go
+++ b/internal/outcome/contract.go
@@ -44,7 +44,7 @@
 	Attempt    fleet.AttemptID
 	Endpoint   fleet.EndpointID
 	StatusCode int
-	Age        time.Duration
+	Age        time.Duration // since the last change
 }
 
 // Ledger decides and stores the outcomes of requests.
--- a/internal/outcome/driver.go
+++ b/internal/outcome/driver.go
@@ -35,7 +35,7 @@
 // that two proposers of one key don't overtake each other forever.
 const (
 	initialMaxRetryDelay = time.Millisecond
-	maxRetryDoublings    = 7 // doublings
+	maxRetryDoublings    = 7
 )
 
 func (s *Service) newDriver(purpose Purpose, c Claim, shard fleet.LedgerShard) *driver {
--- a/internal/outcome/failure_test.go
+++ b/internal/outcome/failure_test.go
@@ -14,76 +14,77 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// twoPhases makes claims prepare first, so that a test can stop them between
-// the phases.
+// twoPhases makes claims prepare first, so that a test can stop them between the
+// phases.
 var twoPhases = Options{DisableFastPath: true, CallTimeout: 50 * time.Millisecond}
 
-func newFive(t *testing.T, o Options) *testFleet {
+func newFiveEntries(t *testing.T, o Options) *testFleet {
 	return newTestFleet(t, o, "a", "b", "c", "d", "e")
 }
 
-// cutReplicas loses what goes from and to the entry at the group of newFive.
-func (f *testFleet) cutReplicas(entry string, there, back bool) {
-	f.net.SetCut(there, entry, "a", "b", "c")
+// setReplicasCut cuts or restores the links between an entry and the replicas a, b and
+// c, in each direction.
+func (f *testFleet) setReplicasCut(entry string, toReplicas, fromReplicas bool) {
+	f.net.SetCut(toReplicas, entry, "a", "b", "c")
 	for _, replica := range []string{"a", "b", "c"} {
-		f.net.SetCut(back, replica, entry)
+		f.net.SetCut(fromReplicas, replica, entry)
 	}
 }
 
-// An entry dies before its claim has reached a replica. The caller repeats at
-// another entry, and its request runs there.
+// An entry dies before its claim has reached a replica. The caller repeats the request
+// at another entry, where it must run.
 func TestEntryKilledBeforeIntent(t *testing.T) {
-	f := newFive(t, twoPhases)
-	f.cutReplicas("d", true, false)
-	_, _, err := f.claimWithin(t, 100*time.Millisecond, "d", claimOf("slip", "attempt-1"))
+	f := newFiveEntries(t, twoPhases)
+	f.setReplicasCut("d", true, false)
+	_, _, err := f.claimWithin(t, 100*time.Millisecond, "d", newClaim("slip", "attempt-1"))
 	assert.Assert(t, err != nil)
 	f.kill("d")
-	f.claims(t, "e", claimOf("slip", "attempt-2"), VerdictRun)
+	f.assertClaim(t, "e", newClaim("slip", "attempt-2"), VerdictRun)
 }
 
-// An entry has its intent decided and dies: before it dispatched, while the
-// request ran, or after it answered and before it recorded the outcome. The
-// ledger can't tell these apart. All repeats at other entries must agree that
-// the request may have run; none may run it or say "not run".
+// An entry dies after its intent was decided: before it dispatched, while the request
+// ran, or after it answered and before it recorded the outcome. The ledger can't tell
+// these apart. All repeats at other entries must be told that the request may have run;
+// none may run it or be answered "not run".
 func TestEntryKilledAfterIntent(t *testing.T) {
 	for _, o := range []Options{{}, twoPhases} {
-		f := newFive(t, o)
-		f.claim(t, "d", claimOf("warm-up", "attempt-0"))
-		f.claims(t, "d", claimOf("slip", "attempt-1"), VerdictRun)
+		f := newFiveEntries(t, o)
+		f.claim(t, "d", newClaim("warm-up", "attempt-0"))
+		f.assertClaim(t, "d", newClaim("slip", "attempt-1"), VerdictRun)
 		f.kill("d")
 		for _, entry := range []fleet.InstanceID{"a", "b", "e", "a"} {
-			record := f.claims(t, entry, claimOf("slip", "attempt-2"), VerdictUnknown)
+			record := f.assertClaim(t, entry, newClaim("slip", "attempt-2"), VerdictUnknown)
 			assert.Equal(t, record.Attempt, fleet.AttemptID("attempt-1"))
 		}
-		f.forbids(t, "c", claimOf("slip", "attempt-3"), VerdictUnknown)
+		f.assertForbid(t, "c", newClaim("slip", "attempt-3"), VerdictUnknown)
 	}
 }
 
-// An entry dies when one replica alone has accepted its intent. Whether it was
-// decided can't be known by who reads the others; the first repeat decides,
-// and all later ones agree with it.
+// An entry dies when only one replica has accepted its intent. A reader of the other
+// replicas can't know whether the intent was decided. The first repeat decides, and all
+// later ones must agree with it.
 func TestEntryKilledInAccept(t *testing.T) {
 	for _, reached := range []string{"a", "b", "c"} {
-		f := newFive(t, twoPhases)
+		f := newFiveEntries(t, twoPhases)
 		f.net.OnRequest("d", "/Accept", func(to string) { f.net.SetCut(to != reached, "d", to) })
-		verdict, _, err := f.claimWithin(t, 500*time.Millisecond, "d", claimOf("slip", "attempt-1"))
+		verdict, _, err := f.claimWithin(t, 500*time.Millisecond, "d", newClaim("slip", "attempt-1"))
 		assert.NilError(t, err)
 		assert.Equal(t, verdict, VerdictUnknown)
 		f.kill("d")
-		verdict, _ = f.claim(t, "e", claimOf("slip", "attempt-2"))
+		verdict, _ = f.claim(t, "e", newClaim("slip", "attempt-2"))
 		if verdict == VerdictRun {
 			verdict = VerdictInFlight
 		}
-		again, _ := f.claim(t, "a", claimOf("slip", "attempt-3"))
+		again, _ := f.claim(t, "a", newClaim("slip", "attempt-3"))
 		assert.Equal(t, again, verdict)
 	}
 }
 
-// An entry freezes in its claim, just before its accepts leave. Its lease runs
-// out, its replica is replaced, and the caller's repeat runs elsewhere. When
-// it wakes, its accepts arrive at last: it must not be told to run.
+// An entry freezes during its claim, just before it sends its accepts. Its lease
+// expires, its replica is replaced, and the caller's repeat runs elsewhere. When the
+// entry resumes, its accepts arrive: it must not be told to run.
 func TestFrozenEntryWakes(t *testing.T) {
-	f := newFive(t, twoPhases)
+	f := newFiveEntries(t, twoPhases)
 	wake := make(chan struct{})
 	frozen := make(chan struct{})
 	var once sync.Once
@@ -93,25 +94,24 @@
 	})
 	late := make(chan Verdict, 1)
 	go func() {
-		verdict, _, _ := f.claimWithin(t, time.Second, "a", claimOf("slip", "attempt-1"))
+		verdict, _, _ := f.claimWithin(t, time.Second, "a", newClaim("slip", "attempt-1"))
 		late <- verdict
 	}()
 	<-frozen
-	f.lose("a")
+	f.removeFromView("a")
 	f.setGroups(testZones, "b", "c", "d")
 	f.awaitReady(t, 3)
-	f.claims(t, "e", claimOf("slip", "attempt-2"), VerdictRun)
+	f.assertClaim(t, "e", newClaim("slip", "attempt-2"), VerdictRun)
 	close(wake)
 	assert.Assert(t, <-late != VerdictRun)
 }
 
-// An intent is decided by two of three replicas. One of them dies, the group
-// is repaired, and the other one dies right after. A repeat must still find
-// the intent.
+// An intent is decided by two of three replicas. One of them dies, the group is
+// repaired, and then the other one dies. A repeat must still find the intent.
 func TestSecondReplicaLostAfterRepair(t *testing.T) {
-	f := newFive(t, twoPhases)
+	f := newFiveEntries(t, twoPhases)
 	f.net.SetCut(true, "d", "c")
-	f.claims(t, "d", claimOf("slip", "attempt-1"), VerdictRun)
+	f.assertClaim(t, "d", newClaim("slip", "attempt-1"), VerdictRun)
 	f.net.SetCut(false, "d", "c")
 	f.kill("a")
 	f.setGroups(testZones, "b", "c", "e")
@@ -119,67 +119,66 @@
 	f.kill("b")
 	f.setGroups(testZones, "c", "e", "d")
 	f.awaitReady(t, 3)
-	record := f.claims(t, "e", claimOf("slip", "attempt-2"), VerdictInFlight)
+	record := f.assertClaim(t, "e", newClaim("slip", "attempt-2"), VerdictInFlight)
 	assert.Equal(t, record.Attempt, fleet.AttemptID("attempt-1"))
 }
 
-// Two replicas die before the first is repaired, and with them the only copies
-// of an intent. A repeat finds nothing: it must be told "unknown", neither run
-// nor "not run".
+// Two replicas die before the first is replaced, and with them the only copies of an
+// intent. A repeat finds nothing: it must be told "unknown", neither run nor "not run".
 func TestHistoryLost(t *testing.T) {
-	f := newFive(t, twoPhases)
+	f := newFiveEntries(t, twoPhases)
 	f.net.SetCut(true, "d", "c")
-	f.claims(t, "d", claimOf("slip", "attempt-1"), VerdictRun)
+	f.assertClaim(t, "d", newClaim("slip", "attempt-1"), VerdictRun)
 	f.kill("a")
 	f.kill("b")
 	f.setGroups(testZones, "c", "d", "e")
 	f.awaitReady(t, 3)
-	f.claims(t, "e", claimOf("slip", "attempt-2"), VerdictUnknown)
-	f.forbids(t, "c", claimOf("slip", "attempt-3"), VerdictUnknown)
+	f.assertClaim(t, "e", newClaim("slip", "attempt-2"), VerdictUnknown)
+	f.assertForbid(t, "c", newClaim("slip", "attempt-3"), VerdictUnknown)
 }
 
-// A history was lost just now, and the entry's clock is hours ahead of the
-// control group's. Were it to judge by its own clock that the lost records have
-// aged, a call whose record was lost would run again.
+// A history was lost just now, and the entry's clock is hours ahead of the control
+// group's. If the entry judged by its own clock that the lost records have expired, a
+// call whose record was lost would run again.
 func TestHistoryLostByAnotherClock(t *testing.T) {
-	f := newFive(t, Options{})
-	c := claimOf("slip", "attempt-1")
+	f := newFiveEntries(t, Options{})
+	c := newClaim("slip", "attempt-1")
 	f.mu.Lock()
 	f.groups[ShardOf(c.Key, testZones)].HistoryLostMs = time.Now().Add(-5 * time.Hour).UnixMilli()
 	f.mu.Unlock()
 	f.change(func(*membership.State) {})
-	f.claims(t, "d", c, VerdictUnknown)
+	f.assertClaim(t, "d", c, VerdictUnknown)
 }
 
-// The network between an entry and two replicas fails in one direction or
-// both while it claims. With nothing accepted the answer is an error. Once an
-// accept may have arrived it is "unknown", and after the network heals the
-// record is settled, so that repeats are told "not run", truly.
+// The network between an entry and the replicas fails in one or both directions during
+// a claim. If nothing was accepted, the answer is an error. Once an accept may have
+// arrived, it is "unknown", and the record is settled after the network recovers, so
+// that repeats are correctly answered "not run".
 func TestCutWhileClaiming(t *testing.T) {
 	cases := map[string]struct {
-		there, back bool
-		at          string
-		want        Verdict
+		toReplicas, fromReplicas bool
+		method                   string
+		want                     Verdict
 	}{
-		"requests lost from the start": {there: true, at: "/Prepare", want: VerdictUnset},
-		"replies lost from the start":  {back: true, at: "/Prepare", want: VerdictUnset},
-		"both lost from the start":     {there: true, back: true, at: "/Prepare", want: VerdictUnset},
-		"requests lost at the accept":  {there: true, at: "/Accept", want: VerdictUnknown},
-		"replies lost at the accept":   {back: true, at: "/Accept", want: VerdictUnknown},
-		"both lost at the accept":      {there: true, back: true, at: "/Accept", want: VerdictUnknown},
+		"requests lost from the start": {toReplicas: true, method: "/Prepare", want: VerdictUnset},
+		"replies lost from the start":  {fromReplicas: true, method: "/Prepare", want: VerdictUnset},
+		"both lost from the start":     {toReplicas: true, fromReplicas: true, method: "/Prepare", want: VerdictUnset},
+		"requests lost at the accept":  {toReplicas: true, method: "/Accept", want: VerdictUnknown},
+		"replies lost at the accept":   {fromReplicas: true, method: "/Accept", want: VerdictUnknown},
+		"both lost at the accept":      {toReplicas: true, fromReplicas: true, method: "/Accept", want: VerdictUnknown},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f := newFive(t, twoPhases)
-			f.net.OnRequest("d", c.at, func(string) { f.cutReplicas("d", c.there, c.back) })
-			verdict, _, err := f.claimWithin(t, time.Second, "d", claimOf("slip", "attempt-1"))
+			f := newFiveEntries(t, twoPhases)
+			f.net.OnRequest("d", c.method, func(string) { f.setReplicasCut("d", c.toReplicas, c.fromReplicas) })
+			verdict, _, err := f.claimWithin(t, time.Second, "d", newClaim("slip", "attempt-1"))
 			assert.Equal(t, verdict, c.want)
 			assert.Equal(t, err != nil, c.want == VerdictUnset)
 			f.net.OnRequest("", "", nil)
-			f.cutReplicas("d", false, false)
+			f.setReplicasCut("d", false, false)
 			if c.want == VerdictUnset {
-				f.claims(t, "e", claimOf("slip", "attempt-2"), VerdictRun)
+				f.assertClaim(t, "e", newClaim("slip", "attempt-2"), VerdictRun)
 				return
 			}
 			f.awaitSettled(t, "slip")
@@ -192,7 +191,7 @@
 	t.Helper()
 	deadline := time.Now().Add(10 * time.Second)
 	for time.Now().Before(deadline) {
-		verdict, record, err := f.ledger("e").Lookup(t.Context(), testTeam, claimOf(key, "any").Key, testZones)
+		verdict, record, err := f.service("e").Lookup(t.Context(), testTeam, newClaim(key, "any").Key, testZones)
 		assert.NilError(t, err)
 		if verdict == VerdictNotRun || record.Outcome == pb.OutcomeKind_OUTCOME_KIND_NOT_RUN {
 			return
@@ -202,10 +201,10 @@
 	t.Fatal("the record was not settled")
 }
 
-// Callers send the same keys to all entries at once while operators forbid
-// them. For each key one attempt may run, or "not run" is said, never both.
+// Callers send the same keys to all entries at once while operators forbid them. For
+// each key, either one attempt runs or "not run" is answered, never both.
 func TestClaimsRace(t *testing.T) {
-	f := newFive(t, Options{})
+	f := newFiveEntries(t, Options{})
 	const keys = 60
 	var mu sync.Mutex
 	type answer struct {
@@ -220,12 +219,12 @@
 			group.Go(func() {
 				ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 				defer cancel()
-				c := claimOf(key, fmt.Sprint("attempt-", key, entry))
+				c := newClaim(key, fmt.Sprint("attempt-", key, entry))
 				verdict, _, err := VerdictUnset, Record{}, error(nil)
 				if entry == "e" && n%2 == 0 {
-					verdict, _, err = f.ledger(entry).Forbid(ctx, c)
+					verdict, _, err = f.service(entry).Forbid(ctx, c)
 				} else {
-					verdict, _, err = f.ledger(entry).Claim(ctx, c)
+					verdict, _, err = f.service(entry).Claim(ctx, c)
 				}
 				mu.Lock()
 				defer mu.Unlock()
@@ -244,19 +243,20 @@
 	}
 }
 
-// A group names a replica whose process has moved to a zone that the team's
-// data may not touch. No byte may go there, and claims go on with the others.
+// A group names a replica whose process has moved to a zone that the team's data may
+// not enter. Nothing may be sent there, and claims must continue with the other
+// replicas.
 func TestNoBytesLeaveTheZones(t *testing.T) {
-	f := newFive(t, Options{})
+	f := newFiveEntries(t, Options{})
 	f.change(func(s *membership.State) {
 		moved := s.View.Instances["c"]
 		moved.Zone = "yongkang-hall"
 		s.View.Instances["c"] = moved
 	})
 	before := f.net.Calls("c")
-	c := claimOf("slip", "attempt-1")
-	f.claims(t, "d", c, VerdictRun)
-	assert.NilError(t, f.ledger("d").Finish(t.Context(), c, pb.OutcomeKind_OUTCOME_KIND_COMPLETED, 200))
-	f.looksUp(t, "e", c, VerdictRecorded)
+	c := newClaim("slip", "attempt-1")
+	f.assertClaim(t, "d", c, VerdictRun)
+	assert.NilError(t, f.service("d").Finish(t.Context(), c, pb.OutcomeKind_OUTCOME_KIND_COMPLETED, 200))
+	f.assertLookup(t, "e", c, VerdictRecorded)
 	assert.Equal(t, f.net.Calls("c"), before)
 }
--- a/internal/outcome/fleet_test.go
+++ b/internal/outcome/fleet_test.go
@@ -23,13 +23,13 @@
 
 const testTeam fleet.Team = "sutokatha"
 
-// treeOf gives settings that permit the test's team these zones.
-func treeOf(zones fleet.ZoneSet) *settings.Tree {
+// settingsTree returns settings that permit the test's team these zones.
+func settingsTree(zones fleet.ZoneSet) *settings.Tree {
 	team := settings.Team{Name: testTeam, PermittedZones: zones.Zones()}
 	return &settings.Tree{Teams: map[fleet.Team]settings.Team{testTeam: team}}
 }
 
-// testFleet is a control group and a network in memory.
+// testFleet simulates the control group and the network in memory.
 type testFleet struct {
 	mu     sync.Mutex
 	state  *membership.State
@@ -38,15 +38,15 @@
 	net    *testkit.Network
 }
 
-// testNode is one process: its source of state and its service.
+// testNode is one process: its source of the shared state and its service.
 type testNode struct {
 	membership.Static
 	service *Service
 	stop    context.CancelFunc
 
-	mu      sync.Mutex // of Fixed and what follows
+	mu      sync.Mutex // guards Fixed and the fields below
 	changed chan struct{}
-	stale   bool // no longer told of changes
+	stale   bool // receives no further changes
 }
 
 func (n *testNode) State() *membership.State {
@@ -78,10 +78,10 @@
 	n.changed = make(chan struct{})
 }
 
-// newTestFleet starts processes, of which a, b and c hold the records.
+// newTestFleet starts processes, of which a, b and c are the replicas.
 func newTestFleet(t *testing.T, options Options, names ...fleet.InstanceID) *testFleet {
 	f := &testFleet{
-		state:  &membership.State{View: fleet.View{Instances: map[fleet.InstanceID]fleet.Instance{}}, Tree: treeOf(testZones)},
+		state:  &membership.State{View: fleet.View{Instances: map[fleet.InstanceID]fleet.Instance{}}, Tree: settingsTree(testZones)},
 		groups: make(map[fleet.LedgerShard]*fleet.LedgerGroup),
 		nodes:  make(map[fleet.InstanceID]*testNode),
 		net:    &testkit.Network{},
@@ -94,7 +94,7 @@
 	return f
 }
 
-// start starts a process, which joins the view.
+// start starts a process and adds it to the view.
 func (f *testFleet) start(t *testing.T, name fleet.InstanceID, incarnation fleet.Incarnation, o Options) {
 	zones := testZones.Zones()
 	self := fleet.Instance{
@@ -125,7 +125,7 @@
 	})
 }
 
-// change makes a new state and tells all nodes.
+// change edits a copy of the state and publishes it to all nodes.
 func (f *testFleet) change(edit func(*membership.State)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -150,9 +150,9 @@
 	}
 }
 
-// nextGroup is the control group's rule for a shard's next epoch: replicas that
-// stay keep their ready mark, those that were ready are the sources, and when no
-// majority of these is live the history is lost.
+// nextGroup follows the control group's rule for the next epoch of a shard: replicas
+// that stay keep their ready mark, those that were ready are the sources, and if no
+// majority of these is live, the history is lost.
 func nextGroup(old fleet.LedgerGroup, view fleet.View, owners []fleet.Owner, now time.Time) (next fleet.LedgerGroup, lost bool) {
 	next = fleet.LedgerGroup{Shard: old.Shard, Epoch: old.Epoch + 1, HistoryLostMs: old.HistoryLostMs}
 	ready := make(map[fleet.Owner]bool)
@@ -201,31 +201,31 @@
 	}
 }
 
-// setZones changes the team's permitted zones, as the control group does, and
-// gives the new class its groups.
+// setZones changes the team's permitted zones, as the control group does, and creates
+// the groups of the new class.
 func (f *testFleet) setZones(zones fleet.ZoneSet, names ...fleet.InstanceID) {
 	f.setGroups(zones, names...)
 	f.change(func(s *membership.State) {
 		old := s.Tree.Teams[testTeam].Permitted().Class()
 		left := slices.DeleteFunc(slices.Clone(s.Former[testTeam]), func(c string) bool { return c == old })
 		s.Former = map[fleet.Team][]string{testTeam: append(left, old)}
-		s.Tree = treeOf(zones)
+		s.Tree = settingsTree(zones)
 	})
 }
 
-// kill stops a process and takes it out of the view.
+// kill stops a process and removes it from the view.
 func (f *testFleet) kill(name fleet.InstanceID) {
 	f.mu.Lock()
 	f.nodes[name].stop()
 	delete(f.nodes, name)
 	f.mu.Unlock()
 	f.net.Remove(string(name))
-	f.lose(name)
+	f.removeFromView(name)
 }
 
-// lose takes a process out of the view. It hears of no change any more, and
-// may go on.
-func (f *testFleet) lose(name fleet.InstanceID) {
+// removeFromView removes a process from the view. The process receives no further
+// changes but may keep running.
+func (f *testFleet) removeFromView(name fleet.InstanceID) {
 	f.mu.Lock()
 	if n := f.nodes[name]; n != nil {
 		n.setStale()
@@ -281,7 +281,7 @@
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
-	t.Fatalf("not in time: %s", what)
+	t.Fatalf("timed out waiting for %s", what)
 }
 
 func dispatch(ctx context.Context, server pb.DRPCLedgerServer, name string, in drpc.Message) (drpc.Message, error) {
--- a/internal/outcome/former_zones.go
+++ b/internal/outcome/former_zones.go
@@ -13,8 +13,8 @@
 // a former zone class. A claim therefore visits the shards of all former classes
 // before its own.
 //
-// This prevents that a call runs twice: an entry that hasn't applied the change
-// claims in the old shard, one that has claims in the new, and each finds nothing.
+// Otherwise a call could run twice: an entry that hasn't applied the change claims
+// in the old shard, one that has claims in the new, and each finds nothing.
 // Reading the old shard first isn't enough, since the old claim may be decided after
 // the read. The new claim must decide "moved" in the old shard, where both claims
 // meet in one consensus and one of them loses.
--- a/internal/outcome/fuzz_test.go
+++ b/internal/outcome/fuzz_test.go
@@ -12,8 +12,9 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// soloService is a replica of shard 0 at epoch 1.
-func soloService() *Service {
+// newSingleReplicaService returns a service that is the only replica of shard 0 at
+// epoch 1.
+func newSingleReplicaService() *Service {
 	self := fleet.Instance{ID: "a", Incarnation: 1, Zone: "howrah", Entry: true}
 	shard := fleet.LedgerShard{ZoneClass: testZones.Class()}
 	state := &membership.State{
@@ -29,8 +30,8 @@
 	return s
 }
 
-// FuzzServer gives each call bytes from outside. It must neither panic nor keep
-// more than its bounds, whatever comes.
+// FuzzServer sends arbitrary bytes to each RPC. The server must neither panic nor keep
+// more records than its limit.
 func FuzzServer(f *testing.F) {
 	ref := &pb.ShardRef{ZoneClass: testZones.Class(), Epoch: 1}
 	key := make([]byte, 16)
@@ -50,7 +51,7 @@
 		assert.NilError(f, err)
 		f.Add(uint8(n), data)
 	}
-	service := soloService()
+	service := newSingleReplicaService()
 	description := pb.DRPCLedgerDescription{}
 	f.Fuzz(func(t *testing.T, method uint8, data []byte) {
 		n := int(method) % description.NumMethods()
@@ -66,7 +67,8 @@
 	})
 }
 
-// FuzzReplies gives a proposer and a copying replica replies from outside.
+// FuzzReplies passes arbitrary replies to a proposer and arbitrary pages to a replica
+// that copies.
 func FuzzReplies(f *testing.F) {
 	f.Add([]byte{}, []byte{})
 	reply, err := proto.Marshal(Reply{Status: ReplyOK, Record: StoredRecord{Decision: tombstone(), Accepted: classic(1)}}.proto(Key{}))
--- a/internal/outcome/health.go
+++ b/internal/outcome/health.go
@@ -20,7 +20,9 @@
 	lastAnswer map[fleet.Owner]time.Time
 }
 
-func newHealth() *replicaHealth { return &replicaHealth{lastAnswer: make(map[fleet.Owner]time.Time)} }
+func newReplicaHealth() *replicaHealth {
+	return &replicaHealth{lastAnswer: make(map[fleet.Owner]time.Time)}
+}
 
 func (h *replicaHealth) recordCall(o fleet.Owner, answered bool, now time.Time) {
 	h.mu.Lock()
--- a/internal/outcome/model_audit_test.go
+++ b/internal/outcome/model_audit_test.go
@@ -7,29 +7,29 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// knowledge is what has been answered on a key.
-type knowledge struct {
+// keyAnswers is what has been answered about a key.
+type keyAnswers struct {
 	run      fleet.AttemptID
 	notRun   bool
 	recorded pb.OutcomeKind
 }
 
-// audit checks each answer against those before.
+// audit checks each answer against the earlier answers about its key.
 type audit struct {
-	keys    map[Key]knowledge
-	answers map[Verdict]int
-	lost    bool // a majority of replicas was lost before its repair
-	broken  error
+	keys          map[Key]keyAnswers
+	verdictCounts map[Verdict]int
+	historyLost   bool // a majority of replicas was lost before the group was repaired
+	violation     error
 }
 
 func newAudit() *audit {
-	return &audit{keys: make(map[Key]knowledge), answers: make(map[Verdict]int)}
+	return &audit{keys: make(map[Key]keyAnswers), verdictCounts: make(map[Verdict]int)}
 }
 
-func (a *audit) known(k Key) knowledge { return a.keys[k] }
+func (a *audit) answersOn(k Key) keyAnswers { return a.keys[k] }
 
 func (a *audit) answer(m *modelProposer, v Verdict, r Record) {
-	a.answers[v]++
+	a.verdictCounts[v]++
 	k := a.keys[m.claim.Key]
 	switch v {
 	case VerdictRun:
@@ -54,22 +54,21 @@
 		}
 		k.recorded = r.Outcome
 	case VerdictUnset:
-		if m.after.run != "" || m.after.notRun {
+		if m.answersAtStart.run != "" || m.answersAtStart.notRun {
 			a.fail("a decided key was looked up as new")
 		}
 	}
-	// After a loss of history, cut-off processes of the old epoch may know less
-	// than those of the new one; they hold no lease and take no requests. After
-	// a change of zones, a process that hasn't applied it finds that the key has
-	// moved, and knows no more.
-	if m.after.recorded != 0 && v != VerdictRecorded && !a.lost && !m.moved {
+	// After a loss of history, isolated processes of the old epoch may know less than
+	// those of the new one; they hold no lease and take no requests. After a change of
+	// zones, a process that hasn't applied it finds only that the key has moved.
+	if m.answersAtStart.recorded != 0 && v != VerdictRecorded && !a.historyLost && !m.moved {
 		a.fail("verdict %s after the outcome was answered", v)
 	}
 	a.keys[m.claim.Key] = k
 }
 
 func (a *audit) fail(format string, args ...any) {
-	if a.broken == nil {
-		a.broken = fmt.Errorf(format, args...)
+	if a.violation == nil {
+		a.violation = fmt.Errorf(format, args...)
 	}
 }
--- a/internal/outcome/model_control_test.go
+++ b/internal/outcome/model_control_test.go
@@ -8,8 +8,8 @@
 	"github.com/hyssopsail/hyssopsail/internal/fleet"
 )
 
-// join adds a process: a new instance, or a later incarnation of a crashed
-// one with its records lost.
+// join adds a process: a new instance, or a new incarnation of a crashed one without
+// its records.
 func (w *world) join() {
 	if len(w.state.view.Instances) >= 6 {
 		return
@@ -46,14 +46,14 @@
 	w.state = next
 }
 
-// lose takes a process out of the view: it crashed, or it is cut off and goes
-// on with stale state, perhaps after a freeze.
-func (w *world) lose() {
+// removeFromView removes a process from the view. It has crashed, or it is isolated and
+// continues with outdated state, possibly after a freeze.
+func (w *world) removeFromView() {
 	n := w.pick()
-	if n.zombie || n.crashed || !w.state.view.Holds(n.self) || len(w.state.view.Instances) <= 3 {
+	if n.removed || n.crashed || !w.state.view.Holds(n.self) || len(w.state.view.Instances) <= 3 {
 		return
 	}
-	n.zombie = true
+	n.removed = true
 	switch w.random.IntN(3) {
 	case 0:
 		n.crashed = true
@@ -68,7 +68,7 @@
 	}
 }
 
-// changeZones gives the team its other set of zones.
+// changeZones switches the team to its other set of permitted zones.
 func (w *world) changeZones() {
 	w.publish(func(s *modelState) {
 		left := modelZones[s.class].Class()
@@ -79,29 +79,29 @@
 	})
 }
 
-// regroup gives the shard its next epoch: live replicas stay as they are and
-// others fill up. One that drains is replaced while it lives.
-func (w *world) regroup(class int, drains fleet.Owner) {
+// regroup moves the shard to its next epoch: live replicas stay, except for the drained
+// one, and other processes fill the free places.
+func (w *world) regroup(class int, drained fleet.Owner) {
 	w.publish(func(s *modelState) {
 		old := s.groups[class]
 		old.Shard = modelShard(class)
 		var owners []fleet.Owner
 		for _, r := range old.Replicas {
-			if s.view.Holds(r.Owner) && r.Owner != drains {
+			if s.view.Holds(r.Owner) && r.Owner != drained {
 				owners = append(owners, r.Owner)
 			}
 		}
-		next, lost := nextGroup(old, s.view, w.filled(owners, s.view, drains), w.now)
-		w.audit.lost = w.audit.lost || lost
+		next, lost := nextGroup(old, s.view, w.fillReplicas(owners, s.view, drained), w.now)
+		w.audit.historyLost = w.audit.historyLost || lost
 		s.groups[class] = next
 	})
 }
 
-func (w *world) filled(owners []fleet.Owner, view fleet.View, drains fleet.Owner) []fleet.Owner {
+func (w *world) fillReplicas(owners []fleet.Owner, view fleet.View, drained fleet.Owner) []fleet.Owner {
 	start := w.random.IntN(len(w.nodes))
 	for n := range w.nodes {
 		o := w.nodes[(start+n)%len(w.nodes)].self
-		if len(owners) < fleet.LedgerReplicas && view.Holds(o) && o != drains && !slices.Contains(owners, o) {
+		if len(owners) < fleet.LedgerReplicas && view.Holds(o) && o != drained && !slices.Contains(owners, o) {
 			owners = append(owners, o)
 		}
 	}
@@ -125,7 +125,7 @@
 	})
 }
 
-// drain replaces a live replica of a group that is ready as a whole.
+// drain replaces a live replica of a group whose replicas are all ready.
 func (w *world) drain() {
 	class := w.state.class
 	g := w.state.groups[class]
@@ -135,11 +135,12 @@
 	w.regroup(class, g.Replicas[w.random.IntN(len(g.Replicas))].Owner)
 }
 
-// push tells a process of the newest state; one out of the view hears nothing.
-func (w *world) push() {
+// deliverState publishes the latest state to a process, unless the process was removed
+// from the view.
+func (w *world) deliverState() {
 	n := w.pick()
 	state := w.state
-	if n.zombie || n.stuck() || state.index <= n.state.index {
+	if n.removed || n.unresponsive() || state.index <= n.state.index {
 		return
 	}
 	n.state = state
@@ -149,23 +150,23 @@
 		}
 	}
 	for _, m := range n.active {
-		if !m.done && m.epoch != state.groups[m.at()].Epoch && w.random.IntN(2) == 0 {
+		if !m.done && m.epoch != state.groups[m.currentClass()].Epoch && w.random.IntN(2) == 0 {
 			w.restart(m)
 		}
 	}
 }
 
-func (w *world) freeze() {
+func (w *world) toggleFreeze() {
 	n := w.pick()
 	if !n.crashed {
 		n.frozen = !n.frozen
 	}
 }
 
-// repair moves a copy on, or reports a whole shard.
-func (w *world) repair() {
+// copyMissing continues the copies of a process and reports its complete shards.
+func (w *world) copyMissing() {
 	n := w.pick()
-	if n.stuck() {
+	if n.unresponsive() {
 		return
 	}
 	for _, g := range n.replica.CompleteGroups() {
@@ -183,13 +184,13 @@
 
 func (w *world) copyFrom(n *modelNode, q CopyQuery) {
 	w.send(func() {
-		source := w.at(q.Source.Instance)
-		if source == nil || source.stuck() {
+		source := w.nodeAt(q.Source.Instance)
+		if source == nil || source.unresponsive() {
 			return
 		}
-		page := w.source(source, q)
+		page := w.servePage(source, q)
 		w.send(func() {
-			if n.stuck() || !n.replica.Merge(w.now, q, page) {
+			if n.unresponsive() || !n.replica.Merge(w.now, q, page) {
 				return
 			}
 			if !page.Done {
@@ -208,7 +209,7 @@
 	})
 }
 
-func (w *world) source(n *modelNode, q CopyQuery) CopyPage {
+func (w *world) servePage(n *modelNode, q CopyQuery) CopyPage {
 	var before uint64
 	s := n.replica.shards[q.Shard]
 	if s != nil {
--- a/internal/outcome/model_decides_test.go
+++ b/internal/outcome/model_decides_test.go
@@ -4,9 +4,9 @@
 	"testing"
 )
 
-// calmStep has no deaths, freezes or repairs; messages are still lost,
-// repeated and reordered.
-func (w *world) calmStep(begin bool) {
+// stepWithoutFailures takes a step without crashes, freezes or repairs. Messages are
+// still lost, duplicated and reordered.
+func (w *world) stepWithoutFailures(begin bool) {
 	switch roll := w.random.IntN(100); {
 	case roll < 80 || !begin && roll < 98:
 		w.deliver()
@@ -17,37 +17,37 @@
 	}
 }
 
-// Several entries get the same request at once. Each one meets another's
-// undecided intent, says "in flight" and gives up its own: nobody runs it, and
-// all repeats are told "in flight" for as long as these entries live. Whoever
-// gives up must have seen the other's intent decided.
+// Several entries get the same request at once. If each gave up its own attempt on
+// meeting another's undecided intent and answered "in flight", nobody would run the
+// request, and all repeats would be answered "in flight" for as long as these entries
+// live. An entry may give up only once the other's intent is decided.
 func TestModelDecides(t *testing.T) {
 	for seed := range uint64(1000) {
 		w := newWorld(seed, faultNone)
 		for range 100 {
-			w.push()
+			w.deliverState()
 		}
 		for range 200 {
-			w.calmStep(true)
+			w.stepWithoutFailures(true)
 		}
-		for step := 0; !w.answered(); step++ {
-			w.calmStep(false)
+		for step := 0; !w.allDone(); step++ {
+			w.stepWithoutFailures(false)
 			if step > 200_000 {
-				t.Fatalf("seed %d: claims go on for ever", seed)
+				t.Fatalf("seed %d: claims do not terminate", seed)
 			}
 		}
-		if w.audit.broken != nil {
-			t.Fatalf("seed %d: %v", seed, w.audit.broken)
+		if w.audit.violation != nil {
+			t.Fatalf("seed %d: %v", seed, w.audit.violation)
 		}
-		for key, claims := range w.claimed() {
-			if k := w.audit.known(key); k.run == "" && !k.notRun {
+		for key, claims := range w.claimsByKey() {
+			if k := w.audit.answersOn(key); k.run == "" && !k.notRun {
 				t.Fatalf("seed %d: none of %d claims of key %d may run", seed, claims, key[15])
 			}
 		}
 	}
 }
 
-func (w *world) answered() bool {
+func (w *world) allDone() bool {
 	for _, n := range w.nodes {
 		for _, m := range n.active {
 			if !m.done {
@@ -58,8 +58,8 @@
 	return true
 }
 
-// claimed counts the claims of each key.
-func (w *world) claimed() map[Key]int {
+// claimsByKey counts the claims of each key.
+func (w *world) claimsByKey() map[Key]int {
 	claims := make(map[Key]int)
 	for _, n := range w.nodes {
 		for _, m := range n.active {
--- a/internal/outcome/model_test.go
+++ b/internal/outcome/model_test.go
@@ -8,60 +8,60 @@
 	"gotest.tools/v3/assert"
 )
 
-// modelRunsVariable asks for more runs than CI takes.
-const modelRunsVariable = "HYSSOPSAIL_MODEL_RUNS"
+// modelRunsEnv is the environment variable that sets the number of runs, to take more
+// than CI does.
+const modelRunsEnv = "HYSSOPSAIL_MODEL_RUNS"
 
 const (
-	modelRuns  = 3000
-	modelSteps = 1500
+	defaultModelRuns = 3000
+	modelSteps       = 1500
 )
 
-func runsWanted(t *testing.T) int {
-	text := os.Getenv(modelRunsVariable)
+func modelRunCount(t *testing.T) int {
+	text := os.Getenv(modelRunsEnv)
 	if text == "" {
-		return modelRuns
+		return defaultModelRuns
 	}
 	n, err := strconv.Atoi(text)
 	assert.NilError(t, err)
 	return n
 }
 
-// A request that must not be repeated is sent to several entries while
-// messages are lost, repeated and reordered, entries freeze, wake, die and come
-// back empty, and replicas are replaced one after another. Two attempts run,
-// or a caller is told "not run" of a request that ran, if any rule of the
-// ledger has a hole.
+// A request that must not be repeated is sent to several entries while messages are
+// lost, duplicated and reordered, entries freeze, resume, crash and restart without
+// their records, and replicas are replaced one after another. If any rule of the ledger
+// has a gap, two attempts run, or a caller is told "not run" of a request that ran.
 func TestModel(t *testing.T) {
 	checkModel(t, newWorld)
 }
 
-// The same, and the team's permitted zones change again and again: some
-// entries claim under the old zones, some under the new, in other shards. Two
-// attempts run unless claims in different shards meet somewhere.
+// As TestModel, while the team's permitted zones change repeatedly: some entries claim
+// under the old zones, some under the new, in different shards. Two attempts run unless
+// claims in different shards meet somewhere.
 func TestModelZoneChanges(t *testing.T) {
-	checkModel(t, newMovingWorld)
+	checkModel(t, newZoneChangeWorld)
 }
 
 func checkModel(t *testing.T, make func(seed uint64, f fault) *world) {
-	runs := runsWanted(t)
+	runs := modelRunCount(t)
 	total := newAudit()
 	for seed := range uint64(runs) {
 		w := make(seed, faultNone)
 		if err := w.run(modelSteps); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
-		for v, n := range w.audit.answers {
-			total.answers[v] += n
+		for v, n := range w.audit.verdictCounts {
+			total.verdictCounts[v] += n
 		}
 	}
-	t.Logf("%d runs: %v", runs, total.answers)
+	t.Logf("%d runs: %v", runs, total.verdictCounts)
 	for _, v := range []Verdict{VerdictUnset, VerdictRun, VerdictInFlight, VerdictRecorded, VerdictUnknown, VerdictNotRun} {
-		assert.Assert(t, total.answers[v] > runs/50, "verdict %s hardly came up", v)
+		assert.Assert(t, total.verdictCounts[v] > runs/50, "verdict %s occurred too rarely", v)
 	}
 }
 
-// Each guard is taken out in turn. The model check must see a broken promise,
-// or it wouldn't have noticed that the guard is missing.
+// Each guard is disabled in turn. The model check must find a violation, or it wouldn't
+// notice that the guard is missing.
 func TestModelSeesEachGuardMissing(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -76,24 +76,24 @@
 		{"fast ballot needs all replicas", newWorld, faultFastMajority},
 		{"fast value binds", newWorld, faultFastNeverBinds},
 		{"history lost", newWorld, faultForgetHistoryLoss},
-		{"former shards come first", newMovingWorld, faultSkipFormer},
-		{"former shards are sealed", newMovingWorld, faultLookAtFormer},
-		{"promise check, moving", newMovingWorld, faultNoPromise},
-		{"copy from a majority, moving", newMovingWorld, faultOneSource},
+		{"former shards come first", newZoneChangeWorld, faultSkipFormer},
+		{"former shards are sealed", newZoneChangeWorld, faultOnlyReadFormer},
+		{"promise check, moving", newZoneChangeWorld, faultNoPromise},
+		{"copy from a majority, moving", newZoneChangeWorld, faultOneSource},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			mustBreak(t, c.make, c.fault)
+			expectViolation(t, c.make, c.fault)
 		})
 	}
 }
 
-func mustBreak(t *testing.T, make func(seed uint64, f fault) *world, f fault) {
+func expectViolation(t *testing.T, make func(seed uint64, f fault) *world, f fault) {
 	for seed := range uint64(200_000) {
 		if err := make(seed, f).run(modelSteps); err != nil {
 			t.Logf("seed %d: %v", seed, err)
 			return
 		}
 	}
-	t.Fatal("no broken promise seen")
+	t.Fatal("no violation found")
 }
--- a/internal/outcome/model_world_test.go
+++ b/internal/outcome/model_world_test.go
@@ -9,7 +9,7 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// fault switches one guard off, so that the model check can be seen to fail.
+// fault disables one guard, to show that the model check detects its absence.
 type fault int
 
 const (
@@ -23,10 +23,10 @@
 	faultFastNeverBinds
 	faultForgetHistoryLoss
 	faultSkipFormer
-	faultLookAtFormer
+	faultOnlyReadFormer
 )
 
-// modelZones are the team's permitted zones before and after a change.
+// modelZones are the two sets of permitted zones that the team switches between.
 var modelZones = [...]fleet.ZoneSet{testZones, fleet.NewZoneSet("howrah")}
 
 func modelShard(class int) fleet.LedgerShard {
@@ -42,56 +42,56 @@
 	panic("no such shard")
 }
 
-// modelState is what the control group publishes.
+// modelState is the state that the control group publishes.
 type modelState struct {
 	index  uint64
 	view   fleet.View
 	groups [len(modelZones)]fleet.LedgerGroup
-	class  int      // of the team
-	former []string // its former classes
+	class  int      // index in modelZones of the team's zones
+	former []string // former zone classes of the team
 }
 
-// modelNode is one process. A zombie is out of the view and goes on with the
-// state it has; a frozen process takes nothing in until it wakes.
+// modelNode is one process. A removed process is out of the view and continues with the
+// state it has; a frozen one processes nothing until it resumes.
 type modelNode struct {
-	self    fleet.Owner
-	replica *Replica
-	state   *modelState
-	zombie  bool
-	crashed bool
-	frozen  bool
-	numbers uint64
-	active  []*modelProposer
+	self           fleet.Owner
+	replica        *Replica
+	state          *modelState
+	removed        bool
+	crashed        bool
+	frozen         bool
+	lastProposerID uint64
+	active         []*modelProposer
 }
 
-// modelProposer is a claim, lookup or forbid under way.
+// modelProposer is a running claim, lookup or forbid.
 type modelProposer struct {
-	node    *modelNode
-	p       *Proposer
-	purpose Purpose
-	claim   Claim
-	class   int   // of the team when it began
-	before  []int // former classes still to be passed
-	epoch   uint64
-	group   fleet.LedgerGroup
-	waiting bool
-	done    bool
-	moved   bool      // ended by a key that had moved
-	after   knowledge // of the key, when it began
+	node           *modelNode
+	proposer       *Proposer
+	purpose        Purpose
+	claim          Claim
+	class          int   // the team's class at the start
+	formerClasses  []int // still to be visited
+	epoch          uint64
+	group          fleet.LedgerGroup
+	waiting        bool
+	done           bool
+	moved          bool       // ended with VerdictMoved
+	answersAtStart keyAnswers // about the key
 }
 
-// world is a fleet with one shard, stepped at random from a seed. When the
-// team's zones change, it has one in each class.
+// world is a simulated fleet with one shard that takes random steps from a seed. If the
+// team's zones change, there is one shard for each class.
 type world struct {
-	moves   bool
-	random  *rand.Rand
-	fault   fault
-	now     time.Time
-	nodes   []*modelNode
-	state   *modelState
-	bag     []func()
-	attempt int
-	audit   *audit
+	zonesChange bool
+	random      *rand.Rand
+	fault       fault
+	now         time.Time
+	nodes       []*modelNode
+	state       *modelState
+	pending     []func()
+	lastAttempt int
+	audit       *audit
 }
 
 func newWorld(seed uint64, f fault) *world {
@@ -109,28 +109,28 @@
 	return w
 }
 
-// newMovingWorld is a world in which the team's permitted zones change.
-func newMovingWorld(seed uint64, f fault) *world {
+// newZoneChangeWorld returns a world in which the team's permitted zones change.
+func newZoneChangeWorld(seed uint64, f fault) *world {
 	w := newWorld(seed, f)
-	w.moves = true
+	w.zonesChange = true
 	w.regroup(1, fleet.Owner{})
 	return w
 }
 
-// run takes n steps and gives the first broken promise.
+// run takes n steps and returns the first violation.
 func (w *world) run(n int) error {
 	for range n {
 		w.now = w.now.Add(time.Millisecond)
 		w.step()
-		if w.audit.broken != nil {
-			return w.audit.broken
+		if w.audit.violation != nil {
+			return w.audit.violation
 		}
 	}
 	return nil
 }
 
 func (w *world) step() {
-	if w.moves && w.random.IntN(150) == 0 {
+	if w.zonesChange && w.random.IntN(150) == 0 {
 		w.changeZones()
 		return
 	}
@@ -144,13 +144,13 @@
 	case roll < 790:
 		w.finish()
 	case roll < 930:
-		w.repair()
+		w.copyMissing()
 	case roll < 975:
-		w.push()
+		w.deliverState()
 	case roll < 980:
-		w.freeze()
+		w.toggleFreeze()
 	case roll < 989:
-		w.lose()
+		w.removeFromView()
 	case roll < 992:
 		w.drain()
 	default:
@@ -158,20 +158,20 @@
 	}
 }
 
-func (w *world) send(f func()) { w.bag = append(w.bag, f) }
+func (w *world) send(f func()) { w.pending = append(w.pending, f) }
 
-// deliver takes a message out of order, loses it, or leaves it in to come
-// again.
+// deliver picks a random message and delivers it, loses it, or delivers it and keeps a
+// duplicate.
 func (w *world) deliver() {
-	if len(w.bag) == 0 {
+	if len(w.pending) == 0 {
 		return
 	}
-	n := w.random.IntN(len(w.bag))
-	f := w.bag[n]
+	n := w.random.IntN(len(w.pending))
+	f := w.pending[n]
 	fate := w.random.IntN(100)
 	if fate >= 8 {
-		w.bag[n] = w.bag[len(w.bag)-1]
-		w.bag = w.bag[:len(w.bag)-1]
+		w.pending[n] = w.pending[len(w.pending)-1]
+		w.pending = w.pending[:len(w.pending)-1]
 	}
 	if fate < 92 {
 		f()
@@ -180,62 +180,62 @@
 
 func (w *world) pick() *modelNode { return w.nodes[w.random.IntN(len(w.nodes))] }
 
-func (n *modelNode) stuck() bool { return n.crashed || n.frozen }
+func (n *modelNode) unresponsive() bool { return n.crashed || n.frozen }
 
 func (w *world) begin() {
 	n := w.pick()
-	if n.stuck() || n.state.groups[n.state.class].Epoch == 0 {
+	if n.unresponsive() || n.state.groups[n.state.class].Epoch == 0 {
 		return
 	}
 	purpose := []Purpose{PurposeClaim, PurposeClaim, PurposeClaim, PurposeForbid, PurposeResolve}[w.random.IntN(5)]
 	key := Key{15: byte(w.random.IntN(2))}
-	w.attempt++
-	c := Claim{Key: key, Permitted: modelZones[n.state.class], Attempt: fleet.AttemptID(fmt.Sprint("attempt-", w.attempt)), Endpoint: "bank-1"}
-	m := &modelProposer{node: n, purpose: purpose, claim: c, class: n.state.class, after: w.audit.known(key)}
+	w.lastAttempt++
+	c := Claim{Key: key, Permitted: modelZones[n.state.class], Attempt: fleet.AttemptID(fmt.Sprint("attempt-", w.lastAttempt)), Endpoint: "bank-1"}
+	m := &modelProposer{node: n, purpose: purpose, claim: c, class: n.state.class, answersAtStart: w.audit.answersOn(key)}
 	for _, s := range formerShards(key, c.Permitted, n.state.former) {
 		if w.fault != faultSkipFormer {
-			m.before = append(m.before, modelClass(s))
+			m.formerClasses = append(m.formerClasses, modelClass(s))
 		}
 	}
 	n.active = append(n.active, m)
 	w.propose(m)
 }
 
-// propose starts at the next shard of the claim's course.
+// propose starts the claim at the next shard that it has to visit.
 func (w *world) propose(m *modelProposer) {
 	n := m.node
 	if w.fault != faultSharedBallots {
-		n.numbers++
+		n.lastProposerID++
 	}
 	purpose := m.purpose
-	if len(m.before) > 0 {
+	if len(m.formerClasses) > 0 {
 		purpose = purpose.atFormerShard()
-		if w.fault == faultLookAtFormer {
+		if w.fault == faultOnlyReadFormer {
 			purpose = PurposeResolve
 		}
 	}
-	m.p = NewProposer(purpose, m.claim, n.self, n.numbers)
+	m.proposer = NewProposer(purpose, m.claim, n.self, n.lastProposerID)
 	w.restart(m)
 }
 
-// at gives the class whose shard is being asked.
-func (m *modelProposer) at() int {
-	if len(m.before) > 0 {
-		return m.before[0]
+// currentClass returns the class whose shard is being asked.
+func (m *modelProposer) currentClass() int {
+	if len(m.formerClasses) > 0 {
+		return m.formerClasses[0]
 	}
 	return m.class
 }
 
 func (w *world) restart(m *modelProposer) {
-	if len(m.before) == 0 && m.class != m.node.state.class {
-		m.done = true // the settings have changed: given up
+	if len(m.formerClasses) == 0 && m.class != m.node.state.class {
+		m.done = true // the settings have changed, so the claim ends
 		return
 	}
-	m.group = m.node.state.groups[m.at()]
+	m.group = m.node.state.groups[m.currentClass()]
 	m.epoch = m.group.Epoch
 	view := m.node.state.view
-	w.take(m, m.p.Start(GroupView{
-		Shard:       modelShard(m.at()),
+	w.applyStep(m, m.proposer.Start(GroupView{
+		Shard:       modelShard(m.currentClass()),
 		Epoch:       m.epoch,
 		Replicas:    len(m.group.Replicas),
 		FastPath:    allReady(m.group.Replicas) && w.random.IntN(3) > 0,
@@ -245,10 +245,10 @@
 	}))
 }
 
-func (w *world) take(m *modelProposer, s Step) {
+func (w *world) applyStep(m *modelProposer, s Step) {
 	switch {
 	case s.Done && !m.done:
-		w.ended(m)
+		w.handleDone(m)
 	case s.Retry:
 		m.waiting = true
 	case s.Broadcast != nil:
@@ -259,10 +259,10 @@
 	}
 }
 
-func (w *world) ended(m *modelProposer) {
-	verdict, record := m.p.Result()
-	if len(m.before) > 0 && allowsNextShard(verdict) {
-		m.before = m.before[1:]
+func (w *world) handleDone(m *modelProposer) {
+	verdict, record := m.proposer.Result()
+	if len(m.formerClasses) > 0 && allowsNextShard(verdict) {
+		m.formerClasses = m.formerClasses[1:]
 		w.propose(m)
 		return
 	}
@@ -273,12 +273,12 @@
 	w.audit.answer(m, verdict, record)
 }
 
-// request sends to a process; whoever has its address when the message comes
-// gets it.
+// request sends a request to a process. It is delivered to whichever incarnation of the
+// instance runs when it arrives.
 func (w *world) request(m *modelProposer, index int, to fleet.Owner, q Request) {
 	w.send(func() {
-		n := w.at(to.Instance)
-		if n == nil || n.stuck() {
+		n := w.nodeAt(to.Instance)
+		if n == nil || n.unresponsive() {
 			return
 		}
 		reply := w.handle(n, q)
@@ -286,10 +286,10 @@
 			return
 		}
 		w.send(func() {
-			if m.node.stuck() || m.done || m.waiting || q.Shard != m.group.Shard {
+			if m.node.unresponsive() || m.done || m.waiting || q.Shard != m.group.Shard {
 				return
 			}
-			w.take(m, w.reply(m, index, q, reply))
+			w.applyStep(m, w.reply(m, index, q, reply))
 		})
 	})
 }
@@ -298,16 +298,16 @@
 	if w.fault == faultFastNeverBinds && r.Record.Accepted.Fast() && !r.Record.HasOutcome() {
 		r.Record = StoredRecord{}
 	}
-	s := m.p.HandleReply(index, q, r)
-	fast := m.p.phase == phaseFast && len(m.p.okRecords) >= m.p.group.majority()
+	s := m.proposer.HandleReply(index, q, r)
+	fast := m.proposer.phase == phaseFast && len(m.proposer.okRecords) >= m.proposer.group.majority()
 	if w.fault == faultFastMajority && fast {
-		return m.p.answerDecided()
+		return m.proposer.answerDecided()
 	}
 	return s
 }
 
-// at gives the newest process of an instance that isn't crashed.
-func (w *world) at(id fleet.InstanceID) *modelNode {
+// nodeAt returns the latest process of an instance that has not crashed, or nil.
+func (w *world) nodeAt(id fleet.InstanceID) *modelNode {
 	for n := len(w.nodes) - 1; n >= 0; n-- {
 		if w.nodes[n].self.Instance == id && !w.nodes[n].crashed {
 			return w.nodes[n]
@@ -331,30 +331,30 @@
 
 func (w *world) timeout() {
 	n := w.pick()
-	if n.stuck() || len(n.active) == 0 {
+	if n.unresponsive() || len(n.active) == 0 {
 		return
 	}
 	m := n.active[w.random.IntN(len(n.active))]
 	switch {
 	case m.done:
-	case m.epoch != n.state.groups[m.at()].Epoch:
+	case m.epoch != n.state.groups[m.currentClass()].Epoch:
 		w.restart(m)
 	case m.waiting:
-		w.take(m, m.p.Retry())
+		w.applyStep(m, m.proposer.Retry())
 	default:
-		w.take(m, m.p.HandleTimeout())
+		w.applyStep(m, m.proposer.HandleTimeout())
 	}
 }
 
-// finish ends a run: its owner tells the replicas that it knows of, as often
-// as it comes up.
+// finish sends the outcome of a random claim that ran to the replicas that its owner
+// knows. It may happen several times for a claim.
 func (w *world) finish() {
 	n := w.pick()
-	if n.stuck() || len(n.active) == 0 {
+	if n.unresponsive() || len(n.active) == 0 {
 		return
 	}
 	m := n.active[w.random.IntN(len(n.active))]
-	if v, _ := m.p.Result(); !m.done || v != VerdictRun {
+	if v, _ := m.proposer.Result(); !m.done || v != VerdictRun {
 		return
 	}
 	end := StoredRecord{Decision: intentOf(m.claim.Attempt, n.self), Outcome: pb.OutcomeKind_OUTCOME_KIND_COMPLETED}
--- a/internal/outcome/proposer.go
+++ b/internal/outcome/proposer.go
@@ -32,7 +32,7 @@
 // Step is the proposer's next action: at most one field is set. The zero Step waits for
 // more replies.
 type Step struct {
-	Broadcast *Request // to each replica; the replies go to Reply
+	Broadcast *Request // to each replica; the replies go to Proposer.HandleReply
 	Retry     bool     // call Proposer.Retry after a short delay
 	Done      bool     // Proposer.Result returns the result
 }
@@ -56,7 +56,7 @@
 	answered     map[int]bool
 	okRecords    []StoredRecord
 	failures     int
-	acceptSent   bool // an accept of own was sent
+	acceptSent   bool // an accept of ownIntent was sent
 	verdict      Verdict
 	record       Record
 }
@@ -238,8 +238,8 @@
 // handleLookups answers if the majority agrees, and otherwise starts a round to decide.
 func (p *Proposer) handleLookups() Step {
 	first := p.okRecords[0]
-	for _, h := range p.okRecords {
-		if h.Accepted != first.Accepted || h.Decision != first.Decision || h.HasOutcome() != first.HasOutcome() {
+	for _, r := range p.okRecords {
+		if r.Accepted != first.Accepted || r.Decision != first.Decision || r.HasOutcome() != first.HasOutcome() {
 			return p.prepare()
 		}
 	}
@@ -299,20 +299,20 @@
 // answerRecorded answers with a recorded outcome. If some of the majority lack the
 // outcome, it is first replicated to a majority: otherwise a later repeat that reads
 // from other replicas would learn less than this one.
-func (p *Proposer) answerRecorded(h StoredRecord) Step {
+func (p *Proposer) answerRecorded(r StoredRecord) Step {
 	for _, o := range p.okRecords {
 		if !o.HasOutcome() {
-			return p.replicateOutcome(h)
+			return p.replicateOutcome(r)
 		}
 	}
-	return p.complete(VerdictRecorded, h)
+	return p.complete(VerdictRecorded, r)
 }
 
-func (p *Proposer) replicateOutcome(h StoredRecord) Step {
+func (p *Proposer) replicateOutcome(r StoredRecord) Step {
 	p.phase = phaseReplicateOutcome
-	p.valueRecord = h
+	p.valueRecord = r
 	p.resetReplies()
-	q := newFinishRequest(p.group, p.key, h)
+	q := newFinishRequest(p.group, p.key, r)
 	q.Ballot = p.ballot
 	return Step{Broadcast: &q}
 }
@@ -344,28 +344,28 @@
 	return p.complete(VerdictUnknown, p.valueRecord)
 }
 
-func (p *Proposer) complete(v Verdict, h StoredRecord) Step {
+func (p *Proposer) complete(v Verdict, r StoredRecord) Step {
 	p.phase = phaseDone
 	p.verdict = v
-	p.record = recordOf(v, h)
+	p.record = recordOf(v, r)
 	return Step{Done: true}
 }
 
-func recordOf(v Verdict, h StoredRecord) Record {
+func recordOf(v Verdict, r StoredRecord) Record {
 	return Record{
-		Outcome:    outcomeOf(v, h),
-		Owner:      h.Decision.Owner,
-		Attempt:    h.Decision.Attempt,
-		Endpoint:   h.Endpoint,
-		StatusCode: int(h.StatusCode),
-		Age:        h.Age,
+		Outcome:    outcomeOf(v, r),
+		Owner:      r.Decision.Owner,
+		Attempt:    r.Decision.Attempt,
+		Endpoint:   r.Endpoint,
+		StatusCode: int(r.StatusCode),
+		Age:        r.Age,
 	}
 }
 
-func outcomeOf(v Verdict, h StoredRecord) pb.OutcomeKind {
+func outcomeOf(v Verdict, r StoredRecord) pb.OutcomeKind {
 	switch v {
 	case VerdictRecorded:
-		return h.Outcome
+		return r.Outcome
 	case VerdictRun, VerdictInFlight:
 		return pb.OutcomeKind_OUTCOME_KIND_IN_FLIGHT
 	case VerdictNotRun:
--- a/internal/outcome/run.go
+++ b/internal/outcome/run.go
@@ -110,6 +110,6 @@
 		})
 	}
 	if err := s.options.Ready(ctx, ready); err != nil {
-		s.options.Part.Debug("Shards could not be reported ready.", "shards", len(complete), "err", err)
+		s.options.Part.Debug("Reporting shards as ready failed.", "shards", len(complete), "err", err)
 	}
 }
--- a/internal/outcome/server_test.go
+++ b/internal/outcome/server_test.go
@@ -9,8 +9,8 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// A peer sends names far longer than any real one, which would make records
-// grow without bound. The calls are refused and nothing is kept.
+// A peer sends a key of the wrong length or names far longer than any real one, which
+// would let records grow without bound. The calls must be refused and nothing kept.
 func TestServerRefusesMalformed(t *testing.T) {
 	long := strings.Repeat("x", maxNameBytes+1)
 	ref := &pb.ShardRef{ZoneClass: testZones.Class(), Epoch: 1}
@@ -25,13 +25,13 @@
 	}
 	for name, q := range cases {
 		t.Run(name, func(t *testing.T) {
-			s := soloService()
+			s := newSingleReplicaService()
 			_, err := s.Server().Accept(t.Context(), q)
 			assert.Assert(t, err != nil)
 			assert.Equal(t, s.replica.RecordCount(), 0)
 		})
 	}
-	s := soloService()
+	s := newSingleReplicaService()
 	verdict, err := s.Server().Accept(t.Context(), &pb.AcceptRequest{Shard: ref, Key: key, Ballot: classic(1).proto(), Decision: intent})
 	assert.NilError(t, err)
 	assert.Assert(t, verdict.GetOk())
--- a/internal/outcome/service.go
+++ b/internal/outcome/service.go
@@ -47,16 +47,16 @@
 	return &Service{
 		options:         o,
 		self:            self,
-		health:          newHealth(),
+		health:          newReplicaHealth(),
 		metrics:         newMetrics(o.Registerer),
 		backgroundSlots: make(chan struct{}, maxBackgroundTasks),
 		replica:         NewReplica(self, o.Limits),
 	}
 }
 
-// claimTimeoutDivisor bounds a claim to this fraction of the record life. A process
-// that froze during its claim and resumes after the replicas have dropped the record
-// must not be told to run: another attempt may have run since.
+// claimTimeoutDivisor divides the record life to give the longest time that a claim may
+// take. A process that froze during its claim and resumes after the replicas have
+// dropped the record must not be told to run: another attempt may have run since.
 const claimTimeoutDivisor = 10
 
 func (s *Service) claimTimeout(state *membership.State) time.Duration {
@@ -88,7 +88,7 @@
 		s.settleAbandoned(c)
 		verdict, record, err = VerdictUnknown, Record{Outcome: pb.OutcomeKind_OUTCOME_KIND_UNKNOWN}, nil
 	}
-	s.recordClaimEvent(c, verdict, err, time.Since(started))
+	s.reportClaim(c, verdict, err, time.Since(started))
 	return verdict, record, err
 }
 
@@ -145,10 +145,10 @@
 }
 
 // settleAbandoned settles the record of an attempt whose claim ended without a
-// decision. The attempt won't run, but its intent may be decided: otherwise repeats
-// would be answered "in flight" for as long as this process lives. The claim's own
-// shard settles it, even if the team's zones have changed since: what the former shards
-// decided stays.
+// decision. The attempt won't run, but its intent may be decided: unless the record is
+// settled, repeats are answered "in flight" for as long as this process lives. The
+// claim's own shard settles it, even if the team's zones have changed since: what the
+// former shards decided stays.
 func (s *Service) settleAbandoned(c Claim) {
 	s.runInBackground(func(ctx context.Context) {
 		verdict, record, err := s.newDriver(PurposeForbid, c, ShardOf(c.Key, c.Permitted)).run(ctx)
@@ -166,7 +166,7 @@
 	})
 }
 
-func (s *Service) recordClaimEvent(c Claim, v Verdict, err error, took time.Duration) {
+func (s *Service) reportClaim(c Claim, v Verdict, err error, took time.Duration) {
 	s.metrics.observeClaim(v, err, took)
 	if s.options.Recorder == nil {
 		return
--- a/internal/outcome/stored_record.go
+++ b/internal/outcome/stored_record.go
@@ -21,16 +21,16 @@
 }
 
 // HasDecision reports whether the replica has accepted a decision.
-func (h StoredRecord) HasDecision() bool { return h.Decision.Kind != DecisionUnset }
+func (r StoredRecord) HasDecision() bool { return r.Decision.Kind != DecisionUnset }
 
 // HasOutcome reports whether the attempt's outcome is known.
-func (h StoredRecord) HasOutcome() bool { return h.Outcome != pb.OutcomeKind_OUTCOME_KIND_UNSPECIFIED }
+func (r StoredRecord) HasOutcome() bool { return r.Outcome != pb.OutcomeKind_OUTCOME_KIND_UNSPECIFIED }
 
-// supersedes reports whether h replaces o, a record of the same key: h has an outcome
-// and o has none, or h was accepted at a higher ballot.
-func (h StoredRecord) supersedes(o StoredRecord) bool {
-	if h.HasOutcome() != o.HasOutcome() {
-		return h.HasOutcome()
+// supersedes reports whether r replaces o, a record of the same key. A record with an
+// outcome supersedes one without; otherwise, the one with the higher ballot does.
+func (r StoredRecord) supersedes(o StoredRecord) bool {
+	if r.HasOutcome() != o.HasOutcome() {
+		return r.HasOutcome()
 	}
-	return h.HasDecision() && (!o.HasDecision() || h.Accepted.Compare(o.Accepted) > 0)
+	return r.HasDecision() && (!o.HasDecision() || r.Accepted.Compare(o.Accepted) > 0)
 }
--- a/internal/outcome/wire.go
+++ b/internal/outcome/wire.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// intern returns a shared copy of a name that many records hold, such as an instance
-// ID, to save memory.
+// intern returns the shared copy of a name that many records hold, such as an instance
+// ID: otherwise each record would keep its own.
 func intern(name string) string { return unique.Make(name).Value() }
 
 func ownerFromProto(p *pb.Owner) fleet.Owner {
@@ -79,19 +79,19 @@
 // whatever a peer sends.
 const maxNameBytes = 128
 
-func (h StoredRecord) proto(key Key) *pb.OutcomeRecord {
-	if !h.HasDecision() {
+func (r StoredRecord) proto(key Key) *pb.OutcomeRecord {
+	if !r.HasDecision() {
 		return nil
 	}
 	return &pb.OutcomeRecord{
 		Key:            key[:],
-		AcceptedBallot: h.Accepted.proto(),
-		Accepted:       h.Decision.proto(),
-		Outcome:        h.Outcome,
-		EndpointId:     string(h.Endpoint),
-		StatusCode:     uint32(h.StatusCode),
-		TokensPassed:   h.Tokens,
-		AgeMs:          uint64(h.Age.Milliseconds()),
+		AcceptedBallot: r.Accepted.proto(),
+		Accepted:       r.Decision.proto(),
+		Outcome:        r.Outcome,
+		EndpointId:     string(r.Endpoint),
+		StatusCode:     uint32(r.StatusCode),
+		TokensPassed:   r.Tokens,
+		AgeMs:          uint64(r.Age.Milliseconds()),
 	}
 }
 
