--- a/internal/outcome/bench_test.go
+++ b/internal/outcome/bench_test.go
@@ -50,7 +50,7 @@
 func benchEntry(b *testing.B, overNetwork, fast bool, registry prometheus.Registerer, former ...string) *Service {
 	group := make(map[fleet.LedgerShard]fleet.LedgerGroup)
 	view := fleet.View{Instances: make(map[fleet.InstanceID]fleet.Instance)}
-	state := &membership.State{View: view, Groups: group, Tree: settingsTree(testZones), Former: map[fleet.Team][]string{testTeam: former}}
+	state := &membership.State{View: view, LedgerGroups: group, Tree: settingsTree(testZones), FormerZoneClasses: map[fleet.Team][]string{testTeam: former}}
 	direct := directDialer{}
 	var dialer rpc.Dialer = direct
 	config, err := rpc.LoadTLS(testkit.Keys(b, b.TempDir(), "entry-0"))
@@ -69,7 +69,7 @@
 		assert.NilError(b, err)
 		self.RPCAddress = listener.Addr().String()
 		view.Instances[self.ID] = self
-		o := Options{Source: &membership.Static{Fixed: state, Instance: self}, Dialer: dialer, DisableFastPath: !fast, Limits: Limits{MaxRecords: 10_000_000}}
+		o := Options{Source: &membership.Static{FixedState: state, Instance: self}, Dialer: dialer, DisableFastPath: !fast, Limits: Limits{MaxRecords: 10_000_000}}
 		if n == 3 {
 			o.Registerer = registry
 		} else {
--- a/internal/outcome/decide.go
+++ b/internal/outcome/decide.go
@@ -18,7 +18,7 @@
 		return VerdictUnset, Record{}, false, errZonesChanged(c)
 	}
 	if !c.Fresh {
-		for _, shard := range formerShards(c.Key, c.Permitted, state.Former[c.Team]) {
+		for _, shard := range formerShards(c.Key, c.Permitted, state.FormerZoneClasses[c.Team]) {
 			v, r, err = s.decideAtFormerShard(ctx, purpose, c, shard)
 			if err != nil || !allowsNextShard(v) {
 				return v, r, false, err
@@ -43,7 +43,7 @@
 // the call twice, so the verdict is VerdictUnknown for as long as the class is kept.
 func (s *Service) decideAtFormerShard(ctx context.Context, purpose Purpose, c Claim, shard fleet.LedgerShard) (Verdict, Record, error) {
 	state := s.options.Source.State()
-	group, ok := state.Groups[shard]
+	group, ok := state.LedgerGroups[shard]
 	switch {
 	case ok && neverUsed(group):
 		return VerdictMoved, Record{}, nil
--- a/internal/outcome/driver.go
+++ b/internal/outcome/driver.go
@@ -61,7 +61,7 @@
 		if d.requireCurrentZones && !zonesMatch(state, d.claim) {
 			return VerdictUnset, Record{}, errZonesChanged(d.claim)
 		}
-		group, ok := state.Groups[d.shard]
+		group, ok := state.LedgerGroups[d.shard]
 		if ok && d.runAtEpoch(ctx, state, group, changed) {
 			verdict, record := d.proposer.Result()
 			return verdict, record, nil
@@ -110,7 +110,7 @@
 			step = d.handleTimer(waiting)
 		case <-changed:
 			changed = d.service.options.Source.Changed()
-			if d.service.options.Source.State().Groups[d.shard].Epoch != group.Epoch {
+			if d.service.options.Source.State().LedgerGroups[d.shard].Epoch != group.Epoch {
 				return false
 			}
 		case <-ctx.Done():
--- a/internal/outcome/failure_test.go
+++ b/internal/outcome/failure_test.go
@@ -144,7 +144,7 @@
 	f := newFiveEntries(t, Options{})
 	c := newClaim("slip", "attempt-1")
 	f.mu.Lock()
-	f.groups[ShardOf(c.Key, testZones)].HistoryLostMs = time.Now().Add(-5 * time.Hour).UnixMilli()
+	f.groups[ShardOf(c.Key, testZones)].HistoryLostUnixMs = time.Now().Add(-5 * time.Hour).UnixMilli()
 	f.mu.Unlock()
 	f.change(func(*membership.State) {})
 	f.assertClaim(t, "d", c, VerdictUnknown)
--- a/internal/outcome/finish.go
+++ b/internal/outcome/finish.go
@@ -18,7 +18,7 @@
 	shard := ShardOf(c.Key, c.Permitted)
 	for {
 		state := s.options.Source.State()
-		group, ok := state.Groups[shard]
+		group, ok := state.LedgerGroups[shard]
 		if ok && s.recordOutcomeAt(ctx, c, newFinishRequest(s.groupView(state, group), c.Key, end), group) {
 			s.recordFinishEvent(c, end)
 			return nil
--- a/internal/outcome/fleet_test.go
+++ b/internal/outcome/fleet_test.go
@@ -52,7 +52,7 @@
 func (n *testNode) State() *membership.State {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.Fixed
+	return n.FixedState
 }
 
 func (n *testNode) Changed() <-chan struct{} {
@@ -73,7 +73,7 @@
 	if n.stale {
 		return
 	}
-	n.Fixed = s
+	n.FixedState = s
 	close(n.changed)
 	n.changed = make(chan struct{})
 }
@@ -104,7 +104,7 @@
 		RPCAddress:  string(name),
 		Entry:       true,
 	}
-	n := &testNode{Static: membership.Static{Fixed: f.state, Instance: self}, changed: make(chan struct{})}
+	n := &testNode{Static: membership.Static{FixedState: f.state, Instance: self}, changed: make(chan struct{})}
 	ctx, cancel := context.WithCancel(t.Context())
 	n.stop = cancel
 	o.Source, o.Dialer, o.Ready = n, f.net.Dialer(self.RPCAddress), f.ready
@@ -135,14 +135,14 @@
 			Number:    f.state.View.Number + 1,
 			Instances: make(map[fleet.InstanceID]fleet.Instance),
 		},
-		Groups: make(map[fleet.LedgerShard]fleet.LedgerGroup),
+		LedgerGroups: make(map[fleet.LedgerShard]fleet.LedgerGroup),
 		Tree:   f.state.Tree,
-		Former: f.state.Former,
+		FormerZoneClasses: f.state.FormerZoneClasses,
 	}
 	maps.Copy(next.View.Instances, f.state.View.Instances)
 	edit(next)
 	for name, g := range f.groups {
-		next.Groups[name] = *g
+		next.LedgerGroups[name] = *g
 	}
 	f.state = next
 	for _, n := range f.nodes {
@@ -154,7 +154,7 @@
 // that stay keep their ready mark, those that were ready are the sources, and if no
 // majority of these is live, the history is lost.
 func nextGroup(old fleet.LedgerGroup, view fleet.View, owners []fleet.Owner, now time.Time) (next fleet.LedgerGroup, lost bool) {
-	next = fleet.LedgerGroup{Shard: old.Shard, Epoch: old.Epoch + 1, HistoryLostMs: old.HistoryLostMs}
+	next = fleet.LedgerGroup{Shard: old.Shard, Epoch: old.Epoch + 1, HistoryLostUnixMs: old.HistoryLostUnixMs}
 	ready := make(map[fleet.Owner]bool)
 	live := 0
 	for _, r := range old.Replicas {
@@ -163,14 +163,14 @@
 		}
 		ready[r.Owner] = true
 		next.Sources = append(next.Sources, r)
-		if view.Holds(r.Owner) {
+		if view.Contains(r.Owner) {
 			live++
 		}
 	}
 	fresh := len(old.Replicas) == 0
 	lost = !fresh && live <= len(next.Sources)/2
 	if lost {
-		next.HistoryLostMs = now.UnixMilli()
+		next.HistoryLostUnixMs = now.UnixMilli()
 	}
 	if lost || fresh {
 		next.Sources = nil
@@ -207,8 +207,8 @@
 	f.setGroups(zones, names...)
 	f.change(func(s *membership.State) {
 		old := s.Tree.Teams[testTeam].Permitted().Class()
-		left := slices.DeleteFunc(slices.Clone(s.Former[testTeam]), func(c string) bool { return c == old })
-		s.Former = map[fleet.Team][]string{testTeam: append(left, old)}
+		left := slices.DeleteFunc(slices.Clone(s.FormerZoneClasses[testTeam]), func(c string) bool { return c == old })
+		s.FormerZoneClasses = map[fleet.Team][]string{testTeam: append(left, old)}
 		s.Tree = settingsTree(zones)
 	})
 }
--- a/internal/outcome/former_zones.go
+++ b/internal/outcome/former_zones.go
@@ -49,7 +49,7 @@
 // record was decided there. None can be decided later: claims in its class end when the
 // team's zones change, see driver.requireCurrentZones.
 func neverUsed(g fleet.LedgerGroup) bool {
-	return len(g.Replicas) == 0 && g.HistoryLostMs == 0
+	return len(g.Replicas) == 0 && g.HistoryLostUnixMs == 0
 }
 
 // majorityPermitted reports whether a majority of the group may be asked about a team's
@@ -58,7 +58,7 @@
 func majorityPermitted(state *membership.State, team fleet.Team, g fleet.LedgerGroup) bool {
 	outside := 0
 	for _, r := range g.Replicas {
-		if state.View.Holds(r.Owner) && !zonePermitted(state, team, state.View.Instances[r.Owner.Instance].Zone) {
+		if state.View.Contains(r.Owner) && !zonePermitted(state, team, state.View.Instances[r.Owner.Instance].Zone) {
 			outside++
 		}
 	}
--- a/internal/outcome/fuzz_test.go
+++ b/internal/outcome/fuzz_test.go
@@ -19,13 +19,13 @@
 	shard := fleet.LedgerShard{ZoneClass: testZones.Class()}
 	state := &membership.State{
 		View: fleet.View{Instances: map[fleet.InstanceID]fleet.Instance{"a": self}},
-		Groups: map[fleet.LedgerShard]fleet.LedgerGroup{shard: {
+		LedgerGroups: map[fleet.LedgerShard]fleet.LedgerGroup{shard: {
 			Shard:    shard,
 			Epoch:    1,
 			Replicas: []fleet.LedgerReplica{{Owner: self.Owner(), Ready: true}},
 		}},
 	}
-	s := NewService(Options{Source: &membership.Static{Fixed: state, Instance: self}, Limits: Limits{MaxRecords: 50, RecordLife: time.Hour}})
+	s := NewService(Options{Source: &membership.Static{FixedState: state, Instance: self}, Limits: Limits{MaxRecords: 50, RecordLife: time.Hour}})
 	s.applyState()
 	return s
 }
--- a/internal/outcome/model_control_test.go
+++ b/internal/outcome/model_control_test.go
@@ -50,7 +50,7 @@
 // continues with outdated state, possibly after a freeze.
 func (w *world) removeFromView() {
 	n := w.pick()
-	if n.removed || n.crashed || !w.state.view.Holds(n.self) || len(w.state.view.Instances) <= 3 {
+	if n.removed || n.crashed || !w.state.view.Contains(n.self) || len(w.state.view.Instances) <= 3 {
 		return
 	}
 	n.removed = true
@@ -87,7 +87,7 @@
 		old.Shard = modelShard(class)
 		var owners []fleet.Owner
 		for _, r := range old.Replicas {
-			if s.view.Holds(r.Owner) && r.Owner != drained {
+			if s.view.Contains(r.Owner) && r.Owner != drained {
 				owners = append(owners, r.Owner)
 			}
 		}
@@ -101,7 +101,7 @@
 	start := w.random.IntN(len(w.nodes))
 	for n := range w.nodes {
 		o := w.nodes[(start+n)%len(w.nodes)].self
-		if len(owners) < fleet.LedgerReplicas && view.Holds(o) && o != drained && !slices.Contains(owners, o) {
+		if len(owners) < fleet.LedgerReplicas && view.Contains(o) && o != drained && !slices.Contains(owners, o) {
 			owners = append(owners, o)
 		}
 	}
@@ -117,7 +117,7 @@
 }
 
 func (w *world) markReady(o fleet.Owner, class int, epoch uint64) {
-	if w.state.groups[class].Epoch != epoch || !w.state.view.Holds(o) {
+	if w.state.groups[class].Epoch != epoch || !w.state.view.Contains(o) {
 		return
 	}
 	w.publish(func(s *modelState) {
--- a/internal/outcome/model_world_test.go
+++ b/internal/outcome/model_world_test.go
@@ -240,8 +240,8 @@
 		Replicas:    len(m.group.Replicas),
 		FastPath:    allReady(m.group.Replicas) && w.random.IntN(3) > 0,
 		RecordLife:  time.Hour,
-		HistoryLost: m.group.HistoryLostMs != 0 && w.fault != faultForgetHistoryLoss,
-		InView:      view.Holds,
+		HistoryLost: m.group.HistoryLostUnixMs != 0 && w.fault != faultForgetHistoryLoss,
+		InView:      view.Contains,
 	}))
 }
 
--- a/internal/outcome/replica_client.go
+++ b/internal/outcome/replica_client.go
@@ -18,8 +18,8 @@
 		Replicas:    len(g.Replicas),
 		FastPath:    !s.options.DisableFastPath && s.fastPathLikely(g),
 		RecordLife:  recordLife(s.options, state),
-		HistoryLost: g.HistoryLostMs != 0,
-		InView:      state.View.Holds,
+		HistoryLost: g.HistoryLostUnixMs != 0,
+		InView:      state.View.Contains,
 	}
 }
 
@@ -66,7 +66,7 @@
 // sent, that the replica's process is in the view and in the shard's zones.
 func (s *Service) replicaClient(ctx context.Context, to fleet.Owner, shard fleet.LedgerShard) (pb.DRPCLedgerClient, error) {
 	view := s.options.Source.State().View
-	if !view.Holds(to) {
+	if !view.Contains(to) {
 		return nil, trace.NotFound("replica %s is not in the view", to)
 	}
 	instance := view.Instances[to.Instance]
--- a/internal/outcome/run.go
+++ b/internal/outcome/run.go
@@ -46,8 +46,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.replica.SetRecordLife(recordLife(s.options, state))
-	s.replica.LeaveRemovedGroups(state.Groups)
-	for _, g := range state.Groups {
+	s.replica.LeaveRemovedGroups(state.LedgerGroups)
+	for _, g := range state.LedgerGroups {
 		if fleet.ParseZoneClass(g.Shard.ZoneClass).Permits(zone) {
 			s.replica.ApplyGroup(g)
 		}
--- a/internal/outcome/server.go
+++ b/internal/outcome/server.go
@@ -104,7 +104,7 @@
 // servesShard reports whether a peer may name the shard: it must be in the shared state
 // and its zones must include that of this process.
 func (s *Server) servesShard(name fleet.LedgerShard) bool {
-	_, known := s.service.options.Source.State().Groups[name]
+	_, known := s.service.options.Source.State().LedgerGroups[name]
 	zone := s.service.options.Source.Self().Zone
 	return known && fleet.ParseZoneClass(name.ZoneClass).Permits(zone)
 }
