--- a/internal/outcome/fuzz_test.go
+++ b/internal/outcome/fuzz_test.go
@@ -12,8 +12,9 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// soloService is a replica of shard 0 at epoch 1.
-func soloService() *Service {
+// newSingleReplicaService returns a service that is the only replica of shard 0 at
+// epoch 1.
+func newSingleReplicaService() *Service {
 	self := fleet.Instance{ID: "a", Incarnation: 1, Zone: "howrah", Entry: true}
 	shard := fleet.LedgerShard{ZoneClass: testZones.Class()}
 	state := &membership.State{
@@ -25,12 +26,12 @@
 		}},
 	}
 	s := NewService(Options{Source: &membership.Static{FixedState: state, Instance: self}, Limits: Limits{MaxRecords: 50, RecordLife: time.Hour}})
-	s.apply()
+	s.applyState()
 	return s
 }
 
-// FuzzServer gives each call bytes from outside. It must neither panic nor keep
-// more than its bounds, whatever comes.
+// FuzzServer sends arbitrary bytes to each RPC. The server must neither panic nor keep
+// more records than its limit.
 func FuzzServer(f *testing.F) {
 	ref := &pb.ShardRef{ZoneClass: testZones.Class(), Epoch: 1}
 	key := make([]byte, 16)
@@ -50,7 +51,7 @@
 		assert.NilError(f, err)
 		f.Add(uint8(n), data)
 	}
-	service := soloService()
+	service := newSingleReplicaService()
 	description := pb.DRPCLedgerDescription{}
 	f.Fuzz(func(t *testing.T, method uint8, data []byte) {
 		n := int(method) % description.NumMethods()
@@ -62,26 +63,27 @@
 		}
 		reply, err := receiver(service.Server(), t.Context(), request, nil)
 		assert.Assert(t, err != nil || reply != nil, "%s gave neither a reply nor an error", name)
-		assert.Assert(t, service.replica.Records() <= 50)
+		assert.Assert(t, service.replica.RecordCount() <= 50)
 	})
 }
 
-// FuzzReplies gives a proposer and a copying replica replies from outside.
+// FuzzReplies passes arbitrary replies to a proposer and arbitrary pages to a replica
+// that copies.
 func FuzzReplies(f *testing.F) {
 	f.Add([]byte{}, []byte{})
-	reply, err := proto.Marshal(Reply{Status: ReplyOK, Held: Held{Decision: tombstone(), Accepted: classic(1)}}.proto(Key{}))
+	reply, err := proto.Marshal(Reply{Status: ReplyOK, Record: StoredRecord{Decision: tombstone(), Accepted: classic(1)}}.proto(Key{}))
 	assert.NilError(f, err)
 	f.Add(reply, reply)
 	f.Fuzz(func(t *testing.T, verdict, page []byte) {
 		var v pb.LedgerVerdict
 		if proto.Unmarshal(verdict, &v) == nil {
 			p := NewProposer(PurposeClaim, Claim{Attempt: "attempt-2"}, fleet.Owner{Instance: "b"}, 1)
-			step := p.Start(Circumstances{Epoch: 1, Replicas: 1, RecordLife: time.Hour, Alive: func(fleet.Owner) bool { return false }})
+			step := p.Start(GroupView{Epoch: 1, Replicas: 1, RecordLife: time.Hour, InView: func(fleet.Owner) bool { return false }})
 			for range 4 {
 				if step.Broadcast == nil {
 					break
 				}
-				step = p.Reply(0, *step.Broadcast, replyFromProto(&v))
+				step = p.HandleReply(0, *step.Broadcast, replyFromProto(&v))
 			}
 		}
 		var c pb.CopyShardReply
