--- a/internal/outcome/fleet_test.go
+++ b/internal/outcome/fleet_test.go
@@ -135,8 +135,8 @@
 			Number:    f.state.View.Number + 1,
 			Instances: make(map[fleet.InstanceID]fleet.Instance),
 		},
-		LedgerGroups: make(map[fleet.LedgerShard]fleet.LedgerGroup),
-		Tree:   f.state.Tree,
+		LedgerGroups:      make(map[fleet.LedgerShard]fleet.LedgerGroup),
+		Tree:              f.state.Tree,
 		FormerZoneClasses: f.state.FormerZoneClasses,
 	}
 	maps.Copy(next.View.Instances, f.state.View.Instances)
