--- a/internal/daemon/base.go
+++ b/internal/daemon/base.go
@@ -21,54 +21,54 @@
 	"github.com/hyssopsail/hyssopsail/internal/version"
 )
 
-// base is what every daemon has, whatever its roles.
+// base holds the parts that every daemon has, whatever its roles.
 type base struct {
-	file      config.Daemon
-	logger    log.Logger
-	part      logging.Part
-	self      fleet.Instance
-	secret    config.Secret
-	listeners listeners
-	registry  *prometheus.Registry
-	ring      *timeline.Ring
-	pool      *rpc.Pool
-	rpc       *rpc.Server
-	client    *control.Client
-	agent     *membership.Agent
+	config       config.Daemon
+	logger       log.Logger
+	part         logging.Part
+	self         fleet.Instance
+	secret       config.Secret
+	listeners    listeners
+	registry     *prometheus.Registry
+	timelineRing *timeline.Ring
+	pool         *rpc.Pool
+	rpc          *rpc.Server
+	client       *control.Client
+	agent        *membership.Agent
 }
 
-func newBase(file config.Daemon, logger log.Logger, opened listeners, incarnation fleet.Incarnation) (*base, error) {
-	secret, err := config.LoadSecret(file.FleetSecretFile)
+func newBase(cfg config.Daemon, logger log.Logger, opened listeners, incarnation fleet.Incarnation) (*base, error) {
+	secret, err := config.LoadSecret(cfg.FleetSecretFile)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	secure, err := rpc.LoadTLS(file.RPCFiles())
+	tlsConfig, err := rpc.LoadTLS(cfg.RPCFiles())
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
 	b := &base{
-		file:      file,
+		config:    cfg,
 		logger:    logger,
 		part:      newPart(logger, partName),
-		self:      file.Instance(incarnation),
+		self:      cfg.Instance(incarnation),
 		secret:    secret,
 		listeners: opened,
 		registry:  newRegistry(),
 	}
-	for name, t := range opened.traffic {
-		registerTraffic(b.registry, name, t)
+	for name, t := range opened.byteCounters {
+		registerByteCounters(b.registry, name, t)
 	}
 	clock := timeline.NewClock(time.Now)
-	b.ring = timeline.NewRing(timeline.DefaultRingSize, clock, b.self.Owner())
-	b.pool = rpc.NewPool(secure, clock)
+	b.timelineRing = timeline.NewRing(timeline.DefaultRingSize, clock, b.self.Owner())
+	b.pool = rpc.NewPool(tlsConfig, clock)
 	metrics := rpc.NewMetrics(b.registry)
 	b.pool.Measure(metrics)
 	if address, ok := opened.rpc.Addr().(*net.TCPAddr); ok {
 		b.pool.DialFrom(address.IP)
 	}
-	b.rpc = rpc.NewServer(secure, clock, newPart(logger, "rpc"))
+	b.rpc = rpc.NewServer(tlsConfig, clock, newPart(logger, "rpc"))
 	b.rpc.Measure(metrics)
-	if err := pb.DRPCRegisterTimeline(b.rpc.Mux, timeline.NewService(b.ring)); err != nil {
+	if err := pb.DRPCRegisterTimeline(b.rpc.Mux, timeline.NewService(b.timelineRing)); err != nil {
 		return nil, trace.Wrap(err)
 	}
 	b.client = control.NewClient(b.pool, b.controlAddresses, newPart(logger, "control-client"))
@@ -77,7 +77,7 @@
 		Self:       b.self,
 		Part:       newPart(logger, "membership"),
 		Registerer: b.registry,
-		Recorder:   b.ring,
+		Recorder:   b.timelineRing,
 		Build:      settings.Build,
 		Change:     settings.CheckChange,
 	})
@@ -94,10 +94,10 @@
 	return registry
 }
 
-// controlAddresses are those of the file, and those of control instances that
-// joined since.
+// controlAddresses returns the control addresses of the configuration file,
+// followed by those of control instances that joined later.
 func (b *base) controlAddresses() []string {
-	addresses := append([]string(nil), b.file.ControlAddresses...)
+	addresses := append([]string(nil), b.config.ControlAddresses...)
 	if b.agent == nil {
 		return addresses
 	}
@@ -115,5 +115,5 @@
 
 func (b *base) close() {
 	b.listeners.close()
-	_ = b.pool.Close() // connections to peers; nothing is lost with them
+	_ = b.pool.Close() // an error closing connections to peers loses nothing
 }
--- a/internal/daemon/controlrole.go
+++ b/internal/daemon/controlrole.go
@@ -32,7 +32,7 @@
 	node, err := replica.New(replica.Options{
 		InstanceID: string(b.self.ID),
 		RPCAddress: b.self.RPCAddress,
-		Dir:        b.file.DataFolder,
+		Dir:        b.config.DataFolder,
 		FS:         storage.OSFS{},
 		Machine:    machine,
 		Transport:  transport,
@@ -50,7 +50,7 @@
 		Dialer:     b.pool,
 		Part:       newPart(b.logger, "control"),
 		Registerer: b.registry,
-		Recorder:   b.ring,
+		Recorder:   b.timelineRing,
 	})
 	if err := pb.DRPCRegisterControl(b.rpc.Mux, server); err != nil {
 		return nil, trace.Wrap(err)
@@ -67,10 +67,10 @@
 	group.Go(func() error { return c.server.Run(work) })
 }
 
-// runNode keeps the daemon up when its disk fails: the member has stepped down
-// and answers nothing any more, while the entry role, which needs no disk,
-// goes on under a lease that the other members renew. Ending the process would
-// cut off its requests in flight for a fault that does not concern them.
+// runNode runs the replica and keeps the daemon running when its disk fails. The
+// member has then stepped down and no longer answers, but the entry role needs no
+// disk and continues under a lease that the other members renew. Ending the
+// process would cut off requests in flight that the fault does not affect.
 func (c *controlRole) runNode(work context.Context) error {
 	err := c.node.Run(work)
 	if !errors.Is(err, replica.ErrStorage) {
@@ -80,9 +80,9 @@
 	return nil
 }
 
-// handOver lets another member lead before this one stops, so that a planned
-// stop leaves the group no time without a leader.
-func (c *controlRole) handOver(ctx context.Context) {
+// handOverLeadership transfers leadership to another member, so that a planned stop
+// doesn't leave the group without a leader.
+func (c *controlRole) handOverLeadership(ctx context.Context) {
 	if err := c.node.HandOver(ctx); err != nil {
 		c.part.Info("Leadership was not handed over.", "err", err)
 	}
--- a/internal/daemon/countedlistener.go
+++ b/internal/daemon/countedlistener.go
@@ -7,8 +7,9 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// traffic counts the bytes of a listener's connections, below TLS.
-type traffic struct {
+// byteCounters counts the bytes of a listener's connections below TLS, so
+// including its overhead.
+type byteCounters struct {
 	received atomic.Uint64
 	sent     atomic.Uint64
 }
@@ -16,7 +17,7 @@
 // countedListener counts the bytes of the connections that it accepts.
 type countedListener struct {
 	net.Listener
-	traffic *traffic
+	counters *byteCounters
 }
 
 // Accept implements net.Listener.
@@ -25,30 +26,30 @@
 	if err != nil {
 		return nil, err
 	}
-	return countedConn{Conn: accepted, traffic: l.traffic}, nil
+	return countedConn{Conn: accepted, counters: l.counters}, nil
 }
 
 type countedConn struct {
 	net.Conn
-	traffic *traffic
+	counters *byteCounters
 }
 
 // Read implements net.Conn.
 func (c countedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.traffic.received.Add(uint64(n))
+	c.counters.received.Add(uint64(n))
 	return n, err
 }
 
 // Write implements net.Conn.
 func (c countedConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.traffic.sent.Add(uint64(n))
+	c.counters.sent.Add(uint64(n))
 	return n, err
 }
 
-// registerTraffic shows a listener's bytes among the daemon's metrics.
-func registerTraffic(r prometheus.Registerer, listener string, t *traffic) {
+// registerByteCounters registers the metrics of a listener's byte counts.
+func registerByteCounters(r prometheus.Registerer, listener string, t *byteCounters) {
 	register := func(direction string, count *atomic.Uint64) {
 		r.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
 			Name:        "hyssopsail_listener_bytes_total",
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -14,11 +14,11 @@
 	"github.com/hyssopsail/hyssopsail/internal/membership"
 )
 
-// ErrRejoin is why Run ends when the fleet has given this process's
-// incarnation up, as after a long cut or freeze. The process has failed its
-// requests and closed its listeners; New makes it again under a new
+// ErrRejoin is returned by Run when the fleet has removed this process's
+// incarnation, as after a long network partition or process freeze. The daemon has
+// failed its requests and closed its listeners; New builds it again under a new
 // incarnation.
-var ErrRejoin = errors.New("this incarnation has lost its place in the fleet")
+var ErrRejoin = errors.New("the fleet has removed this incarnation")
 
 // Daemon is one incarnation of a hyssopsaild process.
 type Daemon struct {
@@ -28,16 +28,16 @@
 	servers servers
 }
 
-// New opens the listeners and builds the roles that the file names. The file's
-// listeners are completed by the ports that the kernel chose, so that a later
-// New listens on the same ones.
-func New(file *config.Daemon, logger log.Logger) (*Daemon, error) {
+// New opens the listeners and builds the roles that cfg names. It writes the ports
+// that the kernel chose into the listeners of cfg, so that a later New listens on the
+// same ports.
+func New(cfg *config.Daemon, logger log.Logger) (*Daemon, error) {
 	limitProcessors()
-	opened, err := openListeners(file)
+	opened, err := openListeners(cfg)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	d, err := build(*file, logger, opened)
+	d, err := build(*cfg, logger, opened)
 	if err != nil {
 		opened.close()
 		return nil, trace.Wrap(err)
@@ -45,19 +45,19 @@
 	return d, nil
 }
 
-func build(file config.Daemon, logger log.Logger, opened listeners) (*Daemon, error) {
-	b, err := newBase(file, logger, opened, newIncarnation(time.Now()))
+func build(cfg config.Daemon, logger log.Logger, opened listeners) (*Daemon, error) {
+	b, err := newBase(cfg, logger, opened, newIncarnation(time.Now()))
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
 	d := &Daemon{base: b}
-	if file.Has(config.RoleControl) {
+	if cfg.Has(config.RoleControl) {
 		d.control, err = newControlRole(b)
 		if err != nil {
 			return nil, trace.Wrap(err)
 		}
 	}
-	if file.Has(config.RoleEntry) {
+	if cfg.Has(config.RoleEntry) {
 		d.entry, err = newEntryRole(b)
 		if err != nil {
 			return nil, trace.Wrap(err)
@@ -70,9 +70,9 @@
 	return d, nil
 }
 
-// Run serves until ctx ends, and then stops gracefully: nil. It gives
-// ErrRejoin when this incarnation has lost its place, and another error when a
-// part failed.
+// Run serves until ctx ends, then stops gracefully and returns nil. It returns
+// ErrRejoin when the fleet has removed this incarnation, and another error when a
+// component failed.
 func (d *Daemon) Run(ctx context.Context) error {
 	work, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -89,7 +89,7 @@
 	case <-ctx.Done():
 		d.stop()
 	case <-work.Done():
-		d.abandon()
+		d.abort()
 	}
 	cancel()
 	err := group.Wait()
@@ -115,7 +115,7 @@
 	}
 }
 
-// Parts for logs.
+// partName is the log prefix of this package.
 const partName = "daemon"
 
 func newPart(logger log.Logger, name string) logging.Part { return logging.For(logger, name) }
--- a/internal/daemon/doc.go
+++ b/internal/daemon/doc.go
@@ -1,4 +1,4 @@
-// Package daemon puts the parts of one hyssopsaild together: it opens the
-// listeners, builds the control and entry roles that the daemon's file names,
-// runs them, and stops them in the order that cuts off nothing in flight.
+// Package daemon assembles one hyssopsaild process: it opens the listeners, builds
+// the control and entry roles that the configuration file names, runs them, and stops
+// them in an order that cuts off no request in flight.
 package daemon
--- a/internal/daemon/endpointkey.go
+++ b/internal/daemon/endpointkey.go
@@ -2,7 +2,7 @@
 
 import "github.com/hyssopsail/hyssopsail/internal/fleet"
 
-// endpointKeyMatches tells whether key is one of the fleet's endpoint keys.
+// endpointKeyMatches reports whether key is one of the fleet's endpoint keys.
 func endpointKeyMatches(b *base, key string) bool {
 	tree := b.agent.State().Tree
 	if tree == nil {
@@ -11,6 +11,7 @@
 	return tree.EndpointKeyMatches(key)
 }
 
-func (e *entryRole) running(attempt fleet.AttemptID) bool {
+// attemptRunning reports whether an attempt of this entry is still running.
+func (e *entryRole) attemptRunning(attempt fleet.AttemptID) bool {
 	return e.follower.Running(attempt)
 }
--- a/internal/daemon/entryrole.go
+++ b/internal/daemon/entryrole.go
@@ -25,50 +25,50 @@
 
 // entryRole serves callers and endpoints and routes requests.
 type entryRole struct {
-	home      *endpoint.Home
-	follower  *endpoint.HomeClient
-	ledger    *outcome.Service
-	guard     *quarantine.Service
-	router    *route.Router
-	budget    *retrybudget.Budget
-	provision *provision.Service
+	home       *endpoint.Home
+	follower   *endpoint.HomeClient
+	ledger     *outcome.Service
+	quarantine *quarantine.Service
+	router     *route.Router
+	budget     *retrybudget.Budget
+	provision  *provision.Service
 }
 
 func newEntryRole(b *base) (*entryRole, error) {
 	e := &entryRole{}
-	secure, err := rpc.TrustingTLS(b.file.EndpointAuthority)
+	tlsConfig, err := rpc.TrustingTLS(b.config.EndpointAuthority)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
 	client := engine.NewClient(engine.Options{
-		TLS:        secure,
+		TLS:        tlsConfig,
 		Owner:      b.self.Owner(),
 		Part:       newPart(b.logger, "engine"),
 		Registerer: b.registry,
 	})
 	e.newHomes(b, client)
 	e.newProvision(b, client)
-	e.newOutcomes(b)
+	e.newLedger(b)
 	policies := newPolicies(b)
-	e.budget = retrybudget.New(time.Now(), b.file.Retries.Limits())
+	e.budget = retrybudget.New(time.Now(), b.config.Retries.Limits())
 	e.router = route.New(route.Options{
 		Source:     b.agent,
 		Follower:   e.provision.Follower(),
 		Engine:     client,
 		Ledger:     e.ledger,
-		Guard:      e.guard,
+		Guard:      e.quarantine,
 		Admission:  admission.New(admission.Options{Random: newRandom(b)}),
 		Budget:     e.budget,
 		Policies:   policies.choose,
 		Prefill:    policies.prefill,
 		Links:      policies.links,
-		Recorder:   b.ring,
+		Recorder:   b.timelineRing,
 		Prefixes:   schedule.Prefixes,
 		Secret:     b.secret[:],
 		Seed:       uint64(b.self.Incarnation),
 		Part:       newPart(b.logger, "route"),
 		Registerer: b.registry,
-		Bounds:     route.Bounds{StreamTime: b.file.Bounds.StreamTime},
+		Bounds:     route.Bounds{StreamTime: b.config.Bounds.StreamTime},
 	})
 	return e, trace.Wrap(e.register(b))
 }
@@ -82,7 +82,7 @@
 		Source:     b.agent,
 		Engine:     client,
 		Dialer:     b.pool,
-		Recorder:   b.ring,
+		Recorder:   b.timelineRing,
 		Part:       newPart(b.logger, "home"),
 		Registerer: b.registry,
 		Seed:       uint64(b.self.Incarnation),
@@ -91,26 +91,26 @@
 			return err
 		},
 		CheckKey: func(key string) bool { return endpointKeyMatches(b, key) },
-		Running:  e.running,
+		Running:  e.attemptRunning,
 	})
 	e.follower = endpoint.NewFollower(endpoint.FollowerOptions{
 		Source:     b.agent,
 		Dialer:     b.pool,
 		Home:       e.home,
-		Recorder:   b.ring,
+		Recorder:   b.timelineRing,
 		Part:       newPart(b.logger, "follower"),
 		Registerer: b.registry,
 		Seed:       uint64(b.self.Incarnation),
 	})
 }
 
-func (e *entryRole) newOutcomes(b *base) {
-	e.guard = quarantine.NewService(quarantine.Options{
+func (e *entryRole) newLedger(b *base) {
+	e.quarantine = quarantine.NewService(quarantine.Options{
 		Source:     b.agent,
 		Dialer:     b.pool,
 		Seed:       uint64(b.self.Incarnation),
 		Part:       newPart(b.logger, "quarantine"),
-		Recorder:   b.ring,
+		Recorder:   b.timelineRing,
 		Registerer: b.registry,
 	})
 	e.ledger = outcome.NewService(outcome.Options{
@@ -120,10 +120,10 @@
 			_, err := b.client.Ready(ctx, ready)
 			return err
 		},
-		Runs:       e.guard,
+		Runs:       e.quarantine,
 		Seed:       uint64(b.self.Incarnation),
 		Part:       newPart(b.logger, "ledger"),
-		Recorder:   b.ring,
+		Recorder:   b.timelineRing,
 		Registerer: b.registry,
 	})
 }
@@ -138,14 +138,15 @@
 	return trace.Wrap(pb.DRPCRegisterLedger(b.rpc.Mux, e.ledger.Server()))
 }
 
-// countInterval is the pause between two counts of the entries that share the budget for
-// retries: a tenth of the shortest window.
-const countInterval = 100 * time.Millisecond
+// entryCountInterval is the pause between two updates of the number of entries that
+// share the retry budget: a tenth of the shortest window.
+const entryCountInterval = 100 * time.Millisecond
 
-// countEntries tells the budget how many entries there are, as long as this daemon holds
-// its lease: without it, others may take it for gone.
-func (e *entryRole) countEntries(ctx context.Context, source membership.Source) error {
-	for sleep.For(ctx, countInterval) {
+// updateEntryCount keeps the number of entries in the retry budget up to date while this
+// daemon holds its lease. Without the lease, other instances may treat this daemon as
+// removed.
+func (e *entryRole) updateEntryCount(ctx context.Context, source membership.Source) error {
+	for sleep.For(ctx, entryCountInterval) {
 		if now := time.Now(); source.Current(now) {
 			e.budget.Entries(now, max(1, source.State().View.CountEntries()))
 		}
@@ -154,10 +155,10 @@
 }
 
 func (e *entryRole) start(group *errgroup.Group, work context.Context, source membership.Source) {
-	group.Go(func() error { return e.countEntries(work, source) })
+	group.Go(func() error { return e.updateEntryCount(work, source) })
 	group.Go(func() error { return e.home.Run(work) })
 	group.Go(func() error { return e.follower.Run(work) })
 	group.Go(func() error { return e.provision.Run(work) })
 	group.Go(func() error { return e.ledger.Run(work) })
-	group.Go(func() error { return e.guard.Run(work) })
+	group.Go(func() error { return e.quarantine.Run(work) })
 }
--- a/internal/daemon/health.go
+++ b/internal/daemon/health.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// healthy answers /healthz: the process serves.
-func healthy(w http.ResponseWriter, _ *http.Request) {
+// serveHealth answers /healthz with 200 as long as the process serves requests.
+func serveHealth(w http.ResponseWriter, _ *http.Request) {
 	w.WriteHeader(http.StatusOK)
 }
 
 // readiness answers /readyz: 200 when the daemon holds its lease and its
-// settings are confirmed, else 503.
+// settings are confirmed to be current, else 503.
 type readiness struct {
 	base *base
 }
--- a/internal/daemon/httpserver.go
+++ b/internal/daemon/httpserver.go
@@ -16,19 +16,19 @@
 // headerTimeout bounds how long a client may take to send its headers.
 const headerTimeout = 10 * time.Second
 
-// newHTTPServer makes a server within the daemon's bounds. The time of an
-// answer is bounded by its handler: a stream may last long.
-func newHTTPServer(handler http.Handler, bounds config.Bounds, secure *tls.Config) *http.Server {
+// newHTTPServer returns a server with the daemon's limits. It sets no write timeout,
+// as a stream may last long: each handler limits the duration of its response.
+func newHTTPServer(handler http.Handler, bounds config.Bounds, tlsConfig *tls.Config) *http.Server {
 	return &http.Server{
 		Handler:           handler,
-		TLSConfig:         secure,
+		TLSConfig:         tlsConfig,
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       bounds.IdleTimeout,
 		MaxHeaderBytes:    int(bounds.HeaderBytes),
 	}
 }
 
-// serveHTTP serves until the server is shut down.
+// serveHTTP serves until the server is shut down, and then returns nil.
 func serveHTTP(server *http.Server, listener net.Listener) error {
 	var err error
 	if server.TLSConfig != nil {
@@ -42,13 +42,13 @@
 	return trace.Wrap(err)
 }
 
-// shutdownHTTP stops taking connections and waits for answers in flight until
-// ctx ends; then it closes what is left.
+// shutdownHTTP stops accepting connections and waits for responses in flight until
+// ctx ends; then it closes the remaining connections. A nil server is ignored.
 func shutdownHTTP(ctx context.Context, server *http.Server) {
 	if server == nil {
 		return
 	}
 	if err := server.Shutdown(ctx); err != nil {
-		_ = server.Close() // the bound has passed
+		_ = server.Close() // ctx has ended
 	}
 }
--- a/internal/daemon/lister.go
+++ b/internal/daemon/lister.go
@@ -10,21 +10,20 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// endpointLister asks every entry for the endpoints whose home it is. It is
-// for operators, not for routing.
+// endpointLister lists the endpoints of all entries, each as reported by its home. It
+// serves operators; routing doesn't use it.
 type endpointLister struct {
-	base *base
-	own  *entryRole // nil without the role
+	base       *base
+	localEntry *entryRole // nil without the role
 }
 
 func newEndpointLister(b *base, own *entryRole) endpointLister {
-	return endpointLister{base: b, own: own}
+	return endpointLister{base: b, localEntry: own}
 }
 
-// The lister's bounds.
 const (
-	listers     = 16
-	listTimeout = 2 * time.Second
+	listWorkers = 16              // entries asked at once
+	listTimeout = 2 * time.Second // for each entry
 )
 
 func (l endpointLister) list(ctx context.Context) ([]*pb.EndpointDigest, error) {
@@ -32,10 +31,10 @@
 	var mu sync.Mutex
 	var all []*pb.EndpointDigest
 	var workers sync.WaitGroup
-	for range listers {
+	for range listWorkers {
 		workers.Go(func() {
 			for instance := range instances {
-				digests := l.ask(ctx, instance)
+				digests := l.digests(ctx, instance)
 				mu.Lock()
 				all = append(all, digests...)
 				mu.Unlock()
@@ -53,14 +52,14 @@
 	return all, nil
 }
 
-// ask gives nothing for an entry that doesn't answer: its endpoints announce
-// themselves to a new home.
-func (l endpointLister) ask(ctx context.Context, instance fleet.Instance) []*pb.EndpointDigest {
+// digests returns the endpoints of one entry, or nil when the entry doesn't answer: its
+// endpoints then announce themselves to a new home.
+func (l endpointLister) digests(ctx context.Context, instance fleet.Instance) []*pb.EndpointDigest {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
 	request := &pb.DigestRequest{Owner: l.base.self.Owner().Proto(), ViewNumber: l.base.agent.State().View.Number}
-	if l.own != nil && instance.ID == l.base.self.ID {
-		reply, err := l.own.home.Digest(ctx, request)
+	if l.localEntry != nil && instance.ID == l.base.self.ID {
+		reply, err := l.localEntry.home.Digest(ctx, request)
 		if err != nil {
 			return nil
 		}
--- a/internal/daemon/operations.go
+++ b/internal/daemon/operations.go
@@ -8,26 +8,25 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// operations is what operators ask of the control group through this daemon.
-// Init and DiskIdentity are about this instance's own disk; the rest finds the
-// leader.
+// operations implements operator.Control. Init and DiskIdentity act on this
+// instance's own disk; for the other calls control.Client finds the leader.
 type operations struct {
 	*control.Client
-	base *base
-	own  *controlRole // nil without the role
+	base         *base
+	localControl *controlRole // nil without the role
 }
 
 func newOperations(b *base, own *controlRole) operations {
-	return operations{Client: b.client, base: b, own: own}
+	return operations{Client: b.client, base: b, localControl: own}
 }
 
-// leaderTimeout bounds how long a status waits for what only the leader knows.
+// leaderTimeout limits how long Status waits for the fields that only the leader knows.
 const leaderTimeout = time.Second
 
-// Status asks this instance when it has the control role, else any member.
-// Contact and renewal times come from the leader where it answers in time.
+// Status returns the status of this instance when it has the control role, else of any
+// member. Contact and renewal times come from the leader if it answers in time.
 func (o operations) Status(ctx context.Context, _ *pb.StatusRequest) (*pb.StatusReply, error) {
-	status, err := o.Client.Status(ctx, o.ownAddress())
+	status, err := o.Client.Status(ctx, o.localControlAddress())
 	if err != nil || status.GetLeaderAddress() == "" || status.GetLeaderInstance() == status.GetInstanceId() {
 		return status, err
 	}
@@ -42,18 +41,20 @@
 	return status, nil
 }
 
-// Init makes a new fleet from this instance.
+// Init creates a new fleet, starting at this instance.
 func (o operations) Init(ctx context.Context, r *pb.InitRequest) (*pb.InitReply, error) {
 	return o.Client.Init(ctx, o.base.self.RPCAddress, r)
 }
 
-// DiskIdentity names this instance's disk.
+// DiskIdentity returns the identity of this instance's disk.
 func (o operations) DiskIdentity(ctx context.Context, _ *pb.StatusRequest) (*pb.Member, error) {
 	return o.Client.DiskIdentity(ctx, o.base.self.RPCAddress)
 }
 
-func (o operations) ownAddress() string {
-	if o.own == nil {
+// localControlAddress returns this instance's RPC address if it has the control role,
+// else "".
+func (o operations) localControlAddress() string {
+	if o.localControl == nil {
 		return ""
 	}
 	return o.base.self.RPCAddress
--- a/internal/daemon/policies.go
+++ b/internal/daemon/policies.go
@@ -11,8 +11,8 @@
 	"github.com/hyssopsail/hyssopsail/internal/settings"
 )
 
-// policies makes the choices that settings name, over the daemon's own
-// predictors.
+// policies builds the scheduling policies that the settings name, on top of the
+// daemon's own predictors.
 type policies struct {
 	base    *base
 	prefill *schedule.PrefillPredictor
--- a/internal/daemon/processors.go
+++ b/internal/daemon/processors.go
@@ -5,16 +5,16 @@
 	"runtime"
 )
 
-// mostProcessors bounds the threads that run Go code at once. A daemon within
-// its targets needs less than one; with twelve, idle threads that look for work
-// and the wake-ups between them took a quarter of its processor time. Four give
-// a burst several times the room that the target asks for.
-const mostProcessors = 4
+// maxProcessors limits the threads that run Go code at once. A daemon at its target
+// load needs less than one. With twelve, idle threads looking for work and the wake-ups
+// between them took a quarter of its processor time. Four leave a burst several times
+// the headroom that the target asks for.
+const maxProcessors = 4
 
-// limitProcessors applies mostProcessors to the whole process, unless the
-// GOMAXPROCS variable of its environment says otherwise.
+// limitProcessors applies maxProcessors to the whole process unless the GOMAXPROCS
+// environment variable is set.
 func limitProcessors() {
-	if os.Getenv("GOMAXPROCS") == "" && runtime.GOMAXPROCS(0) > mostProcessors {
-		runtime.GOMAXPROCS(mostProcessors)
+	if os.Getenv("GOMAXPROCS") == "" && runtime.GOMAXPROCS(0) > maxProcessors {
+		runtime.GOMAXPROCS(maxProcessors)
 	}
 }
--- a/internal/daemon/provision.go
+++ b/internal/daemon/provision.go
@@ -10,8 +10,8 @@
 	"github.com/hyssopsail/hyssopsail/internal/provision"
 )
 
-// newProvision stands between requests and homes: it counts what requests ask
-// of each model, and empties endpoints before an order.
+// newProvision creates the service between requests and homes. It counts the demand for
+// each model, and drains an endpoint before an order is carried out on it.
 func (e *entryRole) newProvision(b *base, client engine.Client) {
 	e.provision = provision.New(provision.Options{
 		Source:     b.agent,
@@ -21,19 +21,19 @@
 		Control:    b.client,
 		Endpoints:  client,
 		Part:       newPart(b.logger, "provision"),
-		Recorder:   b.ring,
+		Recorder:   b.timelineRing,
 		Registerer: b.registry,
 	})
 }
 
-// endpointOrders are operators' orders to endpoints through this daemon.
+// endpointOrders sends operators' orders to endpoints through this daemon.
 type endpointOrders struct {
-	lister endpointLister
-	own    *entryRole // nil without the role
+	lister     endpointLister
+	localEntry *entryRole // nil without the role
 }
 
 func (o endpointOrders) order(ctx context.Context, in *pb.OrderEndpointRequest, by string) (*pb.OrderEndpointReply, error) {
-	if o.own == nil {
+	if o.localEntry == nil {
 		return nil, trace.ConnectionProblem(nil, "this instance is no entry and can't reach endpoints; ask an entry")
 	}
 	digests, err := o.lister.list(ctx)
@@ -42,7 +42,7 @@
 	}
 	for _, d := range digests {
 		if d.GetId() == in.GetEndpointId() {
-			return o.own.provision.Order(ctx, in, d, by)
+			return o.localEntry.provision.Order(ctx, in, d, by)
 		}
 	}
 	return nil, trace.NotFound("no home knows endpoint %q", in.GetEndpointId())
--- a/internal/daemon/servers.go
+++ b/internal/daemon/servers.go
@@ -15,7 +15,7 @@
 	"github.com/hyssopsail/hyssopsail/internal/settings"
 )
 
-// servers are the daemon's HTTP servers; those of roles that it doesn't have
+// servers holds the daemon's HTTP servers. Those of roles that the daemon doesn't have
 // are nil.
 type servers struct {
 	listeners listeners
@@ -25,21 +25,21 @@
 }
 
 func newServers(b *base, e *entryRole, c *controlRole) (servers, error) {
-	secure, err := operator.ServerTLS(b.file.RPCFiles())
+	tlsConfig, err := operator.ServerTLS(b.config.RPCFiles())
 	if err != nil {
 		return servers{}, trace.Wrap(err)
 	}
 	s := servers{listeners: b.listeners}
-	s.operators = newHTTPServer(newOperators(b, e, c), b.file.Bounds, secure)
+	s.operators = newHTTPServer(newOperatorHandler(b, e, c), b.config.Bounds, tlsConfig)
 	if e == nil {
 		return s, nil
 	}
 	callers := entry.NewCallers(entry.CallersOptions{
 		Router:     e.router,
 		Source:     b.agent,
-		Recorder:   b.ring,
+		Recorder:   b.timelineRing,
 		TeamByKey:  teamByKey,
-		Bounds:     callerBounds(b.file.Bounds),
+		Bounds:     callerBounds(b.config.Bounds),
 		Part:       newPart(b.logger, "entry"),
 		Registerer: b.registry,
 	})
@@ -47,16 +47,16 @@
 }
 
 func (s *servers) addEntry(b *base, callers, endpoints http.Handler) error {
-	secureCallers, err := ownTLS(b.file.Listeners.Callers)
+	callersTLS, err := listenerTLS(b.config.Listeners.Callers)
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	secureEndpoints, err := ownTLS(b.file.Listeners.Endpoints)
+	endpointsTLS, err := listenerTLS(b.config.Listeners.Endpoints)
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	s.callers = newHTTPServer(callers, b.file.Bounds, secureCallers)
-	s.endpoints = newHTTPServer(endpoints, b.file.Bounds, secureEndpoints)
+	s.callers = newHTTPServer(callers, b.config.Bounds, callersTLS)
+	s.endpoints = newHTTPServer(endpoints, b.config.Bounds, endpointsTLS)
 	return nil
 }
 
@@ -71,7 +71,7 @@
 	return entry.Bounds{BodyBytes: int64(b.BodyBytes)}
 }
 
-func newOperators(b *base, e *entryRole, c *controlRole) http.Handler {
+func newOperatorHandler(b *base, e *entryRole, c *controlRole) http.Handler {
 	return operator.NewHandler(operator.Options{
 		Control:   newOperations(b, c),
 		Tree:      func() *settings.Tree { return b.agent.State().Tree },
@@ -80,9 +80,9 @@
 		Now:       time.Now,
 		Log:       newPart(b.logger, "operator"),
 		Endpoints: newEndpointLister(b, e).list,
-		Order:     endpointOrders{lister: newEndpointLister(b, e), own: e}.order,
+		Order:     endpointOrders{lister: newEndpointLister(b, e), localEntry: e}.order,
 		Timeline:  newTimelineReader(b).read,
-		Health:    http.HandlerFunc(healthy),
+		Health:    http.HandlerFunc(serveHealth),
 		Ready:     readiness{base: b},
 		Metrics:   promhttp.HandlerFor(b.registry, promhttp.HandlerOpts{}),
 	})
@@ -97,7 +97,7 @@
 	group.Go(func() error { return serveHTTP(s.endpoints, s.listeners.endpoints) })
 }
 
-// shutdown waits for answers in flight until ctx ends.
+// shutdown stops all servers, waiting for responses in flight until ctx ends.
 func (s servers) shutdown(ctx context.Context) {
 	shutdownHTTP(ctx, s.callers)
 	shutdownHTTP(ctx, s.endpoints)
--- a/internal/daemon/stop.go
+++ b/internal/daemon/stop.go
@@ -7,83 +7,85 @@
 	"github.com/hyssopsail/hyssopsail/internal/settings"
 )
 
-// The bounds of a graceful stop.
+// Time limits of the steps of a stop.
 const (
-	handoverTimeout = 15 * time.Second // ledger shards copied to other replicas
-	leaveTimeout    = 5 * time.Second
-	closeTimeout    = 5 * time.Second
-	abandonTimeout  = 2 * time.Second
-	drainShown      = 2 * time.Second // until the view shows this instance draining
-	// slowCallers is how long a caller may take from the last moment at which it may
-	// use an address until its request is here: it connects, and its machine is busy.
-	slowCallers = time.Second
+	handoverTimeout     = 15 * time.Second // copying ledger shards to other replicas
+	leaveTimeout        = 5 * time.Second
+	closeTimeout        = 5 * time.Second
+	abortTimeout        = 2 * time.Second
+	drainVisibleTimeout = 2 * time.Second // until the view marks this instance as draining
+	// maxCallerDelay is the time allowed between the last moment at which a caller may
+	// use an address and the arrival of its request. It covers connecting and a busy
+	// caller machine.
+	maxCallerDelay = time.Second
 )
 
-// stop ends the daemon without cutting off a request: it leaves the address
-// answers, serves for as long as callers may keep its address, finishes what
-// is in flight, hands its ledger shards and homes over, and leaves the view.
+// stop ends the daemon without cutting off a request. It removes itself from address
+// answers, serves for as long as callers may cache its address, finishes the requests
+// in flight, hands over its ledger shards and homes, and leaves the view.
 //
-// Failure: a caller that asked for addresses just before the stop connects
-// after it and finds the port closed, or a stream ends in the middle. The
-// guard holds because no new address answer names a draining instance, and
-// the wait covers the longest time that an older answer may be kept.
+// This prevents that a caller that asked for addresses just before the stop finds the
+// port closed, or that a stream ends in the middle: no new address answer names a
+// draining instance, and the wait covers the longest time for which an older answer may
+// be cached.
 func (d *Daemon) stop() {
 	d.base.part.Info("Stopping gracefully.")
 	d.base.agent.SetDraining()
 	if d.entry != nil && d.base.agent.Joined() {
 		d.drain()
 	}
-	d.handOver()
-	leaving, cancel := context.WithTimeout(context.Background(), leaveTimeout)
+	d.handOverLeadership()
+	leaveCtx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancel()
-	if err := d.base.agent.Leave(leaving); err != nil {
-		d.base.part.Warn("Left without telling the control group.", "err", err)
+	if err := d.base.agent.Leave(leaveCtx); err != nil {
+		d.base.part.Warn("Leaving without notifying the control group.", "err", err)
 	}
 	d.closeServers(closeTimeout)
 }
 
 func (d *Daemon) drain() {
-	d.awaitDraining()
-	d.base.part.Info("Serving until callers have dropped this address.")
-	finishing, cancel := context.WithTimeout(context.Background(), d.base.file.Bounds.StreamTime)
+	d.awaitDelisted()
+	d.base.part.Info("Serving until the address expires from callers' caches.")
+	drainCtx, cancel := context.WithTimeout(context.Background(), d.base.config.Bounds.StreamTime)
 	defer cancel()
-	if err := d.entry.router.Drain(finishing); err != nil {
+	if err := d.entry.router.Drain(drainCtx); err != nil {
 		d.base.part.Warn("Stopped with requests in flight.", "running", d.entry.router.Running(), "err", err)
 	}
 	if !d.hasSuccessor() {
 		return
 	}
-	handing, cancel := context.WithTimeout(context.Background(), handoverTimeout)
+	handoverCtx, cancel := context.WithTimeout(context.Background(), handoverTimeout)
 	defer cancel()
-	if err := d.base.agent.AwaitHandover(handing); err != nil {
-		d.base.part.Warn("Left with ledger shards not handed over.", "err", err)
+	if err := d.base.agent.AwaitHandover(handoverCtx); err != nil {
+		d.base.part.Warn("Leaving before all ledger shards were handed over.", "err", err)
 	}
 }
 
-// awaitDraining waits until no new address answer names this instance. The
-// router then serves for as long as an older answer may be kept.
+// awaitDelisted waits until no new address answer names this instance. The router then
+// serves for as long as an older answer may be cached.
 //
-// Failure: an entry that learns late of the stop, on a busy machine, goes on to
-// name this instance, and its callers come when it has left and are refused.
-// The guard holds as an entry that hasn't learned of it within the settings
-// lease gives no address answers any more.
+// An entry on a busy machine may learn late of the stop and continue to name this
+// instance; its callers would be refused once this instance has left. Waiting for the
+// settings lease prevents that: an entry that hasn't learned of the stop by then gives
+// no address answers.
 //
-// Failure: a caller on a busy machine takes an address at the end of the time for
-// which it may be kept, and its call comes in some tenths of a second later, when
-// this daemon has given up its lease: it is told that it isn't known whether the
-// call has run. The guard holds for callers that take no longer than slowCallers.
-func (d *Daemon) awaitDraining() {
-	d.awaitShown()
-	time.Sleep(d.settingsLease() + slowCallers)
+// A caller on a busy machine may use an address at the end of the time for which it may
+// be cached, so that its request arrives some tenths of a second later. If this daemon
+// had released its lease by then, the caller would get the outcome "unknown". The wait
+// covers callers that take no longer than maxCallerDelay.
+func (d *Daemon) awaitDelisted() {
+	d.awaitDrainVisible()
+	time.Sleep(d.settingsLease() + maxCallerDelay)
 }
 
-// awaitShown waits until this daemon's own view shows it draining.
-func (d *Daemon) awaitShown() {
-	limit := time.NewTimer(drainShown)
+// awaitDrainVisible waits until this daemon's own view marks it as draining, for at most
+// drainVisibleTimeout.
+func (d *Daemon) awaitDrainVisible() {
+	limit := time.NewTimer(drainVisibleTimeout)
 	defer limit.Stop()
-	for !d.shownDraining() {
+	for !d.drainVisible() {
 		changed := d.base.agent.Changed()
-		if d.shownDraining() {
+		if d.drainVisible() {
 			return
 		}
 		select {
@@ -102,11 +104,12 @@
 	return tree.Fleet.Timeouts.SettingsLease
 }
 
-func (d *Daemon) shownDraining() bool {
+func (d *Daemon) drainVisible() bool {
 	return d.base.agent.State().View.Instances[d.base.self.ID].Draining
 }
 
-// hasSuccessor tells whether another entry can take over what this one holds.
+// hasSuccessor reports whether another entry can take over the ledger shards and homes
+// of this one.
 func (d *Daemon) hasSuccessor() bool {
 	for _, instance := range d.base.agent.State().View.Instances {
 		if instance.Entry && !instance.Draining && instance.ID != d.base.self.ID {
@@ -116,22 +119,22 @@
 	return false
 }
 
-func (d *Daemon) handOver() {
+func (d *Daemon) handOverLeadership() {
 	if d.control == nil {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancel()
-	d.control.handOver(ctx)
+	d.control.handOverLeadership(ctx)
 }
 
-// abandon ends a daemon that lost its place or a part: its requests can't go
-// on, so it only lets their last events out.
-func (d *Daemon) abandon() {
+// abort ends a daemon whose incarnation was removed or whose component failed. Its
+// requests can't continue; it only waits for their last events to be sent.
+func (d *Daemon) abort() {
 	if d.entry != nil {
 		d.entry.router.Abort()
 	}
-	d.closeServers(abandonTimeout)
+	d.closeServers(abortTimeout)
 }
 
 func (d *Daemon) closeServers(within time.Duration) {
--- a/internal/daemon/timelinereader.go
+++ b/internal/daemon/timelinereader.go
@@ -9,7 +9,7 @@
 	"github.com/hyssopsail/hyssopsail/internal/timeline"
 )
 
-// timelineReader merges the time lines of all instances of the view.
+// timelineReader merges the timelines of all instances of the view.
 type timelineReader struct {
 	base *base
 }
@@ -24,8 +24,8 @@
 	}
 	merged := r.collect(ctx, instances, q)
 	reply := operator.TimelineReply{Events: merged.Events, Dropped: merged.Dropped}
-	for _, silent := range merged.Silent {
-		reply.Unreachable = append(reply.Unreachable, string(silent.Instance))
+	for _, unreachable := range merged.Silent {
+		reply.Unreachable = append(reply.Unreachable, string(unreachable.Instance))
 	}
 	return reply, nil
 }
--- a/internal/daemon/tls.go
+++ b/internal/daemon/tls.go
@@ -8,9 +8,9 @@
 	"github.com/hyssopsail/hyssopsail/internal/config"
 )
 
-// ownTLS gives the HTTPS configuration of a listener with its own certificate,
+// listenerTLS returns the HTTPS configuration of a listener with its own certificate, or
 // nil for plain HTTP.
-func ownTLS(l config.Listener) (*tls.Config, error) {
+func listenerTLS(l config.Listener) (*tls.Config, error) {
 	if !l.Secure() {
 		return nil, nil
 	}
--- a/internal/daemon/tls_test.go
+++ b/internal/daemon/tls_test.go
@@ -16,8 +16,8 @@
 	"github.com/hyssopsail/hyssopsail/internal/rpc"
 )
 
-// A caller's key and body travel in the clear when a listener that was given a
-// certificate answers plain HTTP as well. It must not.
+// Guards against a listener with a certificate that also answers plain HTTP: callers'
+// keys and bodies would then be sent unencrypted.
 func TestListenerWithACertificateAnswersOnlyHTTPS(t *testing.T) {
 	folder := t.TempDir()
 	_, err := certs.Write(certs.Options{Folder: folder, Instances: []fleet.InstanceID{"one"}, Now: time.Now(), Life: time.Hour})
@@ -27,11 +27,11 @@
 		Certificate: filepath.Join(folder, "one.pem"),
 		Key:         filepath.Join(folder, "one-key.pem"),
 	}
-	secure, err := ownTLS(settings)
+	tlsConfig, err := listenerTLS(settings)
 	assert.NilError(t, err)
 	listener, err := net.Listen("tcp", settings.Listen)
 	assert.NilError(t, err)
-	server := newHTTPServer(http.HandlerFunc(healthy), config.DefaultDaemon().Bounds, secure)
+	server := newHTTPServer(http.HandlerFunc(serveHealth), config.DefaultDaemon().Bounds, tlsConfig)
 	ended := make(chan error, 1)
 	go func() { ended <- serveHTTP(server, listener) }()
 	t.Cleanup(func() {
@@ -41,15 +41,15 @@
 
 	trusted, err := rpc.TrustingTLS(filepath.Join(folder, "authority.pem"))
 	assert.NilError(t, err)
-	named := trusted.Clone()
-	named.ServerName = rpc.ServerName
+	trustedWithName := trusted.Clone()
+	trustedWithName.ServerName = rpc.ServerName
 	cases := []struct {
 		name   string
 		url    string
 		config *tls.Config
-		status int // 0: no answer
+		status int // 0: no response
 	}{
-		{"https", "https://", named, http.StatusOK},
+		{"https", "https://", trustedWithName, http.StatusOK},
 		{"certificate for another host", "https://", trusted, 0},
 		{"plain", "http://", nil, http.StatusBadRequest},
 	}
@@ -69,10 +69,10 @@
 }
 
 func TestPlainListenersHaveNoTLS(t *testing.T) {
-	secure, err := ownTLS(config.Listener{Listen: "127.0.0.1:0"})
+	tlsConfig, err := listenerTLS(config.Listener{Listen: "127.0.0.1:0"})
 	assert.NilError(t, err)
-	assert.Assert(t, secure == nil)
-	secure, err = rpc.TrustingTLS("")
+	assert.Assert(t, tlsConfig == nil)
+	tlsConfig, err = rpc.TrustingTLS("")
 	assert.NilError(t, err)
-	assert.Assert(t, secure == nil)
+	assert.Assert(t, tlsConfig == nil)
 }
