--- a/internal/operator/client_ask.go
+++ b/internal/operator/client_ask.go
@@ -20,11 +20,11 @@
 	if len(query) > 0 {
 		path += "?" + query.Encode()
 	}
-	data, err := c.ask(ctx, http.MethodGet, path, nil, 0)
+	data, err := c.send(ctx, http.MethodGet, path, nil, 0)
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	return decode(data, out)
+	return decodeReply(data, out)
 }
 
 func (c *Client) post(ctx context.Context, path string, in, out proto.Message) error {
@@ -36,37 +36,37 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	data, err := c.ask(ctx, http.MethodPost, path, body, wait)
+	data, err := c.send(ctx, http.MethodPost, path, body, wait)
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	return decode(data, out)
+	return decodeReply(data, out)
 }
 
-// decode reads an answer into a message of package pb, or into a type with a
-// JSON form of its own.
-func decode(data []byte, out any) error {
+// decodeReply decodes a reply into a message of package pb, or into a type with its own
+// JSON encoding.
+func decodeReply(data []byte, out any) error {
 	if message, ok := out.(proto.Message); ok {
-		return trace.Wrap(lenient.Unmarshal(data, message))
+		return trace.Wrap(unmarshalLenient.Unmarshal(data, message))
 	}
 	return trace.Wrap(json.Unmarshal(data, out))
 }
 
-// ask tries each address until one answers for good. Every request here may
-// be sent twice: changes carry a change ID, init refuses a second time, and
-// members and drains name their end state.
+// send tries each address until one gives a conclusive reply. Every request of this
+// client is safe to repeat: changes carry a change ID, a second init is rejected, and
+// member changes and drains state the desired end state.
 //
-// Failure: right after init, and in an election, no daemon can confirm its
-// settings; each refuses as not current, and a command fails that would have
-// passed a moment later. So while a live daemon says so, all are asked again,
-// for a bounded time. It refused before it tried anything.
-func (c *Client) ask(ctx context.Context, method, path string, body []byte, wait time.Duration) (data []byte, err error) {
+// Right after init and during an election no daemon can confirm its settings, and each
+// refuses with CodeNotCurrent although the request would succeed a moment later. As long
+// as a daemon replies so, which it does before it executes anything, all addresses are
+// retried for up to retryTimeout.
+func (c *Client) send(ctx context.Context, method, path string, body []byte, wait time.Duration) (data []byte, err error) {
 	if len(c.options.Addresses) == 0 {
 		return nil, trace.BadParameter("no address of a daemon is given")
 	}
-	for end := time.Now().Add(c.retryFor); ; {
+	for end := time.Now().Add(c.retryTimeout); ; {
 		var failures []error
-		data, failures, err = c.round(ctx, method, path, body, wait)
+		data, failures, err = c.tryAddresses(ctx, method, path, body, wait)
 		if len(failures) == 0 {
 			return data, err
 		}
@@ -76,12 +76,12 @@
 	}
 }
 
-// round asks each address once. It gives what each said when none answered for
-// good.
-func (c *Client) round(ctx context.Context, method, path string, body []byte, wait time.Duration) (data []byte, failures []error, err error) {
+// tryAddresses sends the request to each address in turn until one gives a conclusive
+// reply. If none does, it returns the failure of each address.
+func (c *Client) tryAddresses(ctx context.Context, method, path string, body []byte, wait time.Duration) (data []byte, failures []error, err error) {
 	for _, address := range c.options.Addresses {
-		data, err = c.askWithin(ctx, c.timeout+wait, address, method, path, body)
-		if err == nil || !elsewhere(err) || ctx.Err() != nil {
+		data, err = c.sendWithin(ctx, c.addressTimeout+wait, address, method, path, body)
+		if err == nil || !shouldTryNext(err) || ctx.Err() != nil {
 			return data, nil, err
 		}
 		failures = append(failures, err)
@@ -89,7 +89,8 @@
 	return nil, failures, nil
 }
 
-// anyNotCurrent tells whether a live daemon may serve in a moment.
+// anyNotCurrent reports whether a daemon refused with CodeNotCurrent, and so may serve
+// the request soon.
 func anyNotCurrent(failures []error) bool {
 	for _, err := range failures {
 		var refused *ReplyError
@@ -100,22 +101,22 @@
 	return false
 }
 
-// elsewhere tells whether another instance may do better.
-func elsewhere(err error) bool {
+// shouldTryNext reports whether another instance may succeed where one failed with err.
+func shouldTryNext(err error) bool {
 	var refused *ReplyError
 	return !errors.As(err, &refused) || refused.Status == http.StatusServiceUnavailable || refused.Status == http.StatusTooManyRequests
 }
 
-// askWithin bounds the try at one address. An instance behind a silent
-// partition takes the connection, or nothing at all, and never answers: without
-// a bound for each address the tool would hang there and never ask the next.
-func (c *Client) askWithin(ctx context.Context, limit time.Duration, address, method, path string, body []byte) ([]byte, error) {
+// sendWithin limits the time spent on one address. An instance behind a network
+// partition that drops packets may accept the connection, or not even that, and never
+// reply. Without a limit the client would hang there and never try the next address.
+func (c *Client) sendWithin(ctx context.Context, limit time.Duration, address, method, path string, body []byte) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	return c.askOne(ctx, address, method, path, body)
+	return c.sendTo(ctx, address, method, path, body)
 }
 
-func (c *Client) askOne(ctx context.Context, address, method, path string, body []byte) ([]byte, error) {
+func (c *Client) sendTo(ctx context.Context, address, method, path string, body []byte) ([]byte, error) {
 	scheme := "http://"
 	if c.options.TLS != nil {
 		scheme = "https://"
@@ -128,19 +129,19 @@
 	request.Header.Set("Content-Type", contentType)
 	response, err := c.http.Do(request)
 	if err != nil {
-		return nil, trace.ConnectionProblem(err, "%s: %v", address, rootOf(err))
+		return nil, trace.ConnectionProblem(err, "%s: %v", address, unwrapURLError(err))
 	}
 	defer func() { _ = response.Body.Close() }()
-	data, err := io.ReadAll(io.LimitReader(response.Body, maxReply))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxReplyBytes))
 	if err != nil {
-		return nil, trace.ConnectionProblem(err, "%s: the answer broke off: %v", address, err)
+		return nil, trace.ConnectionProblem(err, "%s: reading the reply failed: %v", address, err)
 	}
-	return data, refusal(response.StatusCode, data)
+	return data, replyError(response.StatusCode, data)
 }
 
-// refusal gives the error of an answer; conflicts and refused settings are
-// answers to a change.
-func refusal(status int, data []byte) error {
+// replyError returns the error that a reply holds, or nil. Conflicts and rejected
+// settings are regular results of a change.
+func replyError(status int, data []byte) error {
 	if status < http.StatusBadRequest || status == http.StatusConflict || status == http.StatusUnprocessableEntity {
 		return nil
 	}
@@ -151,8 +152,8 @@
 	return &ReplyError{Status: status, Detail: reply.Error}
 }
 
-// rootOf leaves out the method and URL that net/http puts before the cause.
-func rootOf(err error) error {
+// unwrapURLError removes the method and URL that net/http puts before the cause.
+func unwrapURLError(err error) error {
 	var wrapped *url.Error
 	if errors.As(err, &wrapped) {
 		return wrapped.Err
--- a/internal/operator/control.go
+++ b/internal/operator/control.go
@@ -6,8 +6,8 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// Control is what the handler asks of the control group, from wherever it
-// runs: the implementation finds the leader.
+// Control is the handler's interface to the control group. The implementation finds
+// the leader, so the handler may run on any instance.
 type Control interface {
 	Change(ctx context.Context, in *pb.ChangeRequest) (*pb.ChangeReply, error)
 	GetSettings(ctx context.Context, in *pb.GetSettingsRequest) (*pb.GetSettingsReply, error)
--- a/internal/operator/doc.go
+++ b/internal/operator/doc.go
@@ -1,7 +1,7 @@
 // Package operator is the operators' HTTP interface: the daemon's handler and
-// the tool's client. Bodies are JSON, messages of package pb in their proto
-// names. Authorization: Bearer with the operator's key, whose scope the
-// settings give.
+// the tool's client. Bodies are JSON: messages of package pb with their proto
+// field names. Requests carry the operator's key in "Authorization: Bearer"; the
+// settings define the key's scope.
 //
 //	POST /v1/init        pb.InitRequest         -> pb.InitReply
 //	GET  /v1/status                             -> pb.StatusReply
@@ -14,6 +14,6 @@
 //	GET  /v1/endpoints                          -> EndpointsReply
 //	GET  /v1/timeline    ?request=&endpoint=&team=&change=&since_ns=&after=&limit= -> TimelineReply
 //
-// A refusal is an ErrorReply. Changes carry a change ID, so that a client may
-// send one again through any instance after losing the reply.
+// An error is answered with an ErrorReply. Changes carry a change ID, so that a client
+// that lost the reply may repeat a change through any instance.
 package operator
--- a/internal/operator/fleet_actions.go
+++ b/internal/operator/fleet_actions.go
@@ -11,12 +11,12 @@
 	"github.com/hyssopsail/hyssopsail/internal/settings"
 )
 
-func (h *handler) init(w http.ResponseWriter, r *http.Request, who identity) error {
-	if err := who.mayInit(); err != nil {
+func (h *handler) init(w http.ResponseWriter, r *http.Request, sender identity) error {
+	if err := sender.checkInit(); err != nil {
 		return err
 	}
 	var request pb.InitRequest
-	if err := read(w, r, &request); err != nil {
+	if err := readBody(w, r, &request); err != nil {
 		return err
 	}
 	if !settings.ValidName(request.FleetId) || len(request.Members) == 0 {
@@ -27,7 +27,7 @@
 		return trace.Wrap(err)
 	}
 	h.options.Log.Info("Fleet initialised.", "fleet", reply.GetFleetId(), "members", len(request.Members))
-	h.message(w, http.StatusOK, reply)
+	h.writeMessage(w, http.StatusOK, reply)
 	return nil
 }
 
@@ -36,25 +36,25 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	h.message(w, http.StatusOK, reply)
+	h.writeMessage(w, http.StatusOK, reply)
 	return nil
 }
 
-func (h *handler) disk(w http.ResponseWriter, r *http.Request, who identity) error {
-	if err := who.mayInit(); err != nil {
+func (h *handler) disk(w http.ResponseWriter, r *http.Request, sender identity) error {
+	if err := sender.checkInit(); err != nil {
 		return err
 	}
 	reply, err := h.options.Control.DiskIdentity(r.Context(), &pb.StatusRequest{})
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	h.message(w, http.StatusOK, reply)
+	h.writeMessage(w, http.StatusOK, reply)
 	return nil
 }
 
-func (h *handler) changeMember(w http.ResponseWriter, r *http.Request, who identity) error {
+func (h *handler) changeMember(w http.ResponseWriter, r *http.Request, sender identity) error {
 	var request pb.ChangeMemberRequest
-	if err := who.readForFleet(w, r, &request); err != nil {
+	if err := sender.readFleetRequest(w, r, &request); err != nil {
 		return err
 	}
 	if request.GetMember().GetInstanceId() == "" {
@@ -64,14 +64,14 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	h.options.Log.Info("Control group changed.", "member", request.Member.InstanceId, "remove", request.Remove, "author", who.operator.Name)
-	h.message(w, http.StatusOK, reply)
+	h.options.Log.Info("Control group changed.", "member", request.Member.InstanceId, "remove", request.Remove, "author", sender.operator.Name)
+	h.writeMessage(w, http.StatusOK, reply)
 	return nil
 }
 
-func (h *handler) drain(w http.ResponseWriter, r *http.Request, who identity) error {
+func (h *handler) drain(w http.ResponseWriter, r *http.Request, sender identity) error {
 	var request pb.DrainRequest
-	if err := who.readForFleet(w, r, &request); err != nil {
+	if err := sender.readFleetRequest(w, r, &request); err != nil {
 		return err
 	}
 	if request.InstanceId == "" {
@@ -81,8 +81,8 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	h.options.Log.Info("Drain asked.", "instance", request.InstanceId, "author", who.operator.Name)
-	h.message(w, http.StatusOK, reply)
+	h.options.Log.Info("Drain requested.", "instance", request.InstanceId, "author", sender.operator.Name)
+	h.writeMessage(w, http.StatusOK, reply)
 	return nil
 }
 
@@ -91,29 +91,29 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	h.json(w, EndpointsReply{Endpoints: digests})
+	h.writeJSON(w, EndpointsReply{Endpoints: digests})
 	return nil
 }
 
-// maxTimeline bounds the events of one answer.
-const maxTimeline = 10_000
+// maxTimelineEvents limits the events of one reply.
+const maxTimelineEvents = 10_000
 
-func (h *handler) timeline(w http.ResponseWriter, r *http.Request, who identity) error {
+func (h *handler) timeline(w http.ResponseWriter, r *http.Request, sender identity) error {
 	query, err := timelineQuery(r)
 	if err != nil {
 		return err
 	}
-	// A team's operator sees that team's events alone.
-	if !who.bootstrap && who.ownsFleet() != nil {
-		if err := who.covers(settings.TeamSubtree(fleet.Team(query.Team))); err != nil {
-			return trace.AccessDenied("operator %s may only see the time line of a team in its scope: name the team", who.operator.Name)
+	// An operator without the fleet's scope may only read the events of a team in its scope.
+	if !sender.bootstrap && sender.checkFleetScope() != nil {
+		if err := sender.checkScope(settings.TeamSubtree(fleet.Team(query.Team))); err != nil {
+			return trace.AccessDenied("operator %s may only see the time line of a team in its scope: name the team", sender.operator.Name)
 		}
 	}
 	reply, err := h.options.Timeline(r.Context(), query)
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	h.json(w, reply)
+	h.writeJSON(w, reply)
 	return nil
 }
 
@@ -125,23 +125,23 @@
 		Team:       values.Get("team"),
 		ChangeId:   values.Get("change"),
 	}
-	since, err := number(values.Get("since_ns"))
+	since, err := parseOptionalUint(values.Get("since_ns"))
 	if err != nil {
 		return nil, err
 	}
-	after, err := number(values.Get("after"))
+	after, err := parseOptionalUint(values.Get("after"))
 	if err != nil {
 		return nil, err
 	}
-	limit, err := number(values.Get("limit"))
-	if err != nil || limit > maxTimeline {
-		return nil, trace.BadParameter("limit must be a number up to %d", maxTimeline)
+	limit, err := parseOptionalUint(values.Get("limit"))
+	if err != nil || limit > maxTimelineEvents {
+		return nil, trace.BadParameter("limit must be a number up to %d", maxTimelineEvents)
 	}
 	query.SinceNs, query.AfterSequence, query.Limit = since, after, uint32(limit)
 	return query, nil
 }
 
-func number(text string) (uint64, error) {
+func parseOptionalUint(text string) (uint64, error) {
 	if text == "" {
 		return 0, nil
 	}
--- a/internal/operator/order_test.go
+++ b/internal/operator/order_test.go
@@ -11,24 +11,24 @@
 	"github.com/hyssopsail/hyssopsail/internal/settings"
 )
 
-// A team's operator orders a model off an endpoint that other teams use too.
-// Only operators of the fleet may, and none whose instance can't confirm that
-// the operator's key still holds.
-func TestOrderTakesTheFleetsScope(t *testing.T) {
+// Guards against a team's operator unloading a model from an endpoint that other teams
+// use. Only operators with the fleet's scope may send orders, and only through an instance
+// that can confirm that the operator's key is still valid.
+func TestOrderRequiresFleetScope(t *testing.T) {
 	tree := &settings.Tree{Fleet: settings.Fleet{Operators: operators}}
-	current, asked := true, ""
+	current, received := true, ""
 	server := httptest.NewServer(NewHandler(Options{
 		Tree:    func() *settings.Tree { return tree },
 		Current: func() bool { return current },
-		Order: func(_ context.Context, in *pb.OrderEndpointRequest, by string) (*pb.OrderEndpointReply, error) {
-			asked = by + " " + in.GetKind() + " " + in.GetEndpointId()
+		Order: func(_ context.Context, in *pb.OrderEndpointRequest, operatorName string) (*pb.OrderEndpointReply, error) {
+			received = operatorName + " " + in.GetKind() + " " + in.GetEndpointId()
 			return &pb.OrderEndpointReply{Ended: true, Outcome: "done"}, nil
 		},
 	}))
 	defer server.Close()
 	order := func(key string, in *pb.OrderEndpointRequest) error {
 		client := NewClient(ClientOptions{Addresses: []string{server.Listener.Addr().String()}, Key: key})
-		client.retryFor = 0 // one answer is enough here
+		client.retryTimeout = 0 // one round over the addresses is enough here
 		_, err := client.Order(t.Context(), in)
 		return err
 	}
@@ -38,8 +38,8 @@
 	assert.ErrorContains(t, order("root-key", &pb.OrderEndpointRequest{}), string(CodeBadRequest))
 	current = false
 	assert.ErrorContains(t, order("root-key", unload), string(CodeNotCurrent))
-	assert.Equal(t, asked, "")
+	assert.Equal(t, received, "")
 	current = true
 	assert.NilError(t, order("root-key", unload))
-	assert.Equal(t, asked, "root unload e")
+	assert.Equal(t, received, "root unload e")
 }
--- a/internal/operator/reply.go
+++ b/internal/operator/reply.go
@@ -13,49 +13,51 @@
 
 const contentType = "application/json"
 
-// maxBody bounds a request's body, bytes: the largest subtree in base64, with
-// room for the rest of a change.
-const maxBody = 2 << 20
+// maxBodyBytes limits a request's body: the largest subtree in base64, and room for the
+// other fields of a change.
+const maxBodyBytes = 2 << 20
 
-func (h *handler) message(w http.ResponseWriter, status int, message proto.Message) {
+func (h *handler) writeMessage(w http.ResponseWriter, status int, message proto.Message) {
 	data, err := marshal.Marshal(message)
 	if err != nil {
-		h.refuse(w, trace.Wrap(err))
+		h.writeError(w, trace.Wrap(err))
 		return
 	}
-	write(w, status, data)
+	writeBody(w, status, data)
 }
 
-func (h *handler) json(w http.ResponseWriter, value json.Marshaler) {
+func (h *handler) writeJSON(w http.ResponseWriter, value json.Marshaler) {
 	data, err := value.MarshalJSON()
 	if err != nil {
-		h.refuse(w, trace.Wrap(err))
+		h.writeError(w, trace.Wrap(err))
 		return
 	}
-	write(w, http.StatusOK, data)
+	writeBody(w, http.StatusOK, data)
 }
 
-func write(w http.ResponseWriter, status int, data []byte) {
+func writeBody(w http.ResponseWriter, status int, data []byte) {
 	w.Header().Set("Content-Type", contentType)
 	w.Header().Set("Cache-Control", "no-store")
 	w.WriteHeader(status)
-	// A client that is gone can't be told.
+	// A failed write can't be reported to the client.
 	_, _ = w.Write(data)
 }
 
-// refuse answers with the status that fits err.
-func (h *handler) refuse(w http.ResponseWriter, err error) {
+// writeError sends err as an ErrorReply with the status code that classify returns, and
+// logs server errors.
+func (h *handler) writeError(w http.ResponseWriter, err error) {
 	status, code := classify(err)
 	if status >= http.StatusInternalServerError {
 		h.options.Log.Warn("Request failed.", "code", code, "err", trace.UserMessage(err))
 	}
 	data, marshalErr := json.Marshal(ErrorReply{ErrorDetail{Code: code, Message: trace.UserMessage(err)}})
 	if marshalErr != nil {
-		panic(marshalErr) // two strings always marshal
+		panic(marshalErr) // marshalling two strings can't fail
 	}
-	write(w, status, data)
+	writeBody(w, status, data)
 }
 
+// classify returns the HTTP status and the error code for err.
 func classify(err error) (status int, code Code) {
 	var tooLarge *http.MaxBytesError
 	switch {
@@ -79,9 +81,9 @@
 	return http.StatusInternalServerError, CodeInternal
 }
 
-// read decodes a bounded body.
-func read(w http.ResponseWriter, r *http.Request, into proto.Message) error {
-	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
+// readBody decodes a request's body of at most maxBodyBytes.
+func readBody(w http.ResponseWriter, r *http.Request, into proto.Message) error {
+	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
 		return trace.Wrap(err)
 	}
--- a/internal/operator/settings_actions.go
+++ b/internal/operator/settings_actions.go
@@ -10,26 +10,26 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// maxChangeID bounds a change ID, bytes; it is kept with each version.
-const maxChangeID = 128
+// maxChangeIDBytes limits the length of a change ID, which is stored with each version.
+const maxChangeIDBytes = 128
 
-func (h *handler) change(w http.ResponseWriter, r *http.Request, who identity) error {
+func (h *handler) change(w http.ResponseWriter, r *http.Request, sender identity) error {
 	var request pb.ChangeRequest
-	if err := read(w, r, &request); err != nil {
+	if err := readBody(w, r, &request); err != nil {
 		return err
 	}
 	change := request.GetChange()
-	if id := change.GetChangeId(); id == "" || len(id) > maxChangeID {
-		return trace.BadParameter("change_id must have 1 to %d bytes: it makes sending the change again safe", maxChangeID)
+	if id := change.GetChangeId(); id == "" || len(id) > maxChangeIDBytes {
+		return trace.BadParameter("change_id must have 1 to %d bytes: it makes sending the change again safe", maxChangeIDBytes)
 	}
-	if err := who.mayChange(change.GetName(), change.GetExpectedVersion()); err != nil {
+	if err := sender.checkChange(change.GetName(), change.GetExpectedVersion()); err != nil {
 		return err
 	}
 	if request.WaitInForceMs > uint64(MaxWait/time.Millisecond) {
 		return trace.BadParameter("wait_in_force_ms is over %v", MaxWait)
 	}
-	// Who changed what is never the client's own claim.
-	change.Author = who.operator.Name
+	// The author comes from the key; whatever the client sent is overwritten.
+	change.Author = sender.operator.Name
 	change.ProposedUnixMs = h.options.Now().UnixMilli()
 	reply, err := h.options.Control.Change(r.Context(), &request)
 	if err != nil {
@@ -38,13 +38,13 @@
 	if reply.GetResult() == nil {
 		return trace.ConnectionProblem(nil, "the control group has no leader now; send the change again")
 	}
-	h.options.Log.Info("Change answered.", "subtree", change.Name, "author", change.Author,
+	h.options.Log.Info("Settings change answered.", "subtree", change.Name, "author", change.Author,
 		"change", change.ChangeId, "status", reply.Result.Status, "version", reply.Result.Version)
-	h.message(w, statusOf(reply.Result.Status), reply)
+	h.writeMessage(w, httpStatus(reply.Result.Status), reply)
 	return nil
 }
 
-func statusOf(status pb.ChangeStatus) int {
+func httpStatus(status pb.ChangeStatus) int {
 	switch status {
 	case pb.ChangeStatus_CHANGE_STATUS_ACCEPTED:
 		return http.StatusOK
@@ -56,7 +56,7 @@
 	return http.StatusInternalServerError
 }
 
-func (h *handler) getSettings(w http.ResponseWriter, r *http.Request, who identity) error {
+func (h *handler) getSettings(w http.ResponseWriter, r *http.Request, sender identity) error {
 	query := r.URL.Query()
 	request := &pb.GetSettingsRequest{Name: query.Get("name"), History: query.Get("history") == "true"}
 	if text := query.Get("version"); text != "" {
@@ -66,8 +66,8 @@
 		}
 		request.Version = version
 	}
-	if request.Name != "" && !who.bootstrap {
-		if err := who.covers(request.Name); err != nil {
+	if request.Name != "" && !sender.bootstrap {
+		if err := sender.checkScope(request.Name); err != nil {
 			return err
 		}
 	}
@@ -75,17 +75,17 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	reply.Documents = who.visible(reply.Documents)
-	h.message(w, http.StatusOK, reply)
+	reply.Documents = sender.filterVisible(reply.Documents)
+	h.writeMessage(w, http.StatusOK, reply)
 	return nil
 }
 
-// visible leaves out what is beyond the sender's scope. The fleet's secret
-// sees nothing: before the fleet subtree exists there is nothing to see.
-func (i identity) visible(documents []*pb.SubtreeDocument) []*pb.SubtreeDocument {
+// filterVisible returns the documents within the sender's scope. That is none for the
+// fleet's secret: before the fleet subtree exists there are no documents.
+func (i identity) filterVisible(documents []*pb.SubtreeDocument) []*pb.SubtreeDocument {
 	var kept []*pb.SubtreeDocument
 	for _, document := range documents {
-		if i.covers(document.GetName()) == nil {
+		if i.checkScope(document.GetName()) == nil {
 			kept = append(kept, document)
 		}
 	}
--- a/internal/operator/tls.go
+++ b/internal/operator/tls.go
@@ -10,8 +10,9 @@
 	"github.com/hyssopsail/hyssopsail/internal/rpc"
 )
 
-// ServerTLS makes the operators' listener speak HTTPS with the daemon's own
-// certificate. Operators are known by key, so they show no certificate.
+// ServerTLS returns the configuration of the operators' listener, which serves HTTPS
+// with the daemon's own certificate. Operators authenticate by key, so no client
+// certificate is requested.
 func ServerTLS(files rpc.Files) (*tls.Config, error) {
 	pair, err := tls.LoadX509KeyPair(files.Certificate, files.Key)
 	if err != nil {
@@ -20,7 +21,8 @@
 	return &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{pair}}, nil
 }
 
-// ClientTLS trusts the daemons of the fleet whose authority is in the file.
+// ClientTLS returns a configuration that trusts the daemons of the fleet whose
+// certificate authority is in authorityFile.
 func ClientTLS(authorityFile string) (*tls.Config, error) {
 	data, err := os.ReadFile(authorityFile)
 	if err != nil {
--- a/internal/operator/tls_test.go
+++ b/internal/operator/tls_test.go
@@ -13,26 +13,26 @@
 	"github.com/hyssopsail/hyssopsail/internal/testkit"
 )
 
-// What a user sees: an operator's key is sent to whoever answers at the
-// address. The tool must take only daemons of its own fleet.
-func TestClientTakesItsOwnFleetOnly(t *testing.T) {
+// Guards against sending an operator's key to a server of another fleet: the client must
+// only trust daemons of its own fleet.
+func TestClientTrustsItsOwnFleetOnly(t *testing.T) {
 	own, other := testkit.Keys(t, t.TempDir(), "a"), testkit.Keys(t, t.TempDir(), "a")
-	server := httptest.NewUnstartedServer(newHandlerFor(&stub{}, bootstrapped()))
-	config, err := ServerTLS(own)
+	server := httptest.NewUnstartedServer(newHandlerFor(&stubControl{}, bootstrapped()))
+	tlsConfig, err := ServerTLS(own)
 	assert.NilError(t, err)
-	server.TLS = config
+	server.TLS = tlsConfig
 	server.StartTLS()
 	defer server.Close()
 
-	ask := func(fleet rpc.Files) error {
+	status := func(fleet rpc.Files) error {
 		trusted, err := ClientTLS(fleet.Authority)
 		assert.NilError(t, err)
 		address := strings.TrimPrefix(server.URL, "https://")
 		_, err = NewClient(ClientOptions{Addresses: []string{address}, Key: "root-key", TLS: trusted}).Status(context.Background(), nil)
 		return err
 	}
-	assert.NilError(t, ask(own))
-	err = ask(other)
+	assert.NilError(t, status(own))
+	err = status(other)
 	assert.Assert(t, trace.IsConnectionProblem(err), "%v", err)
 	assert.ErrorContains(t, err, "certificate signed by unknown authority")
 }
--- a/internal/operator/wire.go
+++ b/internal/operator/wire.go
@@ -12,36 +12,36 @@
 
 var (
 	marshal   = protojson.MarshalOptions{UseProtoNames: true}
-	unmarshal = protojson.UnmarshalOptions{} // unknown fields are refused
-	// lenient reads replies: a newer daemon may add fields.
-	lenient = protojson.UnmarshalOptions{DiscardUnknown: true}
+	unmarshal = protojson.UnmarshalOptions{} // rejects unknown fields
+	// unmarshalLenient decodes replies: a newer daemon may add fields.
+	unmarshalLenient = protojson.UnmarshalOptions{DiscardUnknown: true}
 )
 
-// ErrorReply is the body of each answer of 400 or more that isn't a
+// ErrorReply is the body of each response with status 400 or above that isn't a
 // pb.ChangeReply.
 type ErrorReply struct {
 	Error ErrorDetail `json:"error"`
 }
 
-// ErrorDetail tells the cause to a machine and to a person.
+// ErrorDetail describes the cause of an error: Code for programs, Message for people.
 type ErrorDetail struct {
 	Code    Code   `json:"code"`
 	Message string `json:"message"`
 }
 
-// Code is the machine-readable cause of a refusal.
+// Code is the machine-readable cause of an error.
 type Code string
 
-// The codes.
+// The error codes.
 const (
 	CodeUnauthorised Code = "unauthorised" // 401: no operator has this key
 	CodeForbidden    Code = "forbidden"    // 403: out of the operator's scope
 	CodeBadRequest   Code = "bad-request"  // 400
 	CodeNotFound     Code = "not-found"    // 404
 	CodeTooLarge     Code = "too-large"    // 413
-	CodeExists       Code = "exists"       // 412: already done, such as init of a fleet that is
-	CodeUnavailable  Code = "unavailable"  // 503: no leader, or not in time; ask again
-	CodeNotCurrent   Code = "not-current"  // 503: this instance can't confirm its settings; nothing was tried
+	CodeExists       Code = "exists"       // 412: already done, such as init of an existing fleet
+	CodeUnavailable  Code = "unavailable"  // 503: no leader, or no answer in time; retry
+	CodeNotCurrent   Code = "not-current"  // 503: this instance can't confirm its settings; nothing was executed
 	CodeInternal     Code = "internal"     // 500
 )
 
@@ -50,7 +50,7 @@
 	Endpoints []*pb.EndpointDigest
 }
 
-// rawList is the JSON form of a list of messages.
+// rawList is the JSON encoding of a list of messages.
 type rawList []json.RawMessage
 
 func encodeList[M proto.Message](messages []M) (rawList, error) {
@@ -69,7 +69,7 @@
 	out := make([]M, len(raw))
 	for n, data := range raw {
 		out[n] = empty()
-		if err := lenient.Unmarshal(data, out[n]); err != nil {
+		if err := unmarshalLenient.Unmarshal(data, out[n]); err != nil {
 			return nil, trace.Wrap(err)
 		}
 	}
