--- a/internal/logging/bounded.go
+++ b/internal/logging/bounded.go
@@ -7,34 +7,34 @@
 	"time"
 )
 
-// The bounds of a Bounded writer.
+// Limits of a Bounded writer.
 const (
-	// boundedBytes is how much waits for a slow reader: some 2,000 lines.
-	boundedBytes = 256 << 10
-	// flushInterval is the pause between two writes. One write of many lines
-	// costs a process far less than one for each.
+	// maxBufferedBytes limits the lines that wait for a slow reader: some 2,000 lines.
+	maxBufferedBytes = 256 << 10
+	// flushInterval is the pause between two writes. One write of many lines costs
+	// far less than one write for each line.
 	flushInterval = 100 * time.Millisecond
-	// bytesPerSecond bounds the volume of a process under load.
-	bytesPerSecond = 128 << 10
+	// maxBytesPerSecond limits the log volume of a process under load.
+	maxBytesPerSecond = 128 << 10
 )
 
-// Bounded passes lines on to a writer without ever waiting for it. What finds
-// no room, or is over the volume of a second, is dropped and counted, and a
-// line says how much. A log whose reader has stopped would otherwise stop the
-// process that writes it.
+// Bounded is an io.Writer that buffers lines and writes them to another writer in the
+// background, so that Write never blocks: a log whose reader has stopped would otherwise
+// block the process. Lines that exceed the buffer or the volume per second are dropped
+// and counted, and a later line states the number. Safe for concurrent use.
 type Bounded struct {
 	out io.Writer
 
-	mu      sync.Mutex // guards all below
-	held    []byte
-	dropped int
-	second  int64 // number of the second that spent belongs to
-	spent   int
-	wake    chan struct{}
+	mu            sync.Mutex // guards the fields below
+	buffer        []byte
+	dropped       int
+	currentSecond int64 // Unix time that acceptedBytes counts for
+	acceptedBytes int
+	wake          chan struct{}
 }
 
-// NewBounded makes a writer and starts what writes behind it, which lives as
-// long as the process.
+// NewBounded returns a writer to out and starts its background goroutine, which runs
+// until the process ends.
 func NewBounded(out io.Writer) *Bounded {
 	b := newBounded(out)
 	b.start()
@@ -45,17 +45,18 @@
 	return &Bounded{out: out, wake: make(chan struct{}, 1)}
 }
 
-// start runs what writes; the channel is closed when wake is.
+// start starts the background goroutine. The returned channel is closed when the
+// goroutine ends, which it does once wake is closed.
 func (b *Bounded) start() <-chan struct{} {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		b.run()
+		b.flushLoop()
 	}()
 	return done
 }
 
-// Write implements io.Writer. It takes one line and never fails.
+// Write implements io.Writer. Each call passes one line; it never fails.
 func (b *Bounded) Write(line []byte) (int, error) {
 	b.mu.Lock()
 	b.add(time.Now().Unix(), line)
@@ -67,39 +68,39 @@
 	return len(line), nil
 }
 
-// add is called with b.mu held.
+// add buffers a line or counts it as dropped. The caller holds b.mu.
 func (b *Bounded) add(second int64, line []byte) {
-	if second != b.second {
-		b.second, b.spent = second, 0
+	if second != b.currentSecond {
+		b.currentSecond, b.acceptedBytes = second, 0
 	}
-	if len(b.held)+len(line) > boundedBytes || b.spent+len(line) > bytesPerSecond {
+	if len(b.buffer)+len(line) > maxBufferedBytes || b.acceptedBytes+len(line) > maxBytesPerSecond {
 		b.dropped++
 		return
 	}
-	b.spent += len(line)
-	b.held = append(b.held, line...)
+	b.acceptedBytes += len(line)
+	b.buffer = append(b.buffer, line...)
 }
 
-// Flush writes what is held, for the end of a process.
+// Flush writes the buffered lines. Call it before the process exits.
 func (b *Bounded) Flush() {
-	if held := b.take(); len(held) > 0 {
-		_, _ = b.out.Write(held) // there is nowhere to report it
+	if buffered := b.takeBuffer(); len(buffered) > 0 {
+		_, _ = b.out.Write(buffered) // a failed log write can't be reported
 	}
 }
 
-func (b *Bounded) take() []byte {
+func (b *Bounded) takeBuffer() []byte {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	held := b.held
-	b.held = nil
+	buffered := b.buffer
+	b.buffer = nil
 	if b.dropped > 0 {
-		held = fmt.Appendf(held, "level=warn msg=\"logging: Lines were dropped.\" count=%d\n", b.dropped)
+		buffered = fmt.Appendf(buffered, "level=warn msg=\"logging: Lines were dropped.\" count=%d\n", b.dropped)
 		b.dropped = 0
 	}
-	return held
+	return buffered
 }
 
-func (b *Bounded) run() {
+func (b *Bounded) flushLoop() {
 	for range b.wake {
 		time.Sleep(flushInterval)
 		b.Flush()
--- a/internal/logging/bounded_test.go
+++ b/internal/logging/bounded_test.go
@@ -11,14 +11,15 @@
 	"gotest.tools/v3/assert"
 )
 
-// pipe is a log's reader that may have stopped.
-type pipe struct {
+// stoppableWriter simulates a log whose reader has stopped reading: Write blocks until
+// stopped is closed.
+type stoppableWriter struct {
 	mu      sync.Mutex
 	text    bytes.Buffer
-	stopped chan struct{} // nil while it reads
+	stopped chan struct{} // nil: never blocks
 }
 
-func (p *pipe) Write(b []byte) (int, error) {
+func (p *stoppableWriter) Write(b []byte) (int, error) {
 	if p.stopped != nil {
 		<-p.stopped
 	}
@@ -27,36 +28,36 @@
 	return p.text.Write(b)
 }
 
-func (p *pipe) lines() string {
+func (p *stoppableWriter) lines() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.text.String()
 }
 
-// Whoever reads a process's log stops reading. The process goes on, holds a
-// bounded part of what it says, and says later how much is missing.
-func TestStoppedReaderHoldsUpNothing(t *testing.T) {
+// Guards against a process blocking, or buffering without limit, when its log is no longer
+// read. Dropped lines must be reported once the reader continues.
+func TestStoppedReaderDoesNotBlockWriter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		out := &pipe{stopped: make(chan struct{})}
+		out := &stoppableWriter{stopped: make(chan struct{})}
 		b := newBounded(out)
 		done := b.start()
 		line := []byte(strings.Repeat("x", 99) + "\n")
 		for range 10 {
-			for range 2 * boundedBytes / 100 {
+			for range 2 * maxBufferedBytes / 100 {
 				_, err := b.Write(line)
 				assert.NilError(t, err)
 			}
 			time.Sleep(time.Second)
 		}
 		b.mu.Lock()
-		held := len(b.held)
+		buffered := len(b.buffer)
 		b.mu.Unlock()
-		assert.Assert(t, held <= boundedBytes)
+		assert.Assert(t, buffered <= maxBufferedBytes)
 		close(out.stopped)
 		_, _ = b.Write(line)
 		time.Sleep(time.Second)
 		assert.Assert(t, strings.Contains(out.lines(), "Lines were dropped"))
-		assert.Assert(t, len(out.lines()) < 2*boundedBytes+1000)
+		assert.Assert(t, len(out.lines()) < 2*maxBufferedBytes+1000)
 		close(b.wake)
 		<-done
 	})
@@ -64,7 +65,7 @@
 
 func TestVolumeIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		out := &pipe{}
+		out := &stoppableWriter{}
 		b := newBounded(out)
 		done := b.start()
 		for range 100 {
@@ -75,8 +76,8 @@
 		}
 		time.Sleep(time.Second)
 		written := len(out.lines())
-		assert.Assert(t, written < 12*bytesPerSecond, "%d bytes in ten seconds", written)
-		assert.Assert(t, written > 9*bytesPerSecond, "%d bytes in ten seconds", written)
+		assert.Assert(t, written < 12*maxBytesPerSecond, "%d bytes in ten seconds", written)
+		assert.Assert(t, written > 9*maxBytesPerSecond, "%d bytes in ten seconds", written)
 		close(b.wake)
 		<-done
 	})
--- a/internal/logging/part.go
+++ b/internal/logging/part.go
@@ -1,5 +1,5 @@
-// Package logging writes short logfmt sentences, each with a fixed prefix for
-// the part of the daemon that speaks.
+// Package logging writes logfmt lines. Each message starts with a fixed prefix that names
+// the part of the daemon that logs it.
 package logging
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/gravitational/trace"
 )
 
-// Level names the least severe sentences that are written.
+// Level is the lowest severity that is logged. The empty Level means LevelInfo.
 type Level string
 
 // The levels.
@@ -21,9 +21,10 @@
 	LevelError Level = "error"
 )
 
-// New makes the root logger of a process: logfmt lines on w.
-func New(w io.Writer, least Level) (log.Logger, error) {
-	option, err := filter(least)
+// New returns the root logger of a process. It writes logfmt lines of minLevel and above
+// to w.
+func New(w io.Writer, minLevel Level) (log.Logger, error) {
+	option, err := levelOption(minLevel)
 	if err != nil {
 		return nil, err
 	}
@@ -32,8 +33,8 @@
 	return level.NewFilter(logger, option), nil
 }
 
-func filter(least Level) (level.Option, error) {
-	switch least {
+func levelOption(minLevel Level) (level.Option, error) {
+	switch minLevel {
 	case LevelDebug:
 		return level.AllowDebug(), nil
 	case LevelInfo, "":
@@ -43,37 +44,37 @@
 	case LevelError:
 		return level.AllowError(), nil
 	}
-	return nil, trace.BadParameter("log level %q is none of debug, info, warn, error", least)
+	return nil, trace.BadParameter("log level %q is none of debug, info, warn, error", minLevel)
 }
 
-// Part speaks for one part of the daemon. The zero Part is silent.
+// Part is the logger of one part of the daemon. The zero Part logs nothing.
 type Part struct {
 	logger log.Logger
 	prefix string
 }
 
-// For makes the Part named name; its sentences begin with "name: ".
+// For returns the Part named name, whose messages start with "name: ".
 func For(logger log.Logger, name string) Part {
 	return Part{logger: logger, prefix: name + ": "}
 }
 
-// Debug writes a sentence of interest when looking for a fault.
-func (p Part) Debug(sentence string, keyvals ...any) { p.say(level.Debug, sentence, keyvals) }
+// Debug logs details that help to find a fault.
+func (p Part) Debug(message string, keyvals ...any) { p.write(level.Debug, message, keyvals) }
 
-// Info writes a sentence on the ordinary course of things.
-func (p Part) Info(sentence string, keyvals ...any) { p.say(level.Info, sentence, keyvals) }
+// Info logs normal operation.
+func (p Part) Info(message string, keyvals ...any) { p.write(level.Info, message, keyvals) }
 
-// Warn writes a sentence on a fault that the system handles.
-func (p Part) Warn(sentence string, keyvals ...any) { p.say(level.Warn, sentence, keyvals) }
+// Warn logs a fault that the system handles by itself.
+func (p Part) Warn(message string, keyvals ...any) { p.write(level.Warn, message, keyvals) }
 
-// Error writes a sentence on a fault that an operator must look at.
-func (p Part) Error(sentence string, keyvals ...any) { p.say(level.Error, sentence, keyvals) }
+// Error logs a fault that an operator must look at.
+func (p Part) Error(message string, keyvals ...any) { p.write(level.Error, message, keyvals) }
 
-func (p Part) say(severity func(log.Logger) log.Logger, sentence string, keyvals []any) {
+func (p Part) write(severity func(log.Logger) log.Logger, message string, keyvals []any) {
 	if p.logger == nil {
 		return
 	}
-	line := append([]any{"msg", p.prefix + sentence}, keyvals...)
-	// A log line that can't be written has nowhere to be reported.
+	line := append([]any{"msg", p.prefix + message}, keyvals...)
+	// A failed log write can't be reported.
 	_ = severity(p.logger).Log(line...)
 }
