--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -1,5 +1,4 @@
-// Package backoff remembers which peers have failed, and for how long each is passed
-// over.
+// Package backoff tracks which peers have failed and for how long each is skipped.
 package backoff
 
 import (
@@ -7,45 +6,46 @@
 	"time"
 )
 
-// Peers are peers of which some have failed. Its lock is a leaf.
+// Peers tracks the failures of peers. It is safe for concurrent use, and acquires no
+// other lock while it holds its own.
 type Peers struct {
-	first, longest time.Duration
+	initialPause, maxPause time.Duration
 
-	mu   sync.Mutex
-	left map[string]leave
+	mu       sync.Mutex
+	failures map[string]failure
 }
 
-// leave is a peer that failed.
-type leave struct {
-	until time.Time
-	pause time.Duration // that it is passed over for now
+// failure is the state of a peer whose last call failed.
+type failure struct {
+	retryAt time.Time
+	pause   time.Duration // current skip duration
 }
 
-// New makes Peers that are passed over for first after a failure. The time doubles
-// with each failure in a row, to longest at most: where no peer can be reached, each
-// question is time that a request has lost.
-func New(first, longest time.Duration) *Peers {
-	return &Peers{first: first, longest: longest, left: map[string]leave{}}
+// New returns Peers that skips a peer for initialPause after a failure. The pause doubles
+// with each consecutive failure up to maxPause: while no peer can be reached, each call
+// to one delays a request for nothing.
+func New(initialPause, maxPause time.Duration) *Peers {
+	return &Peers{initialPause: initialPause, maxPause: maxPause, failures: map[string]failure{}}
 }
 
-// Open tells whether a peer may be asked now.
+// Open reports whether a peer may be called now.
 func (p *Peers) Open(peer string, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return !now.Before(p.left[peer].until)
+	return !now.Before(p.failures[peer].retryAt)
 }
 
-// Answered notes that a peer is well.
+// Answered records that a peer answered, which ends its pause.
 func (p *Peers) Answered(peer string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.left, peer)
+	delete(p.failures, peer)
 }
 
-// Failed notes that a peer gave no answer.
+// Failed records that a peer didn't answer.
 func (p *Peers) Failed(peer string, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	pause := max(p.first, min(2*p.left[peer].pause, p.longest))
-	p.left[peer] = leave{until: now.Add(pause), pause: pause}
+	pause := max(p.initialPause, min(2*p.failures[peer].pause, p.maxPause))
+	p.failures[peer] = failure{retryAt: now.Add(pause), pause: pause}
 }
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -7,9 +7,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// A peer is dark for a while. Whoever asks it must not lose time there with each
-// request, and must find it again soon after it is back.
-func TestPeers(t *testing.T) {
+// Guards against losing time with each request on a peer that is unreachable for a while,
+// and against finding it too late once it is back.
+func TestPauseDoublesUpToMaximum(t *testing.T) {
 	p := New(time.Second, 4*time.Second)
 	now := time.Now()
 	for _, pause := range []time.Duration{1, 2, 4, 4} {
