--- a/internal/bootclock/bootclock.go
+++ b/internal/bootclock/bootclock.go
@@ -1,9 +1,9 @@
-// Package bootclock tells the time since the machine was started, the time in which
-// it was suspended included.
+// Package bootclock returns the time since the machine was booted, including time spent
+// suspended.
 //
-// Go's monotonic clock stands still while a machine is suspended, and the time of
-// day can be set back. What must not outlive a limit by anyone's clock, such as the
-// right to accept a key, is counted by this one.
+// Go's monotonic clock stops while a machine is suspended, and the wall clock can be set
+// back. Time limits that must hold in both cases, such as how long a key may be accepted,
+// use this clock.
 package bootclock
 
 import (
@@ -12,7 +12,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Now gives the time since the machine was started.
+// Now returns the time since the machine was booted.
 func Now() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
