--- a/internal/hangup/hangup.go
+++ b/internal/hangup/hangup.go
@@ -1,10 +1,10 @@
-// Package hangup has a daemon live through SIGHUP from the start of its process. The
-// signal asks a daemon to read its settings again; one that has not come as far as to
-// handle it would be ended by it.
+// Package hangup keeps a daemon from being terminated by SIGHUP from the start of its
+// process. The signal asks a daemon to reload its settings; it would terminate a daemon
+// that hasn't installed its handler yet.
 //
-// Where C code can be linked in, the signal is ignored before the Go runtime starts. It is
-// taken before any package is initialised that needs time for it. Calls of signal.Notify
-// work as everywhere.
+// With cgo, the signal is ignored before the Go runtime starts. The handler is installed
+// before the initialisation of any package that takes noticeable time. signal.Notify works
+// as usual.
 package hangup
 
 import (
@@ -13,10 +13,10 @@
 	"syscall"
 )
 
-// Signals has a SIGHUP that has come, one at most.
-var Signals = take()
+// Signals receives SIGHUP. It buffers at most one signal.
+var Signals = notifyHangup()
 
-func take() <-chan os.Signal {
+func notifyHangup() <-chan os.Signal {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
 	return signals
