--- a/internal/keyhash/keyhash.go
+++ b/internal/keyhash/keyhash.go
@@ -1,5 +1,5 @@
-// Package keyhash holds callers', operators' and endpoints' keys as hashes, so
-// that settings, logs and tables never need the keys themselves.
+// Package keyhash represents the keys of callers, operators and endpoints as hashes, so
+// that settings, logs and tables never contain the keys themselves.
 package keyhash
 
 import (
@@ -10,20 +10,19 @@
 	"strings"
 )
 
-// Hash is "sha256:" and 64 hex digits.
+// Hash is "sha256:" followed by 64 lower-case hex digits.
 type Hash string
 
 const prefix = "sha256:"
 
-// Of gives the hash of a key. Keys are random and long, so a plain hash is
-// enough; they are never passwords.
+// Of returns the hash of a key. A plain hash is enough, as keys are long and random and
+// never passwords.
 func Of(key string) Hash {
 	sum := sha256.Sum256([]byte(key))
 	return Hash(prefix + hex.EncodeToString(sum[:]))
 }
 
-// Matches tells, in time that doesn't depend on the hash, whether key is the
-// one that h stands for.
+// Matches reports whether h is the hash of key. Its running time doesn't depend on h.
 func (h Hash) Matches(key string) bool {
 	return subtle.ConstantTimeCompare([]byte(h), []byte(Of(key))) == 1
 }
