--- a/internal/leastsquares/sums.go
+++ b/internal/leastsquares/sums.go
@@ -1,24 +1,25 @@
-// Package leastsquares fits a line to observations, of which old ones are
-// forgotten. It is pure and keeps no observation.
+// Package leastsquares fits a line to observations, with exponentially decreasing weight
+// for older ones. It keeps sums, not the observations themselves.
 package leastsquares
 
-// Sums are the decayed sums of a fit. The zero value has seen nothing.
+// Sums holds the exponentially decayed sums of a fit. The zero value has no observations.
 type Sums struct {
 	n, x, y, xx, xy float64
 }
 
-// Line is y = Base + Slope*x.
+// Line is the line y = Base + Slope*x.
 type Line struct {
 	Base, Slope float64
 }
 
-// leastSpread is the share of the x's variance in their mean square below
-// which the slope counts as not determined.
-const leastSpread = 1e-3
+// minRelativeVariance is the ratio of the variance of x to its mean square at or below
+// which the slope counts as undetermined.
+const minRelativeVariance = 1e-3
 
-// Add takes one observation. About the last memory observations weigh.
-func (s *Sums) Add(x, y, memory float64) {
-	keep := 1 - 1/memory
+// Add adds one observation. The weight of older ones decays so that about the last window
+// observations count.
+func (s *Sums) Add(x, y, window float64) {
+	keep := 1 - 1/window
 	s.n = s.n*keep + 1
 	s.x = s.x*keep + x
 	s.y = s.y*keep + y
@@ -26,18 +27,18 @@
 	s.xy = s.xy*keep + x*y
 }
 
-// Weight is the number of observations that still count.
+// Weight returns the effective number of observations, the sum of their weights.
 func (s *Sums) Weight() float64 { return s.n }
 
-// Mean gives the mean y; 0 before the first observation.
+// Mean returns the weighted mean of y, or 0 before the first observation.
 func (s *Sums) Mean() float64 { return s.y / max(1, s.n) }
 
-// Line gives the line with the least squared error that neither falls nor
-// begins below 0. ok is false where there is none, as when all x are nearly
-// the same.
+// Line returns the line with the least squared error. ok is false when it is undetermined,
+// as when all x are nearly the same, when its slope is not positive, or when its base is
+// negative.
 func (s *Sums) Line() (l Line, ok bool) {
 	determinant := s.n*s.xx - s.x*s.x
-	if determinant <= leastSpread*s.n*s.xx {
+	if determinant <= minRelativeVariance*s.n*s.xx {
 		return Line{}, false
 	}
 	l.Slope = (s.n*s.xy - s.x*s.y) / determinant
@@ -45,8 +46,8 @@
 	return l, l.Slope > 0 && l.Base >= 0
 }
 
-// ThroughOrigin gives the line through the origin and the mean.
+// ThroughOrigin returns the line through the origin and the mean.
 func (s *Sums) ThroughOrigin() Line { return Line{Slope: s.y / max(1, s.x)} }
 
-// At gives y at x.
+// At returns y at x.
 func (l Line) At(x float64) float64 { return l.Base + l.Slope*x }
--- a/internal/leastsquares/sums_test.go
+++ b/internal/leastsquares/sums_test.go
@@ -10,7 +10,7 @@
 func TestLine(t *testing.T) {
 	var s Sums
 	_, ok := s.Line()
-	assert.Assert(t, !ok, "nothing seen")
+	assert.Assert(t, !ok, "no observations")
 	for x := range 10 {
 		s.Add(float64(x), 5+2*float64(x), 100)
 	}
