--- a/internal/sleep/sleep.go
+++ b/internal/sleep/sleep.go
@@ -1,4 +1,4 @@
-// Package sleep waits for a time that a context can cut short.
+// Package sleep provides a sleep that a context can end early.
 package sleep
 
 import (
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// For waits for d and tells whether it passed; false when ctx ended first, or
-// had ended already. It returns at once for a d of zero or less.
+// For waits for d and reports whether it elapsed; it returns false when ctx ends first or
+// has already ended. It returns immediately when d is zero or less.
 func For(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
