--- a/internal/version/version.go
+++ b/internal/version/version.go
@@ -1,5 +1,5 @@
-// Package version holds what was built, for the version command, the logs and
-// the build information metric.
+// Package version identifies the build, for the version command, the logs and the build
+// information metric.
 package version
 
 import (
@@ -11,12 +11,12 @@
 // Version is set by scripts/build through the linker.
 var Version = "unknown"
 
-// Text gives the version and the Go release in one line.
+// Text returns the program's name, its version and the Go release in one line.
 func Text(program string) string {
 	return program + " " + Version + " (" + runtime.Version() + ")"
 }
 
-// NewMetric gives a gauge of constant 1 whose labels hold the build.
+// NewMetric returns a gauge with the constant value 1, whose labels identify the build.
 func NewMetric() prometheus.Collector {
 	gauge := prometheus.NewGauge(prometheus.GaugeOpts{
 		Name:        "hyssopsail_build_info",
