--- a/internal/certs/authority.go
+++ b/internal/certs/authority.go
@@ -23,7 +23,7 @@
 	blockKey         = "PRIVATE KEY"
 )
 
-// clockSkew dates certificates back, for instances whose clocks are behind.
+// clockSkew is how far NotBefore lies in the past, for instances whose clocks are behind.
 const clockSkew = time.Hour
 
 const serialBits = 128
@@ -34,18 +34,18 @@
 	key         crypto.Signer
 }
 
-func newAuthority(now time.Time, life time.Duration) (*authority, error) {
+func newAuthority(now time.Time, validity time.Duration) (*authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	template, err := newTemplate("hyssopsail fleet authority", now, life)
+	template, err := newTemplate("hyssopsail fleet authority", now, validity)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
 	template.IsCA = true
 	template.BasicConstraintsValid = true
-	template.MaxPathLenZero = true // signs daemons, no further authority
+	template.MaxPathLenZero = true // may sign daemons' certificates but no further authority
 	template.KeyUsage = x509.KeyUsageCertSign
 	der, err := x509.CreateCertificate(rand.Reader, template, template, key.Public(), key)
 	if err != nil {
@@ -67,32 +67,32 @@
 	return &authority{certificate: pair.Leaf, key: signer}, nil
 }
 
-// issue makes a certificate and key for one daemon. Both sides of a
-// connection show it, so it serves for either.
-func (a *authority) issue(name string, now time.Time, life time.Duration) (certificate, key []byte, err error) {
-	own, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
+// issue creates a certificate and key for one daemon, for use as both TLS server and TLS
+// client: both sides of a connection present one.
+func (a *authority) issue(name string, now time.Time, validity time.Duration) (certificate, key []byte, err error) {
+	daemonKey, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, nil, trace.Wrap(err)
 	}
-	template, err := newTemplate(name, now, life)
+	template, err := newTemplate(name, now, validity)
 	if err != nil {
 		return nil, nil, trace.Wrap(err)
 	}
 	template.DNSNames = []string{rpc.ServerName}
 	template.KeyUsage = x509.KeyUsageDigitalSignature
 	template.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}
-	der, err := x509.CreateCertificate(rand.Reader, template, a.certificate, own.Public(), a.key)
+	der, err := x509.CreateCertificate(rand.Reader, template, a.certificate, daemonKey.Public(), a.key)
 	if err != nil {
 		return nil, nil, trace.Wrap(err)
 	}
-	return encode(der, own)
+	return encodePEM(der, daemonKey)
 }
 
 func (a *authority) pem() (certificate, key []byte, err error) {
-	return encode(a.certificate.Raw, a.key)
+	return encodePEM(a.certificate.Raw, a.key)
 }
 
-func encode(der []byte, key crypto.Signer) (certificatePEM, keyPEM []byte, err error) {
+func encodePEM(der []byte, key crypto.Signer) (certificatePEM, keyPEM []byte, err error) {
 	raw, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
 		return nil, nil, trace.Wrap(err)
@@ -102,7 +102,7 @@
 	return certificatePEM, keyPEM, nil
 }
 
-func newTemplate(name string, now time.Time, life time.Duration) (*x509.Certificate, error) {
+func newTemplate(name string, now time.Time, validity time.Duration) (*x509.Certificate, error) {
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 	if err != nil {
 		return nil, trace.Wrap(err)
@@ -111,6 +111,6 @@
 		SerialNumber: serial,
 		Subject:      pkix.Name{CommonName: name},
 		NotBefore:    now.Add(-clockSkew),
-		NotAfter:     now.Add(life),
+		NotAfter:     now.Add(validity),
 	}, nil
 }
--- a/internal/certs/certs_test.go
+++ b/internal/certs/certs_test.go
@@ -17,13 +17,13 @@
 	"github.com/hyssopsail/hyssopsail/internal/rpc"
 )
 
-func write(t *testing.T, folder string, ids ...fleet.InstanceID) error {
+func writeCerts(t *testing.T, folder string, ids ...fleet.InstanceID) error {
 	t.Helper()
 	_, err := Write(Options{Folder: folder, Instances: ids, Now: time.Now()})
 	return err
 }
 
-func files(folder, id string) rpc.Files {
+func filesOf(folder, id string) rpc.Files {
 	return rpc.Files{
 		Authority:   filepath.Join(folder, AuthorityFile),
 		Certificate: filepath.Join(folder, id+CertificateSuffix),
@@ -31,7 +31,7 @@
 	}
 }
 
-// handshake tells whether the two sides take each other.
+// handshake performs a mutual TLS handshake and returns the error of either side.
 func handshake(t *testing.T, server, client rpc.Files) error {
 	t.Helper()
 	serverTLS, err := rpc.LoadTLS(server)
@@ -61,10 +61,10 @@
 	return trace.NewAggregate(clientErr, <-accepted)
 }
 
-func TestWorkingSet(t *testing.T) {
+func TestWrittenFilesWorkTogether(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "keys")
-	assert.NilError(t, write(t, folder, "a", "b"))
-	assert.NilError(t, handshake(t, files(folder, "a"), files(folder, "b")))
+	assert.NilError(t, writeCerts(t, folder, "a", "b"))
+	assert.NilError(t, handshake(t, filesOf(folder, "a"), filesOf(folder, "b")))
 	_, err := config.LoadSecret(filepath.Join(folder, SecretFile))
 	assert.NilError(t, err)
 	entries, err := os.ReadDir(folder)
@@ -77,41 +77,41 @@
 	}
 }
 
-// What a user sees: after "certs" was run a second time, no daemon can reach
-// another: a new authority has replaced the one that signed their keys.
-func TestNothingIsOverwritten(t *testing.T) {
+// Guards against a second run of "certs" replacing the authority that signed the daemons'
+// certificates, after which no daemon could connect to another.
+func TestExistingFilesAreNotOverwritten(t *testing.T) {
 	folder := t.TempDir()
-	assert.NilError(t, write(t, folder, "a"))
+	assert.NilError(t, writeCerts(t, folder, "a"))
 	before, err := os.ReadFile(filepath.Join(folder, AuthorityFile))
 	assert.NilError(t, err)
-	err = write(t, folder, "b", "a")
+	err = writeCerts(t, folder, "b", "a")
 	assert.Assert(t, trace.IsAlreadyExists(err), "%v", err)
 	_, err = os.Stat(filepath.Join(folder, "b"+CertificateSuffix))
 	assert.Assert(t, os.IsNotExist(err))
 
-	assert.NilError(t, write(t, folder, "b"))
+	assert.NilError(t, writeCerts(t, folder, "b"))
 	after, err := os.ReadFile(filepath.Join(folder, AuthorityFile))
 	assert.NilError(t, err)
 	assert.Equal(t, string(before), string(after))
-	assert.NilError(t, handshake(t, files(folder, "a"), files(folder, "b")))
+	assert.NilError(t, handshake(t, filesOf(folder, "a"), filesOf(folder, "b")))
 
-	// Two runs at once: the other one writes after this one has looked.
-	err = writeNew(filepath.Join(folder, AuthorityFile), []byte("other"))
+	// Concurrent runs: the other one creates the file after this one has checked.
+	err = createFile(filepath.Join(folder, AuthorityFile), []byte("other"))
 	assert.Assert(t, trace.IsAlreadyExists(err), "%v", err)
 
 	assert.NilError(t, os.Remove(filepath.Join(folder, SecretFile)))
-	assert.ErrorContains(t, write(t, folder, "c"), "has some of")
+	assert.ErrorContains(t, writeCerts(t, folder, "c"), "has some of")
 }
 
-func TestOtherFleetIsRefused(t *testing.T) {
+func TestHandshakeRejectsOtherFleet(t *testing.T) {
 	one, other := t.TempDir(), t.TempDir()
-	assert.NilError(t, write(t, one, "a"))
-	assert.NilError(t, write(t, other, "a"))
-	assert.ErrorContains(t, handshake(t, files(one, "a"), files(other, "a")), "certificate")
+	assert.NilError(t, writeCerts(t, one, "a"))
+	assert.NilError(t, writeCerts(t, other, "a"))
+	assert.ErrorContains(t, handshake(t, filesOf(one, "a"), filesOf(other, "a")), "certificate")
 }
 
-func TestBadInstanceIDs(t *testing.T) {
+func TestInvalidInstanceIDs(t *testing.T) {
 	for _, ids := range [][]fleet.InstanceID{nil, {""}, {"a", "a"}, {"../a"}, {"authority"}, {"authority-key"}, {"a", "a-key"}} {
-		assert.Assert(t, write(t, t.TempDir(), ids...) != nil, "%v", ids)
+		assert.Assert(t, writeCerts(t, t.TempDir(), ids...) != nil, "%v", ids)
 	}
 }
--- a/internal/certs/write.go
+++ b/internal/certs/write.go
@@ -14,7 +14,7 @@
 	"github.com/hyssopsail/hyssopsail/internal/fleet"
 )
 
-// Names of the files in the folder. Each instance has its ID with
+// Names of the files in the folder. An instance's files are named by its ID followed by
 // CertificateSuffix and KeySuffix.
 const (
 	AuthorityFile     = "authority.pem"
@@ -32,7 +32,7 @@
 	folderMode = 0o700
 )
 
-// Options say what to write.
+// Options configures Write.
 type Options struct {
 	Folder    string
 	Instances []fleet.InstanceID // at least one
@@ -40,17 +40,18 @@
 	Now       time.Time
 }
 
-// Write makes the set. A folder that already has an authority (all three of
-// its files) is extended by the instances it doesn't have; any file that
-// would be overwritten refuses the whole call before anything is written.
+// Write generates the files and returns the paths of those written. If the folder already
+// has an authority (all three of its files), the instances' certificates are signed by it.
+// Write fails before it writes anything if a file of an instance exists or the authority's
+// files are incomplete.
 func Write(o Options) (written []string, err error) {
 	if o.Life == 0 {
 		o.Life = DefaultLife
 	}
-	if err := o.check(); err != nil {
+	if err := o.validate(); err != nil {
 		return nil, trace.Wrap(err)
 	}
-	files, err := o.make()
+	files, err := o.generate()
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
@@ -59,7 +60,7 @@
 	}
 	for _, f := range files {
 		path := filepath.Join(o.Folder, f.name)
-		if err := writeNew(path, f.data); err != nil {
+		if err := createFile(path, f.data); err != nil {
 			return written, trace.Wrap(err)
 		}
 		written = append(written, path)
@@ -73,21 +74,21 @@
 	data []byte
 }
 
-func (o Options) check() error {
+func (o Options) validate() error {
 	if len(o.Instances) == 0 {
 		return trace.BadParameter("name at least one instance")
 	}
 	// IDs such as "a" and "a-key" would share a file.
-	taken := map[string]bool{AuthorityFile: true, AuthorityKeyFile: true, SecretFile: true}
+	usedNames := map[string]bool{AuthorityFile: true, AuthorityKeyFile: true, SecretFile: true}
 	for _, id := range o.Instances {
 		if id == "" || filepath.Base(string(id)) != string(id) {
 			return trace.BadParameter("%q is no instance ID that a file can have", string(id))
 		}
 		for _, name := range []string{string(id) + CertificateSuffix, string(id) + KeySuffix} {
-			if taken[name] {
+			if usedNames[name] {
 				return trace.BadParameter("instance %q would share the file %s", string(id), name)
 			}
-			taken[name] = true
+			usedNames[name] = true
 			if exists(filepath.Join(o.Folder, name)) {
 				return trace.AlreadyExists("%s exists and is not overwritten", filepath.Join(o.Folder, name))
 			}
@@ -96,13 +97,13 @@
 	return nil
 }
 
-func (o Options) make() ([]file, error) {
-	owner, files, err := o.authority()
+func (o Options) generate() ([]file, error) {
+	signer, files, err := o.loadOrCreateAuthority()
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
 	for _, id := range o.Instances {
-		certificate, key, err := owner.issue(string(id), o.Now, o.Life)
+		certificate, key, err := signer.issue(string(id), o.Now, o.Life)
 		if err != nil {
 			return nil, trace.Wrap(err)
 		}
@@ -111,8 +112,9 @@
 	return files, nil
 }
 
-// authority loads the folder's authority or makes a new one with a secret.
-func (o Options) authority() (*authority, []file, error) {
+// loadOrCreateAuthority returns the folder's authority, or a new one along with the files
+// of the new authority and of a new secret.
+func (o Options) loadOrCreateAuthority() (*authority, []file, error) {
 	present := 0
 	names := []string{AuthorityFile, AuthorityKeyFile, SecretFile}
 	for _, name := range names {
@@ -122,7 +124,7 @@
 	}
 	switch present {
 	case 0:
-		return newFleet(o.Now, o.Life)
+		return newFleetFiles(o.Now, o.Life)
 	case len(names):
 		loaded, err := loadAuthority(filepath.Join(o.Folder, AuthorityFile), filepath.Join(o.Folder, AuthorityKeyFile))
 		return loaded, nil, trace.Wrap(err)
@@ -130,12 +132,12 @@
 	return nil, nil, trace.AlreadyExists("%s has some of %v but not all; use an empty folder, or one with the whole set", o.Folder, names)
 }
 
-func newFleet(now time.Time, life time.Duration) (*authority, []file, error) {
-	made, err := newAuthority(now, life)
+func newFleetFiles(now time.Time, validity time.Duration) (*authority, []file, error) {
+	created, err := newAuthority(now, validity)
 	if err != nil {
 		return nil, nil, trace.Wrap(err)
 	}
-	certificate, key, err := made.pem()
+	certificate, key, err := created.pem()
 	if err != nil {
 		return nil, nil, trace.Wrap(err)
 	}
@@ -143,7 +145,7 @@
 	if _, err := rand.Read(secret[:]); err != nil {
 		return nil, nil, trace.Wrap(err)
 	}
-	return made, []file{
+	return created, []file{
 		{AuthorityFile, certificate},
 		{AuthorityKeyFile, key},
 		{SecretFile, []byte(secret.Hex() + "\n")},
@@ -155,14 +157,15 @@
 	return !errors.Is(err, fs.ErrNotExist)
 }
 
-// writeNew fails when path exists: two runs at once can't mix their sets.
-func writeNew(path string, data []byte) error {
-	handle, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, fileMode)
+// createFile writes a new file and syncs it. It fails when path exists, so that concurrent
+// runs can't mix their files.
+func createFile(path string, data []byte) error {
+	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, fileMode)
 	if err != nil {
 		return trace.ConvertSystemError(err)
 	}
-	_, writeErr := handle.Write(data)
-	syncErr := handle.Sync()
-	closeErr := handle.Close()
+	_, writeErr := f.Write(data)
+	syncErr := f.Sync()
+	closeErr := f.Close()
 	return trace.ConvertSystemError(errors.Join(writeErr, syncErr, closeErr))
 }
