--- a/internal/caller/chat.go
+++ b/internal/caller/chat.go
@@ -14,16 +14,16 @@
 	"github.com/hyssopsail/hyssopsail/internal/callerapi"
 )
 
-// Answer is what became of a chat request.
+// Answer is the result of a chat request.
 type Answer struct {
 	RequestID string            `json:"request_id"`
 	Outcome   callerapi.Outcome `json:"outcome"`
 	Text      string            `json:"text"`
 }
 
-// Chat sends a chat request and gives its whole answer. In a streamed one each
-// piece of text is also written to out as it comes. An answer that was cut, or
-// that ends with an error, is an error.
+// Chat sends a chat request and returns its complete answer. If the answer is streamed,
+// each piece of text is also written to out as it arrives. Chat returns an error if the
+// answer is truncated or ends with an error.
 func (c *Client) Chat(ctx context.Context, r callerapi.ChatRequest, header http.Header, out io.Writer) (Answer, error) {
 	body, err := json.Marshal(r)
 	if err != nil {
@@ -39,7 +39,7 @@
 		Outcome:   callerapi.Outcome(response.Header.Get(callerapi.HeaderOutcome)),
 	}
 	if response.StatusCode != http.StatusOK {
-		return answer, trace.Wrap(refusalOf(response))
+		return answer, trace.Wrap(readRefusal(response))
 	}
 	if r.Stream {
 		answer.Text, err = readStream(response.Body, out)
@@ -48,13 +48,13 @@
 		}
 		return answer, trace.Wrap(err)
 	}
-	answer.Text, err = readWhole(response.Body)
+	answer.Text, err = readReply(response.Body)
 	return answer, trace.Wrap(err)
 }
 
-func readWhole(body io.Reader) (string, error) {
+func readReply(body io.Reader) (string, error) {
 	var reply callerapi.CompletionReply
-	if err := json.NewDecoder(io.LimitReader(body, maxReply)).Decode(&reply); err != nil {
+	if err := json.NewDecoder(io.LimitReader(body, maxReplyBytes)).Decode(&reply); err != nil {
 		return "", trace.Wrap(err)
 	}
 	if len(reply.Choices) != 1 || reply.Choices[0].Message == nil {
@@ -67,7 +67,7 @@
 
 func readStream(body io.Reader, out io.Writer) (string, error) {
 	var text strings.Builder
-	lines := bufio.NewScanner(io.LimitReader(body, maxReply))
+	lines := bufio.NewScanner(io.LimitReader(body, maxReplyBytes))
 	for lines.Scan() {
 		data, isData := strings.CutPrefix(lines.Text(), dataPrefix)
 		if !isData {
@@ -76,7 +76,7 @@
 		if data == callerapi.StreamDone {
 			return text.String(), nil
 		}
-		piece, err := pieceOf(data)
+		piece, err := eventText(data)
 		if err != nil {
 			return text.String(), trace.Wrap(err)
 		}
@@ -88,17 +88,18 @@
 	if err := lines.Err(); err != nil {
 		return text.String(), trace.Wrap(err)
 	}
-	return text.String(), trace.ConnectionProblem(io.ErrUnexpectedEOF, "the stream was cut")
+	return text.String(), trace.ConnectionProblem(io.ErrUnexpectedEOF, "the stream ended before it was complete")
 }
 
-// event is either a piece of the answer or the error that ends it.
-type event struct {
+// streamEvent is either a piece of the answer or the error that ends the stream.
+type streamEvent struct {
 	callerapi.CompletionReply
 	Error *callerapi.Error `json:"error"`
 }
 
-func pieceOf(data string) (string, error) {
-	var e event
+// eventText returns the text of one event's data, or the error that the event reports.
+func eventText(data string) (string, error) {
+	var e streamEvent
 	if err := json.Unmarshal([]byte(data), &e); err != nil {
 		return "", trace.Wrap(err)
 	}
--- a/internal/caller/client.go
+++ b/internal/caller/client.go
@@ -14,65 +14,68 @@
 	"github.com/hyssopsail/hyssopsail/internal/callerapi"
 )
 
-// Client asks the entries of one fleet as one team. Safe for concurrent use.
+// Client sends requests to the entries of one fleet with one team's key. It is safe for
+// concurrent use.
 type Client struct {
-	seeds  []string // host:port of entries to ask first
+	seeds  []string // host:port of entries to ask for addresses if no cached entry answers
 	key    string
 	scheme string
 	http   *http.Client
 
-	mu      sync.Mutex
-	kept    []callerapi.Address
-	keptEnd time.Time
+	mu          sync.Mutex
+	cached      []callerapi.Address
+	cacheExpiry time.Time
 }
 
-// maxReply bounds an answer that is not a stream, bytes.
-const maxReply = 16 << 20
+// maxReplyBytes limits the size of an answer, streamed or not.
+const maxReplyBytes = 16 << 20
 
-// New makes a client of the entries at seeds (host:port) with a team's key.
-// secure is nil for plain HTTP; a fleet's entries all speak the same.
-func New(seeds []string, key string, secure *tls.Config) *Client {
+// New returns a client that learns the fleet's entries from seeds (host:port) and uses a
+// team's key. tlsConfig is nil for plain HTTP; all entries of a fleet must use the same
+// scheme.
+func New(seeds []string, key string, tlsConfig *tls.Config) *Client {
 	c := &Client{seeds: seeds, key: key, scheme: "http://", http: &http.Client{}}
-	if secure != nil {
+	if tlsConfig != nil {
 		c.scheme = "https://"
-		c.http.Transport = &http.Transport{TLSClientConfig: secure}
+		c.http.Transport = &http.Transport{TLSClientConfig: tlsConfig}
 	}
 	return c
 }
 
-// Addresses gives the entries to use, best first. It asks a seed or an entry
-// of the last answer when that may no longer be kept.
+// Addresses returns the entries to use, best first. When the cached answer has expired, it
+// asks the entries of that answer and then the seeds.
 func (c *Client) Addresses(ctx context.Context) ([]callerapi.Address, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if time.Now().Before(c.keptEnd) {
-		return c.kept, nil
+	if time.Now().Before(c.cacheExpiry) {
+		return c.cached, nil
 	}
-	var last error
+	var lastErr error
 	for _, address := range c.candidates() {
-		asked := time.Now()
-		reply, err := c.ask(ctx, address)
+		sentAt := time.Now()
+		reply, err := c.fetchAddresses(ctx, address)
 		if err != nil {
-			last = err
+			lastErr = err
 			continue
 		}
-		c.kept = reply.Addresses
-		c.keptEnd = asked.Add(time.Duration(reply.KeepMs) * time.Millisecond)
-		return c.kept, nil
+		c.cached = reply.Addresses
+		c.cacheExpiry = sentAt.Add(time.Duration(reply.KeepMs) * time.Millisecond)
+		return c.cached, nil
 	}
-	return nil, trace.ConnectionProblem(last, "no entry told its addresses: %v", last)
+	return nil, trace.ConnectionProblem(lastErr, "no entry returned an address list: %v", lastErr)
 }
 
+// candidates returns the entries to ask for addresses, in order.
 func (c *Client) candidates() []string {
-	candidates := make([]string, 0, len(c.kept)+len(c.seeds))
-	for _, a := range c.kept {
+	candidates := make([]string, 0, len(c.cached)+len(c.seeds))
+	for _, a := range c.cached {
 		candidates = append(candidates, a.Address)
 	}
 	return append(candidates, c.seeds...)
 }
 
-func (c *Client) ask(ctx context.Context, address string) (callerapi.AddressesReply, error) {
-	request, err := c.request(ctx, http.MethodGet, address, "/v1/addresses", nil)
+func (c *Client) fetchAddresses(ctx context.Context, address string) (callerapi.AddressesReply, error) {
+	request, err := c.newRequest(ctx, http.MethodGet, address, "/v1/addresses", nil)
 	if err != nil {
 		return callerapi.AddressesReply{}, trace.Wrap(err)
 	}
@@ -82,16 +85,16 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		return callerapi.AddressesReply{}, trace.Wrap(refusalOf(response))
+		return callerapi.AddressesReply{}, trace.Wrap(readRefusal(response))
 	}
 	var reply callerapi.AddressesReply
-	err = json.NewDecoder(io.LimitReader(response.Body, maxReply)).Decode(&reply)
+	err = json.NewDecoder(io.LimitReader(response.Body, maxReplyBytes)).Decode(&reply)
 	return reply, trace.Wrap(err)
 }
 
-// Do sends a request to the best entry. body may be nil. The caller closes the
-// response's body. It is not repeated here: only the caller knows whether its
-// request may run twice.
+// Do sends a request to the best entry. body may be nil. The caller must close the
+// response's body. Do doesn't retry: only the caller knows whether its request may run
+// twice.
 func (c *Client) Do(ctx context.Context, method, path string, header http.Header, body io.Reader) (*http.Response, error) {
 	addresses, err := c.Addresses(ctx)
 	if err != nil {
@@ -100,7 +103,7 @@
 	if len(addresses) == 0 {
 		return nil, trace.NotFound("no entry may serve this team now")
 	}
-	request, err := c.request(ctx, method, addresses[0].Address, path, body)
+	request, err := c.newRequest(ctx, method, addresses[0].Address, path, body)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
@@ -114,7 +117,7 @@
 	return response, nil
 }
 
-func (c *Client) request(ctx context.Context, method, address, path string, body io.Reader) (*http.Request, error) {
+func (c *Client) newRequest(ctx context.Context, method, address, path string, body io.Reader) (*http.Request, error) {
 	request, err := http.NewRequestWithContext(ctx, method, c.scheme+address+path, body)
 	if err != nil {
 		return nil, trace.Wrap(err)
--- a/internal/caller/client_test.go
+++ b/internal/caller/client_test.go
@@ -13,10 +13,10 @@
 	"github.com/hyssopsail/hyssopsail/internal/callerapi"
 )
 
-// What a user sees: "no entry told its addresses" for a key that was taken out
-// of the settings, and looks for a fault of the network. Each entry had
-// answered, and said why it refused.
-func TestRefusedAddressesSayWhy(t *testing.T) {
+// Guards against hiding the reason when all entries refuse: an error that only says that no
+// entry returned an address list looks like a network fault, although the key was removed
+// from the settings.
+func TestAddressesErrorNamesRefusal(t *testing.T) {
 	refusing := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusUnauthorized)
 		body := callerapi.ErrorBody{Error: callerapi.Error{Code: callerapi.CodeUnauthorised, Message: "no team has this key"}}
--- a/internal/caller/doc.go
+++ b/internal/caller/doc.go
@@ -1,4 +1,4 @@
-// Package caller is a small client of the callers' interface: it asks which
-// entries to use, keeps the answer as long as it may be kept, and sends
-// requests itself. The tool uses it; it shows how callers should behave.
+// Package caller is a small client of the callers' interface. It asks which entries to
+// use, caches the answer for as long as it permits, and sends requests to those entries.
+// The command-line tool uses it; it shows how callers should behave.
 package caller
--- a/internal/caller/refusal.go
+++ b/internal/caller/refusal.go
@@ -11,7 +11,7 @@
 
 // Refusal is an entry's error answer.
 type Refusal struct {
-	Status int
+	Status int // HTTP status code
 	Detail callerapi.Error
 }
 
@@ -20,11 +20,12 @@
 	return fmt.Sprintf("%s (%s, outcome %s, status %d)", r.Detail.Message, r.Detail.Code, r.Detail.Outcome, r.Status)
 }
 
-// refusalOf reads an error answer; one in another form keeps its status alone.
-func refusalOf(response *http.Response) *Refusal {
+// readRefusal decodes an error answer. If the body isn't an ErrorBody, only the status is
+// kept.
+func readRefusal(response *http.Response) *Refusal {
 	refusal := &Refusal{Status: response.StatusCode}
 	var body callerapi.ErrorBody
-	if err := json.NewDecoder(io.LimitReader(response.Body, maxReply)).Decode(&body); err != nil {
+	if err := json.NewDecoder(io.LimitReader(response.Body, maxReplyBytes)).Decode(&body); err != nil {
 		refusal.Detail.Message = "the answer has no readable error"
 		return refusal
 	}
