--- a/internal/callerapi/completions.go
+++ b/internal/callerapi/completions.go
@@ -1,7 +1,7 @@
 package callerapi
 
 // ChatRequest is the body of POST /v1/chat/completions; unknown fields are
-// ignored, as callers send many.
+// ignored, as callers send many of them.
 type ChatRequest struct {
 	Model     string    `json:"model"` // "model", "model@version" or "model@version/adapter"
 	Messages  []Message `json:"messages"`
@@ -23,7 +23,7 @@
 	Stream    bool   `json:"stream"`
 }
 
-// CompletionReply is the JSON answer and, with Delta set, a stream event.
+// CompletionReply is the body of an answer and, with Delta set, the data of a stream event.
 type CompletionReply struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -33,7 +33,7 @@
 	Usage   *Usage   `json:"usage,omitempty"`
 }
 
-// Choice is the one answer; hyssopsail always gives exactly one.
+// Choice is one generated answer; hyssopsail always returns exactly one.
 type Choice struct {
 	Index        int      `json:"index"`
 	Message      *Message `json:"message,omitempty"`
@@ -49,6 +49,6 @@
 	TotalTokens      int `json:"total_tokens"`
 }
 
-// StreamDone is the data of the event after a stream that completed. A stream
-// that ends without it, and without an ErrorBody event, was cut.
+// StreamDone is the data of the last event of a completed stream. A stream that ends
+// without it and without an ErrorBody event was truncated.
 const StreamDone = "[DONE]"
--- a/internal/callerapi/doc.go
+++ b/internal/callerapi/doc.go
@@ -1,3 +1,3 @@
-// Package callerapi is the HTTP and JSON contract with callers: headers,
-// outcomes, the error form, address answers and the common completions format.
+// Package callerapi defines the HTTP and JSON interface for callers: headers, outcomes,
+// error bodies, address answers and the common completions format.
 package callerapi
--- a/internal/callerapi/outcome.go
+++ b/internal/callerapi/outcome.go
@@ -1,10 +1,10 @@
 package callerapi
 
-// Outcome tells a caller what became of a request. NotRun is a promise: no
-// copy has run and none ever will.
+// Outcome is the result of a request. OutcomeNotRun guarantees that no copy of the request
+// has run or ever will.
 type Outcome string
 
-// The outcomes, in HeaderOutcome and in error bodies.
+// The outcomes, as sent in HeaderOutcome and in error bodies.
 const (
 	OutcomeCompleted Outcome = "completed"
 	OutcomeNotRun    Outcome = "not-run"
@@ -13,14 +13,14 @@
 	OutcomeInFlight  Outcome = "in-flight"
 )
 
-// The header names of the caller's contract.
+// The names of the HTTP headers.
 const (
 	HeaderOutcome     = "Hyssopsail-Outcome"
 	HeaderRequestID   = "Hyssopsail-Request-Id"
 	HeaderKey         = "Idempotency-Key"
-	HeaderDeadline    = "Hyssopsail-Deadline-Ms" // the caller's patience, ms
-	HeaderIdempotent  = "Hyssopsail-Idempotent"  // "false": must not be repeated
-	HeaderCallerKind  = "Hyssopsail-Caller-Kind" // patience class, e.g. "sorter"
+	HeaderDeadline    = "Hyssopsail-Deadline-Ms" // how long the caller waits for the answer, ms
+	HeaderIdempotent  = "Hyssopsail-Idempotent"  // "false": the request must not be retried
+	HeaderCallerKind  = "Hyssopsail-Caller-Kind" // class of callers with the same patience, e.g. "sorter"
 	HeaderRetryAfter  = "Retry-After"            // seconds, rounded up
 	HeaderAuthorise   = "Authorization"          // "Bearer <team key>"
 	HeaderStreamState = "Hyssopsail-Stream"
