--- a/internal/testkit/freeze.go
+++ b/internal/testkit/freeze.go
@@ -1,5 +1,4 @@
-// Package testkit holds what tests of several packages need; nothing else
-// imports it.
+// Package testkit holds helpers for the tests of several packages. Only tests import it.
 package testkit
 
 import (
@@ -10,9 +9,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// Freeze stops a child process by SIGSTOP and returns once the kernel reports
-// that all its threads are stopped: some may run on, and answer, for a moment
-// after the signal was sent. SIGCONT lets it go on.
+// Freeze stops a child process with SIGSTOP and returns once the kernel reports that all
+// its threads have stopped: some may continue, and answer, for a moment after the signal
+// was sent. SIGCONT resumes the process.
 func Freeze(t testing.TB, child *os.Process) {
 	t.Helper()
 	assert.NilError(t, child.Signal(syscall.SIGSTOP))
--- a/internal/testkit/keys.go
+++ b/internal/testkit/keys.go
@@ -12,7 +12,8 @@
 	"github.com/hyssopsail/hyssopsail/internal/rpc"
 )
 
-// Keys writes the keys of a new fleet of one instance into an empty folder.
+// Keys writes the keys and certificates of a new fleet with one instance into an empty
+// folder and returns the paths of the instance's files.
 func Keys(t testing.TB, folder string, id fleet.InstanceID) rpc.Files {
 	t.Helper()
 	_, err := certs.Write(certs.Options{Folder: folder, Instances: []fleet.InstanceID{id}, Now: time.Now()})
--- a/internal/testkit/link.go
+++ b/internal/testkit/link.go
@@ -7,40 +7,43 @@
 	"github.com/hyssopsail/hyssopsail/internal/rpc"
 )
 
-// linkPiece is how many bytes of one answer go before another answer's turn.
-const linkPiece = 16 << 10
+// linkChunkBytes is the number of bytes of one reply that are transferred before another
+// reply gets its turn.
+const linkChunkBytes = 16 << 10
 
-// link brings one process its answers at a limited rate; a nil link takes no
-// time. Answers on their way at one time share the rate. What a call has
-// received when it is given up is lost.
+// link delivers replies to one process at a limited rate, which concurrent replies share.
+// A nil link delivers them immediately. When a call is cancelled, the part of its reply
+// that has been transferred is lost.
 type link struct {
-	rate int           // bytes a second
-	turn chan struct{} // holds one while a piece is on its way
+	bytesPerSecond int
+	slot           chan struct{} // holds one element while a chunk is transferred
 }
 
-func newLink(rate int) *link { return &link{rate: rate, turn: make(chan struct{}, 1)} }
+func newLink(bytesPerSecond int) *link {
+	return &link{bytesPerSecond: bytesPerSecond, slot: make(chan struct{}, 1)}
+}
 
-// carry returns once size bytes have arrived, or ctx has ended.
-func (l *link) carry(ctx context.Context, size int) error {
+// transfer returns nil once size bytes have arrived, or an error when ctx ends.
+func (l *link) transfer(ctx context.Context, size int) error {
 	for size > 0 && l != nil {
-		piece := min(size, linkPiece)
-		if err := l.carryPiece(ctx, piece); err != nil {
+		chunk := min(size, linkChunkBytes)
+		if err := l.transferChunk(ctx, chunk); err != nil {
 			return err
 		}
-		size -= piece
-		rpc.TransferOf(ctx).Arrived(piece)
+		size -= chunk
+		rpc.TransferOf(ctx).Arrived(chunk)
 	}
 	rpc.TransferOf(ctx).Arrived(size)
 	return ctx.Err()
 }
 
-func (l *link) carryPiece(ctx context.Context, size int) error {
+func (l *link) transferChunk(ctx context.Context, size int) error {
 	select {
-	case l.turn <- struct{}{}:
+	case l.slot <- struct{}{}:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	time.Sleep(time.Duration(size) * time.Second / time.Duration(l.rate))
-	<-l.turn
+	time.Sleep(time.Duration(size) * time.Second / time.Duration(l.bytesPerSecond))
+	<-l.slot
 	return ctx.Err()
 }
--- a/internal/testkit/network.go
+++ b/internal/testkit/network.go
@@ -12,20 +12,20 @@
 	"github.com/hyssopsail/hyssopsail/internal/rpc"
 )
 
-// errRefused is the answer of an address that nobody serves.
+// errRefused is returned for an address without a server.
 var errRefused = errors.New("connection refused")
 
-// Network carries the calls of one test's processes in memory, encoded as on a
-// real one. A cut direction swallows what goes that way without a word, as a
-// silent partition does. The zero value is ready.
+// Network simulates the network between the processes of one test. Calls are carried in
+// memory and encoded as on a real network. Messages in a cut direction are dropped and the
+// call waits until its context ends, as in a network partition. The zero value is ready to use.
 type Network struct {
-	mu      sync.Mutex
-	servers map[string]server
-	cut     map[direction]bool
-	calls   map[string]int // by receiver
-	bytes   int
-	links   map[string]*link // by receiver
-	hold    func(from, to, name string)
+	mu        sync.Mutex
+	servers   map[string]server
+	cut       map[direction]bool
+	calls     map[string]int // by receiver
+	bytes     int
+	links     map[string]*link // by receiver
+	onRequest func(from, to, method string)
 }
 
 type server struct {
@@ -35,7 +35,7 @@
 
 type direction struct{ from, to string }
 
-// Serve makes an implementation of the descriptions answer at an address.
+// Serve registers an implementation of the described services at an address.
 func (n *Network) Serve(address string, implementation any, descriptions ...drpc.Description) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -46,14 +46,15 @@
 	n.servers[address] = server{implementation: implementation, descriptions: descriptions}
 }
 
-// Remove makes a server's process dead: its port refuses.
+// Remove removes the server at an address, as if its process had ended: connections are
+// refused.
 func (n *Network) Remove(address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.servers, address)
 }
 
-// SetCut cuts or heals the direction from one address to others.
+// SetCut cuts or restores the direction from one address to others.
 func (n *Network) SetCut(cut bool, from string, to ...string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -65,45 +66,44 @@
 	}
 }
 
-// SetRate gives the process at an address a link that brings it rate bytes a
-// second, shared by all answers on their way to it. It counts for calls that
-// begin later.
-func (n *Network) SetRate(to string, rate int) {
+// SetRate limits the replies to the process at an address to bytesPerSecond, shared by all
+// replies in transfer to it. It applies to calls that begin later.
+func (n *Network) SetRate(to string, bytesPerSecond int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.links == nil {
 		n.links = make(map[string]*link)
 	}
-	n.links[to] = newLink(rate)
+	n.links[to] = newLink(bytesPerSecond)
 }
 
-// OnRequest calls do before each request of this kind leaves from; a nil do
-// ends that. There is one do at a time.
+// OnRequest calls do before each request from an address whose method name ends with name.
+// It replaces the do of an earlier call; a nil do removes it.
 func (n *Network) OnRequest(from, name string, do func(to string)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.hold = func(sender, to, called string) {
+	n.onRequest = func(sender, to, called string) {
 		if do != nil && sender == from && strings.HasSuffix(called, name) {
 			do(to)
 		}
 	}
 }
 
-// Calls counts the calls that were sent to a served address.
+// Calls returns the number of calls sent to an address while it had a server.
 func (n *Network) Calls(to string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.calls[to]
 }
 
-// Bytes sums the requests and replies carried, in bytes.
+// Bytes returns the total encoded size of the requests and replies carried.
 func (n *Network) Bytes() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.bytes
 }
 
-// Dialer is the way of the process at an address to the others.
+// Dialer returns the dialer of the process at an address.
 func (n *Network) Dialer(from string) rpc.Dialer { return dialer{network: n, from: from} }
 
 func (n *Network) isCut(from, to string) bool {
@@ -112,8 +112,8 @@
 	return n.cut[direction{from, to}]
 }
 
-// pass carries a message, which shares nothing with what arrives.
-func (n *Network) pass(enc drpc.Encoding, in, out drpc.Message) error {
+// transmit copies in to out by encoding and decoding it, so that they share no memory.
+func (n *Network) transmit(enc drpc.Encoding, in, out drpc.Message) error {
 	encoded, err := enc.Marshal(in)
 	if err != nil {
 		return err
@@ -139,7 +139,7 @@
 	return &conn{network: d.network, from: d.from, to: address}, nil
 }
 
-// conn has unary calls alone; it is never closed.
+// conn supports unary calls only; it is never closed.
 type conn struct {
 	drpc.Conn
 	network  *Network
@@ -150,21 +150,21 @@
 func (c *conn) Invoke(ctx context.Context, name string, enc drpc.Encoding, in, out drpc.Message) error {
 	c.network.mu.Lock()
 	to, up := c.network.servers[c.to]
-	hold := c.network.hold
+	onRequest := c.network.onRequest
 	link := c.network.links[c.from]
 	if up {
 		c.network.calls[c.to]++
 	}
 	c.network.mu.Unlock()
-	if hold != nil {
-		hold(c.from, c.to, name)
+	if onRequest != nil {
+		onRequest(c.from, c.to, name)
 	}
 	if c.network.isCut(c.from, c.to) {
 		<-ctx.Done()
 		return ctx.Err()
 	}
 	request := in.(proto.Message).ProtoReflect().New().Interface()
-	if err := c.network.pass(enc, in, request); err != nil {
+	if err := c.network.transmit(enc, in, request); err != nil {
 		return err
 	}
 	if !up {
@@ -178,10 +178,10 @@
 	if err != nil {
 		return err
 	}
-	if err := link.carry(ctx, proto.Size(reply.(proto.Message))); err != nil {
+	if err := link.transfer(ctx, proto.Size(reply.(proto.Message))); err != nil {
 		return err
 	}
-	return c.network.pass(enc, reply, out)
+	return c.network.transmit(enc, reply, out)
 }
 
 func (s server) call(ctx context.Context, name string, request drpc.Message) (drpc.Message, error) {
--- a/internal/testkit/source.go
+++ b/internal/testkit/source.go
@@ -8,47 +8,47 @@
 	"github.com/hyssopsail/hyssopsail/internal/membership"
 )
 
-// Source is a membership.Source whose state a test sets. It is Current until
-// the test says otherwise.
+// Source is a membership.Source whose state is set by a test. It is current unless the test
+// calls SetCurrent(false). It is safe for concurrent use.
 type Source struct {
 	self fleet.Instance
 
-	mu      sync.Mutex
-	state   *membership.State
-	changed chan struct{}
-	lapsed  bool
+	mu         sync.Mutex
+	state      *membership.State
+	changed    chan struct{}
+	notCurrent bool
 }
 
-// NewSource gives the source of process self, which begins with state.
+// NewSource returns a source for process self with an initial state.
 func NewSource(self fleet.Instance, state *membership.State) *Source {
 	return &Source{self: self, state: state, changed: make(chan struct{})}
 }
 
-// State gives what was set last.
+// State returns the latest state.
 func (s *Source) State() *membership.State {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.state
 }
 
-// Current tells what SetCurrent set last.
+// Current reports whether the process holds its leases, as set by SetCurrent.
 func (s *Source) Current(time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return !s.lapsed
+	return !s.notCurrent
 }
 
-// Self is the process that NewSource was given.
+// Self returns the process that was passed to NewSource.
 func (s *Source) Self() fleet.Instance { return s.self }
 
-// Changed gives a channel that the next Set closes.
+// Changed returns a channel that the next Set closes.
 func (s *Source) Changed() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.changed
 }
 
-// Set replaces the state.
+// Set replaces the state and closes the channel that Changed returned.
 func (s *Source) Set(state *membership.State) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -61,5 +61,5 @@
 func (s *Source) SetCurrent(current bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lapsed = !current
+	s.notCurrent = !current
 }
--- a/internal/testkit/suspects.go
+++ b/internal/testkit/suspects.go
@@ -2,8 +2,8 @@
 
 import "github.com/hyssopsail/hyssopsail/internal/fleet"
 
-// PutSuspects takes changes as the shared state does: one without a crash is
-// dropped.
+// PutSuspects applies changes to suspects as the shared state does: a suspect without a
+// crash is deleted.
 func PutSuspects(suspects map[fleet.Fingerprint]fleet.Suspect, changed []fleet.Suspect) {
 	for _, c := range changed {
 		if c.Crashes == 0 {
