--- a/internal/daemon/entryrole.go
+++ b/internal/daemon/entryrole.go
@@ -46,9 +46,9 @@
 		Part:       newPart(b.logger, "engine"),
 		Registerer: b.registry,
 	})
-	e.newHomes(b, client)
-	e.newProvision(b, client)
-	e.newLedger(b)
+	e.initHome(b, client)
+	e.initProvision(b, client)
+	e.initOutcomes(b)
 	policies := newPolicies(b)
 	e.budget = retrybudget.New(time.Now(), b.config.Retries.Limits())
 	e.router = route.New(route.Options{
@@ -77,7 +77,7 @@
 	return rand.New(rand.NewPCG(uint64(b.self.Incarnation), uint64(time.Now().UnixNano())))
 }
 
-func (e *entryRole) newHomes(b *base, client engine.Client) {
+func (e *entryRole) initHome(b *base, client engine.Client) {
 	e.home = endpoint.NewHome(endpoint.HomeOptions{
 		Source:     b.agent,
 		Engine:     client,
@@ -104,7 +104,7 @@
 	})
 }
 
-func (e *entryRole) newLedger(b *base) {
+func (e *entryRole) initOutcomes(b *base) {
 	e.quarantine = quarantine.NewService(quarantine.Options{
 		Source:     b.agent,
 		Dialer:     b.pool,
--- a/internal/daemon/httpserver.go
+++ b/internal/daemon/httpserver.go
@@ -13,7 +13,7 @@
 	"github.com/hyssopsail/hyssopsail/internal/config"
 )
 
-// headerTimeout bounds how long a client may take to send its headers.
+// headerTimeout limits how long a client may take to send its headers.
 const headerTimeout = 10 * time.Second
 
 // newHTTPServer returns a server with the daemon's limits. It sets no write timeout,
--- a/internal/daemon/lister.go
+++ b/internal/daemon/lister.go
@@ -17,8 +17,8 @@
 	localEntry *entryRole // nil without the role
 }
 
-func newEndpointLister(b *base, own *entryRole) endpointLister {
-	return endpointLister{base: b, localEntry: own}
+func newEndpointLister(b *base, localEntry *entryRole) endpointLister {
+	return endpointLister{base: b, localEntry: localEntry}
 }
 
 const (
--- a/internal/daemon/operations.go
+++ b/internal/daemon/operations.go
@@ -16,8 +16,8 @@
 	localControl *controlRole // nil without the role
 }
 
-func newOperations(b *base, own *controlRole) operations {
-	return operations{Client: b.client, base: b, localControl: own}
+func newOperations(b *base, localControl *controlRole) operations {
+	return operations{Client: b.client, base: b, localControl: localControl}
 }
 
 // leaderTimeout limits how long Status waits for the fields that only the leader knows.
--- a/internal/daemon/provision.go
+++ b/internal/daemon/provision.go
@@ -10,9 +10,9 @@
 	"github.com/hyssopsail/hyssopsail/internal/provision"
 )
 
-// newProvision creates the service between requests and homes. It counts the demand for
+// initProvision creates the service between requests and homes. It counts the demand for
 // each model, and drains an endpoint before an order is carried out on it.
-func (e *entryRole) newProvision(b *base, client engine.Client) {
+func (e *entryRole) initProvision(b *base, client engine.Client) {
 	e.provision = provision.New(provision.Options{
 		Source:     b.agent,
 		Dialer:     b.pool,
--- a/internal/daemon/stop.go
+++ b/internal/daemon/stop.go
@@ -24,10 +24,10 @@
 // answers, serves for as long as callers may cache its address, finishes the requests
 // in flight, hands over its ledger shards and homes, and leaves the view.
 //
-// This prevents that a caller that asked for addresses just before the stop finds the
-// port closed, or that a stream ends in the middle: no new address answer names a
-// draining instance, and the wait covers the longest time for which an older answer may
-// be cached.
+// Otherwise a caller that asked for addresses just before the stop could find the port
+// closed, or a stream could end in the middle. The steps prevent it because no new address
+// answer names a draining instance, and the wait covers the longest time for which an
+// older answer may be cached.
 func (d *Daemon) stop() {
 	d.base.part.Info("Stopping gracefully.")
 	d.base.agent.SetDraining()
