--- a/internal/daemon/controlrole.go
+++ b/internal/daemon/controlrole.go
@@ -83,7 +83,7 @@
 // handOverLeadership transfers leadership to another member, so that a planned stop
 // doesn't leave the group without a leader.
 func (c *controlRole) handOverLeadership(ctx context.Context) {
-	if err := c.node.HandOver(ctx); err != nil {
+	if err := c.node.TransferLeadership(ctx); err != nil {
 		c.part.Info("Leadership was not handed over.", "err", err)
 	}
 }
--- a/internal/daemon/entryrole.go
+++ b/internal/daemon/entryrole.go
@@ -52,23 +52,23 @@
 	policies := newPolicies(b)
 	e.budget = retrybudget.New(time.Now(), b.config.Retries.Limits())
 	e.router = route.New(route.Options{
-		Source:     b.agent,
-		Follower:   e.provision.Follower(),
-		Engine:     client,
-		Ledger:     e.ledger,
-		Guard:      e.quarantine,
-		Admission:  admission.New(admission.Options{Random: newRandom(b)}),
-		Budget:     e.budget,
-		Policies:   policies.choose,
-		Prefill:    policies.prefill,
-		Links:      policies.links,
-		Recorder:   b.timelineRing,
-		Prefixes:   schedule.Prefixes,
-		Secret:     b.secret[:],
-		Seed:       uint64(b.self.Incarnation),
-		Part:       newPart(b.logger, "route"),
-		Registerer: b.registry,
-		Bounds:     route.Bounds{StreamTime: b.config.Bounds.StreamTime},
+		Source:       b.agent,
+		Follower:     e.provision.Follower(),
+		Engine:       client,
+		Ledger:       e.ledger,
+		Guard:        e.quarantine,
+		Admission:    admission.New(admission.Options{Random: newRandom(b)}),
+		Budget:       e.budget,
+		Policies:     policies.choose,
+		Prefill:      policies.prefill,
+		Links:        policies.links,
+		Recorder:     b.timelineRing,
+		PrefixHashes: schedule.Prefixes,
+		Secret:       b.secret[:],
+		Seed:         uint64(b.self.Incarnation),
+		Logger:       newPart(b.logger, "route"),
+		Registerer:   b.registry,
+		Bounds:       route.Bounds{MaxRequestDuration: b.config.Bounds.StreamTime},
 	})
 	return e, trace.Wrap(e.register(b))
 }
@@ -86,7 +86,7 @@
 		Part:       newPart(b.logger, "home"),
 		Registerer: b.registry,
 		Seed:       uint64(b.self.Incarnation),
-		Crash: func(ctx context.Context, report *pb.ReportCrash) error {
+		ReportCrash: func(ctx context.Context, report *pb.ReportCrash) error {
 			_, err := b.client.Crash(ctx, report)
 			return err
 		},
@@ -148,7 +148,7 @@
 func (e *entryRole) updateEntryCount(ctx context.Context, source membership.Source) error {
 	for sleep.For(ctx, entryCountInterval) {
 		if now := time.Now(); source.Current(now) {
-			e.budget.Entries(now, max(1, source.State().View.CountEntries()))
+			e.budget.SetEntries(now, max(1, source.State().View.CountEntries()))
 		}
 	}
 	return nil
--- a/internal/daemon/stop.go
+++ b/internal/daemon/stop.go
@@ -49,7 +49,7 @@
 	drainCtx, cancel := context.WithTimeout(context.Background(), d.base.config.Bounds.StreamTime)
 	defer cancel()
 	if err := d.entry.router.Drain(drainCtx); err != nil {
-		d.base.part.Warn("Stopped with requests in flight.", "running", d.entry.router.Running(), "err", err)
+		d.base.part.Warn("Stopped with requests in flight.", "running", d.entry.router.RunningRequests(), "err", err)
 	}
 	if !d.hasSuccessor() {
 		return
