--- a/internal/httpconn/conn.go
+++ b/internal/httpconn/conn.go
@@ -15,51 +15,51 @@
 	"time"
 )
 
-// The sizes of a connection's buffers, bytes. A body beyond writeAhead is
-// written beside the reading, since an endpoint may answer before it has read
-// it all.
+// Buffer sizes of a connection. A body longer than maxInlineBodyBytes is written
+// by a separate goroutine while the response is read, since an endpoint may
+// respond before it has read the whole body.
 const (
-	readBuffer = 4 << 10
-	writeAhead = 8 << 10
+	readBufferBytes    = 4 << 10
+	maxInlineBodyBytes = 8 << 10
 )
 
-// mostStrays bounds the answers to earlier requests that are passed over.
-const mostStrays = 3
+// maxStrayResponses bounds how many responses to earlier requests are skipped.
+const maxStrayResponses = 3
 
-// errStray is the cause of a Failure where no answer belonged to the request.
-var errStray = errors.New("the answer belongs to another request")
+// errStrayResponse is the cause of a Failure when no response matched the request.
+var errStrayResponse = errors.New("the answer belongs to another request")
 
-// conn carries one request at a time.
+// conn is a connection that carries one request at a time.
 type conn struct {
-	raw       net.Conn
-	reader    *bufio.Reader
-	address   string
-	tag       string // of the newest request
-	served    bool   // an earlier request was answered
-	idleUntil time.Time
-	broken    atomic.Bool
-	openedAt  time.Time
-	closed    func()     // called when it is closed, once; nil for nothing
-	written   chan error // of a body that is written beside the reading; nil if none
+	raw         net.Conn
+	reader      *bufio.Reader
+	address     string
+	tag         string // of the latest request
+	served      bool   // an earlier request got a response
+	idleUntil   time.Time
+	isClosed    atomic.Bool
+	openedAt    time.Time
+	onClose     func()     // called once, when the connection is closed; may be nil
+	bodyWritten chan error // result of writing a body in the background; nil if none
 }
 
 func newConn(raw net.Conn, address string) *conn {
-	return &conn{raw: raw, reader: bufio.NewReaderSize(raw, readBuffer), address: address}
+	return &conn{raw: raw, reader: bufio.NewReaderSize(raw, readBufferBytes), address: address}
 }
 
 func (c *conn) close() {
-	if c.broken.Swap(true) {
+	if c.isClosed.Swap(true) {
 		return
 	}
-	_ = c.raw.Close() // nothing more is expected of it
-	if c.closed != nil {
-		c.closed()
+	_ = c.raw.Close() // the connection is no longer used
+	if c.onClose != nil {
+		c.onClose()
 	}
 }
 
-// hasEnded tells whether the other end has closed or reset the connection. It may be asked
-// while the connection is in use: no byte is taken from it.
-func (c *conn) hasEnded() bool {
+// peerClosed reports whether the peer has closed or reset the connection. It consumes no
+// bytes, so it may be called while the connection is in use.
+func (c *conn) peerClosed() bool {
 	source, ok := c.raw.(syscall.Conn)
 	if !ok {
 		return false
@@ -81,9 +81,9 @@
 	return errors.Is(err, syscall.EAGAIN) || errors.Is(err, syscall.EWOULDBLOCK)
 }
 
-// quiet tells whether an idle connection is open and holds no bytes. Surplus
-// bytes belong to no request; the next one would take them for its answer.
-func (c *conn) quiet() bool {
+// reusable reports whether an idle connection is open and has no unread bytes.
+// Surplus bytes would be taken for the response to the next request.
+func (c *conn) reusable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -105,8 +105,8 @@
 	return err == nil && n <= 0 && isAgain(readErr)
 }
 
-// exchange sends a request and reads the head of its answer. When ctx ends the
-// connection is closed, which tells the endpoint to stop its work.
+// exchange sends a request and reads the status line and header of its response.
+// When ctx ends the connection is closed, so that the endpoint can stop its work.
 func (c *conn) exchange(ctx context.Context, r *Request) (*Response, error) {
 	reused := c.served
 	c.tag = r.Tag
@@ -121,17 +121,17 @@
 		stop()
 		c.close()
 		step := "read"
-		if errors.Is(err, errStray) {
+		if errors.Is(err, errStrayResponse) {
 			step = "mismatch"
 		}
-		return nil, &Failure{Sent: true, Reused: reused, Step: step, Cause: cause(ctx, err)}
+		return nil, &Failure{Sent: true, Reused: reused, Step: step, Cause: contextCauseOr(ctx, err)}
 	}
 	c.served = true
-	return &Response{Status: head.StatusCode, Header: head.Header, Length: head.ContentLength, conn: c, body: head.Body, closes: head.Close, stop: stop}, nil
+	return &Response{Status: head.StatusCode, Header: head.Header, Length: head.ContentLength, conn: c, body: head.Body, closeRequested: head.Close, stopCancel: stop}, nil
 }
 
-// cause prefers the reason why ctx ended to the error that its end brought about.
-func cause(ctx context.Context, err error) error {
+// contextCauseOr returns the cause of ctx's end if it has ended, and err otherwise.
+func contextCauseOr(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return context.Cause(ctx)
 	}
@@ -140,12 +140,12 @@
 
 func (c *conn) write(r *Request) error {
 	var b bytes.Buffer
-	b.Grow(512 + min(len(r.Body), writeAhead))
+	b.Grow(512 + min(len(r.Body), maxInlineBodyBytes))
 	if err := r.appendHead(&b); err != nil {
 		return err
 	}
-	c.written = nil
-	if len(r.Body) <= writeAhead {
+	c.bodyWritten = nil
+	if len(r.Body) <= maxInlineBodyBytes {
 		b.Write(r.Body)
 		_, err := c.raw.Write(b.Bytes())
 		return err
@@ -153,24 +153,24 @@
 	if _, err := c.raw.Write(b.Bytes()); err != nil {
 		return err
 	}
-	c.written = make(chan error, 1)
+	c.bodyWritten = make(chan error, 1)
 	go func(done chan<- error) {
 		_, err := c.raw.Write(r.Body)
 		done <- err
-	}(c.written)
+	}(c.bodyWritten)
 	return nil
 }
 
-// readHead reads the head of the answer that belongs to r.
+// readHead reads the status line and header of the response that belongs to r.
 func (c *conn) readHead(r *Request) (*http.Response, error) {
 	asked := &http.Request{Method: r.Method}
-	for strays := 0; strays <= mostStrays; {
+	for strays := 0; strays <= maxStrayResponses; {
 		head, err := http.ReadResponse(c.reader, asked)
 		if err != nil {
 			return nil, err
 		}
 		if head.StatusCode < http.StatusOK {
-			continue // an interim answer
+			continue // an interim (1xx) response
 		}
 		if r.Matches == nil || r.Matches(head.StatusCode, head.Header) {
 			return head, nil
@@ -180,26 +180,26 @@
 			return nil, err
 		}
 	}
-	return nil, errStray
+	return nil, errStrayResponse
 }
 
-// bodySent tells whether the whole body of the newest request was written.
+// bodySent reports whether the whole body of the latest request was written.
 func (c *conn) bodySent() bool {
-	if c.written == nil {
+	if c.bodyWritten == nil {
 		return true
 	}
 	select {
-	case err := <-c.written:
-		c.written = nil
+	case err := <-c.bodyWritten:
+		c.bodyWritten = nil
 		return err == nil
 	default:
 		return false
 	}
 }
 
-// idleLimit reads how long the endpoint keeps the connection, from its
-// Keep-Alive header; 0 when it doesn't say.
-func idleLimit(header http.Header) time.Duration {
+// keepAliveTimeout returns how long the endpoint keeps an idle connection, from the
+// timeout parameter of the Keep-Alive header; 0 when there is none.
+func keepAliveTimeout(header http.Header) time.Duration {
 	for _, part := range strings.Split(header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if !strings.EqualFold(name, "timeout") {
--- a/internal/httpconn/doc.go
+++ b/internal/httpconn/doc.go
@@ -1,8 +1,9 @@
-// Package httpconn sends HTTP/1.1 requests to endpoints over kept connections, and
-// knows for each whether a byte left and whether the answer is whole. net/http's
-// client repeats some requests by itself after a kept connection turned out
-// dead, takes whatever arrives first for the answer, and reuses connections
-// with surplus bytes; each would run a request twice or mix up answers.
+// Package httpconn sends HTTP/1.1 requests to endpoints over persistent connections,
+// and reports for each request whether any byte was sent and whether the response is
+// complete. It replaces net/http's client, which retries some requests by itself when
+// a persistent connection turns out to be closed, accepts whatever arrives first as the
+// response, and reuses connections with surplus bytes. Each of these could run a
+// request twice or mix up responses.
 //
-// Locks: Pool.mu is a leaf.
+// Locking: no other lock is acquired while Pool.mu is held.
 package httpconn
--- a/internal/httpconn/failure.go
+++ b/internal/httpconn/failure.go
@@ -2,12 +2,12 @@
 
 import "fmt"
 
-// Failure is why a request got no answer.
+// Failure is the error of a request that got no response.
 type Failure struct {
-	// Sent tells that a byte may have reached the endpoint, so that the
-	// request may have run.
+	// Sent reports that at least one byte may have reached the endpoint, so
+	// that the request may have run.
 	Sent bool
-	// Reused tells that the connection had served a request before.
+	// Reused reports that the connection had served an earlier request.
 	Reused bool
 	Step   string // dial, check, write, read or mismatch
 	Cause  error
@@ -18,5 +18,5 @@
 	return fmt.Sprintf("%s (sent=%t reused=%t): %v", f.Step, f.Sent, f.Reused, f.Cause)
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (f *Failure) Unwrap() error { return f.Cause }
--- a/internal/httpconn/httpconn_test.go
+++ b/internal/httpconn/httpconn_test.go
@@ -15,19 +15,19 @@
 	"gotest.tools/v3/assert"
 )
 
-// script is an endpoint that handles each connection as a test says.
-type script struct {
+// scriptedEndpoint is an endpoint whose connections are handled by a test's function.
+type scriptedEndpoint struct {
 	t        *testing.T
 	listener net.Listener
-	requests chan string // IDs of the requests that came, in order
+	requests chan string // IDs of the received requests, in order
 }
 
-func serve(t *testing.T, handle func(s *script, n int, c net.Conn)) *script {
+func serve(t *testing.T, handle func(s *scriptedEndpoint, n int, c net.Conn)) *scriptedEndpoint {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
-	s := &script{t: t, listener: listener, requests: make(chan string, 100)}
+	s := &scriptedEndpoint{t: t, listener: listener, requests: make(chan string, 100)}
 	go func() {
 		for n := 0; ; n++ {
 			c, err := listener.Accept()
@@ -43,10 +43,10 @@
 	return s
 }
 
-func (s *script) address() string { return s.listener.Addr().String() }
+func (s *scriptedEndpoint) address() string { return s.listener.Addr().String() }
 
-// read takes the next request of a connection; false at its end.
-func (s *script) read(r *bufio.Reader) (id string, ok bool) {
+// read reads the next request of a connection; ok is false at the end of the connection.
+func (s *scriptedEndpoint) read(r *bufio.Reader) (id string, ok bool) {
 	request, err := http.ReadRequest(r)
 	if err != nil {
 		return "", false
@@ -57,7 +57,7 @@
 	return id, true
 }
 
-func answer(id, body string) string {
+func responseText(id, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
@@ -69,14 +69,14 @@
 	}
 }
 
-func pool(t *testing.T) *Pool {
+func newTestPool(t *testing.T) *Pool {
 	p := NewPool(time.Second)
 	t.Cleanup(func() { p.Sweep(time.Now().Add(time.Hour)) })
 	return p
 }
 
-// whole sends a request and reads its answer to the end.
-func whole(t *testing.T, p *Pool, s *script, id string) (string, error) {
+// sendAndRead sends a request and reads its whole response body.
+func sendAndRead(t *testing.T, p *Pool, s *scriptedEndpoint, id string) (string, error) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
@@ -89,89 +89,89 @@
 	return string(body), err
 }
 
-func echo(s *script, _ int, c net.Conn) {
+func echo(s *scriptedEndpoint, _ int, c net.Conn) {
 	r := bufio.NewReader(c)
 	for {
 		id, ok := s.read(r)
 		if !ok {
 			return
 		}
-		_, _ = io.WriteString(c, answer(id, "for "+id))
+		_, _ = io.WriteString(c, responseText(id, "for "+id))
 	}
 }
 
 func TestConnectionIsKept(t *testing.T) {
 	opened := 0
 	s := serve(t, echo)
-	p := pool(t)
+	p := newTestPool(t)
 	p.Opened = func() { opened++ }
 	for n := range 5 {
-		body, err := whole(t, p, s, fmt.Sprint(n))
+		body, err := sendAndRead(t, p, s, fmt.Sprint(n))
 		assert.NilError(t, err)
 		assert.Equal(t, body, fmt.Sprint("for ", n))
 	}
 	assert.Equal(t, opened, 1)
 }
 
-// A caller gets somebody else's answer: the endpoint answers an earlier request
-// twice, and its second answer comes where the next request's is due.
-func TestAnswerToAnEarlierRequestIsPassedOver(t *testing.T) {
-	s := serve(t, func(s *script, _ int, c net.Conn) {
+// Guards against returning another request's response: the endpoint answers an
+// earlier request twice, and the second response precedes that of the next request.
+func TestStrayResponseIsSkipped(t *testing.T) {
+	s := serve(t, func(s *scriptedEndpoint, _ int, c net.Conn) {
 		r := bufio.NewReader(c)
 		first, _ := s.read(r)
-		_, _ = io.WriteString(c, answer(first, "for "+first))
+		_, _ = io.WriteString(c, responseText(first, "for "+first))
 		second, ok := s.read(r)
 		if ok {
-			_, _ = io.WriteString(c, answer(first, "again")+answer(second, "for "+second))
+			_, _ = io.WriteString(c, responseText(first, "again")+responseText(second, "for "+second))
 		}
 		_, _ = s.read(r)
 	})
-	p := pool(t)
+	p := newTestPool(t)
 	for _, id := range []string{"a", "b"} {
-		body, err := whole(t, p, s, id)
+		body, err := sendAndRead(t, p, s, id)
 		assert.NilError(t, err)
 		assert.Equal(t, body, "for "+id)
 	}
 }
 
-// An endpoint sends bytes after a whole answer. The next request would take
-// them for its own; it goes over a new connection instead.
+// An endpoint sends bytes after a complete response. The next request would take
+// them for its own response, so it must use a new connection.
 func TestSurplusBytesCloseTheConnection(t *testing.T) {
 	sent := make(chan struct{})
-	s := serve(t, func(s *script, n int, c net.Conn) {
+	s := serve(t, func(s *scriptedEndpoint, n int, c net.Conn) {
 		if n > 0 {
 			echo(s, n, c)
 			return
 		}
 		r := bufio.NewReader(c)
 		id, _ := s.read(r)
-		_, _ = io.WriteString(c, answer(id, "for "+id))
-		_, _ = io.WriteString(c, answer("a", "surplus"))
+		_, _ = io.WriteString(c, responseText(id, "for "+id))
+		_, _ = io.WriteString(c, responseText("a", "surplus"))
 		close(sent)
 		_, _ = s.read(r)
 	})
-	p := pool(t)
-	_, err := whole(t, p, s, "a")
+	p := newTestPool(t)
+	_, err := sendAndRead(t, p, s, "a")
 	assert.NilError(t, err)
 	<-sent
-	body, err := whole(t, p, s, "b")
+	body, err := sendAndRead(t, p, s, "b")
 	assert.NilError(t, err)
 	assert.Equal(t, body, "for b")
 }
 
-// A slip is booked twice: the endpoint closes a kept connection after it took
-// the request, and the client sends it again by itself.
+// Guards against running a request twice: the endpoint closes a persistent connection
+// after it received the request, and the client retries by itself.
 func TestNothingIsSentTwice(t *testing.T) {
-	s := serve(t, func(s *script, _ int, c net.Conn) {
+	s := serve(t, func(s *scriptedEndpoint, _ int, c net.Conn) {
 		r := bufio.NewReader(c)
 		id, _ := s.read(r)
-		_, _ = io.WriteString(c, answer(id, "for "+id))
-		_, _ = s.read(r) // and closes without an answer
+		_, _ = io.WriteString(c, responseText(id, "for "+id))
+		_, _ = s.read(r) // and closes without a response
 	})
-	p := pool(t)
-	_, err := whole(t, p, s, "a")
+	p := newTestPool(t)
+	_, err := sendAndRead(t, p, s, "a")
 	assert.NilError(t, err)
-	_, err = whole(t, p, s, "b")
+	_, err = sendAndRead(t, p, s, "b")
 	var failure *Failure
 	assert.Assert(t, errors.As(err, &failure))
 	assert.Assert(t, failure.Sent && failure.Reused, "%v", failure)
@@ -180,31 +180,31 @@
 	assert.Equal(t, len(s.requests), 0)
 }
 
-// A kept connection that the endpoint has closed is found out before a byte of
-// the next request leaves, so that even a request that may not run twice goes
-// over a new one.
+// A persistent connection that the endpoint has closed is detected before any byte of
+// the next request is sent, so that even a request that must not run twice can use
+// a new connection.
 func TestClosedConnectionIsFoundBeforeTheSend(t *testing.T) {
 	closed := make(chan struct{})
-	s := serve(t, func(s *script, n int, c net.Conn) {
+	s := serve(t, func(s *scriptedEndpoint, n int, c net.Conn) {
 		if n > 0 {
 			echo(s, n, c)
 			return
 		}
 		id, _ := s.read(bufio.NewReader(c))
-		_, _ = io.WriteString(c, answer(id, "for "+id))
+		_, _ = io.WriteString(c, responseText(id, "for "+id))
 		_ = c.Close()
 		close(closed)
 	})
-	p := pool(t)
-	_, err := whole(t, p, s, "a")
+	p := newTestPool(t)
+	_, err := sendAndRead(t, p, s, "a")
 	assert.NilError(t, err)
 	<-closed
-	body, err := whole(t, p, s, "b")
+	body, err := sendAndRead(t, p, s, "b")
 	assert.NilError(t, err)
 	assert.Equal(t, body, "for b")
 }
 
-// An answer that is cut off must not look whole, however its length is told.
+// A truncated response must not look complete, however its length is indicated.
 func TestCutAnswerIsNotWhole(t *testing.T) {
 	for name, test := range map[string]struct {
 		head  string
@@ -218,19 +218,19 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			headRead := make(chan struct{})
-			s := serve(t, func(s *script, _ int, c net.Conn) {
+			s := serve(t, func(s *scriptedEndpoint, _ int, c net.Conn) {
 				id, _ := s.read(bufio.NewReader(c))
 				body := "half"
 				if strings.Contains(test.head, "chunked") {
 					body = "4\r\nhalf\r\n"
 				}
 				_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nId: "+id+"\r\n"+test.head+"\r\n"+body)
-				<-headRead // or a reset would take it along
+				<-headRead // a reset before that would discard the header
 				if test.reset {
 					_ = c.(*net.TCPConn).SetLinger(0)
 				}
 			})
-			p := pool(t)
+			p := newTestPool(t)
 			response, err := p.Do(t.Context(), s.address(), request("a"), false)
 			assert.NilError(t, err)
 			close(headRead)
@@ -243,10 +243,10 @@
 	}
 }
 
-// An endpoint answers before it has read a long body. The connection is not
-// used again: the rest of the body is due on it.
+// An endpoint responds before it has read a long body. The connection must not be
+// reused, since the rest of the body is still to be sent on it.
 func TestEarlyAnswer(t *testing.T) {
-	s := serve(t, func(s *script, n int, c net.Conn) {
+	s := serve(t, func(s *scriptedEndpoint, n int, c net.Conn) {
 		if n > 0 {
 			echo(s, n, c)
 			return
@@ -256,11 +256,11 @@
 		if err != nil {
 			return
 		}
-		_, _ = io.WriteString(c, answer(request.Header.Get("Id"), "early"))
+		_, _ = io.WriteString(c, responseText(request.Header.Get("Id"), "early"))
 		_, _ = io.Copy(io.Discard, request.Body)
 		_, _ = s.read(r)
 	})
-	p := pool(t)
+	p := newTestPool(t)
 	long := request("a")
 	long.Body = make([]byte, 8<<20)
 	response, err := p.Do(t.Context(), s.address(), long, false)
@@ -269,16 +269,16 @@
 	assert.NilError(t, err)
 	assert.Equal(t, string(body), "early")
 	response.Close()
-	again, err := whole(t, p, s, "b")
+	again, err := sendAndRead(t, p, s, "b")
 	assert.NilError(t, err)
 	assert.Equal(t, again, "for b")
 }
 
-// A caller leaves while the endpoint works: the connection closes, so that the
-// endpoint can stop.
-func TestCallersEndClosesTheConnection(t *testing.T) {
+// When the caller cancels while the endpoint works, the connection is closed so that
+// the endpoint can stop.
+func TestCancellationClosesTheConnection(t *testing.T) {
 	gone := make(chan error, 1)
-	s := serve(t, func(s *script, _ int, c net.Conn) {
+	s := serve(t, func(s *scriptedEndpoint, _ int, c net.Conn) {
 		r := bufio.NewReader(c)
 		_, _ = s.read(r)
 		_, err := r.ReadByte()
@@ -290,43 +290,43 @@
 		<-s.requests
 		cancel(left)
 	}()
-	_, err := pool(t).Do(ctx, s.address(), request("a"), false)
+	_, err := newTestPool(t).Do(ctx, s.address(), request("a"), false)
 	assert.ErrorIs(t, err, left)
 	assert.Assert(t, <-gone != nil)
 }
 
-func TestConnectionNearItsEndIsNotUsed(t *testing.T) {
+func TestConnectionNearIdleTimeoutIsNotReused(t *testing.T) {
 	for limit, used := range map[time.Duration]bool{0: true, time.Second: false, 30 * time.Second: true} {
 		p := NewPool(time.Second)
 		client, server := net.Pipe()
-		p.keep(newConn(client, "a"), limit)
-		assert.Equal(t, p.take("a", "t", false) != nil, used, "%v", limit)
+		p.putIdle(newConn(client, "a"), limit)
+		assert.Equal(t, p.takeIdle("a", "t", false) != nil, used, "%v", limit)
 		_, _ = client.Close(), server.Close()
 	}
 	header := http.Header{"Keep-Alive": {"max=5, timeout=7"}}
-	assert.Equal(t, idleLimit(header), 7*time.Second)
+	assert.Equal(t, keepAliveTimeout(header), 7*time.Second)
 }
 
-// Both parts of one attempt must not share a connection: a second answer to
-// the first would match the second.
+// Both parts of one attempt must not share a connection: a second response to
+// the first part would match the second part.
 func TestSameTagTakesANewConnection(t *testing.T) {
 	opened := 0
 	s := serve(t, echo)
-	p := pool(t)
+	p := newTestPool(t)
 	p.Opened = func() { opened++ }
 	for range 2 {
-		_, err := whole(t, p, s, "a")
+		_, err := sendAndRead(t, p, s, "a")
 		assert.NilError(t, err)
 	}
 	assert.Equal(t, opened, 2)
 }
 
-func TestUnreachableWasNotSent(t *testing.T) {
+func TestDialFailureIsNotSent(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
 	address := listener.Addr().String()
 	assert.NilError(t, listener.Close())
-	_, err = pool(t).Do(t.Context(), address, request("a"), false)
+	_, err = newTestPool(t).Do(t.Context(), address, request("a"), false)
 	var failure *Failure
 	assert.Assert(t, errors.As(err, &failure))
 	assert.Assert(t, !failure.Sent)
--- a/internal/httpconn/open.go
+++ b/internal/httpconn/open.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// opened takes in a connection, which tells the pool when it closes.
-func (p *Pool) opened(c *conn) {
+// register adds an open connection to the pool; closing the connection removes it.
+func (p *Pool) register(c *conn) {
 	c.openedAt = time.Now()
-	c.closed = func() { p.forget(c) }
+	c.onClose = func() { p.unregister(c) }
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.open[c.address]
@@ -16,7 +16,7 @@
 	list[c] = true
 }
 
-func (p *Pool) forget(c *conn) {
+func (p *Pool) unregister(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.open[c.address], c)
@@ -25,18 +25,19 @@
 	}
 }
 
-// HasOpen tells whether a connection to address that was opened before a time is still open
-// at both ends, as far as its kernel has heard. When an endpoint's process ends, none is.
+// HasOpen reports whether a connection to address that was opened before the given time is
+// still open at both ends, as far as the local kernel knows. When an endpoint's process ends,
+// all its connections close.
 func (p *Pool) HasOpen(address string, before time.Time) bool {
-	for _, c := range p.olderThan(address, before) {
-		if !c.broken.Load() && !c.hasEnded() {
+	for _, c := range p.openedBefore(address, before) {
+		if !c.isClosed.Load() && !c.peerClosed() {
 			return true
 		}
 	}
 	return false
 }
 
-func (p *Pool) olderThan(address string, before time.Time) []*conn {
+func (p *Pool) openedBefore(address string, before time.Time) []*conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var older []*conn
--- a/internal/httpconn/open_test.go
+++ b/internal/httpconn/open_test.go
@@ -10,23 +10,23 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against taking a connection that an endpoint has closed for the crash of its
-// process, and the other way round: idle connections and those in use tell.
-func TestOtherConnectionsTellWhetherAnEndpointLives(t *testing.T) {
+// Guards against mistaking one closed connection for a crash of the endpoint's process,
+// and the reverse: HasOpen considers both idle connections and those in use.
+func TestHasOpenReflectsEndpointState(t *testing.T) {
 	ends := make(chan struct{})
-	s := serve(t, func(s *script, n int, c net.Conn) {
+	s := serve(t, func(s *scriptedEndpoint, n int, c net.Conn) {
 		if n == 0 {
 			echo(s, n, c)
 			return
 		}
 		_, _ = s.read(bufio.NewReader(c))
-		<-ends // without an answer
+		<-ends // without a response
 	})
-	p := pool(t)
+	p := newTestPool(t)
 	assert.Assert(t, !p.HasOpen(s.address(), time.Now()))
-	_, err := whole(t, p, s, "a")
+	_, err := sendAndRead(t, p, s, "a")
 	assert.NilError(t, err)
-	assert.Assert(t, p.HasOpen(s.address(), time.Now()), "an idle one")
+	assert.Assert(t, p.HasOpen(s.address(), time.Now()), "an idle connection")
 	assert.Assert(t, !p.HasOpen(s.address(), time.Now().Add(-time.Minute)), "none is that old")
 	<-s.requests
 
@@ -37,24 +37,24 @@
 	}()
 	<-s.requests
 	p.Sweep(time.Now().Add(time.Hour))
-	assert.Assert(t, p.HasOpen(s.address(), time.Now()), "one in use")
+	assert.Assert(t, p.HasOpen(s.address(), time.Now()), "a connection in use")
 	close(ends)
 	assert.Assert(t, <-failed != nil)
 	assert.Assert(t, !p.HasOpen(s.address(), time.Now()))
 	assert.Equal(t, len(p.open), 0)
 }
 
-// Guards against an idle connection that counts as open after the other end has closed it.
+// Guards against counting an idle connection as open after the peer has closed it.
 func TestIdleConnectionThatHasEndedIsNotOpen(t *testing.T) {
 	closed := make(chan struct{})
-	s := serve(t, func(s *script, _ int, c net.Conn) {
+	s := serve(t, func(s *scriptedEndpoint, _ int, c net.Conn) {
 		r := bufio.NewReader(c)
 		id, _ := s.read(r)
-		_, _ = c.Write([]byte(answer(id, "whole")))
+		_, _ = c.Write([]byte(responseText(id, "whole")))
 		<-closed
 	})
-	p := pool(t)
-	_, err := whole(t, p, s, "a")
+	p := newTestPool(t)
+	_, err := sendAndRead(t, p, s, "a")
 	assert.NilError(t, err)
 	assert.Assert(t, p.HasOpen(s.address(), time.Now()))
 	close(closed)
--- a/internal/httpconn/pool.go
+++ b/internal/httpconn/pool.go
@@ -10,29 +10,30 @@
 	"golang.org/x/sys/unix"
 )
 
-// The bounds of a Pool.
+// Limits of a Pool.
 const (
-	// idleLife is how long a connection is kept whose endpoint doesn't say how
-	// long it keeps it.
-	idleLife = 4 * time.Second
-	// idleMargin is how long before the end of an endpoint's Keep-Alive a
-	// connection is given up: a request that crosses the endpoint's close gets
-	// no answer and can't be told from one that ran.
-	idleMargin = 1200 * time.Millisecond
-	// idlePerEndpoint bounds the idle connections to one address.
-	idlePerEndpoint = 12
-	// silence bounds how long sent bytes may stay unacknowledged: a machine
-	// without power answers nothing, not even a reset.
-	silence = 3 * time.Second
+	// defaultIdleTimeout is how long an idle connection is kept when the endpoint
+	// sends no Keep-Alive timeout.
+	defaultIdleTimeout = 4 * time.Second
+	// keepAliveMargin is how long before the endpoint's Keep-Alive timeout a
+	// connection is dropped: a request that crosses the endpoint's close gets
+	// no response and can't be told from one that ran.
+	keepAliveMargin = 1200 * time.Millisecond
+	// maxIdlePerAddress bounds the idle connections to one address.
+	maxIdlePerAddress = 12
+	// unackedTimeout bounds how long sent bytes may stay unacknowledged: a machine
+	// that lost power sends nothing, not even a reset.
+	unackedTimeout = 3 * time.Second
 )
 
-// Pool gives connections to endpoints, and keeps those that are idle.
+// Pool opens connections to endpoints and keeps idle ones for reuse. It is safe for
+// concurrent use.
 type Pool struct {
-	// DialTimeout bounds the opening of a connection. Endpoints are within
-	// milliseconds; one whose packet was dropped is tried elsewhere sooner
-	// than TCP would send it again.
+	// DialTimeout bounds the opening of a connection. Endpoints are milliseconds
+	// away; when a packet is dropped, another endpoint is tried sooner than TCP
+	// would retransmit.
 	DialTimeout time.Duration
-	// Opened, when set, is told of each connection that was opened.
+	// Opened, if set, is called for each connection that was opened.
 	Opened func()
 
 	mu   sync.Mutex // guards the fields below
@@ -40,19 +41,19 @@
 	open map[string]map[*conn]bool // by address; in use or idle
 }
 
-// NewPool makes an empty pool.
+// NewPool returns an empty pool.
 func NewPool(dialTimeout time.Duration) *Pool {
 	return &Pool{DialTimeout: dialTimeout, idle: map[string][]*conn{}, open: map[string]map[*conn]bool{}}
 }
 
-// Do sends a request to address and gives the head of its answer, which the
-// caller must Close. An error is a *Failure. fresh asks for a new connection.
+// Do sends a request to address and returns the response, which the caller must
+// Close. Any error is a *Failure. fresh forces a new connection.
 func (p *Pool) Do(ctx context.Context, address string, r *Request, fresh bool) (*Response, error) {
-	c := p.take(address, r.Tag, fresh)
+	c := p.takeIdle(address, r.Tag, fresh)
 	if c == nil {
 		var err error
 		if c, err = p.dial(ctx, address); err != nil {
-			return nil, &Failure{Step: "dial", Cause: cause(ctx, err)}
+			return nil, &Failure{Step: "dial", Cause: contextCauseOr(ctx, err)}
 		}
 	}
 	if ctx.Err() != nil {
@@ -67,25 +68,26 @@
 	return response, nil
 }
 
-// take gives the idle connection that was used last, if one is still usable.
-func (p *Pool) take(address, tag string, fresh bool) *conn {
+// takeIdle removes and returns the most recently used idle connection that is still
+// usable; nil if there is none.
+func (p *Pool) takeIdle(address, tag string, fresh bool) *conn {
 	if fresh {
 		return nil
 	}
 	now := time.Now()
 	for {
-		c := p.pop(address)
+		c := p.popIdle(address)
 		if c == nil {
 			return nil
 		}
-		if now.Before(c.idleUntil) && (tag == "" || c.tag != tag) && c.quiet() {
+		if now.Before(c.idleUntil) && (tag == "" || c.tag != tag) && c.reusable() {
 			return c
 		}
 		c.close()
 	}
 }
 
-func (p *Pool) pop(address string) *conn {
+func (p *Pool) popIdle(address string) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[address]
@@ -98,19 +100,20 @@
 	return c
 }
 
-func (p *Pool) keep(c *conn, limit time.Duration) {
-	life := idleLife
+// putIdle keeps c for reuse; limit is the endpoint's Keep-Alive timeout, 0 if unknown.
+func (p *Pool) putIdle(c *conn, limit time.Duration) {
+	timeout := defaultIdleTimeout
 	if limit > 0 {
-		life = limit - idleMargin
+		timeout = limit - keepAliveMargin
 	}
-	if life <= 0 {
+	if timeout <= 0 {
 		c.close()
 		return
 	}
-	c.idleUntil = time.Now().Add(life)
+	c.idleUntil = time.Now().Add(timeout)
 	p.mu.Lock()
 	list := p.idle[c.address]
-	full := len(list) >= idlePerEndpoint
+	full := len(list) >= maxIdlePerAddress
 	if !full {
 		p.idle[c.address] = append(list, c)
 	}
@@ -120,8 +123,8 @@
 	}
 }
 
-// Sweep closes idle connections that are past their time, and forgets
-// addresses without any.
+// Sweep closes idle connections whose idle timeout has passed, and removes
+// addresses without idle connections.
 func (p *Pool) Sweep(now time.Time) {
 	var expired []*conn
 	p.mu.Lock()
@@ -151,7 +154,7 @@
 	dialer := net.Dialer{
 		Timeout:         p.DialTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: 2 * time.Second, Interval: time.Second, Count: 2},
-		Control:         boundSilence,
+		Control:         setUserTimeout,
 	}
 	raw, err := dialer.DialContext(ctx, "tcp4", address)
 	if err != nil {
@@ -161,17 +164,17 @@
 		p.Opened()
 	}
 	c := newConn(raw, address)
-	p.opened(c)
+	p.register(c)
 	return c, nil
 }
 
-func boundSilence(_, _ string, raw syscall.RawConn) error {
-	var failure error
+func setUserTimeout(_, _ string, raw syscall.RawConn) error {
+	var optionErr error
 	err := raw.Control(func(fd uintptr) {
-		failure = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(silence.Milliseconds()))
+		optionErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failure
+	return optionErr
 }
--- a/internal/httpconn/request.go
+++ b/internal/httpconn/request.go
@@ -13,12 +13,12 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Matches tells from an answer's status and header whether it belongs to
-	// this request; nil takes any. An endpoint may send a second answer to an
-	// earlier request where this one's is due.
+	// Matches reports from a response's status and header whether it belongs to
+	// this request; nil accepts any. An endpoint may send a second response to an
+	// earlier request in place of the response to this one.
 	Matches func(status int, header http.Header) bool
-	// Tag names the request's attempt: a connection that carried the same tag
-	// before is not used, since a second answer on it would match.
+	// Tag identifies the request's attempt. A connection whose previous request
+	// had the same tag is not reused: a second response to that request would match.
 	Tag string
 }
 
--- a/internal/httpconn/response.go
+++ b/internal/httpconn/response.go
@@ -6,20 +6,20 @@
 	"net/http"
 )
 
-// Response is the head of an answer; Read gives its body. Read's io.EOF means
-// that the body is whole; a body that was cut off ends with another error.
+// Response is the status and header of a response; Read returns its body. io.EOF from
+// Read means that the body is complete; a truncated body ends with another error.
 type Response struct {
 	Status int
 	Header http.Header
-	Length int64 // of the body; -1 when it is not known
+	Length int64 // of the body, bytes; -1 if unknown
 
-	conn   *conn
-	pool   *Pool
-	body   io.ReadCloser
-	closes bool
-	whole  bool
-	failed bool
-	stop   func() bool
+	conn           *conn
+	pool           *Pool
+	body           io.ReadCloser
+	closeRequested bool
+	complete       bool
+	failed         bool
+	stopCancel     func() bool
 }
 
 // Read implements io.Reader.
@@ -28,8 +28,8 @@
 	if err == nil {
 		return n, nil
 	}
-	if errors.Is(err, io.EOF) && !r.conn.broken.Load() {
-		r.whole = true
+	if errors.Is(err, io.EOF) && !r.conn.isClosed.Load() {
+		r.complete = true
 	} else {
 		r.failed = true
 		if errors.Is(err, io.EOF) {
@@ -39,18 +39,18 @@
 	return n, err
 }
 
-// Close ends the exchange: the connection is kept if the answer was whole, and
-// closed otherwise, which tells the endpoint to stop.
+// Close ends the exchange. The connection is kept for reuse if the response was read
+// completely, and closed otherwise, so that the endpoint can stop its work.
 func (r *Response) Close() {
 	if r.conn == nil {
 		return
 	}
 	c := r.conn
 	r.conn = nil
-	alive := r.stop()
-	if !alive || !r.whole || r.failed || r.closes || !c.bodySent() || c.reader.Buffered() > 0 {
+	alive := r.stopCancel()
+	if !alive || !r.complete || r.failed || r.closeRequested || !c.bodySent() || c.reader.Buffered() > 0 {
 		c.close()
 		return
 	}
-	r.pool.keep(c, idleLimit(r.Header))
+	r.pool.putIdle(c, keepAliveTimeout(r.Header))
 }
