--- a/internal/rpc/clock.go
+++ b/internal/rpc/clock.go
@@ -7,8 +7,8 @@
 	"storj.io/drpc/drpcmetadata"
 )
 
-// Clock is the daemon's logical clock, carried with each call so that events
-// of different daemons can be ordered by cause.
+// Clock is the daemon's logical clock. Its stamp is sent with each call so that
+// events of different daemons can be ordered causally.
 type Clock interface {
 	Stamp() string
 	ObserveText(stamp string)
--- a/internal/rpc/contract.go
+++ b/internal/rpc/contract.go
@@ -6,11 +6,11 @@
 	"storj.io/drpc"
 )
 
-// Dialer gives connections to other processes by address. A Conn is shared
-// and stays valid when the network connection breaks: the next call dials.
+// Dialer returns connections to other processes by address. A Conn is shared
+// and stays valid when the network connection breaks: the next call dials again.
 type Dialer interface {
 	Conn(ctx context.Context, address string) (drpc.Conn, error)
 }
 
-// MaxMessage bounds one message between processes, bytes.
+// MaxMessage is the maximum size of one message between processes, bytes.
 const MaxMessage = 8 << 20
--- a/internal/rpc/countedconn.go
+++ b/internal/rpc/countedconn.go
@@ -9,12 +9,12 @@
 	"storj.io/drpc/drpcconn"
 )
 
-// countedConn counts the bytes below TLS.
+// countedConn counts the bytes of a connection below TLS.
 type countedConn struct {
 	net.Conn
 	received atomic.Uint64
 	sent     atomic.Uint64
-	transfer atomic.Pointer[Transfer] // of the call that the connection carries
+	transfer atomic.Pointer[Transfer] // of the current call
 }
 
 // Read implements net.Conn.
@@ -25,15 +25,16 @@
 	return n, err
 }
 
-// writePiece bounds what goes out between two notes of progress, bytes.
-const writePiece = 64 << 10
+// maxWriteBytes bounds one write to the network, and so the bytes between two
+// progress updates of a Transfer.
+const maxWriteBytes = 64 << 10
 
-// Write implements net.Conn. A large message goes out in pieces, so that a
-// Transfer sees that a slow link takes it.
+// Write implements net.Conn. It splits a large message into several writes, so
+// that a Transfer sees progress on a slow link.
 func (c *countedConn) Write(b []byte) (written int, err error) {
 	for first := true; first || len(b) > 0 && err == nil; first = false {
 		var n int
-		n, err = c.Conn.Write(b[:min(len(b), writePiece)])
+		n, err = c.Conn.Write(b[:min(len(b), maxWriteBytes)])
 		b = b[n:]
 		written += n
 		c.sent.Add(uint64(n))
@@ -42,11 +43,11 @@
 	return written, err
 }
 
-// take gives the bytes since the last take. A connection carries one call at
-// a time, so what passed since the call before belongs to the one that ends;
-// at a server the last few bytes of an answer go to the connection's next call,
-// and the handshake to the first.
-func (c *countedConn) take() (received, sent uint64) {
+// takeCounts returns the byte counts since its last call and resets them. A
+// connection carries one call at a time, so the bytes since the previous call
+// belong to the one that ends. At a server the last few bytes of a response are
+// counted for the connection's next call, and the handshake for its first.
+func (c *countedConn) takeCounts() (received, sent uint64) {
 	return c.received.Swap(0), c.sent.Swap(0)
 }
 
@@ -59,12 +60,12 @@
 
 // Invoke implements drpc.Conn.
 func (c measuredConn) Invoke(ctx context.Context, rpc string, encoding drpc.Encoding, in, out drpc.Message) error {
-	defer c.metrics.ended(sideClient, rpc, c.counted)
+	defer c.metrics.recordCall(sideClient, rpc, c.counted)
 	c.counted.transfer.Store(TransferOf(ctx))
 	return c.Conn.Invoke(ctx, rpc, encoding, in, out)
 }
 
-// countedListener counts the bytes of the connections that it accepts.
+// countedListener wraps each accepted connection in a countedConn.
 type countedListener struct {
 	net.Listener
 }
--- a/internal/rpc/doc.go
+++ b/internal/rpc/doc.go
@@ -1,4 +1,4 @@
-// Package rpc carries drpc between hyssopsail's processes: TLS with both
-// sides checked, one pooled connection for each peer, bounded messages and
-// timeouts. It knows addresses, not roles.
+// Package rpc provides drpc connections between hyssopsail's processes: mutual
+// TLS, pooled connections to each peer, message size limits and timeouts. It
+// deals with addresses, not with the roles of processes.
 package rpc
--- a/internal/rpc/measuringhandler.go
+++ b/internal/rpc/measuringhandler.go
@@ -15,15 +15,15 @@
 
 // HandleRPC implements drpc.Handler.
 func (h measuringHandler) HandleRPC(stream drpc.Stream, rpc string) error {
-	if counted := countedOf(stream); counted != nil {
-		defer h.metrics.ended(sideServer, rpc, counted)
+	if counted := countedConnOf(stream); counted != nil {
+		defer h.metrics.recordCall(sideServer, rpc, counted)
 	}
 	return h.next.HandleRPC(stream, rpc)
 }
 
-// countedOf gives the connection below the stream's TLS; nil when it is of
-// another kind.
-func countedOf(stream drpc.Stream) *countedConn {
+// countedConnOf returns the countedConn below the stream's TLS connection; nil if
+// there is none.
+func countedConnOf(stream drpc.Stream) *countedConn {
 	transport, ok := drpcctx.Transport(stream.Context())
 	if !ok {
 		return nil
--- a/internal/rpc/metrics.go
+++ b/internal/rpc/metrics.go
@@ -7,7 +7,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Metrics count what calls cost on the wire. A nil *Metrics counts nothing.
+// Metrics counts calls and their bytes on the wire. A nil *Metrics counts nothing.
 type Metrics struct {
 	bytes *prometheus.CounterVec
 	calls *prometheus.CounterVec
@@ -22,13 +22,14 @@
 	sideServer = "server"
 )
 
-// The values of the label "method" that are no method.
+// Values of the label "method" that don't name a method.
 const (
 	methodHandshake = "handshake"
 	methodOther     = "other"
 )
 
-// maxMethods bounds the values of a label: a peer names methods freely.
+// maxMethods bounds the values of the label "method", since a peer may send any
+// method name.
 const maxMethods = 64
 
 // NewMetrics registers the counters; r may be nil.
@@ -50,7 +51,7 @@
 	return m
 }
 
-func (m *Metrics) ended(side, rpc string, c *countedConn) {
+func (m *Metrics) recordCall(side, rpc string, c *countedConn) {
 	if m == nil {
 		return
 	}
@@ -59,14 +60,14 @@
 	m.add(side, method, c)
 }
 
-func (m *Metrics) shook(side string, c *countedConn) {
+func (m *Metrics) recordHandshake(side string, c *countedConn) {
 	if m != nil {
 		m.add(side, methodHandshake, c)
 	}
 }
 
 func (m *Metrics) add(side, method string, c *countedConn) {
-	received, sent := c.take()
+	received, sent := c.takeCounts()
 	m.bytes.WithLabelValues(side, "received", method).Add(float64(received))
 	m.bytes.WithLabelValues(side, "sent", method).Add(float64(sent))
 }
--- a/internal/rpc/metrics_test.go
+++ b/internal/rpc/metrics_test.go
@@ -16,9 +16,9 @@
 	"github.com/hyssopsail/hyssopsail/internal/timeline"
 )
 
-// sums gives a counter by its labels, written as "side method" or
-// "side method direction".
-func sums(t *testing.T, registry *prometheus.Registry, name string) map[string]float64 {
+// counterValues returns the values of a counter by its labels, written as
+// "side method" or "side method direction".
+func counterValues(t *testing.T, registry *prometheus.Registry, name string) map[string]float64 {
 	t.Helper()
 	families, err := registry.Gather()
 	assert.NilError(t, err)
@@ -72,9 +72,9 @@
 	cancel()
 	assert.NilError(t, <-done)
 
-	counted := sums(t, registry, "hyssopsail_rpc_calls_total")
+	counted := counterValues(t, registry, "hyssopsail_rpc_calls_total")
 	assert.DeepEqual(t, counted, map[string]float64{"client Timeline/Query": calls, "server Timeline/Query": calls})
-	bytes := sums(t, registry, "hyssopsail_rpc_bytes_total")
+	bytes := counterValues(t, registry, "hyssopsail_rpc_bytes_total")
 	sent := bytes["client Timeline/Query sent"] + bytes["client handshake sent"]
 	received := bytes["server Timeline/Query received"]
 	assert.Assert(t, received <= sent && received > sent-closing, "sent %v, received %v", sent, received)
--- a/internal/rpc/pool.go
+++ b/internal/rpc/pool.go
@@ -14,56 +14,57 @@
 	"storj.io/drpc/drpcwire"
 )
 
-// The pool's bounds. A drpc connection carries one call at a time, so a peer
-// may have several.
+// Limits of the pool. A drpc connection carries one call at a time, so a peer
+// may have several connections.
 const (
-	dialTimeout      = 2 * time.Second
-	idleConnections  = 8 // kept for one peer
-	totalConnections = 1024
-	idleLife         = 30 * time.Second
+	dialTimeout     = 2 * time.Second
+	maxIdlePerPeer  = 8
+	maxIdleTotal    = 1024
+	connIdleTimeout = 30 * time.Second
 )
 
-// Pool dials peers and keeps their idle connections. It implements Dialer. A
-// call whose context ends closes its connection: a peer that was cut off or
-// frozen never leaves a half-used connection for the next call.
+// Pool dials peers and keeps their idle connections. It implements Dialer. When
+// the context of a call ends, its connection is closed, so that an unreachable or
+// frozen peer never leaves a half-used connection for the next call.
 type Pool struct {
-	tls    *tls.Config
-	clock  Clock
-	from   net.IP   // nil: the kernel chooses
-	stats  *Metrics // nil: none
-	spares *spares
-	pool   *drpcpool.Pool[string, drpcpool.Conn]
+	tls     *tls.Config
+	clock   Clock
+	localIP net.IP   // nil: the kernel chooses
+	metrics *Metrics // nil: none
+	spares  *spareConns
+	pool    *drpcpool.Pool[string, drpcpool.Conn]
 }
 
-// NewPool makes a pool that shows and checks certificates by config. A nil
-// config is plain mode, for a network on which nobody else can speak or listen.
-// clock stamps each call; nil for none.
+// NewPool returns a pool that presents and verifies certificates as config says. A
+// nil config means no TLS, for a network that nobody else can access. clock stamps
+// each call; it may be nil.
 func NewPool(config *tls.Config, clock Clock) *Pool {
 	return &Pool{
 		tls:    config,
 		clock:  clock,
-		spares: newSpares(),
+		spares: newSpareConns(),
 		pool: drpcpool.New[string, drpcpool.Conn](drpcpool.Options{
-			Expiration:  idleLife,
-			Capacity:    totalConnections,
-			KeyCapacity: idleConnections,
+			Expiration:  connIdleTimeout,
+			Capacity:    maxIdleTotal,
+			KeyCapacity: maxIdlePerPeer,
 		}),
 	}
 }
 
-// DialFrom makes the pool dial from the IP number that its daemon listens on,
-// so that peers and packet filters see one number for a daemon. It is called
-// before the first Conn. An unspecified IP changes nothing.
+// DialFrom sets the local IP address of outgoing connections to the one that the
+// daemon listens on, so that peers and packet filters see one address for a
+// daemon. It must be called before the first Conn. An unspecified IP is ignored.
 func (p *Pool) DialFrom(ip net.IP) {
 	if !ip.IsUnspecified() {
-		p.from = ip
+		p.localIP = ip
 	}
 }
 
-// Measure makes the pool count its calls. It is called before the first Conn.
-func (p *Pool) Measure(metrics *Metrics) { p.stats = metrics }
+// Measure makes the pool count its calls in metrics. It must be called before the
+// first Conn.
+func (p *Pool) Measure(metrics *Metrics) { p.metrics = metrics }
 
-// Conn implements Dialer. It dials at the first call, not here.
+// Conn implements Dialer. The connection is dialled by its first call.
 func (p *Pool) Conn(ctx context.Context, address string) (drpc.Conn, error) {
 	if address == "" {
 		return nil, trace.BadParameter("no address to dial")
@@ -82,26 +83,26 @@
 }
 
 func (p *Pool) connect(ctx context.Context, address string) (drpcpool.Conn, error) {
-	raw, err := netDialer(p.from).DialContext(ctx, "tcp", address)
+	raw, err := netDialer(p.localIP).DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, trace.ConnectionProblem(err, "can't reach process at %s", address)
 	}
 	counted := &countedConn{Conn: raw}
 	if p.tls == nil {
-		return measuredConn{Conn: drpcconn.NewWithOptions(counted, drpcconn.Options{Manager: managerOptions()}), counted: counted, metrics: p.stats}, nil
+		return measuredConn{Conn: drpcconn.NewWithOptions(counted, drpcconn.Options{Manager: managerOptions()}), counted: counted, metrics: p.metrics}, nil
 	}
 	secure := tls.Client(counted, p.tls)
 	err = secure.HandshakeContext(ctx)
-	p.stats.shook(sideClient, counted)
+	p.metrics.recordHandshake(sideClient, counted)
 	if err != nil {
-		_ = raw.Close() // the handshake's error says more
+		_ = raw.Close() // the handshake's error is returned
 		return nil, trace.ConnectionProblem(err, "no secure connection to process at %s", address)
 	}
 	conn := drpcconn.NewWithOptions(secure, drpcconn.Options{Manager: managerOptions()})
-	return measuredConn{Conn: conn, counted: counted, metrics: p.stats}, nil
+	return measuredConn{Conn: conn, counted: counted, metrics: p.metrics}, nil
 }
 
-// managerOptions are those of both sides.
+// managerOptions returns the drpc options that clients and servers share.
 func managerOptions() drpcmanager.Options {
 	return drpcmanager.Options{
 		Reader: drpcwire.ReaderOptions{MaximumBufferSize: MaxMessage},
--- a/internal/rpc/rpc_test.go
+++ b/internal/rpc/rpc_test.go
@@ -104,7 +104,7 @@
 	return nil
 }
 
-func TestOnlyProcessesOfTheFleetAreAnswered(t *testing.T) {
+func TestOnlyFleetCertificatesAreAccepted(t *testing.T) {
 	own := newAuthority(t)
 	other := newAuthority(t)
 	address := serve(t, own.issue(t), timeline.NewClock(time.Now))
@@ -131,9 +131,8 @@
 	}
 }
 
-// An operator merges events of two daemons. A call carries the caller's
-// stamp, so what the called daemon records next is ordered after it even when
-// its wall clock is behind.
+// A call carries the caller's stamp, so that the events that the called daemon
+// records next are ordered after it even when its wall clock is behind.
 func TestCallCarriesTheLogicalClock(t *testing.T) {
 	own := newAuthority(t)
 	behind := timeline.NewClock(time.Now)
@@ -147,9 +146,9 @@
 	assert.Assert(t, before.Before(behind.Now()))
 }
 
-// slowly passes connections on to target and holds back what comes back from
-// it, as a busy machine does with its side of a handshake.
-func slowly(t *testing.T, target string, delay time.Duration) string {
+// delayingProxy forwards connections to target and delays the first bytes that target
+// sends, as a busy machine does with its side of a handshake.
+func delayingProxy(t *testing.T, target string, delay time.Duration) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -160,13 +159,13 @@
 			if err != nil {
 				return
 			}
-			go passSlowly(caller, target, delay)
+			go proxyWithDelay(caller, target, delay)
 		}
 	}()
 	return listener.Addr().String()
 }
 
-func passSlowly(caller net.Conn, target string, delay time.Duration) {
+func proxyWithDelay(caller net.Conn, target string, delay time.Duration) {
 	callee, err := net.Dial("tcp", target)
 	if err != nil {
 		_ = caller.Close()
@@ -181,13 +180,13 @@
 	_ = caller.Close()
 }
 
-// A daemon on a busy machine renews its lease with calls that may last a tenth
-// of a second, while each handshake takes three. Were the connection thrown
-// away with the call that began it, no renewal would ever be answered.
-func TestHandshakeMayOutliveItsCall(t *testing.T) {
+// A daemon on a busy machine renews its lease with calls that may last 0.1 s, while
+// each handshake takes 0.3 s. If the connection were discarded with the call that
+// started it, no renewal would ever succeed.
+func TestDialContinuesAfterItsCallEnds(t *testing.T) {
 	own := newAuthority(t)
 	clock := timeline.NewClock(time.Now)
-	address := slowly(t, serve(t, own.issue(t), clock), 300*time.Millisecond)
+	address := delayingProxy(t, serve(t, own.issue(t), clock), 300*time.Millisecond)
 	pool := rpc.NewPool(own.issue(t), clock)
 	defer func() { assert.NilError(t, pool.Close()) }()
 	ask := func(within time.Duration) error {
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -13,26 +13,27 @@
 	"github.com/hyssopsail/hyssopsail/internal/logging"
 )
 
-// Server takes calls from other processes of the fleet.
+// Server serves calls from other processes of the fleet.
 type Server struct {
 	// Mux is where services register (pb.DRPCRegister...) before Serve.
-	Mux   *drpcmux.Mux
-	tls   *tls.Config
-	clock Clock
-	part  logging.Part
-	stats *Metrics // nil: none
+	Mux     *drpcmux.Mux
+	tls     *tls.Config
+	clock   Clock
+	part    logging.Part
+	metrics *Metrics // nil: none
 }
 
-// NewServer makes a server without services. A nil config is plain mode, as
-// for NewPool. clock observes the stamp of each call; nil for none.
+// NewServer returns a server without services. A nil config means no TLS, as for
+// NewPool. clock observes the stamp of each call; it may be nil.
 func NewServer(config *tls.Config, clock Clock, part logging.Part) *Server {
 	return &Server{Mux: drpcmux.New(), tls: config, clock: clock, part: part}
 }
 
-// Measure makes the server count its calls. It is called before Serve.
-func (s *Server) Measure(metrics *Metrics) { s.stats = metrics }
+// Measure makes the server count its calls in metrics. It must be called before
+// Serve.
+func (s *Server) Measure(metrics *Metrics) { s.metrics = metrics }
 
-// Serve answers on listener until ctx ends.
+// Serve serves connections of listener until ctx ends; it then returns nil.
 func (s *Server) Serve(ctx context.Context, listener net.Listener) error {
 	options := drpcserver.Options{
 		Manager: serverOptions(),
@@ -40,25 +41,26 @@
 			s.part.Debug("Connection ended.", "err", err)
 		},
 	}
-	handler := measuringHandler{next: observingHandler{next: s.Mux, clock: s.clock}, metrics: s.stats}
+	handler := measuringHandler{next: observingHandler{next: s.Mux, clock: s.clock}, metrics: s.metrics}
 	server := drpcserver.NewWithOptions(handler, options)
-	err := server.Serve(ctx, s.secured(countedListener{listener}))
+	err := server.Serve(ctx, s.withTLS(countedListener{listener}))
 	if ctx.Err() != nil {
 		return nil
 	}
 	return trace.Wrap(err)
 }
 
-func (s *Server) secured(listener net.Listener) net.Listener {
+func (s *Server) withTLS(listener net.Listener) net.Listener {
 	if s.tls == nil {
 		return listener
 	}
 	return tls.NewListener(listener, s.tls)
 }
 
-// serverOptions make an answer and its end one write, and so one TLS record:
-// all calls between processes are unary, and the end of a call flushes. Two
-// writes cost each call the 22 bytes of a TLS record and a system call more.
+// serverOptions returns options that send a response and its end in one write, and
+// so in one TLS record: all calls between processes are unary, and the end of a
+// call flushes. A second write would cost each call a system call and the 22 bytes
+// of a TLS record.
 func serverOptions() drpcmanager.Options {
 	options := managerOptions()
 	options.Stream.ManualFlush = true
--- a/internal/rpc/spares.go
+++ b/internal/rpc/spares.go
@@ -8,28 +8,29 @@
 	"storj.io/drpc/drpcpool"
 )
 
-// spares holds, for each address, at most one connection whose dial outlived
-// the call that began it.
+// spareConns holds, for each address, at most one connection whose dial finished
+// after the call that started it had ended.
 //
-// Failure: on a busy machine or a slow link a handshake takes longer than the
-// shortest calls may last, such as a lease renewal. Each call then throws its
-// half-made connection away and the next begins anew, so that none ever
-// succeeds; it shows as daemons that never become current, busy with
-// handshakes. The guard holds because a dial goes on for dialTimeout whatever
-// its call does, and the next call finds its connection.
-type spares struct {
+// It guards against the following failure: on a busy machine or a slow link a
+// handshake takes longer than the shortest call timeouts, such as that of a lease
+// renewal. If each call discarded its unfinished connection and the next started
+// over, none would ever succeed, and daemons busy with handshakes would never
+// become current. A dial therefore continues for dialTimeout even when its call
+// ends, and the next call uses its connection.
+type spareConns struct {
 	mu      sync.Mutex
 	closed  bool
 	ready   map[string]drpcpool.Conn
-	pending map[string]bool // a dial goes on without its call
+	pending map[string]bool // a dial continues after its call ended
 }
 
-func newSpares() *spares {
-	return &spares{ready: make(map[string]drpcpool.Conn), pending: make(map[string]bool)}
+func newSpareConns() *spareConns {
+	return &spareConns{ready: make(map[string]drpcpool.Conn), pending: make(map[string]bool)}
 }
 
-// take gives the spare connection to address, nil when there is none alive.
-func (s *spares) take(address string) drpcpool.Conn {
+// take removes and returns the spare connection to address; nil if there is none
+// or it is closed.
+func (s *spareConns) take(address string) drpcpool.Conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	conn := s.ready[address]
@@ -45,8 +46,9 @@
 	}
 }
 
-// begin tells whether a dial to address may go on without its call.
-func (s *spares) begin(address string) bool {
+// reserve reports whether a dial to address may continue after its call ended, and
+// marks it as pending if so.
+func (s *spareConns) reserve(address string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed || s.pending[address] || s.ready[address] != nil {
@@ -56,8 +58,8 @@
 	return true
 }
 
-// end keeps what such a dial gave; conn is nil when it failed.
-func (s *spares) end(address string, conn drpcpool.Conn) {
+// finish ends a pending dial and keeps its connection; conn is nil if the dial failed.
+func (s *spareConns) finish(address string, conn drpcpool.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.pending, address)
@@ -71,7 +73,7 @@
 	s.ready[address] = conn
 }
 
-func (s *spares) close() {
+func (s *spareConns) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closed = true
@@ -81,40 +83,40 @@
 	clear(s.ready)
 }
 
-// dialled is what a dial gave.
-type dialled struct {
+// dialResult is the result of a dial.
+type dialResult struct {
 	conn drpcpool.Conn
 	err  error
 }
 
-// dial gives a connection for a call within ctx: a spare one or a new one.
+// dial returns a connection for a call within ctx: a spare one or a new one.
 func (p *Pool) dial(ctx context.Context, address string) (drpcpool.Conn, error) {
 	if conn := p.spares.take(address); conn != nil {
 		return conn, nil
 	}
 	dialling, cancel := context.WithTimeout(context.WithoutCancel(ctx), dialTimeout)
-	done := make(chan dialled, 1)
+	done := make(chan dialResult, 1)
 	go func() {
 		conn, err := p.connect(dialling, address)
-		done <- dialled{conn: conn, err: err}
+		done <- dialResult{conn: conn, err: err}
 	}()
 	select {
 	case d := <-done:
 		cancel()
 		return d.conn, d.err
 	case <-ctx.Done():
-		go p.outlive(address, done, cancel)
+		go p.finishDial(address, done, cancel)
 		return nil, trace.ConnectionProblem(ctx.Err(), "no connection in time to process at %s", address)
 	}
 }
 
-// outlive waits for a dial whose call has ended, and keeps its connection
-// unless another one is kept already.
-func (p *Pool) outlive(address string, done <-chan dialled, cancel context.CancelFunc) {
+// finishDial waits for a dial whose call has ended and keeps its connection. If
+// another dial or spare connection exists for address, it cancels the dial.
+func (p *Pool) finishDial(address string, done <-chan dialResult, cancel context.CancelFunc) {
 	defer cancel()
-	if p.spares.begin(address) {
+	if p.spares.reserve(address) {
 		d := <-done
-		p.spares.end(address, d.conn)
+		p.spares.finish(address, d.conn)
 		return
 	}
 	cancel()
--- a/internal/rpc/tcp.go
+++ b/internal/rpc/tcp.go
@@ -8,14 +8,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// silenceTimeout bounds how long sent bytes may stay unacknowledged.
+// unackedTimeout bounds how long sent bytes may stay unacknowledged.
 //
-// Failure: a silent network partition drops packets without a reset. TCP then
-// retransmits with growing pauses, and after the partition heals a pooled
-// connection may stay mute for a minute or more. It shows as calls that time
-// out long after the network is back. With the bound the kernel closes the
-// connection, and the next call dials anew.
-const silenceTimeout = 3 * time.Second
+// It guards against network partitions that drop packets without a reset. TCP
+// retransmits with growing pauses, so a pooled connection may stay stalled for a
+// minute or more after the partition heals, and calls time out long after the
+// network is back. With this timeout the kernel closes the connection, and the
+// next call dials again.
+const unackedTimeout = 3 * time.Second
 
 func netDialer(from net.IP) *net.Dialer {
 	dialer := &net.Dialer{
@@ -25,7 +25,7 @@
 			Interval: time.Second,
 			Count:    2,
 		},
-		Control: boundSilence,
+		Control: setUserTimeout,
 	}
 	if from != nil {
 		dialer.LocalAddr = &net.TCPAddr{IP: from}
@@ -33,13 +33,13 @@
 	return dialer
 }
 
-func boundSilence(_, _ string, raw syscall.RawConn) error {
-	var failure error
+func setUserTimeout(_, _ string, raw syscall.RawConn) error {
+	var optionErr error
 	err := raw.Control(func(fd uintptr) {
-		failure = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(silenceTimeout.Milliseconds()))
+		optionErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failure
+	return optionErr
 }
--- a/internal/rpc/tls.go
+++ b/internal/rpc/tls.go
@@ -9,7 +9,7 @@
 )
 
 // ServerName is the DNS name in each daemon's certificate. Peers are dialled
-// by IP number, so the name stands for "a daemon of this fleet".
+// by IP address, so the name means "a daemon of this fleet".
 const ServerName = "hyssopsaild"
 
 // Files names the PEM files of one daemon.
@@ -19,8 +19,8 @@
 	Key         string
 }
 
-// LoadTLS reads the files into a configuration in which both sides must show
-// a certificate of the fleet's authority.
+// LoadTLS reads the files and returns a configuration in which both sides must
+// present a certificate issued by the fleet's authority.
 func LoadTLS(f Files) (*tls.Config, error) {
 	pair, err := tls.LoadX509KeyPair(f.Certificate, f.Key)
 	if err != nil {
@@ -46,9 +46,9 @@
 	return pool, nil
 }
 
-// TrustingTLS makes a client's configuration that trusts the authority in a
-// file, and checks that a server's certificate names the host dialled; nil
-// for an empty path: plain HTTP.
+// TrustingTLS returns a client configuration that trusts the authority in the file
+// at path, and checks that a server's certificate names the host dialled. For an
+// empty path it returns nil, which means plain HTTP.
 func TrustingTLS(path string) (*tls.Config, error) {
 	if path == "" {
 		return nil, nil
@@ -60,7 +60,7 @@
 	return &tls.Config{MinVersion: tls.VersionTLS12, RootCAs: pool}, nil
 }
 
-// MutualTLS makes the configuration that both sides of a connection use.
+// MutualTLS returns the configuration that both sides of a connection use.
 func MutualTLS(own tls.Certificate, authority *x509.CertPool) *tls.Config {
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
--- a/internal/rpc/transfer.go
+++ b/internal/rpc/transfer.go
@@ -10,82 +10,84 @@
 	"github.com/gravitational/trace"
 )
 
-// ErrSilent: nothing of an answer came for too long.
-var ErrSilent = errors.New("the peer is silent")
+// ErrNoProgress is returned by a call that was ended because no bytes of it or its
+// response were transferred for too long.
+var ErrNoProgress = errors.New("the peer is silent")
 
-// Transfer watches how one call and its answer travel, and ends a call of which
-// nothing moves for a while.
+// Transfer watches the progress of one call and its response, and ends the call when
+// no bytes are transferred for idleTimeout.
 //
-// Failure guarded: a limit on a whole call is exceeded by any answer that is large
-// enough for the link. The call is given up when most of the answer is here, the
-// next one begins anew, and the answer never arrives. Silence has nothing to do
-// with the size: a peer that is slow is waited for, one that was cut off is left.
+// A timeout for the whole call would be exceeded by any response that is too large
+// for the link: the call would be ended when most of the response had arrived, the
+// next call would start over, and the response would never arrive. An idle timeout
+// doesn't depend on the size: a slow peer is waited for, an unreachable one is not.
 type Transfer struct {
-	began    time.Time
-	silence  time.Duration
-	received atomic.Int64 // bytes
-	newest   atomic.Int64 // when a byte moved last, ns after began
-	cancel   context.CancelCauseFunc
-	timer    *time.Timer
+	began        time.Time
+	idleTimeout  time.Duration
+	received     atomic.Int64 // bytes
+	lastProgress atomic.Int64 // when a byte was last transferred, ns after began
+	cancel       context.CancelCauseFunc
+	timer        *time.Timer
 }
 
 // transferKey is the context key of a Transfer.
 type transferKey struct{}
 
-// WithTransfer gives the context of one call, which ends when nothing of it or its
-// answer moved for silence. End must be called.
-func WithTransfer(ctx context.Context, silence time.Duration) (context.Context, *Transfer) {
+// WithTransfer returns the context of one call, which ends when no bytes of the call
+// or its response are transferred for idleTimeout. The caller must call End.
+func WithTransfer(ctx context.Context, idleTimeout time.Duration) (context.Context, *Transfer) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	t := &Transfer{began: time.Now(), silence: silence, cancel: cancel}
-	t.timer = time.AfterFunc(math.MaxInt64, t.check)
-	t.timer.Reset(silence) // not before check may read timer
+	t := &Transfer{began: time.Now(), idleTimeout: idleTimeout, cancel: cancel}
+	t.timer = time.AfterFunc(math.MaxInt64, t.checkProgress)
+	t.timer.Reset(idleTimeout) // only now, since checkProgress reads t.timer
 	return context.WithValue(ctx, transferKey{}, t), t
 }
 
-// TransferOf gives the Transfer of a call's context, nil when there is none.
+// TransferOf returns the Transfer of a call's context; nil if there is none.
 func TransferOf(ctx context.Context) *Transfer {
 	t, _ := ctx.Value(transferKey{}).(*Transfer)
 	return t
 }
 
-// Arrived notes n bytes of the answer. Connections call it; t may be nil.
+// Arrived records that n bytes of the response were received. Connections call it;
+// t may be nil.
 func (t *Transfer) Arrived(n int) {
 	if t == nil || n == 0 {
 		return
 	}
 	t.received.Add(int64(n))
-	t.newest.Store(int64(t.Took()))
+	t.lastProgress.Store(int64(t.Took()))
 }
 
-// Sent notes n bytes of the call that the link has taken, as Arrived does.
+// Sent records that n bytes of the call were sent. Connections call it; t may be nil.
 func (t *Transfer) Sent(n int) {
 	if t != nil && n > 0 {
-		t.newest.Store(int64(t.Took()))
+		t.lastProgress.Store(int64(t.Took()))
 	}
 }
 
-func (t *Transfer) check() {
-	quiet := t.Took() - time.Duration(t.newest.Load())
-	if quiet >= t.silence {
-		t.cancel(ErrSilent)
+func (t *Transfer) checkProgress() {
+	idle := t.Took() - time.Duration(t.lastProgress.Load())
+	if idle >= t.idleTimeout {
+		t.cancel(ErrNoProgress)
 		return
 	}
-	t.timer.Reset(t.silence - quiet)
+	t.timer.Reset(t.idleTimeout - idle)
 }
 
-// Received gives the bytes that have come, framing included.
+// Received returns the number of bytes received so far, framing included.
 func (t *Transfer) Received() int64 { return t.received.Load() }
 
-// Took gives the time since the call began.
+// Took returns the time since the call began.
 func (t *Transfer) Took() time.Duration { return time.Since(t.began) }
 
-// End releases what the watch holds, and tells why the call ended: err, which may
-// be nil, or that the peer was silent.
+// End stops the timer and releases the context. It returns err, which may be nil, or
+// an error that wraps ErrNoProgress if that ended the call.
 func (t *Transfer) End(ctx context.Context, err error) error {
 	t.timer.Stop()
 	t.cancel(nil)
-	if err != nil && errors.Is(context.Cause(ctx), ErrSilent) {
-		return trace.ConnectionProblem(ErrSilent, "nothing came for %s", t.silence)
+	if err != nil && errors.Is(context.Cause(ctx), ErrNoProgress) {
+		return trace.ConnectionProblem(ErrNoProgress, "nothing came for %s", t.idleTimeout)
 	}
 	return err
 }
--- a/internal/rpc/transfer_test.go
+++ b/internal/rpc/transfer_test.go
@@ -12,60 +12,59 @@
 	"gotest.tools/v3/assert"
 )
 
-const silence = 100 * time.Millisecond
+const idleLimit = 100 * time.Millisecond
 
-// A peer that sends a little now and then is waited for, however long the whole
-// takes.
-func TestTransferIsNotEndedForItsLength(t *testing.T) {
+// A call with a peer that sends a few bytes at a time isn't ended, however long it takes.
+func TestSlowTransferIsNotEnded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, transfer := WithTransfer(context.Background(), silence)
+		ctx, transfer := WithTransfer(context.Background(), idleLimit)
 		for range 100 {
-			time.Sleep(silence * 9 / 10)
+			time.Sleep(idleLimit * 9 / 10)
 			TransferOf(ctx).Arrived(1)
 		}
 		assert.NilError(t, ctx.Err())
 		assert.NilError(t, transfer.End(ctx, nil))
 		assert.Equal(t, transfer.Received(), int64(100))
-		TransferOf(context.Background()).Arrived(5) // nobody watches
+		TransferOf(context.Background()).Arrived(5) // a context without a Transfer
 	})
 }
 
-func TestTransferIsEndedForSilence(t *testing.T) {
+func TestTransferWithoutProgressIsEnded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, transfer := WithTransfer(context.Background(), silence)
-		time.Sleep(silence / 2)
+		ctx, transfer := WithTransfer(context.Background(), idleLimit)
+		time.Sleep(idleLimit / 2)
 		transfer.Arrived(1)
 		<-ctx.Done()
-		assert.Equal(t, transfer.Took(), silence*3/2)
-		assert.ErrorIs(t, transfer.End(ctx, ctx.Err()), ErrSilent)
+		assert.Equal(t, transfer.Took(), idleLimit*3/2)
+		assert.ErrorIs(t, transfer.End(ctx, ctx.Err()), ErrNoProgress)
 	})
 }
 
-func TestTransferPassesOnOtherErrors(t *testing.T) {
-	ctx, transfer := WithTransfer(context.Background(), silence)
+func TestTransferReturnsOtherErrors(t *testing.T) {
+	ctx, transfer := WithTransfer(context.Background(), idleLimit)
 	other := errors.New("refused")
 	assert.Equal(t, transfer.End(ctx, other), other)
 }
 
-// A large call goes out over a slow link: each piece that the link takes counts.
+// When a large call is sent over a slow link, each write counts as progress.
 func TestTransferIsNotEndedWhileALargeCallIsSent(t *testing.T) {
 	const pieces = 20
 	synctest.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
-		ctx, transfer := WithTransfer(context.Background(), silence)
+		ctx, transfer := WithTransfer(context.Background(), idleLimit)
 		conn := &countedConn{Conn: near}
 		conn.transfer.Store(transfer)
 		go func() {
-			buffer := make([]byte, writePiece)
+			buffer := make([]byte, maxWriteBytes)
 			for range pieces {
-				time.Sleep(silence * 9 / 10)
+				time.Sleep(idleLimit * 9 / 10)
 				_, err := io.ReadFull(far, buffer)
 				assert.Check(t, err)
 			}
 		}()
-		sent, err := conn.Write(make([]byte, pieces*writePiece))
+		sent, err := conn.Write(make([]byte, pieces*maxWriteBytes))
 		assert.NilError(t, err)
-		assert.Equal(t, sent, pieces*writePiece)
+		assert.Equal(t, sent, pieces*maxWriteBytes)
 		assert.NilError(t, ctx.Err())
 		assert.NilError(t, transfer.End(ctx, nil))
 	})
