--- a/internal/timeline/chart.go
+++ b/internal/timeline/chart.go
@@ -11,12 +11,13 @@
 )
 
 // WriteChart writes merged events as a table for a terminal: time since the
-// first event, instance, event, a bar that shows where in the whole span it
-// lies, and what it names. Daemons that did not answer come last.
+// first event, instance, event kind, a bar with the event's position in the
+// whole time span, endpoint, attempt and detail. Daemons that did not answer
+// are listed at the end.
 func WriteChart(w io.Writer, merged Merged) error {
 	if len(merged.Events) > 0 {
 		first := Stamp{Wall: merged.Events[0].GetWallNs()}.Time().UTC()
-		if _, err := fmt.Fprintf(w, "began %s\n", first.Format(beganForm)); err != nil {
+		if _, err := fmt.Fprintf(w, "began %s\n", first.Format(startTimeLayout)); err != nil {
 			return err
 		}
 	}
@@ -41,7 +42,7 @@
 	return nil
 }
 
-const beganForm = "2006-01-02 15:04:05.000000"
+const startTimeLayout = "2006-01-02 15:04:05.000000"
 
 type span struct {
 	first, last uint64 // unix ns
@@ -65,8 +66,8 @@
 	return strings.Repeat("·", place) + "█" + strings.Repeat("·", barWidth-1-place)
 }
 
-// attemptShown is how much of an attempt ID a row shows, characters.
-const attemptShown = 8
+// maxAttemptChars is how many characters of an attempt ID a row shows.
+const maxAttemptChars = 8
 
 func writeRow(w io.Writer, s span, e *pb.TimelineEvent) error {
 	after := time.Duration(e.GetWallNs() - s.first)
@@ -76,7 +77,7 @@
 		e.GetKind(),
 		s.bar(e.GetWallNs()),
 		e.GetEndpointId(),
-		cut(e.GetAttemptId(), attemptShown),
+		truncate(e.GetAttemptId(), maxAttemptChars),
 		e.GetDetail())
 	return err
 }
--- a/internal/timeline/clock.go
+++ b/internal/timeline/clock.go
@@ -10,15 +10,15 @@
 	"github.com/gravitational/trace"
 )
 
-// Stamp is a hybrid logical time: unix nanoseconds, and a counter that orders
-// what falls on the same wall time or comes from a process whose clock is
-// ahead.
+// Stamp is a hybrid logical time: Unix nanoseconds, and a counter that orders
+// events with the same wall time and those after a stamp from a process whose
+// clock is ahead.
 type Stamp struct {
 	Wall    uint64
 	Logical uint32
 }
 
-// Before orders stamps.
+// Before reports whether s is ordered before o.
 func (s Stamp) Before(o Stamp) bool {
 	if s.Wall != o.Wall {
 		return s.Wall < o.Wall
@@ -26,10 +26,10 @@
 	return s.Logical < o.Logical
 }
 
-// Time gives the wall part.
+// Time returns the wall time.
 func (s Stamp) Time() time.Time { return time.Unix(0, int64(s.Wall)) }
 
-// String gives the form that ParseStamp takes, for message metadata.
+// String returns the text form for message metadata, which ParseStamp parses.
 func (s Stamp) String() string { return fmt.Sprintf("%d.%d", s.Wall, s.Logical) }
 
 // ParseStamp is the inverse of String.
@@ -49,9 +49,9 @@
 	return Stamp{Wall: w, Logical: uint32(l)}, nil
 }
 
-// MaxAhead bounds how far another process's clock may push this one: a broken
-// clock elsewhere must not spoil the order of every later event.
-const MaxAhead = 5 * time.Second
+// MaxClockSkew is how far ahead of the local wall clock an observed stamp may be: a
+// broken clock elsewhere must not spoil the order of all later events.
+const MaxClockSkew = 5 * time.Second
 
 // Clock is a hybrid logical clock. It is safe for concurrent use.
 type Clock struct {
@@ -61,12 +61,12 @@
 	last Stamp
 }
 
-// NewClock makes a clock over wall, usually time.Now.
+// NewClock returns a clock that reads wall time from wall, usually time.Now.
 func NewClock(wall func() time.Time) *Clock {
 	return &Clock{wall: wall}
 }
 
-// Now gives a stamp after every stamp that this clock gave or observed.
+// Now returns a stamp after every stamp that this clock returned or observed.
 func (c *Clock) Now() Stamp {
 	now := uint64(c.wall().UnixNano())
 	c.mu.Lock()
@@ -79,11 +79,12 @@
 	return c.last
 }
 
-// Observe takes the stamp of a received message, so that what follows here is
-// ordered after what caused it. A stamp too far ahead is ignored.
+// Observe updates the clock with the stamp of a received message, so that later
+// local events are ordered after it. A stamp more than MaxClockSkew ahead is
+// ignored.
 func (c *Clock) Observe(s Stamp) {
 	now := c.wall()
-	if s.Wall > uint64(now.Add(MaxAhead).UnixNano()) {
+	if s.Wall > uint64(now.Add(MaxClockSkew).UnixNano()) {
 		return
 	}
 	c.mu.Lock()
@@ -93,10 +94,10 @@
 	}
 }
 
-// Stamp gives Now as text; with ObserveText it implements rpc.Clock.
+// Stamp returns Now as text; with ObserveText it implements rpc.Clock.
 func (c *Clock) Stamp() string { return c.Now().String() }
 
-// ObserveText is Observe of a stamp's text; a malformed one is ignored.
+// ObserveText observes a stamp in text form; a malformed one is ignored.
 func (c *Clock) ObserveText(text string) {
 	s, err := ParseStamp(text)
 	if err != nil {
--- a/internal/timeline/collect.go
+++ b/internal/timeline/collect.go
@@ -13,14 +13,14 @@
 	"github.com/hyssopsail/hyssopsail/internal/rpc"
 )
 
-// Merged is the events of all daemons that answered, in hybrid logical order.
+// Merged holds the events of all daemons that answered, in hybrid logical order.
 type Merged struct {
 	Events []*pb.TimelineEvent `json:"events"`
 	Silent []Silent            `json:"silent"` // daemons that did not answer
-	// Dropped is how many events the answering daemons have overwritten.
+	// Dropped is how many events those daemons have overwritten.
 	Dropped uint64 `json:"dropped"`
-	// Sequences holds, for each daemon that answered, the last sequence seen,
-	// to go on from when following.
+	// Sequences holds, for each daemon that answered, the last sequence seen;
+	// a later Collect can continue from there.
 	Sequences map[fleet.InstanceID]uint64 `json:"sequences"`
 }
 
@@ -30,22 +30,22 @@
 	Cause    string           `json:"cause"`
 }
 
-// collectors bounds the daemons asked at once; askTimeout bounds each answer.
+// maxConcurrentQueries bounds the daemons queried at once, queryTimeout each query.
 const (
-	collectors = 16
-	askTimeout = 2 * time.Second
+	maxConcurrentQueries = 16
+	queryTimeout         = 2 * time.Second
 )
 
-// Collect asks every instance of the view and merges the answers. after gives
-// the last sequence seen from each instance, nil for all.
+// Collect queries every instance and merges the results. after holds the last
+// sequence seen from each instance; nil returns all events.
 func Collect(ctx context.Context, dialer rpc.Dialer, instances []fleet.Instance, q *pb.TimelineQuery, after map[fleet.InstanceID]uint64) Merged {
 	work := make(chan fleet.Instance)
-	answers := make(chan answer, len(instances))
+	answers := make(chan queryResult, len(instances))
 	var group sync.WaitGroup
-	for range min(collectors, len(instances)) {
+	for range min(maxConcurrentQueries, len(instances)) {
 		group.Go(func() {
 			for instance := range work {
-				answers <- ask(ctx, dialer, instance, q, after[instance.ID])
+				answers <- queryInstance(ctx, dialer, instance, q, after[instance.ID])
 			}
 		})
 	}
@@ -58,18 +58,18 @@
 	return merge(answers)
 }
 
-type answer struct {
+type queryResult struct {
 	instance fleet.InstanceID
 	page     *pb.TimelinePage
 	err      error
 }
 
-func ask(ctx context.Context, dialer rpc.Dialer, instance fleet.Instance, q *pb.TimelineQuery, after uint64) answer {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+func queryInstance(ctx context.Context, dialer rpc.Dialer, instance fleet.Instance, q *pb.TimelineQuery, after uint64) queryResult {
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	conn, err := dialer.Conn(ctx, instance.RPCAddress)
 	if err != nil {
-		return answer{instance: instance.ID, err: trace.Wrap(err)}
+		return queryResult{instance: instance.ID, err: trace.Wrap(err)}
 	}
 	page, err := pb.NewDRPCTimelineClient(conn).Query(ctx, &pb.TimelineQuery{
 		RequestId:     q.GetRequestId(),
@@ -81,10 +81,10 @@
 		AttemptIds:    q.GetAttemptIds(),
 		AfterSequence: after,
 	})
-	return answer{instance: instance.ID, page: page, err: err}
+	return queryResult{instance: instance.ID, page: page, err: err}
 }
 
-func merge(answers <-chan answer) Merged {
+func merge(answers <-chan queryResult) Merged {
 	merged := Merged{Sequences: make(map[fleet.InstanceID]uint64)}
 	for a := range answers {
 		if a.err != nil {
--- a/internal/timeline/doc.go
+++ b/internal/timeline/doc.go
@@ -1,4 +1,4 @@
-// Package timeline records typed events of a daemon in a bounded ring with
-// hybrid logical clocks, so that the tool can merge them over all processes.
-// Events hold no body and no key.
+// Package timeline records typed events of a daemon in a bounded ring buffer,
+// stamped by a hybrid logical clock so that the events of all processes can be
+// merged. Events contain no request bodies and no keys.
 package timeline
--- a/internal/timeline/event.go
+++ b/internal/timeline/event.go
@@ -44,8 +44,8 @@
 	KindDraining      Kind = "instance.draining"
 )
 
-// Event is one thing that happened in this daemon. Fields that don't apply are
-// empty. Detail is cut to MaxDetail bytes.
+// Event is one event in this daemon. Fields that don't apply are empty. Detail is
+// truncated to MaxDetail bytes.
 type Event struct {
 	Kind     Kind
 	Request  fleet.RequestID
@@ -56,10 +56,10 @@
 	Detail   string
 }
 
-// MaxDetail bounds Event.Detail, bytes.
+// MaxDetail is the maximum length of Event.Detail, bytes.
 const MaxDetail = 160
 
-// Recorder takes events; it never blocks and never fails.
+// Recorder records events; it never blocks and never fails.
 type Recorder interface {
 	Record(e Event)
 }
--- a/internal/timeline/request.go
+++ b/internal/timeline/request.go
@@ -8,12 +8,12 @@
 	"github.com/hyssopsail/hyssopsail/internal/rpc"
 )
 
-// maxAttempts bounds how many attempts of one request are looked for.
+// maxAttempts bounds how many attempts of one request are queried.
 const maxAttempts = 64
 
-// CollectRequest is Collect for one request over all processes: the entry
-// knows the request's ID, endpoint homes and ledger replicas only its
-// attempts', so these are asked for in a second round.
+// CollectRequest collects the events of one request from all processes. Only the
+// entry records the request's ID; endpoint homes and ledger replicas record the
+// IDs of its attempts, which are queried in a second round.
 func CollectRequest(ctx context.Context, dialer rpc.Dialer, instances []fleet.Instance, q *pb.TimelineQuery) Merged {
 	byRequest := Collect(ctx, dialer, instances, q, nil)
 	attempts := attemptsOf(byRequest.Events)
@@ -43,7 +43,7 @@
 	return attempts
 }
 
-// eventKey names an event over all processes.
+// eventKey identifies an event among those of all processes.
 type eventKey struct {
 	instance    string
 	incarnation uint64
@@ -57,8 +57,8 @@
 func union(all ...[]*pb.TimelineEvent) []*pb.TimelineEvent {
 	known := make(map[eventKey]struct{})
 	var events []*pb.TimelineEvent
-	for _, some := range all {
-		for _, e := range some {
+	for _, list := range all {
+		for _, e := range list {
 			if _, seen := known[keyOf(e)]; seen {
 				continue
 			}
--- a/internal/timeline/ring.go
+++ b/internal/timeline/ring.go
@@ -8,8 +8,8 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// Ring keeps the newest events of one daemon. It implements Recorder. Memory
-// is bounded by its size: about 300 bytes an event.
+// Ring keeps the latest events of one daemon in a ring buffer. It implements
+// Recorder and is safe for concurrent use. It takes about 300 bytes an event.
 type Ring struct {
 	clock *Clock
 	self  fleet.Owner
@@ -19,10 +19,10 @@
 	next   uint64 // sequence of the next event; the first is 1
 }
 
-// DefaultRingSize is the number of events that a daemon keeps.
+// DefaultRingSize is the number of events that a daemon keeps by default.
 const DefaultRingSize = 65536
 
-// NewRing makes a ring for the process self.
+// NewRing returns a ring of size events for the process self.
 func NewRing(size int, clock *Clock, self fleet.Owner) *Ring {
 	return &Ring{
 		clock:  clock,
@@ -46,7 +46,7 @@
 		Team:        string(e.Team),
 		EndpointId:  string(e.Endpoint),
 		ChangeId:    e.Change,
-		Detail:      cut(e.Detail, MaxDetail),
+		Detail:      truncate(e.Detail, MaxDetail),
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -55,15 +55,15 @@
 	r.next++
 }
 
-func cut(s string, n int) string {
+func truncate(s string, n int) string {
 	if len(s) <= n {
 		return s
 	}
 	return s[:n]
 }
 
-// Query gives the kept events that match, oldest first, at most limit of them
-// (0: maxPage).
+// Query returns the kept events that match q, oldest first, at most q's limit of
+// them (0: maxPage).
 func (r *Ring) Query(q *pb.TimelineQuery) *pb.TimelinePage {
 	limit := int(q.GetLimit())
 	if limit == 0 || limit > maxPage {
@@ -90,7 +90,7 @@
 	return page
 }
 
-// maxPage bounds one answer, events.
+// maxPage is the maximum number of events in one response.
 const maxPage = 10000
 
 func (r *Ring) oldest() uint64 {
--- a/internal/timeline/service.go
+++ b/internal/timeline/service.go
@@ -12,7 +12,7 @@
 	ring *Ring
 }
 
-// NewService makes a Service over ring.
+// NewService returns a Service that reads from ring.
 func NewService(ring *Ring) *Service { return &Service{ring: ring} }
 
 // Query implements pb.DRPCTimelineServer.
--- a/internal/timeline/timeline_test.go
+++ b/internal/timeline/timeline_test.go
@@ -14,14 +14,13 @@
 
 var epoch = time.Unix(1_700_000_000, 0)
 
-func fixed() time.Time { return epoch }
+func fixedTime() time.Time { return epoch }
 
-// An operator looks at one request over two daemons. The second daemon's wall
-// clock is behind the first's, and its event was caused by the first's
-// message. Without Observe the effect would be shown before its cause.
+// The second daemon's wall clock is behind the first's, and its event was caused by
+// the first's message. Without Observe the effect would be ordered before its cause.
 func TestEffectIsOrderedAfterItsCauseWhenClocksDiffer(t *testing.T) {
 	ahead := timeline.NewClock(func() time.Time { return epoch.Add(time.Second) })
-	behind := timeline.NewClock(fixed)
+	behind := timeline.NewClock(fixedTime)
 
 	cause := ahead.Now()
 	assert.Assert(t, behind.Now().Before(cause), "the clocks differ")
@@ -31,11 +30,11 @@
 	assert.Assert(t, cause.Before(effect))
 }
 
-// A daemon with a broken clock sends a stamp of next year. Taken over, it
-// would order all later events of the fleet by counters alone.
-func TestStampFarAheadIsIgnored(t *testing.T) {
-	clock := timeline.NewClock(fixed)
-	clock.Observe(timeline.Stamp{Wall: uint64(epoch.Add(timeline.MaxAhead + 1).UnixNano())})
+// A daemon with a broken clock may send a stamp far in the future. If it were
+// adopted, all later events of the fleet would be ordered by counters alone.
+func TestStampBeyondMaxClockSkewIsIgnored(t *testing.T) {
+	clock := timeline.NewClock(fixedTime)
+	clock.Observe(timeline.Stamp{Wall: uint64(epoch.Add(timeline.MaxClockSkew + 1).UnixNano())})
 	assert.Equal(t, clock.Now(), timeline.Stamp{Wall: uint64(epoch.UnixNano())})
 }
 
@@ -51,7 +50,7 @@
 }
 
 func newRing(size int) *timeline.Ring {
-	return timeline.NewRing(size, timeline.NewClock(fixed), fleet.Owner{Instance: "a", Incarnation: 1})
+	return timeline.NewRing(size, timeline.NewClock(fixedTime), fleet.Owner{Instance: "a", Incarnation: 1})
 }
 
 func TestRingKeepsTheNewestAndCountsDropped(t *testing.T) {
@@ -96,7 +95,7 @@
 	assert.Equal(t, len(detail), timeline.MaxDetail)
 }
 
-func TestChartNamesDaemonsThatDidNotAnswer(t *testing.T) {
+func TestChartListsDaemonsThatDidNotAnswer(t *testing.T) {
 	ring := newRing(8)
 	ring.Record(timeline.Event{Kind: timeline.KindReceived, Request: "r", Attempt: "0123456789abcdef"})
 	ring.Record(timeline.Event{Kind: timeline.KindCompleted, Request: "r"})
