--- a/internal/explain/doc.go
+++ b/internal/explain/doc.go
@@ -1,9 +1,9 @@
-// Package explain tells the story of one request from the logs of many
-// processes: what was decided, by which figures and how old they were, what
-// came of it, and what else is known of the endpoints that it met. It is pure
-// but for reading.
+// Package explain reports what happened to one request, from the log lines of many
+// processes: the decisions, the figures they were based on and their age, the
+// outcome, and what else was logged about the endpoints involved. Apart from
+// reading its input it has no side effects.
 //
-// Times of different processes are not compared: clocks may have been stepped.
-// Within a process lines stand in the order in which they were written, and a
-// request's decisions carry their time since its arrival.
+// Times of different processes are not compared, since clocks may have been
+// stepped. Lines of one process are in the order in which they were written, and
+// a request's decisions carry the time since its arrival.
 package explain
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -24,8 +24,8 @@
   16.0 edge-1 ts=2026-01-29T00:18:15Z level=info msg="relay: Answered." request=dd endpoint=i-3 outcome=served sends=1 prompt=2000 output=900 prefill_ms=200 sent_ms=950 first_ms=1200 took_ms=4000 pause_ms=410 pause_at_ms=2100
 `
 
-// Each line is all that the log has of a request that got no further.
-const doorSample = `  1.0 edge-1 ts=2026-01-29T00:18:10Z level=info msg="relay: No team has the key." request=k1 route=r shown=true version=3 behind_ms=0
+// Except for s1, each line is all that the log has of a request that the entry rejected.
+const rejectedSample = `  1.0 edge-1 ts=2026-01-29T00:18:10Z level=info msg="relay: No team has the key." request=k1 route=r shown=true version=3 behind_ms=0
   1.0 edge-1 ts=2026-01-29T00:18:10Z level=info msg="relay: No team has the key." request=k2 route=r shown=false version=3 behind_ms=40
   1.0 edge-1 ts=2026-01-29T00:18:10Z level=warn msg="relay: Refused, keys may have changed." request=k3 route=r version=3 unconfirmed_ms=4800
   1.0 edge-1 ts=2026-01-29T00:18:10Z level=info msg="relay: The quota is spent." request=q1 route=r team=sorters cost=5200 per_second=60000 burst=60000 again_ms=40
@@ -35,9 +35,9 @@
   1.0 edge-1 ts=2026-01-29T00:18:10Z level=info msg="relay: Answered." request=s1 endpoint=i-3 outcome=served sends=2 prompt=2000 output=900 prefill_ms=200 sent_ms=3471 first_ms=1200 took_ms=6000 pause_ms=0
 `
 
-// A caller asks why it was turned away. One line must be enough to tell.
-func TestWhoWasTurnedAway(t *testing.T) {
-	lines, _, err := Read("stdin", strings.NewReader(doorSample))
+// One log line must be enough to explain why a request was rejected.
+func TestRejectionSummaries(t *testing.T) {
+	lines, _, err := Read("stdin", strings.NewReader(rejectedSample))
 	assert.NilError(t, err)
 	for request, want := range map[string]string{
 		"k1": "refused (no-key): no team of version 3 has the key that it showed",
@@ -55,7 +55,7 @@
 	}
 }
 
-func story(t *testing.T, request string) (Story, string) {
+func reportOf(t *testing.T, request string) (RequestReport, string) {
 	t.Helper()
 	lines, others, err := Read("stdin", strings.NewReader(sample))
 	assert.NilError(t, err)
@@ -75,22 +75,22 @@
 		"cc": "broken off after event 7 and 910 ms: lost; the answer came from i-2; error: EOF",
 		"dd": "answered by i-3 (served) in 4000 ms, its first part after 1200 ms: 750 ms until it had a place, 200 ms for its prompt, 250 ms until the endpoint gave the first part; the longest pause between parts was 410 ms, 2100 ms after its arrival",
 	} {
-		s, _ := story(t, request)
+		s, _ := reportOf(t, request)
 		assert.Equal(t, s.Summary, want)
 	}
 }
 
-// An endpoint died under two requests. The story of one tells of the other, and
-// of the missed heartbeats, though that process's clock is a minute behind;
-// what each entry noted in the same words stands once.
-func TestStoryTellsOfTheEndpoint(t *testing.T) {
-	s, text := story(t, "bb")
+// An endpoint failed during two requests. The report of one includes the other, and the
+// missed heartbeats, though the clock of the process that logged them is a minute
+// behind. Lines that several entries logged with the same text are listed once.
+func TestReportIncludesEndpointNotes(t *testing.T) {
+	s, text := reportOf(t, "bb")
 	assert.Equal(t, len(s.Decisions), 2)
 	e := s.Endpoints[0]
 	assert.Equal(t, e.ID, "i-2")
-	assert.Equal(t, len(e.Known), 2)
-	assert.Equal(t, e.Known[1].Times, 2)
-	assert.DeepEqual(t, e.Lost, []string{"cc"})
+	assert.Equal(t, len(e.Notes), 2)
+	assert.Equal(t, e.Notes[1].Count, 2)
+	assert.DeepEqual(t, e.FailedRequests, []string{"cc"})
 	assert.Assert(t, strings.Contains(text, "at edge-2:\n       +0 ms  relay: Chosen. route=q version=3 endpoint=i-2"))
 	assert.Assert(t, strings.Contains(text, "2026-01-29T00:17:01Z  core-1  coordinator: Endpoint is silent. revision=44"))
 	assert.Assert(t, strings.Contains(text, `err="read: reset; by peer"`))
@@ -101,7 +101,7 @@
 	assert.NilError(t, err)
 	_, ok := Of(lines, "zz")
 	assert.Assert(t, !ok)
-	_, _, err = Read("stdin", strings.NewReader(strings.Repeat("x", longestLine+1)))
+	_, _, err = Read("stdin", strings.NewReader(strings.Repeat("x", maxLineBytes+1)))
 	assert.Assert(t, err != nil)
 }
 
--- a/internal/explain/line.go
+++ b/internal/explain/line.go
@@ -10,17 +10,17 @@
 	"github.com/gravitational/trace"
 )
 
-// The keys of log lines that the story is made of.
+// The keys of log lines that a report is built from.
 const (
 	keyTime     = "ts"
 	keyMessage  = "msg"
 	keyRequest  = "request"
 	keyEndpoint = "endpoint"
-	keyAt       = "at_ms" // since the arrival of the request
+	keyAt       = "at_ms" // ms since the request's arrival
 )
 
-// longestLine bounds a line, bytes.
-const longestLine = 1 << 20
+// maxLineBytes is the maximum length of a log line.
+const maxLineBytes = 1 << 20
 
 // Field is one key of a line with its value.
 type Field struct {
@@ -37,7 +37,7 @@
 	Fields  []Field `json:"fields"`
 }
 
-// Get gives a field's value, empty when there is none.
+// Get returns a field's value, empty if there is none.
 func (l Line) Get(key string) string {
 	for _, f := range l.Fields {
 		if f.Key == key {
@@ -47,7 +47,7 @@
 	return ""
 }
 
-// text is the line without its time, and without the fields of skipped keys.
+// text returns the line without its time and without the fields of skipped keys.
 func (l Line) text(skipped ...string) string {
 	var b strings.Builder
 	b.WriteString(l.Message)
@@ -66,12 +66,12 @@
 	return value
 }
 
-// Read reads the logfmt lines of a file. What stands before a line's time, as
-// collectors put it there, ends with the process's name; without it, process
-// names the lines. Other lines are counted.
+// Read reads the logfmt lines of a file. Text before a line's time, as log
+// collectors add it, ends with the name of the process; lines without such text
+// get the name process. others counts the lines that are not logfmt.
 func Read(process string, r io.Reader) (lines []Line, others int, err error) {
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(nil, longestLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for number := 1; scanner.Scan(); number++ {
 		line, ok := parse(process, scanner.Text())
 		if !ok {
--- a/internal/explain/rejection.go
+++ b/internal/explain/rejection.go
@@ -2,15 +2,15 @@
 
 import "fmt"
 
-// turnedAway tells why a request got no further than the entry's door, by the one line
-// that the entry writes of it; "" for any other line.
-func turnedAway(l Line) string {
+// rejectedAtEntry describes why the entry rejected a request before routing it, from the
+// one line that the entry logs about it; "" for any other line.
+func rejectedAtEntry(l Line) string {
 	switch l.Message {
 	case "relay: No route.":
 		return fmt.Sprintf("refused (no-route): no route of version %s leads to host %s and path %s%s",
-			l.Get("version"), l.Get("host"), l.Get("path"), onItsWay(l))
+			l.Get("version"), l.Get("host"), l.Get("path"), pendingConfiguration(l))
 	case "relay: No team has the key.":
-		return fmt.Sprintf("refused (no-key): %s%s", keyOf(l), onItsWay(l))
+		return fmt.Sprintf("refused (no-key): %s%s", keyProblem(l), pendingConfiguration(l))
 	case "relay: Refused, keys may have changed.":
 		return fmt.Sprintf("refused (not-run): the entry last knew %s ms before that version %s was the newest, and could not tell whether the key still held",
 			l.Get("unconfirmed_ms"), l.Get("version"))
@@ -25,16 +25,16 @@
 	return ""
 }
 
-func keyOf(l Line) string {
+func keyProblem(l Line) string {
 	if l.Get("shown") == "true" {
 		return "no team of version " + l.Get("version") + " has the key that it showed"
 	}
 	return "it showed no key, and its route needs one"
 }
 
-// onItsWay tells of a newer configuration that the entry knew of and did not have.
-func onItsWay(l Line) string {
-	if behind := number(l, "behind_ms"); behind > 0 {
+// pendingConfiguration tells of a newer configuration that the entry knew of and did not have.
+func pendingConfiguration(l Line) string {
+	if behind := intField(l, "behind_ms"); behind > 0 {
 		return fmt.Sprintf("; a newer one had been on its way for %d ms, so it was told to come again", behind)
 	}
 	return ""
--- a/internal/explain/requestreport.go
+++ b/internal/explain/requestreport.go
@@ -7,39 +7,39 @@
 	"strings"
 )
 
-// mostKnown bounds what is told of one endpoint, and mostLost the requests
-// named there: the first ones are nearest to the cause.
+// maxNotes bounds the notes kept for one endpoint, and maxFailedRequests the
+// requests listed there. The first ones are kept, as the closest to the cause.
 const (
-	mostKnown = 12
-	mostLost  = 5
+	maxNotes          = 12
+	maxFailedRequests = 5
 )
 
-// Story is what the logs tell of one request.
-type Story struct {
+// RequestReport is what the logs say about one request.
+type RequestReport struct {
 	Request   string     `json:"request"`
 	Summary   string     `json:"summary"`
 	Decisions []Line     `json:"decisions"`
 	Endpoints []Endpoint `json:"endpoints"`
 }
 
-// Endpoint is what else the logs tell of an endpoint that the request met.
+// Endpoint is what else the logs say about an endpoint that the request used.
 type Endpoint struct {
-	ID    string   `json:"id"`
-	Known []Note   `json:"known"` // that members and followers noted
-	More  int      `json:"more"`  // such notes beyond those kept
-	Lost  []string `json:"lost"`  // other requests that ended badly there, the first few
-	Count int      `json:"lost_count"`
+	ID                 string   `json:"id"`
+	Notes              []Note   `json:"known"` // lines that name no request
+	OmittedNotes       int      `json:"more"`  // such notes beyond those kept
+	FailedRequests     []string `json:"lost"`  // the first few other requests that failed there
+	FailedRequestCount int      `json:"lost_count"`
 }
 
-// Note is what one or more processes noted in the same words.
+// Note is a line that one or more processes logged with the same text.
 type Note struct {
 	First Line   `json:"first"`
-	Times int    `json:"times"`
-	text  string // of First, by which others are told to be alike
+	Count int    `json:"times"`
+	text  string // of First; lines with an equal text are counted here
 }
 
-// Of tells the story of a request; ok is false when no line names it.
-func Of(lines []Line, request string) (s Story, ok bool) {
+// Of returns the report of a request; ok is false when no line names it.
+func Of(lines []Line, request string) (s RequestReport, ok bool) {
 	s.Request = request
 	for _, l := range lines {
 		if l.Get(keyRequest) == request {
@@ -51,12 +51,12 @@
 	}
 	s.Summary = summary(s.Decisions)
 	for _, id := range endpoints(s.Decisions) {
-		s.Endpoints = append(s.Endpoints, known(lines, id, request))
+		s.Endpoints = append(s.Endpoints, describeEndpoint(lines, id, request))
 	}
 	return s, true
 }
 
-// endpoints lists those that the lines name, in their order.
+// endpoints returns the IDs of the endpoints that the lines name, in order.
 func endpoints(lines []Line) []string {
 	var ids []string
 	for _, l := range lines {
@@ -67,52 +67,52 @@
 	return ids
 }
 
-func known(lines []Line, id, request string) Endpoint {
+func describeEndpoint(lines []Line, id, request string) Endpoint {
 	e := Endpoint{ID: id}
 	for _, l := range lines {
 		other := l.Get(keyRequest)
 		switch {
 		case l.Get(keyEndpoint) != id || other == request:
 		case other == "":
-			e.note(l)
-		case endedBadly(l):
-			e.Count++
-			if len(e.Lost) < mostLost {
-				e.Lost = append(e.Lost, other)
+			e.addNote(l)
+		case failedAtEndpoint(l):
+			e.FailedRequestCount++
+			if len(e.FailedRequests) < maxFailedRequests {
+				e.FailedRequests = append(e.FailedRequests, other)
 			}
 		}
 	}
 	return e
 }
 
-// note folds what several processes noted in the same words: each entry tells
-// of each change.
-func (e *Endpoint) note(l Line) {
+// addNote adds a line, or counts it if its text is already there: every entry logs
+// the same changes.
+func (e *Endpoint) addNote(l Line) {
 	text := l.text()
-	for n := range e.Known {
-		if e.Known[n].text == text {
-			e.Known[n].Times++
+	for n := range e.Notes {
+		if e.Notes[n].text == text {
+			e.Notes[n].Count++
 			return
 		}
 	}
-	if len(e.Known) == mostKnown {
-		e.More++
+	if len(e.Notes) == maxNotes {
+		e.OmittedNotes++
 		return
 	}
-	e.Known = append(e.Known, Note{First: l, Times: 1, text: text})
+	e.Notes = append(e.Notes, Note{First: l, Count: 1, text: text})
 }
 
-// The last lines of a request.
+// Messages of lines that tell how a request ended, and of decisions before that.
 const (
-	answered  = "relay: Answered."
-	brokenOff = "relay: Broken off."
-	refused   = "relay: Refused."
-	noRoom    = "relay: No room."
-	noPlace   = "relay: No place came free."
-	more      = "relay: More decisions like these."
+	answered      = "relay: Answered."
+	brokenOff     = "relay: Broken off."
+	refused       = "relay: Refused."
+	noRoom        = "relay: No room."
+	noPlace       = "relay: No place came free."
+	moreDecisions = "relay: More decisions like these."
 )
 
-func endedBadly(l Line) bool {
+func failedAtEndpoint(l Line) bool {
 	switch l.Message {
 	case brokenOff:
 		return true
@@ -124,21 +124,21 @@
 	return false
 }
 
-// summary says how the request ended, by its last lines.
+// summary describes how the request ended.
 func summary(lines []Line) string {
 	var parts []string
 	for _, l := range lines {
-		if text := turnedAway(l); text != "" {
+		if text := rejectedAtEntry(l); text != "" {
 			parts = append(parts, text)
 		}
 		switch l.Message {
 		case refused:
-			parts = append(parts, refusal(l, lines))
+			parts = append(parts, describeRefusal(l, lines))
 		case brokenOff:
 			parts = append(parts, fmt.Sprintf("broken off after event %s and %s ms: %s; the answer came from %s%s",
-				orNone(l.Get("after")), l.Get("took_ms"), l.Get("reason"), l.Get(keyEndpoint), cause(l)))
+				orNone(l.Get("after")), l.Get("took_ms"), l.Get("reason"), l.Get(keyEndpoint), errorSuffix(l)))
 		case answered:
-			parts = append(parts, answer(l))
+			parts = append(parts, describeAnswer(l))
 		}
 	}
 	if len(parts) == 0 {
@@ -147,19 +147,19 @@
 	return strings.Join(parts, "; then ")
 }
 
-func refusal(l Line, lines []Line) string {
+func describeRefusal(l Line, lines []Line) string {
 	text := fmt.Sprintf("refused (%s) after %s ms: %s", l.Get("verdict"), l.Get("took_ms"), l.Get("reason"))
 	switch {
 	case l.Get("sends") == "0" && count(lines, noPlace) > 0:
-		text += fmt.Sprintf("; it was sent to nobody, the home of its service had no place for it in %d questions%s", count(lines, noPlace), untold(lines))
+		text += fmt.Sprintf("; it was sent to nobody, the home of its service had no place for it in %d questions%s", count(lines, noPlace), omittedDecisions(lines))
 	case l.Get("sends") == "0":
-		text += fmt.Sprintf("; it was sent to nobody, %d endpoints had no room for it%s", count(lines, noRoom), untold(lines))
+		text += fmt.Sprintf("; it was sent to nobody, %d endpoints had no room for it%s", count(lines, noRoom), omittedDecisions(lines))
 	case l.Get("runs") == "0":
 		text += fmt.Sprintf("; it was sent %s times and ran nowhere", l.Get("sends"))
 	default:
 		text += fmt.Sprintf("; it was sent %s times, last to %s, and may have run there", l.Get("sends"), l.Get(keyEndpoint))
 	}
-	return text + cause(l)
+	return text + errorSuffix(l)
 }
 
 func count(lines []Line, message string) int {
@@ -172,18 +172,18 @@
 	return n
 }
 
-func untold(lines []Line) string {
+func omittedDecisions(lines []Line) string {
 	for _, l := range lines {
-		if l.Message == more {
+		if l.Message == moreDecisions {
 			return fmt.Sprintf(" (and %s more decisions like these)", l.Get("count"))
 		}
 	}
 	return ""
 }
 
-// answer tells where the time of an answer went.
-func answer(l Line) string {
-	sent, prefill, first := number(l, "sent_ms"), number(l, "prefill_ms"), number(l, "first_ms")
+// describeAnswer describes an answer and where its time was spent.
+func describeAnswer(l Line) string {
+	sent, prefill, first := intField(l, "sent_ms"), intField(l, "prefill_ms"), intField(l, "first_ms")
 	text := fmt.Sprintf("answered by %s (%s) in %s ms, its first part after %d ms", l.Get(keyEndpoint), l.Get("outcome"), l.Get("took_ms"), first)
 	if l.Get("outcome") == "failed" {
 		text += "; the failure is the endpoint's own and was passed on"
@@ -191,25 +191,25 @@
 	switch {
 	case first < sent:
 		text += fmt.Sprintf("; it went on there after %d ms, and began elsewhere", sent)
-	case number(l, "prompt") > 0:
+	case intField(l, "prompt") > 0:
 		text += fmt.Sprintf(": %d ms until it had a place, %d ms for its prompt, %d ms until the endpoint gave the first part", sent-prefill, prefill, first-sent)
 	}
-	if pause := number(l, "pause_ms"); pause > 0 {
+	if pause := intField(l, "pause_ms"); pause > 0 {
 		text += fmt.Sprintf("; the longest pause between parts was %d ms, %s ms after its arrival", pause, l.Get("pause_at_ms"))
 	}
 	return text
 }
 
-func number(l Line, key string) int64 {
+func intField(l Line, key string) int64 {
 	n, err := strconv.ParseInt(l.Get(key), 10, 64)
 	if err != nil {
-		return 0 // not told: an answer without a prompt has no prefill
+		return 0 // not logged: an answer without a prompt has no prefill
 	}
 	return n
 }
 
-// cause gives what the log knows of the connection's or the caller's end.
-func cause(l Line) string {
+// errorSuffix gives what the log knows of the connection's or the caller's end.
+func errorSuffix(l Line) string {
 	text := ""
 	if err := l.Get("err"); err != "" && err != "null" {
 		text += "; error: " + err
--- a/internal/explain/write.go
+++ b/internal/explain/write.go
@@ -8,8 +8,8 @@
 	"github.com/gravitational/trace"
 )
 
-// Write prints a story for people.
-func (s Story) Write(w io.Writer) error {
+// Write prints the report as text.
+func (s RequestReport) Write(w io.Writer) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "request %s: %s\n", s.Request, s.Summary)
 	process := ""
@@ -32,22 +32,22 @@
 }
 
 func (e Endpoint) write(b *strings.Builder) {
-	if len(e.Known)+e.Count == 0 {
+	if len(e.Notes)+e.FailedRequestCount == 0 {
 		return
 	}
 	fmt.Fprintf(b, "\nof endpoint %s:\n", e.ID)
-	for _, n := range e.Known {
+	for _, n := range e.Notes {
 		l := n.First
 		times := ""
-		if n.Times > 1 {
-			times = fmt.Sprintf(" (%d lines like it)", n.Times)
+		if n.Count > 1 {
+			times = fmt.Sprintf(" (%d lines like it)", n.Count)
 		}
 		fmt.Fprintf(b, "  %s  %s  %s%s\n", l.Time, l.Process, l.text("level", keyEndpoint), times)
 	}
-	if e.More > 0 {
-		fmt.Fprintf(b, "  and %d more notes\n", e.More)
+	if e.OmittedNotes > 0 {
+		fmt.Fprintf(b, "  and %d more notes\n", e.OmittedNotes)
 	}
-	if e.Count > 0 {
-		fmt.Fprintf(b, "  %d other requests ended badly there: %s\n", e.Count, strings.Join(e.Lost, ", "))
+	if e.FailedRequestCount > 0 {
+		fmt.Fprintf(b, "  %d other requests ended badly there: %s\n", e.FailedRequestCount, strings.Join(e.FailedRequests, ", "))
 	}
 }
