--- a/internal/report/doc.go
+++ b/internal/report/doc.go
@@ -1,3 +1,3 @@
-// Package report turns results of package load into tables and plots, with
-// medians and spread over interleaved pairs of variants.
+// Package report writes tables and plots of results of package load, with the
+// median and range of each figure over interleaved pairs of variants.
 package report
--- a/internal/report/plots.go
+++ b/internal/report/plots.go
@@ -20,16 +20,16 @@
 )
 
 // WritePlots writes all plots of the results into a folder as files of the
-// given form, "svg" or "png", and gives their names.
-func WritePlots(folder, form string, results []load.Result) ([]string, error) {
+// given format, "svg" or "png", and returns their names.
+func WritePlots(folder, format string, results []load.Result) ([]string, error) {
 	var names []string
-	for _, draw := range []func([]group) ([]drawing, error){firstTokenCurves, goodputOverLoad, wasteFrontier} {
+	for _, draw := range []func([]group) ([]namedPlot, error){firstTokenCurves, goodputOverLoad, goodputOverWaste} {
 		drawings, err := draw(groupsOf(results))
 		if err != nil {
 			return names, trace.Wrap(err)
 		}
 		for _, d := range drawings {
-			name := filepath.Join(folder, fileName(d.name)+"."+form)
+			name := filepath.Join(folder, fileName(d.name)+"."+format)
 			if err := d.plot.Save(plotWidth, plotHeight, name); err != nil {
 				return names, trace.ConvertSystemError(err)
 			}
@@ -39,8 +39,8 @@
 	return names, nil
 }
 
-// drawing is a plot and the name of its file.
-type drawing struct {
+// namedPlot is a plot and the name of its file.
+type namedPlot struct {
 	name string
 	plot *plot.Plot
 }
@@ -53,16 +53,16 @@
 	return p
 }
 
-// firstTokenCurves draws for each experiment the cumulative distribution of
+// firstTokenCurves plots for each experiment the cumulative distribution of
 // the time to the first token, one line for each run and one colour for each
 // variant.
-func firstTokenCurves(groups []group) ([]drawing, error) {
-	var drawings []drawing
+func firstTokenCurves(groups []group) ([]namedPlot, error) {
+	var drawings []namedPlot
 	colour := 0
 	for n, g := range groups {
 		if n == 0 || groups[n-1].experiment != g.experiment {
 			p := newPlot(g.experiment, "time to first token, ms", "share of whole answers")
-			drawings = append(drawings, drawing{name: "first-token-" + g.experiment, plot: p})
+			drawings = append(drawings, namedPlot{name: "first-token-" + g.experiment, plot: p})
 			colour = 0
 		}
 		if err := addCurves(drawings[len(drawings)-1].plot, g, colour); err != nil {
@@ -99,25 +99,25 @@
 	return nil
 }
 
-// goodputOverLoad draws good work over offered work, both as shares of the
-// computed capacity, a mark for each run.
-func goodputOverLoad(groups []group) ([]drawing, error) {
+// goodputOverLoad plots good work over offered work, both as shares of the
+// computed capacity, one point for each run.
+func goodputOverLoad(groups []group) ([]namedPlot, error) {
 	p := newPlot("Goodput over offered load", "offered, % of capacity", "good, % of capacity")
-	return marks("goodput-over-load", p, groups, func(r load.Result) (plotter.XY, bool) {
+	return scatterPlot("goodput-over-load", p, groups, func(r load.Result) (plotter.XY, bool) {
 		return plotter.XY{X: percent * r.OfferedShare, Y: percent * r.GoodShare}, r.OfferedShare > 0
 	})
 }
 
-// wasteFrontier draws goodput over wasted prefill, a mark for each run.
-func wasteFrontier(groups []group) ([]drawing, error) {
+// goodputOverWaste plots goodput over wasted prefill, one point for each run.
+func goodputOverWaste(groups []group) ([]namedPlot, error) {
 	p := newPlot("Goodput against wasted prefill", "wasted prefill, % of prefill work", "good, % of the possible")
-	return marks("wasted-prefill", p, groups, func(r load.Result) (plotter.XY, bool) {
-		waste, ok := wasted(r)
+	return scatterPlot("wasted-prefill", p, groups, func(r load.Result) (plotter.XY, bool) {
+		waste, ok := wastedPrefill(r)
 		return plotter.XY{X: waste, Y: percent * r.GoodOfPossible}, ok && r.OfferedShare > 0
 	})
 }
 
-func marks(name string, p *plot.Plot, groups []group, at func(load.Result) (plotter.XY, bool)) ([]drawing, error) {
+func scatterPlot(name string, p *plot.Plot, groups []group, at func(load.Result) (plotter.XY, bool)) ([]namedPlot, error) {
 	byVariant := map[string]plotter.XYs{}
 	var variants []string
 	for _, g := range groups {
@@ -147,9 +147,9 @@
 	if !drawn {
 		return nil, nil
 	}
-	return []drawing{{name: name, plot: p}}, nil
+	return []namedPlot{{name: name, plot: p}}, nil
 }
 
-var notInFileNames = regexp.MustCompile(`[^A-Za-z0-9._-]+`)
+var invalidFileNameChars = regexp.MustCompile(`[^A-Za-z0-9._-]+`)
 
-func fileName(name string) string { return notInFileNames.ReplaceAllString(name, "-") }
+func fileName(name string) string { return invalidFileNameChars.ReplaceAllString(name, "-") }
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -11,8 +11,8 @@
 	"github.com/hyssopsail/hyssopsail/internal/load"
 )
 
-// pairs makes results of two variants whose figures drift together.
-func pairs() []load.Result {
+// interleavedResults returns results of two variants whose figures drift together.
+func interleavedResults() []load.Result {
 	var out []load.Result
 	for pair, good := range []float64{0.80, 0.90, 0.70} {
 		out = append(out, result("least-wait", pair, good+0.05), result("round-robin", pair, good))
@@ -34,17 +34,17 @@
 }
 
 func TestDifferencesAreTakenPairByPair(t *testing.T) {
-	groups := groupsOf(pairs())
+	groups := groupsOf(interleavedResults())
 	assert.Equal(t, len(groups), 2)
 	d := groups[0].differences(groups[1], metrics[1])
 	assert.Equal(t, d.count, 3)
-	assert.Assert(t, d.least > 4.99 && d.most < 5.01, "%+v", d)
-	assert.Equal(t, groups[1].spread(metrics[1]), spread{median: 80, least: 70, most: 90, count: 3})
+	assert.Assert(t, d.lowest > 4.99 && d.highest < 5.01, "%+v", d)
+	assert.Equal(t, groups[1].spread(metrics[1]), spread{median: 80, lowest: 70, highest: 90, count: 3})
 }
 
 func TestWriteTables(t *testing.T) {
 	var out bytes.Buffer
-	assert.NilError(t, WriteTables(&out, pairs(), "round-robin"))
+	assert.NilError(t, WriteTables(&out, interleavedResults(), "round-robin"))
 	for _, want := range []string{"calm 90", "least-wait (3)", "least-wait less round-robin", "+5 [+5, +5]", "wasted prefill"} {
 		assert.Assert(t, strings.Contains(out.String(), want), "%s in\n%s", want, out.String())
 	}
@@ -52,7 +52,7 @@
 
 func TestWritePlots(t *testing.T) {
 	for _, form := range []string{"svg", "png"} {
-		names, err := WritePlots(t.TempDir(), form, pairs())
+		names, err := WritePlots(t.TempDir(), form, interleavedResults())
 		assert.NilError(t, err)
 		assert.Equal(t, len(names), 3)
 		for _, name := range names {
@@ -64,7 +64,7 @@
 }
 
 func TestSpread(t *testing.T) {
-	assert.Equal(t, spreadOf([]float64{3, 1, 2, 4}), spread{median: 2.5, least: 1, most: 4, count: 4})
+	assert.Equal(t, spreadOf([]float64{3, 1, 2, 4}), spread{median: 2.5, lowest: 1, highest: 4, count: 4})
 	assert.Equal(t, spreadOf(nil).String(), "-")
 }
 
--- a/internal/report/summary.go
+++ b/internal/report/summary.go
@@ -6,7 +6,7 @@
 	"github.com/hyssopsail/hyssopsail/internal/load"
 )
 
-// group is the runs of one variant of one experiment.
+// group holds the runs of one variant of one experiment.
 type group struct {
 	experiment string
 	variant    string
@@ -36,10 +36,10 @@
 	return groups
 }
 
-// spread is the middle and the ends of a few figures.
+// spread is the median and range of a set of values.
 type spread struct {
-	median, least, most float64
-	count               int
+	median, lowest, highest float64
+	count                   int
 }
 
 func spreadOf(values []float64) spread {
@@ -53,7 +53,7 @@
 	if len(sorted)%2 == 0 {
 		median = (sorted[middle-1] + sorted[middle]) / 2
 	}
-	return spread{median: median, least: sorted[0], most: sorted[len(sorted)-1], count: len(sorted)}
+	return spread{median: median, lowest: sorted[0], highest: sorted[len(sorted)-1], count: len(sorted)}
 }
 
 func (g group) spread(m metric) spread {
@@ -66,9 +66,9 @@
 	return spreadOf(values)
 }
 
-// differences gives a metric of g less that of base for each pair that both
-// have run. Interleaved pairs share what else the machine did, so that their
-// differences spread less than the figures.
+// differences returns the spread of a metric of g minus that of base, over the
+// pairs that both have run. The two runs of an interleaved pair share the
+// machine's other load, so that their differences vary less than the values.
 func (g group) differences(base group, m metric) spread {
 	byPair := map[int]load.Result{}
 	for _, r := range base.results {
@@ -80,10 +80,10 @@
 		if !ok {
 			continue
 		}
-		mine, has := m.value(r)
-		theirs, hasToo := m.value(other)
-		if has && hasToo {
-			values = append(values, mine-theirs)
+		value, ok := m.value(r)
+		baseValue, baseOK := m.value(other)
+		if ok && baseOK {
+			values = append(values, value-baseValue)
 		}
 	}
 	return spreadOf(values)
