--- a/internal/load/arrivals.go
+++ b/internal/load/arrivals.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// Pattern names a process of arrivals.
+// Pattern names an arrival process.
 type Pattern string
 
-// The patterns. Bursty is Poisson whose rate is Burst times the mean for On,
-// then lower for Off so that the mean holds.
+// The patterns. Bursty is a Poisson process whose rate is Burst times the mean for
+// the duration On, then lower for Off so that the mean rate is kept.
 const (
 	PatternPoisson Pattern = "poisson"
 	PatternBursty  Pattern = "bursty"
 	PatternUniform Pattern = "uniform"
 )
 
-// Arrivals describes when requests come.
+// Arrivals describes when requests arrive.
 type Arrivals struct {
 	Pattern Pattern       `yaml:"pattern"` // default poisson
 	Burst   float64       `yaml:"burst"`
@@ -24,46 +24,46 @@
 	Off     time.Duration `yaml:"off"`
 }
 
-// clock draws the intended times of one stream's requests.
-type clock struct {
+// arrivalProcess generates the intended times of one stream's requests.
+type arrivalProcess struct {
 	arrivals Arrivals
 	rate     float64 // mean, requests a second
 	random   *rand.Rand
-	at       time.Duration // of the last arrival
+	last     time.Duration // time of the last arrival
 }
 
-// next gives the time of the next arrival from the start of the run.
-func (c *clock) next() time.Duration {
+// next returns the time of the next arrival, from the start of the run.
+func (c *arrivalProcess) next() time.Duration {
 	switch c.arrivals.Pattern {
 	case PatternUniform:
-		c.at += seconds(1 / c.rate)
+		c.last += seconds(1 / c.rate)
 	case PatternBursty:
-		c.at = c.nextBursty()
+		c.last = c.nextBursty()
 	default:
-		c.at += seconds(c.random.ExpFloat64() / c.rate)
+		c.last += seconds(c.random.ExpFloat64() / c.rate)
 	}
-	return c.at
+	return c.last
 }
 
-// nextBursty spends an exponential amount of expected arrivals over the phases
-// of high and low rate.
-func (c *clock) nextBursty() time.Duration {
+// nextBursty draws an exponential number of expected arrivals and advances through
+// the phases of high and low rate until they add up to it.
+func (c *arrivalProcess) nextBursty() time.Duration {
 	a := c.arrivals
 	cycle := a.On + a.Off
 	high := c.rate * a.Burst
 	low := c.rate * (cycle.Seconds() - a.Burst*a.On.Seconds()) / a.Off.Seconds()
 	due := c.random.ExpFloat64()
-	at := c.at
+	at := c.last
 	for {
 		phase := at % cycle
 		rate, end := high, a.On
 		if phase >= a.On {
 			rate, end = low, cycle
 		}
-		left := end - phase
-		if holds := rate * left.Seconds(); holds < due {
-			due -= holds
-			at += left
+		remaining := end - phase
+		if expected := rate * remaining.Seconds(); expected < due {
+			due -= expected
+			at += remaining
 			continue
 		}
 		return at + seconds(due/rate)
--- a/internal/load/audit.go
+++ b/internal/load/audit.go
@@ -11,26 +11,26 @@
 )
 
 const (
-	auditTimeout = 20 * time.Second
-	maxAudit     = 1 << 30
+	auditTimeout  = 20 * time.Second
+	maxAuditBytes = 1 << 30
 )
 
-// AuditResult is what the emulated endpoints say about the run's requests.
-// What a process did before it died is missing, save for one that was ended by
-// the crash fault and left its audit.
+// AuditResult is what the emulated endpoints report about the run's requests. The
+// work of a process that ended is missing, except if the crash fault ended it: it
+// then leaves its audit in a file.
 type AuditResult struct {
 	Endpoints       int      `json:"endpoints"` // that answered
 	PrefillMs       float64  `json:"prefill_ms"`
 	WastedPrefillMs float64  `json:"wasted_prefill_ms"` // of attempts whose decode never began
 	WastedShare     float64  `json:"wasted_share"`
-	DiscardedMs     float64  `json:"discarded_ms"` // thrown away before it left the prefill engine, by the endpoints' own count
-	Doubled         int      `json:"doubled"`      // calls that may not repeat but ran twice, and answers decoded whole twice
+	DiscardedMs     float64  `json:"discarded_ms"` // discarded before it left the prefill engine, as the endpoints count it
+	Doubled         int      `json:"doubled"`      // non-idempotent calls that ran twice, and answers decoded completely twice
 	NotRunButRan    int      `json:"not_run_but_ran"`
 	StillHeld       int      `json:"still_held"` // engine memory held after the end
 	Examples        []string `json:"examples,omitempty"`
 }
 
-// endpointAudit is the part of an emulated endpoint's audit that is used.
+// endpointAudit holds the fields used of an emulated endpoint's audit.
 type endpointAudit struct {
 	Endpoint    string         `json:"endpoint"`
 	Incarnation uint64         `json:"incarnation"`
@@ -54,7 +54,8 @@
 	Marker string `json:"marker"`
 }
 
-// readAudits asks all endpoints at once. One that doesn't answer is left out.
+// readAudits reads the audits of all endpoints in parallel. Endpoints that don't
+// respond are left out.
 func readAudits(ctx context.Context, client *http.Client, addresses []string) []endpointAudit {
 	audits := make([]*endpointAudit, len(addresses))
 	var wait sync.WaitGroup
@@ -79,7 +80,7 @@
 	return a
 }
 
-// getJSON asks an emulated endpoint about itself.
+// getJSON decodes the JSON response of an emulated endpoint into into.
 func getJSON(ctx context.Context, client *http.Client, url string, into any) error {
 	ctx, cancel := context.WithTimeout(ctx, auditTimeout)
 	defer cancel()
@@ -92,18 +93,18 @@
 		return err
 	}
 	defer response.Body.Close()
-	return json.NewDecoder(io.LimitReader(response.Body, maxAudit)).Decode(into)
+	return json.NewDecoder(io.LimitReader(response.Body, maxAuditBytes)).Decode(into)
 }
 
 const maxExamples = 10
 
-// auditResult judges the audits of the run whose markers begin with its name.
+// auditResult evaluates the audits of the run whose markers begin with its name.
 func auditResult(run string, before, after []endpointAudit, tallies []*tally) *AuditResult {
 	r := &AuditResult{Endpoints: len(after)}
-	book := newAuditBook(run, after)
-	for attempt, work := range book.prefill {
+	combined := combineAudits(run, after)
+	for attempt, work := range combined.prefillMs {
 		r.PrefillMs += work
-		if !book.decoded[attempt] {
+		if !combined.decoded[attempt] {
 			r.WastedPrefillMs += work
 		}
 	}
@@ -112,89 +113,89 @@
 	}
 	earlier := map[string]float64{}
 	for _, a := range before {
-		earlier[a.name()] = a.Discarded
+		earlier[a.key()] = a.Discarded
 	}
 	for _, a := range after {
 		r.StillHeld += a.Held
-		r.DiscardedMs += a.Discarded - earlier[a.name()]
+		r.DiscardedMs += a.Discarded - earlier[a.key()]
 	}
 	for _, t := range tallies {
-		book.judge(r, run, t)
+		combined.countViolations(r, run, t)
 	}
 	return r
 }
 
-// judge counts a stream's requests that ran twice, or ran though their caller
-// was told that they hadn't.
-func (b *auditBook) judge(r *AuditResult, run string, t *tally) {
-	runs := b.whole
+// countViolations counts a stream's requests that ran twice, or that ran although
+// their caller was told that they hadn't.
+func (b *combinedAudit) countViolations(r *AuditResult, run string, t *tally) {
+	runs := b.completions
 	if t.stream.Service != "" {
-		runs = b.calls
+		runs = b.callRuns
 	}
 	prefix := run + "-" + t.stream.Name + "-"
 	for marker, count := range runs {
 		mayRepeat := t.stream.Service != "" && !t.stream.NotIdempotent
 		if count > 1 && !mayRepeat && strings.HasPrefix(marker, prefix) {
 			r.Doubled++
-			r.example("doubled " + marker)
+			r.addExample("doubled " + marker)
 		}
 	}
 	for _, marker := range t.notRun {
-		if b.calls[marker] > 0 || b.begun[marker] > 0 {
+		if b.callRuns[marker] > 0 || b.decodesBegun[marker] > 0 {
 			r.NotRunButRan++
-			r.example("ran but told not-run " + marker)
+			r.addExample("ran but told not-run " + marker)
 		}
 	}
 }
 
-func (r *AuditResult) example(text string) {
+func (r *AuditResult) addExample(text string) {
 	if len(r.Examples) < maxExamples {
 		r.Examples = append(r.Examples, text)
 	}
 }
 
-func (a endpointAudit) name() string {
+func (a endpointAudit) key() string {
 	b, _ := json.Marshal([]any{a.Endpoint, a.Incarnation})
 	return string(b)
 }
 
-// auditBook joins the audits of all endpoints for one run.
-type auditBook struct {
-	prefill map[string]float64 // work by attempt
-	decoded map[string]bool    // attempts whose decode began
-	begun   map[string]int     // decodes by marker
-	whole   map[string]int     // whole answers made, by marker
-	calls   map[string]int     // plain calls run, by marker
+// combinedAudit combines the audits of all endpoints for one run.
+type combinedAudit struct {
+	prefillMs    map[string]float64 // by attempt
+	decoded      map[string]bool    // attempts whose decode began
+	decodesBegun map[string]int     // decodes by marker
+	completions  map[string]int     // complete answers decoded, by marker
+	callRuns     map[string]int     // runs of plain calls, by marker
 }
 
-func newAuditBook(run string, audits []endpointAudit) *auditBook {
-	b := &auditBook{
-		prefill: map[string]float64{}, decoded: map[string]bool{},
-		begun: map[string]int{}, whole: map[string]int{}, calls: map[string]int{},
+func combineAudits(run string, audits []endpointAudit) *combinedAudit {
+	b := &combinedAudit{
+		prefillMs: map[string]float64{}, decoded: map[string]bool{},
+		decodesBegun: map[string]int{}, completions: map[string]int{}, callRuns: map[string]int{},
 	}
 	for _, a := range audits {
 		for _, t := range a.Attempts {
 			if strings.HasPrefix(t.Marker, run+"-") || t.Marker == "" {
-				b.attempt(t)
+				b.addAttempt(t)
 			}
 		}
 		for _, c := range a.CallRuns {
-			b.calls[c.Marker]++
+			b.callRuns[c.Marker]++
 		}
 	}
 	return b
 }
 
-func (b *auditBook) attempt(t auditAttempt) {
+func (b *combinedAudit) addAttempt(t auditAttempt) {
 	if t.Prefills > 0 && t.Marker != "" {
-		b.prefill[t.Attempt] += t.PrefillMs
+		b.prefillMs[t.Attempt] += t.PrefillMs
 	}
 	if t.Decodes == 0 {
 		return
 	}
 	b.decoded[t.Attempt] = true
-	b.begun[t.Marker]++
+	b.decodesBegun[t.Marker]++
 	if t.Offset == 0 && (t.Finish == "stop" || t.Finish == "length") {
-		b.whole[t.Marker]++
+		b.completions[t.Marker]++
 	}
 }
--- a/internal/load/caller.go
+++ b/internal/load/caller.go
@@ -7,51 +7,51 @@
 	"github.com/hyssopsail/hyssopsail/internal/sleep"
 )
 
-// caller sends a job, and again as its stream says, until it has an answer.
+// caller sends a job and repeats it as its stream specifies until it gets an answer.
 type caller struct {
-	sender *sender
-	books  []*addressBook
-	direct []string
-	engine *directEngines // nil: no direct model streams
+	sender        *sender
+	addressCaches []*addressCache
+	direct        []string
+	engines       *directEngines // nil: no direct model streams
 }
 
-// run gives the last answer of the job.
-func (c *caller) run(ctx context.Context, j *job) answer {
-	var a answer
+// run sends the job with its repeats and returns the last result.
+func (c *caller) run(ctx context.Context, j *job) requestResult {
+	var a requestResult
 	noAnswers, refusals := 0, 0
 	for {
-		a = c.once(ctx, j)
+		a = c.sendOnce(ctx, j)
 		a.repeats = noAnswers + refusals
-		wait, again := c.again(j, a, &noAnswers, &refusals)
-		if !again || !sleep.For(ctx, wait) {
+		wait, repeat := c.shouldRepeat(j, a, &noAnswers, &refusals)
+		if !repeat || !sleep.For(ctx, wait) {
 			return a
 		}
 	}
 }
 
-func (c *caller) once(ctx context.Context, j *job) answer {
+func (c *caller) sendOnce(ctx context.Context, j *job) requestResult {
 	if j.stream.Direct && j.stream.Model != "" {
-		return c.engine.send(ctx, j, c.sender.expect)
+		return c.engines.send(ctx, j, c.sender.expect)
 	}
 	if j.stream.Direct {
 		return c.sender.send(ctx, j, c.direct[j.number%len(c.direct)])
 	}
-	book := c.books[j.caller]
-	address, err := book.use(ctx, j.stream.Key)
+	cache := c.addressCaches[j.caller]
+	address, err := cache.address(ctx, j.stream.Key)
 	if err != nil {
-		return answer{verdict: VerdictLost, detail: "no address"}
+		return requestResult{verdict: VerdictLost, detail: "no address"}
 	}
 	a := c.sender.send(ctx, j, address)
 	if a.verdict == VerdictLost || a.verdict == VerdictCut {
-		book.failed(j.stream.Key, address)
+		cache.markFailed(j.stream.Key, address)
 	}
 	return a
 }
 
-// again decides whether the job is sent once more, and after how long. A
+// shouldRepeat reports whether the job is sent again, and after what delay. A
 // request that isn't idempotent and has no key is never repeated unless the
 // system said that it hadn't run.
-func (c *caller) again(j *job, a answer, noAnswers, refusals *int) (time.Duration, bool) {
+func (c *caller) shouldRepeat(j *job, a requestResult, noAnswers, refusals *int) (time.Duration, bool) {
 	left := time.Until(j.intended.Add(j.stream.Patience))
 	switch a.verdict {
 	case VerdictLost, VerdictCut, VerdictUnknown:
--- a/internal/load/check.go
+++ b/internal/load/check.go
@@ -3,8 +3,8 @@
 import "github.com/gravitational/trace"
 
 const (
-	maxMixTokens = 1 << 20
-	maxRate      = 100_000 // requests a second
+	maxMixTokens  = 1 << 20
+	maxRatePerSec = 100_000
 )
 
 func (e Experiment) check() error {
@@ -34,10 +34,10 @@
 	if (s.Rate > 0) == (s.Load > 0) {
 		return trace.BadParameter("exactly one of rate and load is needed")
 	}
-	if s.Rate > maxRate {
-		return trace.BadParameter("rate is above %d", maxRate)
+	if s.Rate > maxRatePerSec {
+		return trace.BadParameter("rate is above %d", maxRatePerSec)
 	}
-	if s.Load > 0 && (s.Model == "" || !c.known()) {
+	if s.Load > 0 && (s.Model == "" || !c.isSet()) {
 		return trace.BadParameter("load needs a model and the experiment's capacity")
 	}
 	if s.Path[0] != '/' {
@@ -55,7 +55,7 @@
 	return s.OutputTokens.check("output_tokens")
 }
 
-// checkDirect tells whether the direct streams have somewhere to go.
+// checkDirect checks that direct streams have endpoints or engines to call.
 func (e Experiment) checkDirect() error {
 	for _, s := range e.Streams {
 		switch {
--- a/internal/load/cpu.go
+++ b/internal/load/cpu.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// cpuSeconds gives the processor time that this process has used.
+// cpuSeconds returns the CPU time that this process has used, in seconds.
 func cpuSeconds() float64 {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
--- a/internal/load/crashed.go
+++ b/internal/load/crashed.go
@@ -6,9 +6,9 @@
 	"path/filepath"
 )
 
-// crashedAudits reads the audits that crashed endpoints have left in a folder.
-// A file that can't be read is left out, as is an endpoint that doesn't answer.
-func crashedAudits(folder string) []endpointAudit {
+// readCrashedAudits reads the audits that crashed endpoints have left in a folder.
+// Files that can't be read are skipped, like endpoints that don't respond.
+func readCrashedAudits(folder string) []endpointAudit {
 	if folder == "" {
 		return nil
 	}
@@ -26,7 +26,7 @@
 		if json.Unmarshal(body, &a) != nil {
 			continue
 		}
-		// Its memory went with the process.
+		// The memory was released when the process ended.
 		a.Held = 0
 		out = append(out, a)
 	}
--- a/internal/load/crashed_test.go
+++ b/internal/load/crashed_test.go
@@ -8,10 +8,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// A decode engine was crashed in the middle of a run. Without the audit that
-// it left, prefill work whose decode ran there would count as wasted, and an
-// answer that ran there and once more elsewhere wouldn't count as doubled.
-func TestAuditsOfCrashedEndpointsCount(t *testing.T) {
+// A decode engine crashes during a run. Without the audit that it left, prefill work
+// whose decode ran there would count as wasted, and an answer that was decoded there
+// and again elsewhere wouldn't count as doubled.
+func TestCrashedEndpointAuditsAreCounted(t *testing.T) {
 	folder := t.TempDir()
 	write := func(name, body string) {
 		assert.NilError(t, os.WriteFile(filepath.Join(folder, name), []byte(body), 0o600))
@@ -30,10 +30,10 @@
 	without := auditResult("run", nil, alive, []*tally{notes})
 	assert.Equal(t, without.WastedPrefillMs, 400.0)
 	assert.Equal(t, without.Doubled, 0)
-	with := auditResult("run", nil, append(alive, crashedAudits(folder)...), []*tally{notes})
+	with := auditResult("run", nil, append(alive, readCrashedAudits(folder)...), []*tally{notes})
 	assert.Equal(t, with.Endpoints, 3)
 	assert.Equal(t, with.WastedPrefillMs, 300.0)
 	assert.Equal(t, with.Doubled, 1)
-	assert.Equal(t, with.StillHeld, 0, "the memory went with the process")
-	assert.Equal(t, len(crashedAudits("")), 0)
+	assert.Equal(t, with.StillHeld, 0, "the memory was released with the process")
+	assert.Equal(t, len(readCrashedAudits("")), 0)
 }
--- a/internal/load/directmodel.go
+++ b/internal/load/directmodel.go
@@ -15,20 +15,20 @@
 	"github.com/hyssopsail/hyssopsail/internal/fleet"
 )
 
-// directEngines are emulated engines that direct model streams call
-// themselves: prefill, transfer and decode one after another, with engines
-// taken in turn. They must not announce themselves to entries, whose homes
-// would cancel what no entry has asked for.
+// directEngines are emulated engines that direct model streams call without an
+// entry: prefill, transfer and decode in sequence, round robin over the engines.
+// They must not announce themselves to entries, since their homes would cancel
+// work that no entry has requested.
 type directEngines struct {
 	client  engine.Client
 	prefill []engineapi.Announcement
 	decode  []engineapi.Announcement
 }
 
-// directOwner names the generator to the engines.
+// directOwner identifies the generator to the engines.
 var directOwner = fleet.Owner{Instance: "load", Incarnation: 1}
 
-// newDirectEngines asks each address who it is.
+// newDirectEngines queries each address for its engine's announcement.
 func newDirectEngines(ctx context.Context, client *http.Client, addresses []string) (*directEngines, error) {
 	d := &directEngines{client: engine.NewClient(engine.Options{Owner: directOwner})}
 	for _, address := range addresses {
@@ -50,8 +50,8 @@
 	return d, nil
 }
 
-// send makes one request and judges its answer like one of an entry.
-func (d *directEngines) send(ctx context.Context, j *job, expect func(string, int) string) answer {
+// send sends one request and judges its answer like that of an entry.
+func (d *directEngines) send(ctx context.Context, j *job, expect func(string, int) string) requestResult {
 	ctx, cancel := context.WithTimeout(ctx, time.Until(j.intended.Add(j.stream.Patience))+stallTimeout)
 	defer cancel()
 	run := directRun{
@@ -60,12 +60,12 @@
 	}
 	stream, err := run.start(ctx)
 	if err != nil {
-		return answer{verdict: VerdictFailed, detail: err.Error()}
+		return requestResult{verdict: VerdictFailed, detail: err.Error()}
 	}
 	defer func() { _ = stream.Close() }()
-	r := reading{job: j, gaps: make([]time.Duration, 0, j.maxTokens)}
+	r := streamState{job: j, gaps: make([]time.Duration, 0, j.maxTokens)}
 	if expect != nil {
-		r.rest, r.check = expect(j.prompt, j.maxTokens), true
+		r.remaining, r.checkText = expect(j.prompt, j.maxTokens), true
 	}
 	for {
 		chunk, err := stream.Next()
@@ -73,10 +73,10 @@
 			return r.judge(time.Now())
 		}
 		if err != nil {
-			return r.ended(ctx, err)
+			return r.judgeIncomplete(ctx, err)
 		}
 		if chunk.Text != "" {
-			r.take([]byte(chunk.Text), time.Now())
+			r.addText([]byte(chunk.Text), time.Now())
 		}
 	}
 }
@@ -90,7 +90,7 @@
 	decode  engineapi.Announcement
 }
 
-func anywhere(engine.Target) error { return nil }
+func allowAnyTarget(engine.Target) error { return nil }
 
 func (d *directRun) target(a engineapi.Announcement) engine.Target {
 	return engine.Target{ID: a.ID, Incarnation: a.Incarnation, Zone: a.Zone, Address: a.Address}
@@ -106,22 +106,22 @@
 	return w
 }
 
-// start runs the request up to its decode stream.
+// start runs prefill and transfer, and returns the decode stream.
 func (d *directRun) start(ctx context.Context) (engine.Stream, error) {
-	kv, err := d.engines.client.Prefill(ctx, d.target(d.prefill), anywhere, engineapi.PrefillRequest{
+	kv, err := d.engines.client.Prefill(ctx, d.target(d.prefill), allowAnyTarget, engineapi.PrefillRequest{
 		Work: d.work(d.prefill), Prompt: d.job.prompt, MaxTokens: d.job.maxTokens,
 	})
 	if err != nil {
 		return nil, err
 	}
-	_, err = d.engines.client.Import(ctx, d.target(d.decode), anywhere, engineapi.ImportRequest{
+	_, err = d.engines.client.Import(ctx, d.target(d.decode), allowAnyTarget, engineapi.ImportRequest{
 		Work: d.work(d.decode), Source: d.prefill.Address, Handle: kv.Handle,
 		PromptTokens: kv.PromptTokens, KVBytes: kv.KVBytes,
 	})
 	if err != nil {
 		return nil, err
 	}
-	return d.engines.client.Decode(ctx, d.target(d.decode), anywhere, engineapi.DecodeRequest{
+	return d.engines.client.Decode(ctx, d.target(d.decode), allowAnyTarget, engineapi.DecodeRequest{
 		Work: d.work(d.decode), Prompt: d.job.prompt, MaxTokens: d.job.maxTokens,
 	})
 }
--- a/internal/load/directmodel_test.go
+++ b/internal/load/directmodel_test.go
@@ -31,12 +31,12 @@
 	return s
 }
 
-// The delay that routing adds is judged against calls that go to engines
-// without it; those must be the same work, judged the same way.
+// The latency that routing adds is measured against direct calls to engines, which
+// must be the same work and be judged in the same way.
 func TestDirectModelStreams(t *testing.T) {
-	e := parse(t, notes)
+	e := parseExperiment(t, notes)
 	e.Streams[0].Direct = true
-	e.Entries = []string{"127.0.0.1:1"} // not asked
+	e.Entries = []string{"127.0.0.1:1"} // not contacted
 	_, err := Run(t.Context(), e, Options{})
 	assert.ErrorContains(t, err, "no engines are given")
 	prefill, decode := engineOf(t, fleet.RolePrefill), engineOf(t, fleet.RoleDecode)
--- a/internal/load/events.go
+++ b/internal/load/events.go
@@ -11,15 +11,15 @@
 	"github.com/hyssopsail/hyssopsail/internal/callerapi"
 )
 
-// maxEvent bounds one line of a stream.
-const maxEvent = 1 << 20
+// maxEventBytes is the maximum length of one line of a stream.
+const maxEventBytes = 1 << 20
 
-// event is one server-sent event of an answer.
+// event is one server-sent event of a response.
 type event struct {
 	text   []byte // valid until the next event is read
 	finish bool
 	done   bool             // callerapi.StreamDone
-	failed *callerapi.Error // the stream's failure
+	failed *callerapi.Error // the stream's error; nil if none
 }
 
 // eventReader reads the events of a stream.
@@ -33,7 +33,7 @@
 
 var dataPrefix = []byte("data:")
 
-// next gives the next event; io.EOF at the end of the body.
+// next returns the next event; io.EOF at the end of the body.
 func (r *eventReader) next() (event, error) {
 	for {
 		line, err := r.line()
@@ -54,7 +54,7 @@
 		return line, err
 	}
 	long := append([]byte(nil), line...)
-	for err == bufio.ErrBufferFull && len(long) < maxEvent {
+	for err == bufio.ErrBufferFull && len(long) < maxEventBytes {
 		line, err = r.lines.ReadSlice('\n')
 		long = append(long, line...)
 	}
@@ -68,9 +68,9 @@
 	errorField  = []byte(`"error":`)
 )
 
-// decodeEvent takes the usual event apart by its fields, since a full decode
-// of 40,000 events a second would take a core of its own. Whatever isn't
-// surely of that form is decoded in full.
+// decodeEvent extracts the fields of the usual event without a full JSON decode,
+// which would take a whole core at 40,000 events per second. An event that may have
+// another form is decoded fully.
 func decodeEvent(data []byte) (event, error) {
 	if string(data) == callerapi.StreamDone {
 		return event{done: true}, nil
--- a/internal/load/experiment.go
+++ b/internal/load/experiment.go
@@ -9,18 +9,18 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Experiment is one run of load, as its YAML file describes it.
+// Experiment describes one load run; it is read from a YAML file.
 type Experiment struct {
 	Name         string        `yaml:"name"`
 	Seed         uint64        `yaml:"seed"`     // of all random choices
 	Duration     time.Duration `yaml:"duration"` // of arrivals, default 30s
 	Warmup       time.Duration `yaml:"warmup"`   // arrivals at the start that aren't counted
-	Drain        time.Duration `yaml:"drain"`    // longest wait for answers after the last arrival, default 30s
+	Drain        time.Duration `yaml:"drain"`    // maximum wait for answers after the last arrival, default 30s
 	MaxRequests  int           `yaml:"max_requests"`
 	MaxInFlight  int           `yaml:"max_in_flight"`  // default 4000
 	Entries      []string      `yaml:"entries"`        // host:port
 	AskAddresses bool          `yaml:"ask_addresses"`  // use GET /v1/addresses of the entries
-	Callers      int           `yaml:"callers"`        // processes that each keep an address answer, default 60
+	Callers      int           `yaml:"callers"`        // emulated caller processes, each with its own cached addresses; default 60
 	Audits       []string      `yaml:"audits"`         // host:port of emulated endpoints
 	AuditFolder  string        `yaml:"audit_folder"`   // with the audits of emulated endpoints that were crashed
 	Direct       []string      `yaml:"direct"`         // host:port of plain services, for direct streams
@@ -29,8 +29,8 @@
 	Streams      []Stream      `yaml:"streams"`
 }
 
-// Stream is one sort of request with its arrivals. Model streams have Model
-// set, calls of plain services have Service.
+// Stream is one kind of request with its arrivals. Model streams set Model, calls
+// of plain services set Service.
 type Stream struct {
 	Name       string        `yaml:"name"`
 	Team       string        `yaml:"team"`
@@ -40,7 +40,7 @@
 	Targets    Targets       `yaml:"targets"`
 
 	Rate     float64  `yaml:"rate"` // requests a second, or
-	Load     float64  `yaml:"load"` // share of the computed capacity: 0.9
+	Load     float64  `yaml:"load"` // share of the computed capacity, such as 0.9
 	Arrivals Arrivals `yaml:"arrivals"`
 
 	Model        string   `yaml:"model"`
@@ -53,7 +53,7 @@
 	Path      string `yaml:"path"`       // default "/"
 	BodyBytes Mix    `yaml:"body_bytes"` // default 200
 
-	Direct        bool   `yaml:"direct"`         // calls endpoints or engines themselves, to compare
+	Direct        bool   `yaml:"direct"`         // calls endpoints or engines without an entry, for comparison
 	Keyed         bool   `yaml:"keyed"`          // sends an Idempotency-Key
 	NotIdempotent bool   `yaml:"not_idempotent"` // sends Hyssopsail-Idempotent: false
 	Resend        Resend `yaml:"resend"`
@@ -67,28 +67,28 @@
 	TokenGap   time.Duration `yaml:"token_gap"`   // default 38ms
 }
 
-// Preamble is text that requests share at their start.
+// Preamble describes common text at the start of requests.
 type Preamble struct {
-	Count  int     `yaml:"count"`  // different ones
+	Count  int     `yaml:"count"`  // distinct preambles
 	Tokens int     `yaml:"tokens"` // length of each
 	Share  float64 `yaml:"share"`  // of requests that begin with one
 }
 
-// Resend tells how a caller repeats a request under the same key.
+// Resend specifies how a caller repeats a request with the same key.
 type Resend struct {
-	NoAnswer int           `yaml:"no_answer"` // times when no answer came
-	Refused  int           `yaml:"refused"`   // times after Retry-After
+	NoAnswer int           `yaml:"no_answer"` // maximum repeats after no answer
+	Refused  int           `yaml:"refused"`   // maximum repeats after a refusal with Retry-After
 	Wait     time.Duration `yaml:"wait"`      // before a repeat without Retry-After, default 100ms
 	Doubled  float64       `yaml:"doubled"`   // share of requests sent twice at once
 }
 
-// Cancel is callers that go away in the middle.
+// Cancel specifies which callers cancel their request, and when.
 type Cancel struct {
 	Share float64       `yaml:"share"`
-	After time.Duration `yaml:"after"` // from the arrival; half to one and a half of it
+	After time.Duration `yaml:"after"` // mean time from the arrival; drawn from 0.5 to 1.5 times it
 }
 
-// ReadFile reads an experiment. Unknown fields are refused.
+// ReadFile reads an experiment from a file. Unknown fields are an error.
 func ReadFile(name string) (Experiment, error) {
 	body, err := os.ReadFile(name)
 	if err != nil {
@@ -98,7 +98,7 @@
 	return e, trace.Wrap(err, "experiment %s", name)
 }
 
-// Parse decodes and checks an experiment.
+// Parse decodes an experiment, sets its defaults and checks it.
 func Parse(body []byte) (Experiment, error) {
 	var e Experiment
 	decoder := yaml.NewDecoder(bytes.NewReader(body))
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -40,14 +40,14 @@
   resend: {no_answer: 2, refused: 1, wait: 5ms}
 `
 
-func parse(t *testing.T, text string) Experiment {
+func parseExperiment(t *testing.T, text string) Experiment {
 	t.Helper()
 	e, err := Parse([]byte(text))
 	assert.NilError(t, err)
 	return e
 }
 
-func TestParseRefuses(t *testing.T) {
+func TestParseRejectsInvalidExperiments(t *testing.T) {
 	for _, row := range []struct{ old, new, want string }{
 		{"seed: 1", "sead: 1", "field sead not found"},
 		{"model: fibre", "", "exactly one of model and service"},
@@ -68,11 +68,11 @@
 		{Pattern: PatternUniform},
 		{Pattern: PatternBursty, Burst: 3, On: time.Second, Off: 4 * time.Second},
 	} {
-		c := clock{arrivals: a, rate: 50, random: rand.New(rand.NewPCG(1, 2))}
+		c := arrivalProcess{arrivals: a, rate: 50, random: rand.New(rand.NewPCG(1, 2))}
 		for range 100_000 {
 			c.next()
 		}
-		rate := 100_000 / c.at.Seconds()
+		rate := 100_000 / c.last.Seconds()
 		assert.Assert(t, rate > 49 && rate < 51, "%s: %f a second", a.Pattern, rate)
 	}
 }
@@ -98,7 +98,7 @@
 	assert.Equal(t, e.offeredShare(), 0.5)
 }
 
-// serve runs an entry whose answers to completions the test makes.
+// serve runs an entry whose requests are handled by answer.
 func serve(t *testing.T, e *Experiment, answer http.HandlerFunc) {
 	t.Helper()
 	server := httptest.NewServer(answer)
@@ -106,9 +106,9 @@
 	e.Entries = []string{strings.TrimPrefix(server.URL, "http://")}
 }
 
-// stream writes the text as one event a token; it leaves out the last event
-// when cut.
-func stream(w http.ResponseWriter, text string, cut bool) {
+// writeStream writes the text as one event per token, without the last event if cut
+// is true.
+func writeStream(w http.ResponseWriter, text string, cut bool) {
 	for _, word := range strings.SplitAfter(text, " ")[1:] {
 		_, _ = fmt.Fprintf(w, "data: {\"choices\":[{\"index\":0,\"text\":%q,\"finish_reason\":null}]}\n\n", " "+strings.TrimSpace(word))
 	}
@@ -117,18 +117,18 @@
 	}
 }
 
-func asked(r *http.Request) callerapi.CompletionRequest {
+func decodeRequest(r *http.Request) callerapi.CompletionRequest {
 	var c callerapi.CompletionRequest
 	_ = json.NewDecoder(r.Body).Decode(&c)
 	return c
 }
 
-func right(r *http.Request) string {
-	c := asked(r)
+func expectedAnswer(r *http.Request) string {
+	c := decodeRequest(r)
 	return standin.ExpectedText(c.Prompt, c.MaxTokens)
 }
 
-func refuse(w http.ResponseWriter, status int, e callerapi.Error) {
+func writeError(w http.ResponseWriter, status int, e callerapi.Error) {
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(callerapi.ErrorBody{Error: e})
 }
@@ -139,24 +139,24 @@
 		answer http.HandlerFunc
 		want   Verdict
 	}{
-		{"whole and right", func(w http.ResponseWriter, r *http.Request) { stream(w, right(r), false) }, VerdictGood},
-		{"another request's answer", func(w http.ResponseWriter, r *http.Request) { stream(w, right(r)+" more", false) }, VerdictWrong},
-		{"a short answer", func(w http.ResponseWriter, r *http.Request) { stream(w, " a", false) }, VerdictWrong},
-		{"no last event", func(w http.ResponseWriter, r *http.Request) { stream(w, right(r), true) }, VerdictCut},
+		{"whole and right", func(w http.ResponseWriter, r *http.Request) { writeStream(w, expectedAnswer(r), false) }, VerdictGood},
+		{"another request's answer", func(w http.ResponseWriter, r *http.Request) { writeStream(w, expectedAnswer(r)+" more", false) }, VerdictWrong},
+		{"a short answer", func(w http.ResponseWriter, r *http.Request) { writeStream(w, " a", false) }, VerdictWrong},
+		{"no last event", func(w http.ResponseWriter, r *http.Request) { writeStream(w, expectedAnswer(r), true) }, VerdictCut},
 		{"refused for good", func(w http.ResponseWriter, r *http.Request) {
-			refuse(w, 503, callerapi.Error{Code: callerapi.CodeOverloaded, Outcome: callerapi.OutcomeNotRun})
+			writeError(w, 503, callerapi.Error{Code: callerapi.CodeOverloaded, Outcome: callerapi.OutcomeNotRun})
 		}, VerdictRefused},
 		{"unknown", func(w http.ResponseWriter, r *http.Request) {
-			refuse(w, 503, callerapi.Error{Code: callerapi.CodeUnknown, Outcome: callerapi.OutcomeUnknown})
+			writeError(w, 503, callerapi.Error{Code: callerapi.CodeUnknown, Outcome: callerapi.OutcomeUnknown})
 		}, VerdictUnknown},
 		{"failed at the end", func(w http.ResponseWriter, r *http.Request) {
-			stream(w, " a", true)
+			writeStream(w, " a", true)
 			_, _ = io.WriteString(w, `data: {"error":{"code":"engine-failed","message":"x","outcome":"failed"}}`+"\n\n")
 		}, VerdictFailed},
 		{"no answer", func(w http.ResponseWriter, r *http.Request) { panic(http.ErrAbortHandler) }, VerdictLost},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			e := parse(t, notes)
+			e := parseExperiment(t, notes)
 			serve(t, &e, row.answer)
 			result, err := Run(context.Background(), e, Options{Expect: standin.ExpectedText})
 			assert.NilError(t, err)
@@ -167,17 +167,17 @@
 	}
 }
 
-// A slow server answers one request after another. A generator that waits for
-// answers before it sends would see each of them fast; callers who come when
-// they come see the queue, and so must the result.
+// A slow server handles one request at a time. A generator that waited for a response
+// before it sent the next request would measure low latencies (coordinated omission).
+// Latencies must include the queueing that independent callers would see.
 func TestNoCoordinatedOmission(t *testing.T) {
-	e := parse(t, notes)
+	e := parseExperiment(t, notes)
 	turn := make(chan struct{}, 1)
 	serve(t, &e, func(w http.ResponseWriter, r *http.Request) {
 		turn <- struct{}{}
-		time.Sleep(20 * ms) // the server's own work, twice what arrives
+		time.Sleep(20 * ms) // the service time: the server is offered twice its capacity
 		<-turn
-		stream(w, right(r), false)
+		writeStream(w, expectedAnswer(r), false)
 	})
 	result, err := Run(context.Background(), e, Options{Expect: standin.ExpectedText})
 	assert.NilError(t, err)
@@ -187,17 +187,17 @@
 	assert.Assert(t, result.Generator.Unfinished == 0)
 }
 
-// The first try of each request is broken off after the entry has taken it.
-// The caller sends it again under the same key, and each key has one answer.
+// Every other request is aborted after the entry has received it. The caller repeats
+// it with the same key and counts one answer for each request.
 func TestRepeatsKeepTheKey(t *testing.T) {
-	e := parse(t, notes)
+	e := parseExperiment(t, notes)
 	var tries atomic.Int64
 	serve(t, &e, func(w http.ResponseWriter, r *http.Request) {
 		assert.Check(t, r.Header.Get(callerapi.HeaderKey) != "")
 		if tries.Add(1)%2 == 1 {
 			panic(http.ErrAbortHandler)
 		}
-		stream(w, right(r), false)
+		writeStream(w, expectedAnswer(r), false)
 	})
 	result, err := Run(context.Background(), e, Options{Expect: standin.ExpectedText})
 	assert.NilError(t, err)
@@ -206,10 +206,10 @@
 	assert.Equal(t, s.Offered, s.Verdicts[VerdictGood]+s.Verdicts[VerdictLost])
 }
 
-// A call that may not be repeated and has no key gets no answer. It may have
-// run, so the caller must not send it again: the slip would be written twice.
-func TestNoRepeatOfACallThatMayHaveRun(t *testing.T) {
-	e := parse(t, `
+// A non-idempotent call without a key gets no answer. It may have run, so the caller
+// must not repeat it: that could run it twice.
+func TestNonIdempotentCallIsNotRepeated(t *testing.T) {
+	e := parseExperiment(t, `
 name: slips
 duration: 200ms
 streams:
--- a/internal/load/mix.go
+++ b/internal/load/mix.go
@@ -2,7 +2,7 @@
 
 import "math/rand/v2"
 
-// Mix is a distribution of lengths: weighted ranges, even within each.
+// Mix is a distribution of lengths: weighted ranges, uniform within each.
 type Mix []MixPart
 
 // MixPart is one range of a Mix, ends included.
--- a/internal/load/register.go
+++ b/internal/load/register.go
@@ -18,17 +18,17 @@
 
 // command is the command "load" with its flags.
 type command struct {
-	out      io.Writer
-	file     string
-	entries  []string
-	audits   []string
-	crashed  string
-	engines  []string
-	direct   []string
-	keys     map[string]string
-	jsonFile string
-	noCheck  bool
-	options  Options
+	out           io.Writer
+	file          string
+	entries       []string
+	audits        []string
+	auditFolder   string
+	engines       []string
+	direct        []string
+	keys          map[string]string
+	jsonFile      string
+	skipTextCheck bool
+	options       Options
 }
 
 // Register adds the command "load" to app; tables go to out.
@@ -38,14 +38,14 @@
 	cmd.Arg("file", "Experiment in YAML.").Required().StringVar(&c.file)
 	cmd.Flag("entry", "host:port of an entry, instead of the file's; repeatable.").StringsVar(&c.entries)
 	cmd.Flag("audit", "host:port of an emulated endpoint, besides the file's; repeatable.").StringsVar(&c.audits)
-	cmd.Flag("audit-folder", "Folder with the audits of emulated endpoints that crash, besides the file's.").StringVar(&c.crashed)
+	cmd.Flag("audit-folder", "Folder with the audits of emulated endpoints that crash, besides the file's.").StringVar(&c.auditFolder)
 	cmd.Flag("direct", "host:port of a plain service, for direct streams; repeatable.").StringsVar(&c.direct)
 	cmd.Flag("direct-engine", "host:port of an emulated engine that announces itself to no entry, for direct model streams; repeatable.").StringsVar(&c.engines)
 	cmd.Flag("team-key", "team=key, instead of the file's; repeatable.").StringMapVar(&c.keys)
 	cmd.Flag("variant", "Name of what is measured, for comparisons.").StringVar(&c.options.Variant)
 	cmd.Flag("pair", "Number of the interleaved pair.").IntVar(&c.options.Pair)
 	cmd.Flag("json", "File for the result in JSON; - is the standard output, without a table.").StringVar(&c.jsonFile)
-	cmd.Flag("no-text-check", "Don't compare texts with those of emulated engines.").BoolVar(&c.noCheck)
+	cmd.Flag("no-text-check", "Don't compare texts with those of emulated engines.").BoolVar(&c.skipTextCheck)
 	cmd.Action(func(*kingpin.ParseContext) error { return c.run() })
 }
 
@@ -55,7 +55,7 @@
 		return trace.Wrap(err)
 	}
 	c.override(&e)
-	if !c.noCheck {
+	if !c.skipTextCheck {
 		c.options.Expect = standin.ExpectedText
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
@@ -72,8 +72,8 @@
 		e.Entries = splitLists(c.entries)
 	}
 	e.Audits = append(e.Audits, splitLists(c.audits)...)
-	if c.crashed != "" {
-		e.AuditFolder = c.crashed
+	if c.auditFolder != "" {
+		e.AuditFolder = c.auditFolder
 	}
 	e.Direct = append(e.Direct, splitLists(c.direct)...)
 	e.Engines = append(e.Engines, splitLists(c.engines)...)
@@ -84,7 +84,7 @@
 	}
 }
 
-// splitLists also takes several values with commas between them.
+// splitLists splits each value at commas and drops empty parts.
 func splitLists(values []string) []string {
 	var out []string
 	for _, v := range values {
@@ -112,7 +112,7 @@
 		return trace.ConvertSystemError(err)
 	}
 	if err := writeJSON(file, r); err != nil {
-		_ = file.Close() // the first error is the one to tell
+		_ = file.Close() // the first error is returned
 		return trace.Wrap(err)
 	}
 	return trace.Wrap(file.Close())
--- a/internal/load/result.go
+++ b/internal/load/result.go
@@ -6,8 +6,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Result is what one run measured. Only requests that were due after the
-// warm-up are counted.
+// Result holds the measurements of one run. Only requests whose intended time is
+// after the warm-up are counted.
 type Result struct {
 	Experiment     string         `json:"experiment"`
 	Variant        string         `json:"variant"`
@@ -16,14 +16,14 @@
 	Seconds        float64        `json:"seconds"` // of counted arrivals
 	OfferedShare   float64        `json:"offered_share"`
 	GoodShare      float64        `json:"good_share"`       // good work as a share of capacity
-	GoodOfPossible float64        `json:"good_of_possible"` // GoodShare over the smaller of OfferedShare and 1
+	GoodOfPossible float64        `json:"good_of_possible"` // GoodShare divided by min(OfferedShare, 1)
 	Streams        []StreamResult `json:"streams"`
 	Audit          *AuditResult   `json:"audit,omitempty"`
 	Generator      Generator      `json:"generator"`
 }
 
-// StreamResult is one stream's part. Latencies count whole and correct
-// answers, from the time at which the request was due.
+// StreamResult holds the measurements of one stream. Latencies are those of complete
+// and correct answers, from the request's intended time.
 type StreamResult struct {
 	Name          string          `json:"name"`
 	Team          string          `json:"team"`
@@ -43,7 +43,7 @@
 	GapInTarget   float64         `json:"gap_in_target"`   // share
 }
 
-// Latency is a distribution in ms.
+// Latency is a latency distribution, in ms.
 type Latency struct {
 	Count int64   `json:"count"`
 	Mean  float64 `json:"mean_ms"`
@@ -62,18 +62,18 @@
 	Share float64 `json:"share"`
 }
 
-// Generator tells whether the generator itself kept up.
+// Generator reports whether the generator itself kept up with the load.
 type Generator struct {
-	LateP99Ms  float64 `json:"late_p99_ms"` // sending after the intended time
+	LateP99Ms  float64 `json:"late_p99_ms"` // delay of sending after the intended time
 	LateMaxMs  float64 `json:"late_max_ms"`
-	Unfinished int     `json:"unfinished"` // given up at the end of the drain time
+	Unfinished int     `json:"unfinished"` // cancelled at the end of the drain time
 	CPUSeconds float64 `json:"cpu_seconds"`
 }
 
 const usPerMs = 1000
 
-// curveShares are the points at which curves are kept.
-var curveShares = func() []float64 {
+// curvePercentiles lists the percentiles that a curve contains.
+var curvePercentiles = func() []float64 {
 	var out []float64
 	for n := 1; n < 100; n++ {
 		out = append(out, float64(n))
@@ -90,13 +90,13 @@
 		Count: h.TotalCount(), Mean: h.Mean() / usPerMs, Max: float64(h.Max()) / usPerMs,
 		P50: at(50), P90: at(90), P95: at(95), P99: at(99), P999: at(99.9),
 	}
-	for _, q := range curveShares {
+	for _, q := range curvePercentiles {
 		l.Curve = append(l.Curve, Point{Ms: at(q), Share: q / 100})
 	}
 	return l
 }
 
-// Total adds the verdicts of all streams.
+// Total returns the sum of the verdicts of all streams.
 func (r Result) Total() map[Verdict]int {
 	total := map[Verdict]int{}
 	for _, s := range r.Streams {
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -14,28 +14,28 @@
 	"github.com/hyssopsail/hyssopsail/internal/sleep"
 )
 
-// Options are what a run needs besides its experiment.
+// Options are the settings of a run besides its experiment.
 type Options struct {
-	// Expect gives the right text for a prompt; nil: texts aren't checked.
+	// Expect returns the expected answer to a prompt; if nil, texts aren't checked.
 	Expect func(prompt string, maxTokens int) string
-	// Transport carries requests; nil: TCP with enough idle connections.
+	// Transport sends requests; nil means TCP with enough idle connections.
 	Transport http.RoundTripper
 	Variant   string
 	Pair      int
 }
 
-// runner is one run. Lock order: late alone; each tally's lock alone.
+// runner is the state of one run. mu and the tallies' locks are never held together.
 type runner struct {
 	experiment *Experiment
 	caller     *caller
 	slots      chan struct{} // one for each request in flight
-	wait       sync.WaitGroup
-	mu         sync.Mutex // guards late
-	late       *hdrhistogram.Histogram
+	running    sync.WaitGroup
+	mu         sync.Mutex // guards sendDelay
+	sendDelay  *hdrhistogram.Histogram
 }
 
-// Run sends the experiment's load and gives what it measured. It ends by
-// itself after the experiment's duration and drain time, or when ctx ends.
+// Run sends the experiment's load and returns the measurements. It ends after the
+// experiment's duration and drain time, or when ctx ends.
 func Run(ctx context.Context, e Experiment, o Options) (Result, error) {
 	if len(e.Entries) == 0 {
 		return Result{}, trace.BadParameter("no entries are given")
@@ -56,12 +56,12 @@
 		if err != nil {
 			return Result{}, trace.Wrap(err)
 		}
-		r.caller.engine = engines
+		r.caller.engines = engines
 	}
 	cpu := cpuSeconds()
 	started := time.Now()
 	run := strconv.FormatInt(started.UnixNano(), 36)
-	tallies, unfinished, err := r.streams(ctx, started, run)
+	tallies, unfinished, err := r.runStreams(ctx, started, run)
 	if err != nil {
 		return Result{}, trace.Wrap(err)
 	}
@@ -70,10 +70,10 @@
 	for _, t := range tallies {
 		result.Streams = append(result.Streams, t.finish(result.Seconds))
 	}
-	result.Generator = r.generator(unfinished, cpuSeconds()-cpu)
-	shares(&result, &e)
+	result.Generator = r.generatorResult(unfinished, cpuSeconds()-cpu)
+	computeShares(&result, &e)
 	if len(e.Audits) > 0 {
-		after := append(readAudits(ctx, client, e.Audits), crashedAudits(e.AuditFolder)...)
+		after := append(readAudits(ctx, client, e.Audits), readCrashedAudits(e.AuditFolder)...)
 		result.Audit = auditResult(run, before, after, tallies)
 	}
 	return result, nil
@@ -91,30 +91,31 @@
 func newRunner(e *Experiment, client *http.Client, o Options) *runner {
 	c := &caller{sender: &sender{client: client, expect: o.Expect}, direct: e.Direct}
 	for n := range e.Callers {
-		c.books = append(c.books, newAddressBook(client, e, n))
+		c.addressCaches = append(c.addressCaches, newAddressCache(client, e, n))
 	}
-	return &runner{experiment: e, caller: c, slots: make(chan struct{}, e.MaxInFlight), late: newHistogram()}
+	return &runner{experiment: e, caller: c, slots: make(chan struct{}, e.MaxInFlight), sendDelay: newHistogram()}
 }
 
-// streams sends all streams and waits for the answers.
-func (r *runner) streams(ctx context.Context, started time.Time, run string) ([]*tally, int, error) {
+// runStreams sends the requests of all streams and waits for the answers. It also
+// returns the number of requests that were unfinished at the end of the drain time.
+func (r *runner) runStreams(ctx context.Context, started time.Time, run string) ([]*tally, int, error) {
 	requests, cancel := context.WithCancel(ctx)
 	defer cancel()
 	arrivals, _ := errgroup.WithContext(ctx)
 	tallies := make([]*tally, len(r.experiment.Streams))
 	for n := range r.experiment.Streams {
 		tallies[n] = newTally(&r.experiment.Streams[n])
-		src := newSource(r.experiment, n, run)
-		arrivals.Go(func() error { return r.arrive(ctx, requests, started, src, tallies[n]) })
+		src := newJobSource(r.experiment, n, run)
+		arrivals.Go(func() error { return r.sendStream(ctx, requests, started, src, tallies[n]) })
 	}
 	err := arrivals.Wait()
 	unfinished := r.drain(cancel)
 	return tallies, unfinished, err
 }
 
-// arrive sends each job of a stream when it is due, whatever became of those
-// before it.
-func (r *runner) arrive(ctx, requests context.Context, started time.Time, src *source, t *tally) error {
+// sendStream sends each job of a stream at its intended time, regardless of the
+// results of earlier jobs.
+func (r *runner) sendStream(ctx, requests context.Context, started time.Time, src *jobSource, t *tally) error {
 	for {
 		j, at := src.next()
 		if at >= r.experiment.Duration || (r.experiment.MaxRequests > 0 && j.number > r.experiment.MaxRequests) {
@@ -126,15 +127,15 @@
 		if wait := time.Until(j.intended); wait > 0 && !sleep.For(ctx, wait) {
 			return trace.Wrap(ctx.Err())
 		}
-		r.start(requests, &j)
+		r.startJob(requests, &j)
 	}
 }
 
-// start runs a job beside the others. When too many are in flight it is
-// counted as overrun at once: waiting here would delay the arrivals after it
-// and hide the delay from the result.
-func (r *runner) start(ctx context.Context, j *job) {
-	r.noteLate(time.Since(j.intended))
+// startJob starts a job concurrently. If too many requests are in flight, the job
+// is counted as overrun at once: waiting here would delay the arrivals after it
+// and hide that delay from the result.
+func (r *runner) startJob(ctx context.Context, j *job) {
+	r.recordSendDelay(time.Since(j.intended))
 	copies := 1
 	if j.doubled {
 		copies = 2
@@ -144,15 +145,15 @@
 		case r.slots <- struct{}{}:
 		default:
 			if n == 0 {
-				j.tally.add(j, answer{verdict: VerdictOverrun})
+				j.tally.add(j, requestResult{verdict: VerdictOverrun})
 			}
 			return
 		}
-		r.wait.Go(func() { r.finish(ctx, j, n == 0) })
+		r.running.Go(func() { r.runJob(ctx, j, n == 0) })
 	}
 }
 
-func (r *runner) finish(ctx context.Context, j *job, counted bool) {
+func (r *runner) runJob(ctx context.Context, j *job, counted bool) {
 	defer func() { <-r.slots }()
 	a := r.caller.run(ctx, j)
 	if counted {
@@ -160,11 +161,12 @@
 	}
 }
 
-// drain waits for the answers and gives how many were given up.
+// drain waits for the answers, cancels the requests that remain after the drain time,
+// and returns their number.
 func (r *runner) drain(cancel context.CancelFunc) int {
 	done := make(chan struct{})
 	go func() {
-		r.wait.Wait()
+		r.running.Wait()
 		close(done)
 	}()
 	timer := time.NewTimer(r.experiment.Drain)
@@ -180,22 +182,22 @@
 	return unfinished
 }
 
-func (r *runner) noteLate(late time.Duration) {
+func (r *runner) recordSendDelay(late time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	record(r.late, late)
+	record(r.sendDelay, late)
 }
 
-func (r *runner) generator(unfinished int, cpu float64) Generator {
-	late := latencyOf(r.late)
+func (r *runner) generatorResult(unfinished int, cpu float64) Generator {
+	late := latencyOf(r.sendDelay)
 	return Generator{LateP99Ms: late.P99, LateMaxMs: late.Max, Unfinished: unfinished, CPUSeconds: cpu}
 }
 
-// shares works out how much of the capacity was asked for and used well. The
-// scarcer of prefill and decode counts. Requests whose callers went away by plan
-// aren't counted as offered.
-func shares(r *Result, e *Experiment) {
-	if !e.Capacity.known() || r.Seconds <= 0 {
+// computeShares computes the offered and the good work as shares of the capacity, of
+// prefill or decode, whichever has the higher load. Requests that were cancelled as
+// planned aren't counted as offered.
+func computeShares(r *Result, e *Experiment) {
+	if !e.Capacity.isSet() || r.Seconds <= 0 {
 		return
 	}
 	var offeredPrefill, offeredDecode, goodPrefill, goodDecode float64
--- a/internal/load/sender.go
+++ b/internal/load/sender.go
@@ -15,44 +15,44 @@
 )
 
 const (
-	answerGrace  = time.Second      // a caller's wait beyond its patience
-	stallTimeout = 20 * time.Second // a stream without an event so long is cut
-	maxAnswer    = 16 << 20
+	patienceGrace    = time.Second      // how long a caller waits beyond its patience
+	stallTimeout     = 20 * time.Second // maximum time between two events of a stream
+	maxResponseBytes = 16 << 20
 )
 
-// sender sends one request once and judges what comes back.
+// sender sends a request once and judges the response.
 type sender struct {
 	client *http.Client
 	expect func(prompt string, maxTokens int) string
 }
 
-// errImpatient ends a request whose caller waits no longer.
-var errImpatient = errors.New("no first token within the patience")
+// errPatienceExceeded is the cause when a request's patience has run out.
+var errPatienceExceeded = errors.New("no first token within the patience")
 
-// errLeft ends a request whose caller goes away by plan.
-var errLeft = errors.New("caller went away")
+// errCallerCancelled is the cause when a request is cancelled as planned.
+var errCallerCancelled = errors.New("caller went away")
 
-// send makes one exchange with the entry at address.
-func (s *sender) send(ctx context.Context, j *job, address string) answer {
+// send sends the request to the entry at address and judges the response.
+func (s *sender) send(ctx context.Context, j *job, address string) requestResult {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	patience := time.AfterFunc(time.Until(j.intended.Add(j.stream.Patience+answerGrace)), func() { cancel(errImpatient) })
+	patience := time.AfterFunc(time.Until(j.intended.Add(j.stream.Patience+patienceGrace)), func() { cancel(errPatienceExceeded) })
 	defer patience.Stop()
-	if j.cancelAt > 0 {
-		leave := time.AfterFunc(time.Until(j.intended.Add(j.cancelAt)), func() { cancel(errLeft) })
+	if j.cancelAfter > 0 {
+		leave := time.AfterFunc(time.Until(j.intended.Add(j.cancelAfter)), func() { cancel(errCallerCancelled) })
 		defer leave.Stop()
 	}
 	request, err := s.request(ctx, j, address)
 	if err != nil {
-		return answer{verdict: VerdictFailed, detail: err.Error()}
+		return requestResult{verdict: VerdictFailed, detail: err.Error()}
 	}
 	response, err := s.client.Do(request)
 	if err != nil {
-		return noAnswer(ctx, err)
+		return judgeTransportError(ctx, err)
 	}
 	defer response.Body.Close()
 	if response.StatusCode >= http.StatusBadRequest {
-		return refusal(ctx, response)
+		return judgeErrorResponse(ctx, response)
 	}
 	if j.stream.Model == "" {
 		return s.readCall(ctx, j, response)
@@ -80,7 +80,7 @@
 		return nil, err
 	}
 	setHeaders(request.Header, j)
-	// A key would let the transport send the request again by itself.
+	// With GetBody set, the transport would retry a request that has a key by itself.
 	request.GetBody = nil
 	return request, nil
 }
@@ -101,15 +101,15 @@
 	}
 }
 
-// noAnswer judges an exchange that brought no response.
-func noAnswer(ctx context.Context, err error) answer {
+// judgeTransportError judges a request that failed with err.
+func judgeTransportError(ctx context.Context, err error) requestResult {
 	switch context.Cause(ctx) {
-	case errImpatient:
-		return answer{verdict: VerdictAbandoned}
-	case errLeft:
-		return answer{verdict: VerdictCancelled}
+	case errPatienceExceeded:
+		return requestResult{verdict: VerdictAbandoned}
+	case errCallerCancelled:
+		return requestResult{verdict: VerdictCancelled}
 	}
-	a := answer{verdict: VerdictLost, detail: err.Error()}
+	a := requestResult{verdict: VerdictLost, detail: err.Error()}
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		a.detail = "connection refused"
@@ -117,31 +117,31 @@
 	return a
 }
 
-// refusal judges an error answer.
-func refusal(ctx context.Context, response *http.Response) answer {
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer))
+// judgeErrorResponse judges a response with an error status.
+func judgeErrorResponse(ctx context.Context, response *http.Response) requestResult {
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
-		return noAnswer(ctx, err)
+		return judgeTransportError(ctx, err)
 	}
 	var failure callerapi.ErrorBody
 	if json.Unmarshal(body, &failure) != nil || failure.Error.Code == "" {
-		a := byOutcome(callerapi.Outcome(response.Header.Get(callerapi.HeaderOutcome)))
+		a := resultOfOutcome(callerapi.Outcome(response.Header.Get(callerapi.HeaderOutcome)))
 		a.detail = response.Status
 		return a
 	}
-	return fromError(failure.Error)
+	return resultOfError(failure.Error)
 }
 
-func fromError(e callerapi.Error) answer {
-	a := byOutcome(e.Outcome)
+func resultOfError(e callerapi.Error) requestResult {
+	a := resultOfOutcome(e.Outcome)
 	a.code = e.Code
 	a.detail = e.Message
 	a.retryAfter = time.Duration(e.RetryAfterMs) * time.Millisecond
 	return a
 }
 
-func byOutcome(o callerapi.Outcome) answer {
-	a := answer{outcome: o, verdict: VerdictFailed}
+func resultOfOutcome(o callerapi.Outcome) requestResult {
+	a := requestResult{outcome: o, verdict: VerdictFailed}
 	switch o {
 	case callerapi.OutcomeNotRun:
 		a.verdict = VerdictRefused
@@ -151,28 +151,28 @@
 	return a
 }
 
-// callEcho is the part of a plain service's answer that names the request.
+// callEcho is the part of a plain service's response that identifies the request.
 type callEcho struct {
 	Marker string `json:"marker"`
 	Bytes  int    `json:"bytes"`
 }
 
-// readCall judges the answer of a plain service, which names the request's
+// readCall judges the response of a plain service, which contains the request's
 // marker and length.
-func (s *sender) readCall(ctx context.Context, j *job, response *http.Response) answer {
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer))
+func (s *sender) readCall(ctx context.Context, j *job, response *http.Response) requestResult {
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
-		return noAnswer(ctx, err)
+		return judgeTransportError(ctx, err)
 	}
-	a := answer{verdict: VerdictGood, outcome: callerapi.Outcome(response.Header.Get(callerapi.HeaderOutcome))}
-	a.firstToken = time.Since(j.intended)
-	a.whole = a.firstToken
+	a := requestResult{verdict: VerdictGood, outcome: callerapi.Outcome(response.Header.Get(callerapi.HeaderOutcome))}
+	a.firstTokenLatency = time.Since(j.intended)
+	a.totalLatency = a.firstTokenLatency
 	var echo callEcho
 	if json.Unmarshal(body, &echo) != nil || echo.Marker != j.marker || echo.Bytes != len(j.body) {
 		a.verdict, a.detail = VerdictWrong, "the answer is another request's"
 		return a
 	}
-	if a.whole > j.stream.Targets.FirstToken {
+	if a.totalLatency > j.stream.Targets.FirstToken {
 		a.verdict = VerdictLate
 	}
 	return a
--- a/internal/load/table.go
+++ b/internal/load/table.go
@@ -8,7 +8,7 @@
 	"text/tabwriter"
 )
 
-// WriteTable writes a result for people.
+// WriteTable writes a result as text.
 func (r Result) WriteTable(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	fmt.Fprintf(t, "experiment %s, variant %q, %.0f s counted, offered %.0f%% of capacity, good %.1f%% of the possible\n",
@@ -44,7 +44,7 @@
 	}
 }
 
-// counts writes a map of counts, largest first.
+// counts formats a map of counts, largest first.
 func counts[K ~string](m map[K]int) string {
 	keys := make([]K, 0, len(m))
 	for k := range m {
--- a/internal/load/tally.go
+++ b/internal/load/tally.go
@@ -7,43 +7,44 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// The range and precision of histograms, in µs and significant digits.
+// Range of histograms in µs, their precision in significant digits, and limits of
+// what a tally keeps.
 const (
-	leastLatency  = 1
-	mostLatency   = int64(10 * time.Minute / time.Microsecond)
-	latencyDigits = 3
-	maxToldNotRun = 200_000
-	maxDetails    = 20 // different details kept for each stream
+	minLatencyMicros = 1
+	maxLatencyMicros = int64(10 * time.Minute / time.Microsecond)
+	latencyDigits    = 3
+	maxNotRunMarkers = 200_000
+	maxDetails       = 20 // distinct details kept for each stream
 )
 
-// tally counts the answers of one stream. Safe for concurrent use.
+// tally counts the results of one stream. It is safe for concurrent use.
 type tally struct {
-	mu       sync.Mutex
-	stream   *Stream
-	result   StreamResult
-	first    *hdrhistogram.Histogram
-	gap      *hdrhistogram.Histogram
-	whole    *hdrhistogram.Histogram
-	notRun   []string // markers of requests that were told not to have run
-	inTarget int64    // first tokens within the target
-	gapsIn   int64    // gaps within the target
+	mu                  sync.Mutex
+	stream              *Stream
+	result              StreamResult
+	first               *hdrhistogram.Histogram
+	gap                 *hdrhistogram.Histogram
+	total               *hdrhistogram.Histogram
+	notRun              []string // markers of requests that the system reported as not run
+	firstTokensInTarget int64    // first tokens within the target
+	gapsInTarget        int64    // gaps within the target
 }
 
 func newTally(s *Stream) *tally {
-	t := &tally{stream: s, first: newHistogram(), gap: newHistogram(), whole: newHistogram()}
+	t := &tally{stream: s, first: newHistogram(), gap: newHistogram(), total: newHistogram()}
 	t.result = StreamResult{Name: s.Name, Team: s.Team, Verdicts: map[Verdict]int{}, Codes: map[string]int{}, Details: map[string]int{}}
 	return t
 }
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(leastLatency, mostLatency, latencyDigits)
+	return hdrhistogram.New(minLatencyMicros, maxLatencyMicros, latencyDigits)
 }
 
-// add counts one request.
-func (t *tally) add(j *job, a answer) {
+// add counts the result of one request.
+func (t *tally) add(j *job, a requestResult) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if a.verdict == VerdictRefused && len(t.notRun) < maxToldNotRun {
+	if a.verdict == VerdictRefused && len(t.notRun) < maxNotRunMarkers {
 		t.notRun = append(t.notRun, j.marker)
 	}
 	if !j.counted {
@@ -56,13 +57,13 @@
 	if a.code != "" {
 		t.result.Codes[string(a.code)]++
 	}
-	t.detail(a)
+	t.addDetail(a)
 	if a.verdict == VerdictGood || a.verdict == VerdictLate {
-		t.latencies(a)
+		t.addLatencies(a)
 	}
 }
 
-func (t *tally) detail(a answer) {
+func (t *tally) addDetail(a requestResult) {
 	if a.detail == "" {
 		return
 	}
@@ -71,39 +72,39 @@
 	}
 }
 
-func (t *tally) latencies(a answer) {
-	record(t.first, a.firstToken)
-	record(t.whole, a.whole)
-	if a.firstToken <= t.stream.Targets.FirstToken {
-		t.inTarget++
+func (t *tally) addLatencies(a requestResult) {
+	record(t.first, a.firstTokenLatency)
+	record(t.total, a.totalLatency)
+	if a.firstTokenLatency <= t.stream.Targets.FirstToken {
+		t.firstTokensInTarget++
 	}
 	for _, gap := range a.gaps {
 		record(t.gap, gap)
 		if gap <= t.stream.Targets.TokenGap {
-			t.gapsIn++
+			t.gapsInTarget++
 		}
 	}
 }
 
 func record(h *hdrhistogram.Histogram, d time.Duration) {
 	// Values out of range are clamped, so that RecordValue can't fail.
-	_ = h.RecordValue(min(max(d.Microseconds(), leastLatency), mostLatency))
+	_ = h.RecordValue(min(max(d.Microseconds(), minLatencyMicros), maxLatencyMicros))
 }
 
 func (t *tally) finish(seconds float64) StreamResult {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.result
-	r.FirstToken, r.TokenGap, r.Whole = latencyOf(t.first), latencyOf(t.gap), latencyOf(t.whole)
-	r.FirstInTarget = share(t.inTarget, t.first.TotalCount())
-	r.GapInTarget = share(t.gapsIn, t.gap.TotalCount())
+	r.FirstToken, r.TokenGap, r.Whole = latencyOf(t.first), latencyOf(t.gap), latencyOf(t.total)
+	r.FirstInTarget = ratio(t.firstTokensInTarget, t.first.TotalCount())
+	r.GapInTarget = ratio(t.gapsInTarget, t.gap.TotalCount())
 	r.OfferedPerSec = float64(r.Offered) / seconds
 	r.GoodPerSec = float64(r.Verdicts[VerdictGood]) / seconds
 	r.TokensPerSec = float64(r.Tokens) / seconds
 	return r
 }
 
-func share(part, all int64) float64 {
+func ratio(part, all int64) float64 {
 	if all == 0 {
 		return 0
 	}
