--- a/internal/capacity/calls.go
+++ b/internal/capacity/calls.go
@@ -15,20 +15,21 @@
 	"github.com/hyssopsail/hyssopsail/internal/callerapi"
 )
 
-// kind is one kind of request.
-type kind struct {
+// requestKind is one kind of request.
+type requestKind struct {
 	name  string
 	path  string
 	body  string
 	keyed bool // has an idempotency key
-	// atOnce is the number of callers in the test at full rate: few enough that
-	// the emulated engines refuse none, since refusals cost processor time too.
-	atOnce int
+	// concurrency is the number of callers in the test at full rate. It is low
+	// enough that the emulated engines refuse no request, since refusals cost CPU
+	// time too.
+	concurrency int
 }
 
 const modelBody = `{"model": "` + modelName + `", "messages": [{"role": "user", "content": "Three bales of cotton offcuts."}], "max_tokens": 8}`
 
-var kinds = []kind{
+var kinds = []requestKind{
 	{"service call, repeatable", "/v1/services/" + serviceName + "/any", "slip", false, 16},
 	{"service call, repeatable, with key", "/v1/services/" + serviceName + "/any", "slip", true, 16},
 	{"service call, not repeatable", "/v1/services/" + serviceName + "/once", "slip", true, 16},
@@ -36,10 +37,10 @@
 	{"model request, with key", "/v1/chat/completions", modelBody, true, 8},
 }
 
-// measureCalls sends requests of each kind to one entry: one after another for
-// messages and latency, then many at once for processor time.
+// measureCalls sends requests of each kind: sequentially to one entry to measure
+// messages and latency, then concurrently to all entries to measure CPU time.
 func measureCalls(ctx context.Context, o options, r *report) error {
-	return withFleet(ctx, o, midSize, func(f *testFleet) error {
+	return withFleet(ctx, o, defaultFleetSize, func(f *testFleet) error {
 		const perRole = 6
 		roles := []string{"plain", "prefill", "decode"}
 		for _, role := range roles {
@@ -47,21 +48,21 @@
 				return trace.Wrap(err)
 			}
 		}
-		if err := f.untilListed(ctx, perRole*len(roles)); err != nil {
+		if err := f.waitForEndpoints(ctx, perRole*len(roles)); err != nil {
 			return trace.Wrap(err)
 		}
-		if err := pause(ctx, o.settle); err != nil {
+		if err := sleepFor(ctx, o.settleDuration); err != nil {
 			return err
 		}
 		for _, k := range kinds {
-			idle, err := f.during(ctx, o.window, nil)
+			idle, err := f.sampleWindow(ctx, o.windowDuration, nil)
 			if err != nil {
 				return trace.Wrap(err)
 			}
-			if err := f.sequence(ctx, r, k, idle); err != nil {
+			if err := f.measureSequential(ctx, r, k, idle); err != nil {
 				return trace.Wrap(err, "%s", k.name)
 			}
-			if err := f.flood(ctx, r, k, idle); err != nil {
+			if err := f.measureConcurrent(ctx, r, k, idle); err != nil {
 				return trace.Wrap(err, "%s", k.name)
 			}
 		}
@@ -69,16 +70,17 @@
 	})
 }
 
-// sequence counts messages and takes latencies, less what passes when idle.
-func (f *testFleet) sequence(ctx context.Context, r *report, k kind, idle span) error {
-	client := newCaller()
+// measureSequential measures messages and latencies of sequential requests. Messages
+// of an idle fleet are subtracted.
+func (f *testFleet) measureSequential(ctx context.Context, r *report, k requestKind, idle span) error {
+	client := newCallerClient()
 	defer client.CloseIdleConnections()
 	t := newTally()
 	before, err := f.samples(ctx)
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	for n := range f.options.calls {
+	for n := range f.options.callsPerKind {
 		sent := time.Now()
 		if err := call(ctx, client, f.entries()[0], k, fmt.Sprint("sequence-", n)); err != nil {
 			return trace.Wrap(err)
@@ -93,30 +95,32 @@
 	for _, service := range []string{"Home", "Ledger", "Control"} {
 		count := f.callsOf(busy, service) - f.callsOf(idle, service)*busy.seconds()/idle.seconds()
 		bytes := f.bytesOf(busy, service) - f.bytesOf(idle, service)*busy.seconds()/idle.seconds()
-		t.add(k.name+": "+service+" calls for each", "fleet", "1", count/float64(f.options.calls))
-		t.add(k.name+": "+service+" bytes for each", "fleet", "B", bytes/float64(f.options.calls))
+		t.add(k.name+": "+service+" calls for each", "fleet", "1", count/float64(f.options.callsPerKind))
+		t.add(k.name+": "+service+" bytes for each", "fleet", "B", bytes/float64(f.options.callsPerKind))
 	}
-	t.report(r, size{varyCallers, 1})
+	t.report(r, sweepPoint{variableCallers, 1})
 	return nil
 }
 
 func (s span) seconds() float64 { return s.after[0].at.Sub(s.before[0].at).Seconds() }
 
-// callsOf sums the calls that the clients of all daemons have ended.
+// callsOf returns the completed calls to a service, summed over the clients of all
+// daemons.
 func (f *testFleet) callsOf(s span, service string) float64 {
-	return f.clients(s, metricCalls, service)
+	return f.sumClients(s, metricCalls, service)
 }
 
-// bytesOf sums the bytes both ways at the clients of all daemons.
+// bytesOf returns the bytes sent and received in calls to a service, summed over the
+// clients of all daemons.
 func (f *testFleet) bytesOf(s span, service string) float64 {
-	return f.clients(s, metricBytes, service)
+	return f.sumClients(s, metricBytes, service)
 }
 
-func (f *testFleet) clients(s span, metric, service string) float64 {
+func (f *testFleet) sumClients(s span, metric, service string) float64 {
 	total := 0.0
 	for n := range f.instances {
-		before := s.before[n].by(metric, "method", labels{"side": "client"})
-		for method, value := range s.after[n].by(metric, "method", labels{"side": "client"}) {
+		before := s.before[n].sumBy(metric, "method", labels{"side": "client"})
+		for method, value := range s.after[n].sumBy(metric, "method", labels{"side": "client"}) {
 			if strings.HasPrefix(method, service+"/") {
 				total += value - before[method]
 			}
@@ -125,18 +129,18 @@
 	return total
 }
 
-// flood sends from many callers at once, spread over the entries. Processor
-// time is that above an idle fleet's.
-func (f *testFleet) flood(ctx context.Context, r *report, k kind, idle span) error {
-	client := newCaller()
+// measureConcurrent sends requests from concurrent callers, spread over the entries.
+// The CPU time of an idle fleet is subtracted.
+func (f *testFleet) measureConcurrent(ctx context.Context, r *report, k requestKind, idle span) error {
+	client := newCallerClient()
 	defer client.CloseIdleConnections()
 	var mu sync.Mutex
 	t := newTally()
 	done, refused := 0, 0
 	entries := f.entries()
-	s, err := f.during(ctx, f.options.burst, func(limited context.Context) error {
+	s, err := f.sampleWindow(ctx, f.options.burstDuration, func(limited context.Context) error {
 		group, _ := errgroup.WithContext(ctx)
-		for n := range k.atOnce {
+		for n := range k.concurrency {
 			group.Go(func() error {
 				for turn := 0; limited.Err() == nil; turn++ {
 					sent := time.Now()
@@ -165,18 +169,18 @@
 	t.add(k.name+": done", "fleet", "1/s", float64(done)/s.seconds())
 	t.add(k.name+": refused or failed", "fleet", "1", float64(refused))
 	t.add(k.name+": cpu of all daemons for each", "fleet", "ms", 1000*cpu/float64(max(done, 1)))
-	t.report(r, size{varyCallers, k.atOnce})
+	t.report(r, sweepPoint{variableCallers, k.concurrency})
 	return nil
 }
 
-const mostCallers = 128
+const maxIdleCallerConns = 128
 
-func newCaller() *http.Client {
-	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: mostCallers}, Timeout: 20 * time.Second}
+func newCallerClient() *http.Client {
+	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleCallerConns}, Timeout: 20 * time.Second}
 }
 
-// call sends one request to an entry; a refusal is an error.
-func call(ctx context.Context, client *http.Client, to *instance, k kind, name string) error {
+// call sends one request to an entry; an error status is returned as an error.
+func call(ctx context.Context, client *http.Client, to *instance, k requestKind, name string) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+to.Callers+k.path, strings.NewReader(k.body))
 	if err != nil {
 		return trace.Wrap(err)
--- a/internal/capacity/change.go
+++ b/internal/capacity/change.go
@@ -13,10 +13,10 @@
 	"github.com/hyssopsail/hyssopsail/internal/settings"
 )
 
-// change makes one change with the version that this program knows.
-func (f *testFleet) change(ctx context.Context, name, document string) error {
+// applyChange sends one change of a subtree with the latest version known to f.
+func (f *testFleet) applyChange(ctx context.Context, name, document string) error {
 	f.changes++
-	_, err := send(ctx, f.client, name, f.versions[name], fmt.Sprint("c", f.changes), document, 0)
+	_, err := sendChange(ctx, f.client, name, f.versions[name], fmt.Sprint("c", f.changes), document, 0)
 	if err != nil {
 		return trace.Wrap(err)
 	}
@@ -24,8 +24,9 @@
 	return nil
 }
 
-// send sends one change and gives its result; a conflict is an error.
-func send(ctx context.Context, client *operator.Client, name string, version uint64, id, document string, wait time.Duration) (*pb.ChangeReply, error) {
+// sendChange sends one change and returns its result; a change that is not accepted
+// is an error.
+func sendChange(ctx context.Context, client *operator.Client, name string, version uint64, id, document string, wait time.Duration) (*pb.ChangeReply, error) {
 	reply, err := client.Change(ctx, &pb.ChangeRequest{
 		Change:        &pb.ChangeSubtree{Name: name, ExpectedVersion: version, ChangeId: id, Yaml: []byte(document)},
 		WaitInForceMs: uint64(wait.Milliseconds()),
@@ -39,24 +40,24 @@
 	return reply, nil
 }
 
-// addTeams makes teams until there are count.
+// addTeams creates the teams with the numbers from to count-1.
 func (f *testFleet) addTeams(ctx context.Context, from, count int) error {
-	const atOnce = 16
+	const maxConcurrent = 16
 	group, inner := errgroup.WithContext(ctx)
-	group.SetLimit(atOnce)
+	group.SetLimit(maxConcurrent)
 	for n := from; n < count; n++ {
 		f.versions[settings.TeamPrefix+teamName(n)] = 1
 		group.Go(func() error {
-			_, err := send(inner, f.client, settings.TeamPrefix+teamName(n), 0, fmt.Sprint("new-", n), teamDocument(n, 0), 0)
+			_, err := sendChange(inner, f.client, settings.TeamPrefix+teamName(n), 0, fmt.Sprint("new-", n), teamDocument(n, 0), 0)
 			return err
 		})
 	}
 	return group.Wait()
 }
 
-// changeSteadily changes teams' subtrees in turn, rate times a second, until
-// ctx ends, and gives how many changes were accepted.
-func (f *testFleet) changeSteadily(ctx context.Context, rate, teams int) (accepted int, err error) {
+// changeAtRate changes the teams' subtrees in turn, rate times per second, until
+// ctx ends, and returns how many changes were accepted.
+func (f *testFleet) changeAtRate(ctx context.Context, rate, teams int) (accepted int, err error) {
 	ticker := time.NewTicker(time.Second / time.Duration(rate))
 	defer ticker.Stop()
 	for {
@@ -66,7 +67,7 @@
 		case <-ticker.C:
 		}
 		n := f.changes % teams
-		if err := f.change(ctx, settings.TeamPrefix+teamName(n), teamDocument(n, f.changes)); err != nil {
+		if err := f.applyChange(ctx, settings.TeamPrefix+teamName(n), teamDocument(n, f.changes)); err != nil {
 			if ctx.Err() != nil {
 				return accepted, nil
 			}
--- a/internal/capacity/commits.go
+++ b/internal/capacity/commits.go
@@ -12,17 +12,17 @@
 	"github.com/hyssopsail/hyssopsail/internal/settings"
 )
 
-// measureCommits sends changes as fast as they are answered, from several
-// operators at once, each to a team of its own. Each commit is synced.
+// measureCommits sends changes from several operators concurrently, each to its own
+// team and as fast as they are answered. Each commit is synced to disk.
 func measureCommits(ctx context.Context, o options, r *report) error {
-	return withFleet(ctx, o, midSize, func(f *testFleet) error {
+	return withFleet(ctx, o, defaultFleetSize, func(f *testFleet) error {
 		teams := 1
 		for _, operators := range []int{1, 8, 32} {
 			if err := f.addTeams(ctx, teams, operators); err != nil {
 				return trace.Wrap(err)
 			}
 			teams = max(teams, operators)
-			if err := f.commit(ctx, r, operators); err != nil {
+			if err := f.measureCommitRate(ctx, r, operators); err != nil {
 				return trace.Wrap(err)
 			}
 		}
@@ -30,7 +30,7 @@
 	})
 }
 
-func (f *testFleet) commit(ctx context.Context, r *report, operators int) error {
+func (f *testFleet) measureCommitRate(ctx context.Context, r *report, operators int) error {
 	var mu sync.Mutex
 	t := newTally()
 	began := time.Now()
@@ -39,10 +39,10 @@
 		name := settings.TeamPrefix + teamName(n)
 		version := f.versions[name]
 		group.Go(func() error {
-			for turn := 0; time.Since(began) < f.options.burst; turn++ {
+			for turn := 0; time.Since(began) < f.options.burstDuration; turn++ {
 				sent := time.Now()
 				id := fmt.Sprint("commit-", operators, "-", n, "-", turn)
-				if _, err := send(inner, f.client, name, version, id, teamDocument(n, turn+1), 0); err != nil {
+				if _, err := sendChange(inner, f.client, name, version, id, teamDocument(n, turn+1), 0); err != nil {
 					return trace.Wrap(err)
 				}
 				version++
@@ -57,7 +57,7 @@
 	if err := group.Wait(); err != nil {
 		return trace.Wrap(err)
 	}
-	at := size{varyOperators, operators}
+	at := sweepPoint{variableOperators, operators}
 	count := len(t.values[tallyKey{"change accepted", "fleet", "ms"}])
 	r.add("changes", "fleet", "1/s", at, []float64{float64(count) / time.Since(began).Seconds()})
 	t.report(r, at)
--- a/internal/capacity/doc.go
+++ b/internal/capacity/doc.go
@@ -1,7 +1,8 @@
-// Command capacity measures, on one machine with real daemons on loopback, how
-// the cost of hyssopsail's control grows with daemons, endpoints, teams,
-// changes and requests. It prints the inputs of docs/CAPACITY.md.
+// Command capacity measures how the cost of hyssopsail's control plane grows with
+// the numbers of daemons, endpoints, teams, changes and requests. It runs real
+// daemons on the loopback interface of one machine and prints the inputs of
+// docs/CAPACITY.md.
 //
-// It starts everything that it measures and ends it by pid. It is run by
+// It starts all processes that it measures and stops them by PID. It is run by
 // scripts/capacity and is not shipped.
 package main
--- a/internal/capacity/fleet.go
+++ b/internal/capacity/fleet.go
@@ -20,25 +20,25 @@
 	"github.com/hyssopsail/hyssopsail/internal/sleep"
 )
 
-// startPatience bounds each step of a fleet's start.
-const startPatience = 60 * time.Second
+// startTimeout bounds each wait for a condition, such as a step of a fleet's start.
+const startTimeout = 60 * time.Second
 
-// testFleet is a running fleet and the emulated endpoints before it.
+// testFleet is a running fleet with its emulated endpoints.
 type testFleet struct {
 	options   options
 	folder    string
 	instances []*instance
 	standins  []*process
 	client    *operator.Client
-	versions  map[string]uint64 // of the subtrees, as this program changed them
+	versions  map[string]uint64 // latest known versions of the subtrees
 	changes   int
 }
 
 var fleetsStarted int
 
 // startFleet starts count daemons and applies the settings of the fleet and of
-// one team. In a fleet with more daemons than control instances, those serve
-// no callers, as in a large deployment.
+// one team. If there are more daemons than control instances, the control instances
+// serve no callers, as in a large deployment.
 func startFleet(ctx context.Context, o options, count int) (*testFleet, error) {
 	fleetsStarted++
 	f := &testFleet{options: o, folder: filepath.Join(o.folder, fmt.Sprint("fleet-", fleetsStarted)), versions: make(map[string]uint64)}
@@ -51,11 +51,11 @@
 }
 
 func (f *testFleet) start(ctx context.Context, count int) error {
-	if err := f.plan(count); err != nil {
+	if err := f.planInstances(count); err != nil {
 		return trace.Wrap(err)
 	}
 	for _, i := range f.instances {
-		if err := i.start(f.options.bin); err != nil {
+		if err := i.start(f.options.binFolder); err != nil {
 			return trace.Wrap(err)
 		}
 	}
@@ -65,16 +65,16 @@
 	if err := f.init(ctx); err != nil {
 		return trace.Wrap(err)
 	}
-	if err := f.change(ctx, settings.TeamPrefix+teamName(0), teamDocument(0, 0)); err != nil {
+	if err := f.applyChange(ctx, settings.TeamPrefix+teamName(0), teamDocument(0, 0)); err != nil {
 		return trace.Wrap(err)
 	}
-	return until(ctx, "all daemons are in the view", func() bool {
+	return waitUntil(ctx, "all daemons are in the view", func() bool {
 		status, err := f.client.Status(ctx, &pb.StatusRequest{})
 		return err == nil && len(status.GetInstances()) == count
 	})
 }
 
-func (f *testFleet) plan(count int) error {
+func (f *testFleet) planInstances(count int) error {
 	keys := filepath.Join(f.folder, "keys")
 	ids := make([]fleet.InstanceID, count)
 	for n := range count {
@@ -86,7 +86,7 @@
 				i.Roles = []string{roleEntry, roleControl}
 			}
 		}
-		if err := i.choosePorts(loopback(fleetsStarted, n)); err != nil {
+		if err := i.choosePorts(loopbackIP(fleetsStarted, n)); err != nil {
 			return trace.Wrap(err)
 		}
 		ids[n] = fleet.InstanceID(i.ID)
@@ -111,7 +111,7 @@
 	return trace.Wrap(err)
 }
 
-// operatorOf makes a client of the instances at the addresses alone.
+// operatorOf returns an operator client that uses only the given addresses.
 func (f *testFleet) operatorOf(key string, addresses ...string) (*operator.Client, error) {
 	secure, err := operator.ClientTLS(filepath.Join(f.folder, "keys", certs.AuthorityFile))
 	if err != nil {
@@ -134,7 +134,7 @@
 		request.Members = append(request.Members, &pb.Member{InstanceId: i.ID, RpcAddress: i.RPC})
 	}
 	var last error
-	err = until(ctx, "the fleet is made", func() bool {
+	err = waitUntil(ctx, "the fleet is made", func() bool {
 		_, last = client.Init(ctx, request)
 		return last == nil
 	})
@@ -144,7 +144,7 @@
 	document := &pb.ChangeRequest{Change: &pb.ChangeSubtree{
 		Name: settings.FleetSubtree, ChangeId: "first", Yaml: []byte(fleetDocument()),
 	}}
-	err = until(ctx, "the fleet subtree is accepted", func() bool {
+	err = waitUntil(ctx, "the fleet subtree is accepted", func() bool {
 		_, last = client.Change(ctx, document)
 		return last == nil
 	})
@@ -152,13 +152,13 @@
 		return trace.Wrap(last)
 	}
 	f.versions[settings.FleetSubtree] = 1
-	return until(ctx, "the operator is known", func() bool {
+	return waitUntil(ctx, "the operator is known", func() bool {
 		_, err := f.client.Status(ctx, &pb.StatusRequest{})
 		return err == nil
 	})
 }
 
-// stop ends all processes, endpoints first.
+// stop stops all processes, endpoints first.
 func (f *testFleet) stop() {
 	f.stopStandins()
 	for _, i := range f.instances {
@@ -184,8 +184,8 @@
 	f.standins = nil
 }
 
-// each calls do for all instances at once.
-func (f *testFleet) each(do func(n int, i *instance) error) error {
+// forEachInstance calls do for all instances concurrently.
+func (f *testFleet) forEachInstance(do func(n int, i *instance) error) error {
 	var group errgroup.Group
 	for n, i := range f.instances {
 		group.Go(func() error { return do(n, i) })
@@ -203,10 +203,10 @@
 	return list
 }
 
-// leader gives the instance that leads the control group.
+// leader returns the instance that leads the control group.
 func (f *testFleet) leader(ctx context.Context) (*instance, error) {
 	var found *instance
-	err := until(ctx, "there is a leader", func() bool {
+	err := waitUntil(ctx, "there is a leader", func() bool {
 		status, err := f.client.Status(ctx, &pb.StatusRequest{})
 		if err != nil {
 			return false
@@ -221,21 +221,21 @@
 	return found, err
 }
 
-// until polls a condition.
-func until(ctx context.Context, what string, holds func() bool) error {
-	deadline := time.Now().Add(startPatience)
+// waitUntil polls a condition until it holds, for at most startTimeout.
+func waitUntil(ctx context.Context, what string, holds func() bool) error {
+	deadline := time.Now().Add(startTimeout)
 	for !holds() {
 		if time.Now().After(deadline) {
-			return trace.LimitExceeded("not so within %v: %s", startPatience, what)
+			return trace.LimitExceeded("not so within %v: %s", startTimeout, what)
 		}
-		if err := pause(ctx, 20*time.Millisecond); err != nil {
+		if err := sleepFor(ctx, 20*time.Millisecond); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func pause(ctx context.Context, wait time.Duration) error {
+func sleepFor(ctx context.Context, wait time.Duration) error {
 	if !sleep.For(ctx, wait) {
 		return ctx.Err()
 	}
--- a/internal/capacity/instance.go
+++ b/internal/capacity/instance.go
@@ -18,7 +18,8 @@
 	roleControl = "control"
 )
 
-// instance is one daemon with its files and addresses.
+// instance is one daemon with its files and addresses. daemonFile uses its exported
+// fields and methods.
 type instance struct {
 	ID        string
 	Zone      string
@@ -51,10 +52,10 @@
 fleet_secret_file: {{.Keys}}/fleet-secret.hex
 `))
 
-// IsControl tells whether it votes.
+// IsControl reports whether the instance is a voting member of the control group.
 func (i *instance) IsControl() bool { return i.has(roleControl) }
 
-// IsEntry tells whether it serves callers.
+// IsEntry reports whether the instance serves callers.
 func (i *instance) IsEntry() bool { return i.has(roleEntry) }
 
 func (i *instance) has(role string) bool {
@@ -66,8 +67,8 @@
 	return false
 }
 
-// choosePorts takes four free ports of an IP number that no other process of
-// the run uses, so that outgoing connections of others don't take them first.
+// choosePorts selects four free ports of an IP address that no other process of the
+// run uses, so that outgoing connections of other processes can't take them first.
 func (i *instance) choosePorts(ip string) error {
 	for _, address := range []*string{&i.RPC, &i.Callers, &i.Endpoints, &i.Operators} {
 		listener, err := net.Listen("tcp", net.JoinHostPort(ip, "0"))
@@ -97,5 +98,5 @@
 	return trace.Wrap(err, "daemon %s", i.ID)
 }
 
-// loopback gives an IP number for the n-th instance of the run's fleet.
-func loopback(fleet, n int) string { return fmt.Sprintf("127.88.%d.%d", fleet%250, n+1) }
+// loopbackIP returns the IP address of the n-th instance of a fleet of the run.
+func loopbackIP(fleet, n int) string { return fmt.Sprintf("127.88.%d.%d", fleet%250, n+1) }
--- a/internal/capacity/leader.go
+++ b/internal/capacity/leader.go
@@ -12,18 +12,18 @@
 	"github.com/hyssopsail/hyssopsail/internal/settings"
 )
 
-// measureLeader kills the leader with SIGKILL, again and again, and measures
-// how long it takes until another instance leads and until a change that was
-// sent right after the kill is accepted.
+// measureLeader repeatedly kills the leader with SIGKILL, and measures the time until
+// another instance leads and until a change that is sent right after the kill is
+// accepted.
 func measureLeader(ctx context.Context, o options, r *report) error {
-	return withFleet(ctx, o, midSize, func(f *testFleet) error {
+	return withFleet(ctx, o, defaultFleetSize, func(f *testFleet) error {
 		t := newTally()
-		for n := range o.kills {
+		for n := range o.leaderKills {
 			if err := f.killLeader(ctx, t, n); err != nil {
 				return trace.Wrap(err, "round %d", n)
 			}
 		}
-		t.report(r, size{"daemons", midSize})
+		t.report(r, sweepPoint{"daemons", defaultFleetSize})
 		return nil
 	})
 }
@@ -33,15 +33,15 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	clients, err := f.survivors(leader)
+	clients, err := f.survivingClients(leader)
 	if err != nil {
 		return trace.Wrap(err)
 	}
 	killed := time.Now()
 	leader.process.kill()
 	answered := make(chan error, 1)
-	go func() { answered <- f.changeAt(ctx, clients[0], round, t, killed) }()
-	err = untilLeads(ctx, clients, leader.ID)
+	go func() { answered <- f.changeAfterKill(ctx, clients[0], round, t, killed) }()
+	err = waitForNewLeader(ctx, clients, leader.ID)
 	if err != nil {
 		return trace.Wrap(err)
 	}
@@ -49,13 +49,13 @@
 	if err := <-answered; err != nil {
 		return trace.Wrap(err)
 	}
-	if err := leader.start(f.options.bin); err != nil {
+	if err := leader.start(f.options.binFolder); err != nil {
 		return trace.Wrap(err)
 	}
-	return f.untilCaughtUp(ctx, leader)
+	return f.waitUntilCaughtUp(ctx, leader)
 }
 
-func (f *testFleet) survivors(killed *instance) ([]*operator.Client, error) {
+func (f *testFleet) survivingClients(killed *instance) ([]*operator.Client, error) {
 	var clients []*operator.Client
 	for _, i := range f.instances[:f.options.control] {
 		if i == killed {
@@ -70,13 +70,13 @@
 	return clients, nil
 }
 
-// changeAt sends one change until it is answered, as an operator would: the
-// change ID makes the repeats safe.
-func (f *testFleet) changeAt(ctx context.Context, client *operator.Client, round int, t *tally, killed time.Time) error {
+// changeAfterKill sends one change and repeats it until it is answered, as an operator
+// would. The change ID makes the repeats safe.
+func (f *testFleet) changeAfterKill(ctx context.Context, client *operator.Client, round int, t *tally, killed time.Time) error {
 	name := settings.TeamPrefix + teamName(0)
 	var last error
-	err := until(ctx, "the change is answered", func() bool {
-		_, last = send(ctx, client, name, f.versions[name], fmt.Sprint("kill-", round), teamDocument(0, round+1), 0)
+	err := waitUntil(ctx, "the change is answered", func() bool {
+		_, last = sendChange(ctx, client, name, f.versions[name], fmt.Sprint("kill-", round), teamDocument(0, round+1), 0)
 		return last == nil
 	})
 	if err != nil {
@@ -87,10 +87,11 @@
 	return nil
 }
 
-// untilLeads polls the survivors until one of them names itself the leader.
-func untilLeads(ctx context.Context, clients []*operator.Client, killed string) error {
+// waitForNewLeader polls the surviving instances until one of them reports a leader
+// other than the killed one.
+func waitForNewLeader(ctx context.Context, clients []*operator.Client, killed string) error {
 	led := make(chan struct{}, len(clients))
-	ctx, cancel := context.WithTimeout(ctx, startPatience)
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	for _, c := range clients {
 		go func() {
@@ -100,7 +101,7 @@
 					led <- struct{}{}
 					return
 				}
-				_ = pause(ctx, 5*time.Millisecond) // ctx is looked at above
+				_ = sleepFor(ctx, 5*time.Millisecond) // the loop checks ctx
 			}
 		}()
 	}
@@ -108,11 +109,11 @@
 	case <-led:
 		return nil
 	case <-ctx.Done():
-		return trace.LimitExceeded("no leader within %v", startPatience)
+		return trace.LimitExceeded("no leader within %v", startTimeout)
 	}
 }
 
-func (f *testFleet) untilCaughtUp(ctx context.Context, started *instance) error {
+func (f *testFleet) waitUntilCaughtUp(ctx context.Context, started *instance) error {
 	own, err := f.operatorOf(operatorKey, started.Operators)
 	if err != nil {
 		return trace.Wrap(err)
@@ -121,12 +122,12 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	err = until(ctx, "the killed instance has caught up", func() bool {
+	err = waitUntil(ctx, "the killed instance has caught up", func() bool {
 		status, err := own.Status(ctx, &pb.StatusRequest{})
 		return err == nil && status.GetAppliedIndex() >= leading.GetCommitIndex()
 	})
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	return pause(ctx, time.Second)
+	return sleepFor(ctx, time.Second)
 }
--- a/internal/capacity/main.go
+++ b/internal/capacity/main.go
@@ -36,7 +36,7 @@
 	if *short {
 		o = shortOptions()
 	}
-	o.bin, o.out, o.control, o.only = *bin, *out, *control, *only
+	o.binFolder, o.jsonFile, o.control, o.onlyPart = *bin, *out, *control, *only
 	return o, nil
 }
 
@@ -51,7 +51,7 @@
 	o.folder = folder
 	report := newReport()
 	for _, p := range parts {
-		if o.only != "" && o.only != p.name {
+		if o.onlyPart != "" && o.onlyPart != p.name {
 			continue
 		}
 		if err := p.run(ctx, o, report); err != nil {
@@ -60,5 +60,5 @@
 		}
 	}
 	report.print(os.Stdout)
-	return trace.Wrap(report.write(o.out))
+	return trace.Wrap(report.write(o.jsonFile))
 }
--- a/internal/capacity/parts.go
+++ b/internal/capacity/parts.go
@@ -2,7 +2,7 @@
 
 import "context"
 
-// part is one measurement with fleets of its own.
+// part is one measurement, which starts its own fleets.
 type part struct {
 	name string
 	run  func(context.Context, options, *report) error
--- a/internal/capacity/process.go
+++ b/internal/capacity/process.go
@@ -10,16 +10,16 @@
 	"github.com/gravitational/trace"
 )
 
-// stopPatience is how long a process may take to stop gracefully.
-const stopPatience = 30 * time.Second
+// stopTimeout is how long a process may take to stop gracefully.
+const stopTimeout = 30 * time.Second
 
-// process is one that this program started.
+// process is a child process.
 type process struct {
 	command *exec.Cmd
 	done    chan struct{} // closed when it has ended
 }
 
-// startProcess sends the process's standard error to the file log.
+// startProcess starts a program whose standard error is appended to the file log.
 func startProcess(log string, environment []string, program string, arguments ...string) (*process, error) {
 	if err := os.MkdirAll(filepath.Dir(log), 0o700); err != nil {
 		return nil, trace.ConvertSystemError(err)
@@ -28,7 +28,7 @@
 	if err != nil {
 		return nil, trace.ConvertSystemError(err)
 	}
-	defer func() { _ = file.Close() }() // the process has its own handle
+	defer func() { _ = file.Close() }() // the child has its own file descriptor
 	command := exec.Command(program, arguments...)
 	command.Stderr = file
 	command.Env = append(os.Environ(), environment...)
@@ -37,7 +37,7 @@
 	}
 	p := &process{command: command, done: make(chan struct{})}
 	go func() {
-		_ = command.Wait() // how it ended is in its log
+		_ = command.Wait() // the child's log tells how it ended
 		close(p.done)
 	}()
 	return p, nil
@@ -45,11 +45,11 @@
 
 func (p *process) signal(s syscall.Signal) { _ = p.command.Process.Signal(s) }
 
-// wait waits for the end, and forces it after the patience.
+// wait waits for the process to end, and kills it after stopTimeout.
 func (p *process) wait() {
 	select {
 	case <-p.done:
-	case <-time.After(stopPatience):
+	case <-time.After(stopTimeout):
 		p.signal(syscall.SIGKILL)
 		<-p.done
 	}
--- a/internal/capacity/inforce.go
+++ b/internal/capacity/propagation.go
@@ -16,51 +16,51 @@
 	"github.com/hyssopsail/hyssopsail/internal/timeline"
 )
 
-// mostEvents is the most that one daemon is asked for.
-const mostEvents = 4096
+// maxTimelineEvents is the maximum number of events requested from one daemon.
+const maxTimelineEvents = 4096
 
-// accepted is one change and when its answer came.
-type accepted struct {
+// indexTime is the log index of a change and the time when it was accepted or applied.
+type indexTime struct {
 	index uint64
 	at    time.Time
 }
 
-// measureInForce makes changes one after another, at random distances, and
-// reads from each daemon's time line when it had applied each.
-func (f *testFleet) measureInForce(ctx context.Context, r *report, at size) error {
-	random := rand.New(rand.NewPCG(1, uint64(at.count)))
+// measurePropagation sends changes one after another, at random intervals, and reads
+// from each daemon's timeline when it applied each of them.
+func (f *testFleet) measurePropagation(ctx context.Context, r *report, at sweepPoint) error {
+	random := rand.New(rand.NewPCG(1, uint64(at.value)))
 	began := time.Now()
 	answers := newTally()
-	var changes []accepted
-	for n := range f.options.changes {
+	var changes []indexTime
+	for n := range f.options.timedChanges {
 		name := settings.TeamPrefix + teamName(0)
 		sent := time.Now()
-		reply, err := send(ctx, f.client, name, f.versions[name], fmt.Sprint("in-force-", at.count, "-", n), teamDocument(0, n+1), 0)
+		reply, err := sendChange(ctx, f.client, name, f.versions[name], fmt.Sprint("in-force-", at.value, "-", n), teamDocument(0, n+1), 0)
 		if err != nil {
 			return trace.Wrap(err)
 		}
 		f.versions[name]++
 		answers.add("change accepted", "fleet", "ms", milliseconds(time.Since(sent)))
-		changes = append(changes, accepted{reply.GetResult().GetIndex(), time.Now()})
-		if err := pause(ctx, time.Duration(random.IntN(500))*time.Millisecond); err != nil {
+		changes = append(changes, indexTime{reply.GetResult().GetIndex(), time.Now()})
+		if err := sleepFor(ctx, time.Duration(random.IntN(500))*time.Millisecond); err != nil {
 			return err
 		}
 	}
-	if err := pause(ctx, time.Second); err != nil {
+	if err := sleepFor(ctx, time.Second); err != nil {
 		return err
 	}
 	applied, err := f.appliedSince(ctx, began)
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	return inForce(answers, changes, applied, r, at)
+	return reportPropagation(answers, changes, applied, r, at)
 }
 
-func inForce(t *tally, changes []accepted, applied [][]accepted, r *report, at size) error {
+func reportPropagation(t *tally, changes []indexTime, applied [][]indexTime, r *report, at sweepPoint) error {
 	for _, c := range changes {
 		last := time.Duration(0)
 		for _, events := range applied {
-			when, ok := firstAt(events, c.index)
+			when, ok := firstAtOrAfter(events, c.index)
 			if !ok {
 				return trace.NotFound("a daemon has not applied index %d", c.index)
 			}
@@ -74,7 +74,7 @@
 	return nil
 }
 
-func firstAt(events []accepted, index uint64) (time.Time, bool) {
+func firstAtOrAfter(events []indexTime, index uint64) (time.Time, bool) {
 	for _, e := range events {
 		if e.index >= index {
 			return e.at, true
@@ -83,8 +83,9 @@
 	return time.Time{}, false
 }
 
-// appliedSince reads when each daemon applied settings, and through which index.
-func (f *testFleet) appliedSince(ctx context.Context, since time.Time) ([][]accepted, error) {
+// appliedSince returns, for each daemon, when it applied settings since the given time
+// and up to which index.
+func (f *testFleet) appliedSince(ctx context.Context, since time.Time) ([][]indexTime, error) {
 	keys := filepath.Join(f.folder, "keys")
 	own := filepath.Join(keys, f.instances[0].ID)
 	secure, err := rpc.LoadTLS(rpc.Files{
@@ -97,13 +98,13 @@
 	}
 	pool := rpc.NewPool(secure, nil)
 	defer func() { _ = pool.Close() }()
-	out := make([][]accepted, len(f.instances))
-	err = f.each(func(n int, i *instance) error {
+	out := make([][]indexTime, len(f.instances))
+	err = f.forEachInstance(func(n int, i *instance) error {
 		conn, err := pool.Conn(ctx, i.RPC)
 		if err != nil {
 			return trace.Wrap(err)
 		}
-		page, err := pb.NewDRPCTimelineClient(conn).Query(ctx, &pb.TimelineQuery{SinceNs: uint64(since.UnixNano()), Limit: mostEvents})
+		page, err := pb.NewDRPCTimelineClient(conn).Query(ctx, &pb.TimelineQuery{SinceNs: uint64(since.UnixNano()), Limit: maxTimelineEvents})
 		if err != nil {
 			return trace.Wrap(err)
 		}
@@ -113,8 +114,8 @@
 	return out, err
 }
 
-func settingsEvents(page *pb.TimelinePage) []accepted {
-	var out []accepted
+func settingsEvents(page *pb.TimelinePage) []indexTime {
+	var out []indexTime
 	for _, e := range page.GetEvents() {
 		var index uint64
 		if e.GetKind() != string(timeline.KindSettings) {
@@ -123,7 +124,7 @@
 		if _, err := fmt.Sscanf(e.GetDetail(), "index %d", &index); err != nil {
 			continue
 		}
-		out = append(out, accepted{index, time.Unix(0, int64(e.GetWallNs()))})
+		out = append(out, indexTime{index, time.Unix(0, int64(e.GetWallNs()))})
 	}
 	return out
 }
--- a/internal/capacity/sample.go
+++ b/internal/capacity/sample.go
@@ -11,7 +11,7 @@
 	"github.com/prometheus/common/model"
 )
 
-// sample is what one daemon's metrics said at one time.
+// sample is a snapshot of one daemon's metrics.
 type sample struct {
 	at       time.Time
 	families map[string]*dto.MetricFamily
@@ -32,7 +32,7 @@
 	return sample{at: time.Now(), families: families}, trace.Wrap(err)
 }
 
-// labels select rows of a counter; a row must have all of them.
+// labels selects the series of a metric that have all of these label values.
 type labels map[string]string
 
 func (l labels) match(m *dto.Metric) bool {
@@ -45,7 +45,7 @@
 	return found == len(l)
 }
 
-// sum adds all rows of a counter or gauge that match.
+// sum returns the sum of all matching series of a counter or gauge.
 func (s sample) sum(name string, l labels) float64 {
 	total := 0.0
 	for _, m := range s.families[name].GetMetric() {
@@ -56,8 +56,8 @@
 	return total
 }
 
-// by adds all rows that match, for each value of one label.
-func (s sample) by(name, label string, l labels) map[string]float64 {
+// sumBy returns the sum of all matching series of a counter for each value of one label.
+func (s sample) sumBy(name, label string, l labels) map[string]float64 {
 	out := make(map[string]float64)
 	for _, m := range s.families[name].GetMetric() {
 		if !l.match(m) {
@@ -72,7 +72,7 @@
 	return out
 }
 
-// samples takes one of each daemon, in the order of the instances.
+// samples takes a sample of each daemon, in the order of the instances.
 func (f *testFleet) samples(ctx context.Context) ([]sample, error) {
 	transport, err := f.transport()
 	if err != nil {
@@ -81,7 +81,7 @@
 	defer transport.CloseIdleConnections()
 	client := &http.Client{Transport: transport, Timeout: 10 * time.Second}
 	out := make([]sample, len(f.instances))
-	err = f.each(func(n int, i *instance) error {
+	err = f.forEachInstance(func(n int, i *instance) error {
 		var err error
 		out[n], err = f.sampleOf(ctx, client, i)
 		return trace.Wrap(err, "metrics of %s", i.ID)
--- a/internal/capacity/settings.go
+++ b/internal/capacity/settings.go
@@ -7,13 +7,13 @@
 	"github.com/hyssopsail/hyssopsail/internal/keyhash"
 )
 
-// The keys of a measured fleet.
+// Keys used in a measured fleet.
 const (
 	operatorKey = "capacity-operator-key"
 	endpointKey = "capacity-endpoint-key"
 )
 
-// The names in a measured fleet's settings.
+// Names in a measured fleet's settings.
 const (
 	modelName   = "notes"
 	serviceName = "slips"
@@ -56,8 +56,8 @@
 
 func teamKey(n int) string { return fmt.Sprintf("capacity-key-of-%s", teamName(n)) }
 
-// teamDocument gives a team's subtree of some 400 bytes. Revisions differ in
-// the share alone.
+// teamDocument returns a team's subtree, of about 400 bytes. Revisions differ only
+// in the share.
 func teamDocument(n, revision int) string {
 	return fmt.Sprintf(`team: %s
 key_hashes: [%q]
@@ -68,12 +68,12 @@
 wasted_prefill_weight: 0.5
 share: %d
 limits: {concurrent: 1000, prompt_tokens: 16000}
-`, teamName(n), keyhash.Of(teamKey(n)), strings.Join(permitted(n), ", "), modelName, serviceName, 1+revision%100)
+`, teamName(n), keyhash.Of(teamKey(n)), strings.Join(permittedZones(n), ", "), modelName, serviceName, 1+revision%100)
 }
 
-// permitted gives all zones to two teams of three, and two to the third, so
-// that there are two sets of permitted zones.
-func permitted(n int) []string {
+// permittedZones returns all zones for two of three teams, and two zones for the
+// third, so that there are two different sets.
+func permittedZones(n int) []string {
 	if n%3 == 2 {
 		return zones[:2]
 	}
--- a/internal/capacity/slope.go
+++ b/internal/capacity/slope.go
@@ -2,38 +2,38 @@
 
 import "math"
 
-// slope is the straight line through the medians of one figure, by least
-// squares, with the range of sizes that it rests on.
+// slope is the least-squares line through the medians of one figure, with the range
+// of sizes that it is fitted to.
 type slope struct {
 	Name      string  `json:"name"`
 	Role      string  `json:"role"`
-	Vary      string  `json:"vary"`
+	Variable  string  `json:"vary"`
 	Unit      string  `json:"unit"`
-	Slope     float64 `json:"slope"`     // unit for one more of Vary
-	Intercept float64 `json:"intercept"` // unit
+	Slope     float64 `json:"slope"`     // Unit for each additional one of Variable
+	Intercept float64 `json:"intercept"` // Unit
 	From      int     `json:"from"`
 	To        int     `json:"to"`
-	Residual  float64 `json:"residual"` // greatest distance of a median from the line
+	Residual  float64 `json:"residual"` // maximum distance of a median from the line, Unit
 }
 
-// What sizes count where more of it doesn't mean more work for each.
+// Varied quantities that have no slope, since the machine limits the rates.
 const (
-	varyCallers   = "callers"
-	varyOperators = "operators"
+	variableCallers   = "callers"
+	variableOperators = "operators"
 )
 
-type slopeKey struct{ name, role, vary string }
+type slopeKey struct{ name, role, variable string }
 
-// slopes gives one for each figure that was taken at two sizes or more, and
-// grows. Rates of many callers at once are bounded by the machine: no slope.
+// slopes returns the slope of each figure whose first and last size differ. Figures
+// over callers or operators are left out, since the machine limits their rates.
 func slopes(figures []figure) []slope {
 	var order []slopeKey
 	points := make(map[slopeKey][]figure)
 	for _, f := range figures {
-		if f.Vary == varyCallers || f.Vary == varyOperators {
+		if f.Variable == variableCallers || f.Variable == variableOperators {
 			continue
 		}
-		key := slopeKey{f.Name, f.Role, f.Vary}
+		key := slopeKey{f.Name, f.Role, f.Variable}
 		if _, ok := points[key]; !ok {
 			order = append(order, key)
 		}
@@ -42,13 +42,13 @@
 	var out []slope
 	for _, key := range order {
 		if list := points[key]; list[0].Size != list[len(list)-1].Size {
-			out = append(out, fit(list))
+			out = append(out, fitLine(list))
 		}
 	}
 	return out
 }
 
-func fit(points []figure) slope {
+func fitLine(points []figure) slope {
 	first, last := points[0], points[len(points)-1]
 	var meanX, meanY float64
 	for _, p := range points {
@@ -61,7 +61,7 @@
 		xy += x * (p.Median - meanY)
 		xx += x * x
 	}
-	s := slope{Name: first.Name, Role: first.Role, Vary: first.Vary, Unit: first.Unit, From: first.Size, To: last.Size}
+	s := slope{Name: first.Name, Role: first.Role, Variable: first.Variable, Unit: first.Unit, From: first.Size, To: last.Size}
 	s.Slope = xy / xx
 	s.Intercept = meanY - s.Slope*meanX
 	for _, p := range points {
--- a/internal/capacity/grow.go
+++ b/internal/capacity/sweep.go
@@ -11,18 +11,18 @@
 	"github.com/hyssopsail/hyssopsail/internal/settings"
 )
 
-// midSize is the number of daemons of fleets in which something else varies.
-const midSize = 9
+// defaultFleetSize is the number of daemons when another quantity is varied.
+const defaultFleetSize = 9
 
-// measureDaemons varies the number of daemons; nothing else happens.
+// measureDaemons varies the number of daemons of an idle fleet.
 func measureDaemons(ctx context.Context, o options, r *report) error {
 	for _, count := range o.daemons {
 		err := withFleet(ctx, o, count, func(f *testFleet) error {
-			at := size{"daemons", count}
-			if err := f.measure(ctx, r, at, nil); err != nil {
+			at := sweepPoint{"daemons", count}
+			if err := f.measureUsage(ctx, r, at, nil); err != nil {
 				return trace.Wrap(err)
 			}
-			return f.measureInForce(ctx, r, at)
+			return f.measurePropagation(ctx, r, at)
 		})
 		if err != nil {
 			return trace.Wrap(err)
@@ -37,7 +37,7 @@
 		return trace.Wrap(err, "fleet of %d", count)
 	}
 	defer f.stop()
-	if err := pause(ctx, o.settle); err != nil {
+	if err := sleepFor(ctx, o.settleDuration); err != nil {
 		return err
 	}
 	return do(f)
@@ -45,8 +45,8 @@
 
 // measureEndpoints varies the number of endpoints.
 func measureEndpoints(ctx context.Context, o options, r *report) error {
-	return withFleet(ctx, o, midSize, func(f *testFleet) error {
-		if err := f.measure(ctx, r, size{"endpoints", 0}, nil); err != nil {
+	return withFleet(ctx, o, defaultFleetSize, func(f *testFleet) error {
+		if err := f.measureUsage(ctx, r, sweepPoint{"endpoints", 0}, nil); err != nil {
 			return trace.Wrap(err)
 		}
 		present := 0
@@ -55,13 +55,13 @@
 				return trace.Wrap(err)
 			}
 			present = count
-			if err := f.untilListed(ctx, count); err != nil {
+			if err := f.waitForEndpoints(ctx, count); err != nil {
 				return trace.Wrap(err)
 			}
-			if err := pause(ctx, o.settle); err != nil {
+			if err := sleepFor(ctx, o.settleDuration); err != nil {
 				return err
 			}
-			if err := f.measure(ctx, r, size{"endpoints", count}, nil); err != nil {
+			if err := f.measureUsage(ctx, r, sweepPoint{"endpoints", count}, nil); err != nil {
 				return trace.Wrap(err)
 			}
 		}
@@ -69,7 +69,7 @@
 	})
 }
 
-// startStandins starts emulated endpoints, one process for each zone.
+// startStandins starts count emulated endpoints, with one process for each zone.
 func (f *testFleet) startStandins(role, prefix string, count int) error {
 	for n, zone := range zones {
 		share := count / len(zones)
@@ -93,7 +93,7 @@
 		}
 		log := filepath.Join(f.folder, "standins", prefix+"-"+zone)
 		p, err := startProcess(log, []string{"HYSSOPSAIL_ENDPOINT_KEY=" + endpointKey},
-			filepath.Join(f.options.bin, "hyssopsail-standin"), arguments...)
+			filepath.Join(f.options.binFolder, "hyssopsail-standin"), arguments...)
 		if err != nil {
 			return trace.Wrap(err)
 		}
@@ -102,21 +102,21 @@
 	return nil
 }
 
-func (f *testFleet) untilListed(ctx context.Context, count int) error {
+func (f *testFleet) waitForEndpoints(ctx context.Context, count int) error {
 	client, err := f.operatorOf(operatorKey, f.entries()[0].Operators)
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	return until(ctx, fmt.Sprint(count, " endpoints are listed"), func() bool {
+	return waitUntil(ctx, fmt.Sprint(count, " endpoints are listed"), func() bool {
 		reply, err := client.Endpoints(ctx)
 		return err == nil && len(reply.Endpoints) >= count
 	})
 }
 
-// measureTeams varies the number of teams, idle and with changes.
+// measureTeams varies the number of teams in an idle fleet, then the rate of changes.
 func measureTeams(ctx context.Context, o options, r *report) error {
-	return withFleet(ctx, o, midSize, func(f *testFleet) error {
-		if err := f.measure(ctx, r, size{"teams", 1}, nil); err != nil {
+	return withFleet(ctx, o, defaultFleetSize, func(f *testFleet) error {
+		if err := f.measureUsage(ctx, r, sweepPoint{"teams", 1}, nil); err != nil {
 			return trace.Wrap(err)
 		}
 		present := 1
@@ -125,12 +125,12 @@
 			if err := f.addTeams(ctx, present, count); err != nil {
 				return trace.Wrap(err)
 			}
-			r.add("teams made", "fleet", "1/s", size{"teams", count}, []float64{float64(count-present) / time.Since(began).Seconds()})
+			r.add("teams made", "fleet", "1/s", sweepPoint{"teams", count}, []float64{float64(count-present) / time.Since(began).Seconds()})
 			present = count
-			if err := pause(ctx, o.settle); err != nil {
+			if err := sleepFor(ctx, o.settleDuration); err != nil {
 				return err
 			}
-			if err := f.measure(ctx, r, size{"teams", count}, nil); err != nil {
+			if err := f.measureUsage(ctx, r, sweepPoint{"teams", count}, nil); err != nil {
 				return trace.Wrap(err)
 			}
 		}
@@ -138,17 +138,17 @@
 	})
 }
 
-// measureChanges varies the changes a second, with all teams present.
+// measureChanges varies the changes per second, with all teams present.
 func (f *testFleet) measureChanges(ctx context.Context, r *report, teams int) error {
 	for _, rate := range []int{0, 1, 10} {
 		var do func(context.Context) error
 		if rate > 0 {
 			do = func(ctx context.Context) error {
-				_, err := f.changeSteadily(ctx, rate, teams)
+				_, err := f.changeAtRate(ctx, rate, teams)
 				return err
 			}
 		}
-		if err := f.measure(ctx, r, size{fmt.Sprintf("changes/s, %d teams", teams), rate}, do); err != nil {
+		if err := f.measureUsage(ctx, r, sweepPoint{fmt.Sprintf("changes/s, %d teams", teams), rate}, do); err != nil {
 			return trace.Wrap(err)
 		}
 	}
@@ -156,12 +156,12 @@
 	waits := newTally()
 	for n := range 5 {
 		sent := time.Now()
-		if _, err := send(ctx, f.client, name, f.versions[name], fmt.Sprint("wait-", n), teamDocument(0, 50+n), 10*time.Second); err != nil {
+		if _, err := sendChange(ctx, f.client, name, f.versions[name], fmt.Sprint("wait-", n), teamDocument(0, 50+n), 10*time.Second); err != nil {
 			return trace.Wrap(err)
 		}
 		f.versions[name]++
 		waits.add("answer to a change with a wait", "fleet", "ms", milliseconds(time.Since(sent)))
 	}
-	waits.report(r, size{"teams", teams})
-	return f.measureInForce(ctx, r, size{"teams", teams})
+	waits.report(r, sweepPoint{"teams", teams})
+	return f.measurePropagation(ctx, r, sweepPoint{"teams", teams})
 }
--- a/internal/capacity/usage.go
+++ b/internal/capacity/usage.go
@@ -12,7 +12,7 @@
 	"github.com/hyssopsail/hyssopsail/internal/operator"
 )
 
-// Names of metrics that are read.
+// Names of the metrics that are read from daemons.
 const (
 	metricBytes    = "hyssopsail_rpc_bytes_total"
 	metricCalls    = "hyssopsail_rpc_calls_total"
@@ -22,20 +22,20 @@
 	metricHeap     = "go_memstats_heap_alloc_bytes"
 )
 
-// span is two samples of each daemon.
+// span holds two samples of each daemon, in the order of the instances.
 type span struct {
 	before, after []sample
 }
 
-// during samples all daemons before and after a window in which do runs; do
-// may be nil.
-func (f *testFleet) during(ctx context.Context, window time.Duration, do func(context.Context) error) (span, error) {
+// sampleWindow samples all daemons before and after a window during which do runs;
+// if do is nil, the fleet is idle.
+func (f *testFleet) sampleWindow(ctx context.Context, window time.Duration, do func(context.Context) error) (span, error) {
 	before, err := f.samples(ctx)
 	if err != nil {
 		return span{}, trace.Wrap(err)
 	}
 	if do == nil {
-		err = pause(ctx, window)
+		err = sleepFor(ctx, window)
 	} else {
 		limited, cancel := context.WithTimeout(ctx, window)
 		err = do(limited)
@@ -48,7 +48,7 @@
 	return span{before, after}, trace.Wrap(err)
 }
 
-// rate gives a counter's growth a second at the n-th daemon.
+// rate returns a counter's growth per second at the n-th daemon.
 func (s span) rate(n int, name string, l labels) float64 {
 	return s.growth(n, name, l) / s.after[n].at.Sub(s.before[n].at).Seconds()
 }
@@ -57,9 +57,9 @@
 	return s.after[n].sum(name, l) - s.before[n].sum(name, l)
 }
 
-// role of a daemon in a figure: a fleet whose control instances also serve
-// callers has "leader" and "control" for those.
-func (f *testFleet) role(i, leader *instance) string {
+// roleOf returns the role under which a daemon's figures are reported. Control
+// instances that also serve callers are "leader" or "control".
+func (f *testFleet) roleOf(i, leader *instance) string {
 	switch {
 	case i == leader:
 		return "leader"
@@ -69,7 +69,7 @@
 	return roleEntry
 }
 
-// tally collects values by role and name until they are reported.
+// tally collects values by name, role and unit until they are reported.
 type tally struct {
 	order  []tallyKey
 	values map[tallyKey][]float64
@@ -87,16 +87,16 @@
 	t.values[key] = append(t.values[key], value)
 }
 
-func (t *tally) report(r *report, at size) {
+func (t *tally) report(r *report, at sweepPoint) {
 	for _, key := range t.order {
 		r.add(key.name, key.role, key.unit, at, t.values[key])
 	}
 }
 
-// usage adds what each daemon used in a span.
-func (f *testFleet) usage(t *tally, s span, leader *instance) {
+// addUsage adds the resource usage of each daemon in a span.
+func (f *testFleet) addUsage(t *tally, s span, leader *instance) {
 	for n, i := range f.instances {
-		role := f.role(i, leader)
+		role := f.roleOf(i, leader)
 		t.add("rpc sent", role, "B/s", s.rate(n, metricBytes, labels{"direction": "sent"}))
 		t.add("rpc received", role, "B/s", s.rate(n, metricBytes, labels{"direction": "received"}))
 		t.add("rpc calls made and answered", role, "1/s", s.rate(n, metricCalls, nil))
@@ -105,7 +105,7 @@
 		t.add("cpu", role, "core", s.rate(n, metricCPU, nil))
 		t.add("resident", role, "MB", s.after[n].sum(metricResident, nil)/1e6)
 		t.add("heap", role, "MB", s.after[n].sum(metricHeap, nil)/1e6)
-		for method := range s.after[n].by(metricBytes, "method", nil) {
+		for method := range s.after[n].sumBy(metricBytes, "method", nil) {
 			t.add("rpc both ways: "+method, role, "B/s", s.rate(n, metricBytes, labels{"method": method}))
 			t.add("rpc calls: "+method, role, "1/s", s.rate(n, metricCalls, labels{"method": method}))
 		}
@@ -120,19 +120,20 @@
 	return &http.Transport{TLSClientConfig: secure, MaxIdleConnsPerHost: 64}, nil
 }
 
-// measure takes the windows of one size, idle or while do runs.
-func (f *testFleet) measure(ctx context.Context, r *report, at size, do func(context.Context) error) error {
+// measureUsage measures resource usage in the windows of one size, idle or while do
+// runs.
+func (f *testFleet) measureUsage(ctx context.Context, r *report, at sweepPoint, do func(context.Context) error) error {
 	leader, err := f.leader(ctx)
 	if err != nil {
 		return trace.Wrap(err)
 	}
 	t := newTally()
-	for range f.options.repeats {
-		s, err := f.during(ctx, f.options.window, do)
+	for range f.options.windowsPerSize {
+		s, err := f.sampleWindow(ctx, f.options.windowDuration, do)
 		if err != nil {
 			return trace.Wrap(err)
 		}
-		f.usage(t, s, leader)
+		f.addUsage(t, s, leader)
 	}
 	t.report(r, at)
 	return nil
