--- a/internal/httpconn/conn.go
+++ b/internal/httpconn/conn.go
@@ -163,9 +163,9 @@
 
 // readHead reads the status line and header of the response that belongs to r.
 func (c *conn) readHead(r *Request) (*http.Response, error) {
-	asked := &http.Request{Method: r.Method}
-	for strays := 0; strays <= maxStrayResponses; {
-		head, err := http.ReadResponse(c.reader, asked)
+	request := &http.Request{Method: r.Method}
+	for skipped := 0; skipped <= maxStrayResponses; {
+		head, err := http.ReadResponse(c.reader, request)
 		if err != nil {
 			return nil, err
 		}
@@ -175,7 +175,7 @@
 		if r.Matches == nil || r.Matches(head.StatusCode, head.Header) {
 			return head, nil
 		}
-		strays++
+		skipped++
 		if _, err := io.Copy(io.Discard, head.Body); err != nil {
 			return nil, err
 		}
--- a/internal/httpconn/httpconn_test.go
+++ b/internal/httpconn/httpconn_test.go
@@ -277,22 +277,22 @@
 // When the caller cancels while the endpoint works, the connection is closed so that
 // the endpoint can stop.
 func TestCancellationClosesTheConnection(t *testing.T) {
-	gone := make(chan error, 1)
+	closed := make(chan error, 1)
 	s := serve(t, func(s *scriptedEndpoint, _ int, c net.Conn) {
 		r := bufio.NewReader(c)
 		_, _ = s.read(r)
 		_, err := r.ReadByte()
-		gone <- err
+		closed <- err
 	})
 	ctx, cancel := context.WithCancelCause(t.Context())
-	left := errors.New("the caller left")
+	cause := errors.New("the caller cancelled")
 	go func() {
 		<-s.requests
-		cancel(left)
+		cancel(cause)
 	}()
 	_, err := newTestPool(t).Do(ctx, s.address(), request("a"), false)
-	assert.ErrorIs(t, err, left)
-	assert.Assert(t, <-gone != nil)
+	assert.ErrorIs(t, err, cause)
+	assert.Assert(t, <-closed != nil)
 }
 
 func TestConnectionNearIdleTimeoutIsNotReused(t *testing.T) {
--- a/internal/httpconn/pool.go
+++ b/internal/httpconn/pool.go
@@ -17,7 +17,7 @@
 	defaultIdleTimeout = 4 * time.Second
 	// keepAliveMargin is how long before the endpoint's Keep-Alive timeout a
 	// connection is dropped: a request that crosses the endpoint's close gets
-	// no response and can't be told from one that ran.
+	// no response and can't be distinguished from one that ran.
 	keepAliveMargin = 1200 * time.Millisecond
 	// maxIdlePerAddress bounds the idle connections to one address.
 	maxIdlePerAddress = 12
