--- a/internal/rpc/metrics_test.go
+++ b/internal/rpc/metrics_test.go
@@ -45,7 +45,7 @@
 func TestBytesAndCallsAreCountedByMethod(t *testing.T) {
 	const (
 		calls   = 3
-		closing = 64 // bytes that end the last call, which no later one takes
+		closing = 64 // maximum bytes that end the last call and are counted for no later one
 	)
 	config := newAuthority(t).issue(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/rpc/pool.go
+++ b/internal/rpc/pool.go
@@ -29,7 +29,7 @@
 type Pool struct {
 	tls     *tls.Config
 	clock   Clock
-	localIP net.IP   // nil: the kernel chooses
+	localIP net.IP   // nil: chosen by the kernel
 	metrics *Metrics // nil: none
 	spares  *spareConns
 	pool    *drpcpool.Pool[string, drpcpool.Conn]
