--- a/internal/explain/rejection.go
+++ b/internal/explain/rejection.go
@@ -32,7 +32,8 @@
 	return "it showed no key, and its route needs one"
 }
 
-// pendingConfiguration tells of a newer configuration that the entry knew of and did not have.
+// pendingConfiguration returns a remark on a newer configuration that the entry knew to
+// exist but had not received; "" if there was none.
 func pendingConfiguration(l Line) string {
 	if behind := intField(l, "behind_ms"); behind > 0 {
 		return fmt.Sprintf("; a newer one had been on its way for %d ms, so it was told to come again", behind)
--- a/internal/explain/requestreport.go
+++ b/internal/explain/requestreport.go
@@ -25,7 +25,7 @@
 // Endpoint is what else the logs say about an endpoint that the request used.
 type Endpoint struct {
 	ID                 string   `json:"id"`
-	Notes              []Note   `json:"known"` // lines that name no request
+	Notes              []Note   `json:"known"` // lines of members and followers, which name no request
 	OmittedNotes       int      `json:"more"`  // such notes beyond those kept
 	FailedRequests     []string `json:"lost"`  // the first few other requests that failed there
 	FailedRequestCount int      `json:"lost_count"`
@@ -67,6 +67,7 @@
 	return ids
 }
 
+// describeEndpoint collects what the lines say about an endpoint, except those of request.
 func describeEndpoint(lines []Line, id, request string) Endpoint {
 	e := Endpoint{ID: id}
 	for _, l := range lines {
@@ -102,7 +103,7 @@
 	e.Notes = append(e.Notes, Note{First: l, Count: 1, text: text})
 }
 
-// Messages of lines that tell how a request ended, and of decisions before that.
+// Messages of the log lines of a request: its outcome, and decisions before that.
 const (
 	answered      = "relay: Answered."
 	brokenOff     = "relay: Broken off."
@@ -172,6 +173,7 @@
 	return n
 }
 
+// omittedDecisions returns a remark on decisions that the entry left out of the log.
 func omittedDecisions(lines []Line) string {
 	for _, l := range lines {
 		if l.Message == moreDecisions {
@@ -208,7 +210,8 @@
 	return n
 }
 
-// errorSuffix gives what the log knows of the connection's or the caller's end.
+// errorSuffix returns the logged error and what ended the exchange, as the end of a
+// sentence; "" if neither was logged.
 func errorSuffix(l Line) string {
 	text := ""
 	if err := l.Get("err"); err != "" && err != "null" {
