--- a/internal/load/result.go
+++ b/internal/load/result.go
@@ -37,7 +37,7 @@
 	GoodPerSec    float64         `json:"good_per_sec"`
 	TokensPerSec  float64         `json:"tokens_per_sec"`
 	FirstToken    Latency         `json:"first_token"`
-	TokenGap      Latency         `json:"token_gap"` // between events that bring tokens
+	TokenGap      Latency         `json:"token_gap"` // between events with tokens
 	Whole         Latency         `json:"whole"`
 	FirstInTarget float64         `json:"first_in_target"` // share
 	GapInTarget   float64         `json:"gap_in_target"`   // share
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -24,7 +24,7 @@
 	Pair      int
 }
 
-// runner is the state of one run. mu and the tallies' locks are never held together.
+// runner is the state of one run. Locking: mu and each tally's lock are held alone.
 type runner struct {
 	experiment *Experiment
 	caller     *caller
--- a/internal/load/tally.go
+++ b/internal/load/tally.go
@@ -26,8 +26,8 @@
 	gap                 *hdrhistogram.Histogram
 	total               *hdrhistogram.Histogram
 	notRun              []string // markers of requests that the system reported as not run
-	firstTokensInTarget int64    // first tokens within the target
-	gapsInTarget        int64    // gaps within the target
+	firstTokensInTarget int64
+	gapsInTarget        int64
 }
 
 func newTally(s *Stream) *tally {
--- a/internal/load/verdict.go
+++ b/internal/load/verdict.go
@@ -35,6 +35,6 @@
 	totalLatency      time.Duration // from the intended time
 	tokens            int
 	meanGap           time.Duration
-	gaps              []time.Duration // between events that bring tokens
-	repeats           int             // sent again
+	gaps              []time.Duration // between events with tokens
+	repeats           int             // how often the request was sent again
 }
