--- a/internal/entry/addresses.go
+++ b/internal/entry/addresses.go
@@ -12,10 +12,10 @@
 	"github.com/hyssopsail/hyssopsail/internal/settings"
 )
 
-// addresses answers GET /v1/addresses. The first address falls evenly over
-// the permitted entries, as each answer is ranked by its own request ID; those
-// in this entry's zone go first, since the caller found its way here.
-func (c *callers) addresses(x *exchange) *route.Failure {
+// addresses answers GET /v1/addresses. Entries in this entry's zone come first,
+// since the caller can reach this zone. Ranking by request ID spreads the first
+// address evenly over the permitted entries.
+func (c *callerHandler) addresses(x *exchange) *route.Failure {
 	if !c.opts.Source.Current(time.Now()) {
 		return &route.Failure{
 			Code: callerapi.CodeNotCurrent, Message: "this entry can't confirm its settings now",
@@ -30,7 +30,7 @@
 		KeepMs:    state.Tree.Fleet.Timeouts.AddressKeep.Milliseconds(),
 	}
 	for _, e := range ranked {
-		if e.CallerAddress != "" && len(reply.Addresses) < c.bounds.Addresses {
+		if e.CallerAddress != "" && len(reply.Addresses) < c.bounds.MaxAddresses {
 			reply.Addresses = append(reply.Addresses, callerapi.Address{Address: e.CallerAddress, Zone: string(e.Zone)})
 		}
 	}
@@ -40,35 +40,35 @@
 			Outcome: callerapi.OutcomeNotRun, RetryAfter: route.DefaultRetryAfter,
 		}
 	}
-	return x.json(reply)
+	return x.writeJSON(reply)
 }
 
-// json writes an answer that is not a request's own.
-func (x *exchange) json(v any) *route.Failure {
+// writeJSON answers with v as JSON and status 200.
+func (x *exchange) writeJSON(v any) *route.Failure {
 	body, err := json.Marshal(v)
 	if err != nil {
 		panic(err) // plain strings and numbers always encode
 	}
-	x.began = true
+	x.headersSent = true
 	x.w.Header().Set("Content-Type", "application/json")
 	_, _ = x.w.Write(body)
 	return nil
 }
 
-// otherAddresses are the entries that the team may go to instead of this one.
-func (c *callers) otherAddresses(team settings.Team) []string {
+// otherAddresses returns the addresses of the other entries that the team may use.
+func (c *callerHandler) otherAddresses(team settings.Team) []string {
 	var out []string
 	self := c.opts.Source.Self().ID
 	for _, e := range c.opts.Source.State().View.Entries(team.Permitted()) {
-		if e.ID != self && e.CallerAddress != "" && len(out) < c.bounds.Addresses {
+		if e.ID != self && e.CallerAddress != "" && len(out) < c.bounds.MaxAddresses {
 			out = append(out, e.CallerAddress)
 		}
 	}
 	return out
 }
 
-// ready answers whether this entry takes requests.
-func (c *callers) ready(w http.ResponseWriter, _ *http.Request) {
+// ready answers GET /readyz: 200 if this entry accepts requests, else 503.
+func (c *callerHandler) ready(w http.ResponseWriter, _ *http.Request) {
 	self := c.opts.Source.Self()
 	declared := placement.Declared(c.opts.Source.State().Tree, self.Zone)
 	if c.opts.Source.Current(time.Now()) && declared && !c.opts.Router.Draining() {
--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -13,33 +13,33 @@
 	"github.com/hyssopsail/hyssopsail/internal/timeline"
 )
 
-// CallersOptions are the parts of the callers' handler.
+// CallersOptions configures the handler of the callers' API.
 type CallersOptions struct {
 	Router   *route.Router
 	Source   membership.Source
 	Recorder timeline.Recorder
-	// TeamByKey finds the team of a caller's key, in constant time for each
-	// key that the tree holds.
+	// TeamByKey finds the team of a caller's key. It compares with each key of the
+	// tree in constant time.
 	TeamByKey  func(tree *settings.Tree, key string) (settings.Team, bool)
 	Bounds     Bounds // zero fields take DefaultBounds
 	Part       logging.Part
 	Registerer prometheus.Registerer // nil: no metrics
 }
 
-// callers is the callers' handler.
-type callers struct {
+// callerHandler serves the callers' API.
+type callerHandler struct {
 	opts    CallersOptions
 	bounds  Bounds
 	metrics *metrics
-	start   *start
+	startup *startupWait
 }
 
-// NewCallers makes the handler of the callers' interface.
+// NewCallers returns the handler of the callers' API.
 func NewCallers(o CallersOptions) http.Handler {
-	c := &callers{opts: o, bounds: o.Bounds.withDefaults(), metrics: newMetrics(o.Registerer)}
-	c.start = &start{source: o.Source, within: c.bounds.StartTime}
+	c := &callerHandler{opts: o, bounds: o.Bounds.withDefaults(), metrics: newMetrics(o.Registerer)}
+	c.startup = &startupWait{source: o.Source, timeout: c.bounds.StartupTimeout}
 	mux := chi.NewRouter()
-	mux.Use(c.recovered)
+	mux.Use(c.recoverPanics)
 	mux.Get("/healthz", c.health)
 	mux.Get("/readyz", c.ready)
 	mux.NotFound(c.notFound)
@@ -53,6 +53,6 @@
 	return mux
 }
 
-func (c *callers) health(w http.ResponseWriter, _ *http.Request) {
+func (c *callerHandler) health(w http.ResponseWriter, _ *http.Request) {
 	w.WriteHeader(http.StatusOK)
 }
--- a/internal/entry/doc.go
+++ b/internal/entry/doc.go
@@ -1,4 +1,4 @@
-// Package entry serves callers over HTTP: it knows the team by its key, bounds
-// and decodes what it is sent, hands the request to package route, and writes
-// the answer whole or says that it failed.
+// Package entry serves callers over HTTP: it identifies the team by its key,
+// limits and decodes requests, hands them to package route, and writes the
+// complete answer or an error.
 package entry
--- a/internal/entry/event.go
+++ b/internal/entry/event.go
@@ -7,13 +7,13 @@
 	"github.com/hyssopsail/hyssopsail/internal/engineapi"
 )
 
-// eventWriter builds the server-sent events of one answer. What all events
-// share is encoded once: encoding/json for each token would cost more than
-// the rest of the relay.
+// eventWriter builds the server-sent events of one answer. The parts that all
+// events share are encoded once: encoding/json for each token would cost more
+// than the rest of the relay.
 type eventWriter struct {
-	head  []byte // up to the token's text
-	tail  []byte // after it, up to the finish reason
-	event []byte // reused
+	prefix []byte // before the token's text
+	suffix []byte // between the text and the finish reason
+	buffer []byte // reused
 }
 
 const (
@@ -21,9 +21,9 @@
 	eventEnd   = "\n\n"
 )
 
-func newEventWriter(h replyHead) *eventWriter {
+func newEventWriter(h replyFields) *eventWriter {
 	object, before, after := "text_completion", `{"index":0,"text":`, `,"finish_reason":`
-	if h.shape == shapeChat {
+	if h.format == formatChat {
 		object = "chat.completion.chunk"
 		before, after = `{"index":0,"delta":{"role":"assistant","content":`, `},"finish_reason":`
 	}
@@ -37,30 +37,30 @@
 	b = appendString(b, h.model)
 	b = append(b, `,"choices":[`...)
 	b = append(b, before...)
-	return &eventWriter{head: b, tail: []byte(after)}
+	return &eventWriter{prefix: b, suffix: []byte(after)}
 }
 
-// chunk gives the event of one chunk; valid until the next call.
+// chunk returns the event of one chunk. It is valid until the next call.
 func (w *eventWriter) chunk(c engineapi.Chunk) []byte {
-	b := append(w.event[:0], w.head...)
+	b := append(w.buffer[:0], w.prefix...)
 	b = appendString(b, c.Text)
-	b = append(b, w.tail...)
+	b = append(b, w.suffix...)
 	if c.Finish == engineapi.FinishNone {
 		b = append(b, "null"...)
 	} else {
 		b = appendString(b, string(c.Finish))
 	}
 	b = append(b, "}]}"+eventEnd...)
-	w.event = b
+	w.buffer = b
 	return b
 }
 
-// appendString appends s as a JSON string. Plain ASCII, which most tokens
-// are, is copied; the rest goes through encoding/json.
+// appendString appends s as a JSON string. ASCII that needs no escaping, as in
+// most tokens, is copied; all else goes through encoding/json.
 func appendString(b []byte, s string) []byte {
 	for i := 0; i < len(s); i++ {
-		if !plain(s[i]) {
-			return appendEncoded(b, s)
+		if !isUnescapedASCII(s[i]) {
+			return appendMarshalled(b, s)
 		}
 	}
 	b = append(b, '"')
@@ -68,7 +68,7 @@
 	return append(b, '"')
 }
 
-func plain(c byte) bool {
+func isUnescapedASCII(c byte) bool {
 	if c < ' ' || c >= 0x7f {
 		return false
 	}
@@ -79,7 +79,7 @@
 	return true
 }
 
-func appendEncoded(b []byte, s string) []byte {
+func appendMarshalled(b []byte, s string) []byte {
 	encoded, err := json.Marshal(s)
 	if err != nil {
 		panic(err) // a string always encodes
--- a/internal/entry/event_test.go
+++ b/internal/entry/event_test.go
@@ -12,12 +12,12 @@
 	"github.com/hyssopsail/hyssopsail/internal/engineapi"
 )
 
-// The events are put together by hand for speed; each must decode to what the
-// contract's type encodes, whatever the text.
+// The events are assembled without encoding/json for speed. Each must decode to
+// a callerapi.CompletionReply with the same content, whatever the text.
 func TestEventsMatchTheContract(t *testing.T) {
 	texts := []string{"", "plain ", "\"quoted\" \\ /", "line\nbreak\ttab\x00", "台灣民謠", "<script>&", "\u2028", "bad\xff utf8"}
-	for _, form := range []shape{shapeChat, shapeText} {
-		w := newEventWriter(replyHead{shape: form, id: "r-1", created: 7, model: `fi"bre`})
+	for _, form := range []completionFormat{formatChat, formatText} {
+		w := newEventWriter(replyFields{format: form, id: "r-1", created: 7, model: `fi"bre`})
 		for _, text := range texts {
 			for _, finish := range []engineapi.Finish{engineapi.FinishNone, engineapi.FinishStop} {
 				got := decodeEvent(t, w.chunk(engineapi.Chunk{Text: text, Finish: finish}))
@@ -53,7 +53,7 @@
 	f.Add("plain ")
 	f.Add("\"\\\n")
 	f.Fuzz(func(t *testing.T, text string) {
-		w := newEventWriter(replyHead{shape: shapeChat, id: "r", model: "m"})
+		w := newEventWriter(replyFields{format: formatChat, id: "r", model: "m"})
 		got := textOf(decodeEvent(t, w.chunk(engineapi.Chunk{Text: text})))
 		if utf8.ValidString(text) {
 			assert.Equal(t, got, text)
@@ -66,9 +66,9 @@
 	f.Add([]byte(`{"model":"fibre","prompt":"a","max_tokens":-1}`))
 	f.Add([]byte(`[`))
 	f.Fuzz(func(t *testing.T, body []byte) {
-		for _, decode := range []func([]byte) (ask, bool){
-			func(b []byte) (ask, bool) { a, failure := decodeChat(b); return a, failure == nil },
-			func(b []byte) (ask, bool) { a, failure := decodeCompletion(b); return a, failure == nil },
+		for _, decode := range []func([]byte) (decodedRequest, bool){
+			func(b []byte) (decodedRequest, bool) { a, failure := decodeChat(b); return a, failure == nil },
+			func(b []byte) (decodedRequest, bool) { a, failure := decodeCompletion(b); return a, failure == nil },
 		} {
 			a, ok := decode(body)
 			assert.Assert(t, !ok || (a.model != "" && a.prompt != "" && a.maxTokens >= 0))
@@ -92,8 +92,8 @@
 	})
 }
 
-// Headers with which a caller could speak as a daemon, and the team's key,
-// don't reach an endpoint.
+// Headers with which a caller could pose as a daemon, hop-by-hop headers and the
+// team's key don't reach an endpoint.
 func TestCopyHeader(t *testing.T) {
 	from := map[string][]string{
 		"Authorization": {"Bearer k"}, "Idempotency-Key": {"k"}, "Hyssopsail-Owner": {"e1/1"}, "Hyssopsail-Attempt": {"a"},
@@ -105,7 +105,7 @@
 }
 
 func BenchmarkEvent(b *testing.B) {
-	w := newEventWriter(replyHead{shape: shapeChat, id: "r-0123456789", created: 7, model: "fibre"})
+	w := newEventWriter(replyFields{format: formatChat, id: "r-0123456789", created: 7, model: "fibre"})
 	c := engineapi.Chunk{Text: "cotton ", Tokens: 1}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/entry/exchange.go
+++ b/internal/entry/exchange.go
@@ -14,45 +14,46 @@
 	"github.com/hyssopsail/hyssopsail/internal/settings"
 )
 
-// exchange is one caller's request and its answer.
+// exchange is one caller's request and its answer. key is the idempotency key.
 type exchange struct {
-	w       http.ResponseWriter
-	r       *http.Request
-	id      fleet.RequestID
-	team    settings.Team
-	arrived time.Time
-	key     string
-	control *http.ResponseController
-	began   bool // headers are out
+	w           http.ResponseWriter
+	r           *http.Request
+	id          fleet.RequestID
+	team        settings.Team
+	arrived     time.Time
+	key         string
+	control     *http.ResponseController
+	headersSent bool // the answer has begun: no error can be sent in its place
 }
 
-// handler serves one exchange of a known team; a failure that it returns is
-// answered in the one error form.
-type handler func(x *exchange) *route.Failure
+// exchangeFunc serves one exchange of an identified team. A failure that it returns
+// is answered with an ErrorBody.
+type exchangeFunc func(x *exchange) *route.Failure
 
 const bearer = "Bearer "
 
-// forTeam knows the team by its key and answers what the handler can't.
-func (c *callers) forTeam(h handler) http.HandlerFunc {
+// forTeam wraps h: it identifies the team by its key and answers any failure.
+func (c *callerHandler) forTeam(h exchangeFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		x := &exchange{
 			w: w, r: r, id: route.NewRequestID(), arrived: time.Now(),
 			control: http.NewResponseController(w),
 		}
 		w.Header().Set(callerapi.HeaderRequestID, string(x.id))
-		c.start.await(r.Context())
+		c.startup.await(r.Context())
 		failure := c.identify(x)
 		if failure == nil {
 			failure = h(x)
 		}
 		if failure != nil {
-			c.fail(x, failure)
+			c.writeFailure(x, failure)
 		}
 	}
 }
 
-// identify fills in team and key.
-func (c *callers) identify(x *exchange) *route.Failure {
+// identify sets x.team from the caller's credentials and x.key from the
+// idempotency key.
+func (c *callerHandler) identify(x *exchange) *route.Failure {
 	secret, ok := strings.CutPrefix(x.r.Header.Get(callerapi.HeaderAuthorise), bearer)
 	if !ok {
 		return unauthorised()
@@ -69,11 +70,11 @@
 	return nil
 }
 
-// unknownTeam refuses a key that no team has. An entry that can't confirm its settings
-// doesn't know that.
-func (c *callers) unknownTeam(x *exchange) *route.Failure {
+// unknownTeam refuses a key that no team of the local settings has. While the settings
+// can't be confirmed to be current, a team may have it, so the refusal is the router's.
+func (c *callerHandler) unknownTeam(x *exchange) *route.Failure {
 	if !c.opts.Source.Current(time.Now()) {
-		// It may be current by now, and refuses nothing.
+		// Refuses returns nil if the settings have become current since the check above.
 		if failure := c.opts.Router.Refuses("", x.key); failure != nil {
 			return failure
 		}
@@ -101,12 +102,12 @@
 	}
 }
 
-// body reads the whole body, unless the request is refused whatever it is.
+// body reads the whole body, unless the request is refused whatever its body.
 //
-// When a part stays unread the connection is closed after the answer: the HTTP
-// server would else wait for the rest before it sends the refusal, so that a
-// caller with a slow or endless body gets its refusal late or never.
-func (c *callers) body(x *exchange) ([]byte, *route.Failure) {
+// After a failure the connection is closed. Otherwise the HTTP server would wait
+// for the unread rest before it sends the refusal, and a caller with a slow or
+// endless body would get the refusal late or never.
+func (c *callerHandler) body(x *exchange) ([]byte, *route.Failure) {
 	body, failure := c.readBody(x)
 	if failure != nil {
 		x.w.Header().Set("Connection", "close")
@@ -114,8 +115,8 @@
 	return body, failure
 }
 
-// readBody reads within the team's bound and the body time.
-func (c *callers) readBody(x *exchange) ([]byte, *route.Failure) {
+// readBody reads the body within the team's size limit and Bounds.BodyTime.
+func (c *callerHandler) readBody(x *exchange) ([]byte, *route.Failure) {
 	if failure := c.opts.Router.Refuses(x.team.Name, x.key); failure != nil {
 		return nil, failure
 	}
@@ -126,7 +127,7 @@
 	if x.r.ContentLength > limit {
 		return nil, tooLarge()
 	}
-	// Recorders in tests have no deadline.
+	// Response recorders in tests don't support deadlines.
 	_ = x.control.SetReadDeadline(time.Now().Add(c.bounds.BodyTime))
 	body, err := io.ReadAll(http.MaxBytesReader(x.w, x.r.Body, limit))
 	_ = x.control.SetReadDeadline(time.Time{})
@@ -140,8 +141,8 @@
 	return nil, badRequest("the body could not be read")
 }
 
-// patience reads the caller's own deadline; 0: none given.
-func (x *exchange) patience() (time.Duration, *route.Failure) {
+// timeout returns the time limit that the caller set in HeaderDeadline; 0: none.
+func (x *exchange) timeout() (time.Duration, *route.Failure) {
 	text := x.r.Header.Get(callerapi.HeaderDeadline)
 	if text == "" {
 		return 0, nil
--- a/internal/entry/fail.go
+++ b/internal/entry/fail.go
@@ -10,8 +10,8 @@
 	"github.com/hyssopsail/hyssopsail/internal/route"
 )
 
-// statuses of the codes; a code not named here answers 503.
-var statuses = map[callerapi.Code]int{
+// statusByCode has the HTTP status of each error code; other codes get 503.
+var statusByCode = map[callerapi.Code]int{
 	callerapi.CodeUnauthorised:  http.StatusUnauthorized,
 	callerapi.CodeBadRequest:    http.StatusBadRequest,
 	callerapi.CodeTooLarge:      http.StatusRequestEntityTooLarge,
@@ -35,14 +35,15 @@
 	if f.Code == callerapi.CodeUnknown && f.TimedOut {
 		return http.StatusGatewayTimeout
 	}
-	if status, ok := statuses[f.Code]; ok {
+	if status, ok := statusByCode[f.Code]; ok {
 		return status
 	}
 	return http.StatusServiceUnavailable
 }
 
-// elsewhere tells whether another entry may serve what this one refused.
-func elsewhere(code callerapi.Code) bool {
+// servableByOtherEntry reports whether another entry may accept a request that
+// this one refused with code.
+func servableByOtherEntry(code callerapi.Code) bool {
 	switch code {
 	case callerapi.CodeNotCurrent, callerapi.CodeDraining, callerapi.CodeNoZone, callerapi.CodeOverloaded:
 		return true
@@ -50,36 +51,37 @@
 	return false
 }
 
-// errorBody is the one form of f.
-func (c *callers) errorBody(x *exchange, f *route.Failure) callerapi.ErrorBody {
+// errorBody returns the JSON body for f.
+func (c *callerHandler) errorBody(x *exchange, f *route.Failure) callerapi.ErrorBody {
 	e := callerapi.Error{
 		Code:         f.Code,
 		Message:      f.Message,
 		Outcome:      f.Outcome,
-		RetryAfterMs: ceil(f.RetryAfter, time.Millisecond),
+		RetryAfterMs: ceilUnits(f.RetryAfter, time.Millisecond),
 		RequestID:    string(x.id),
 	}
-	if elsewhere(f.Code) {
+	if servableByOtherEntry(f.Code) {
 		e.Addresses = c.otherAddresses(x.team)
 	}
 	return callerapi.ErrorBody{Error: e}
 }
 
-// ceil gives d in whole units, rounded up: a caller never comes back early.
-func ceil(d, unit time.Duration) int64 {
+// ceilUnits returns d in whole units, rounded up so that a caller never retries
+// too early. A negative d counts as 0.
+func ceilUnits(d, unit time.Duration) int64 {
 	if d <= 0 {
 		return 0
 	}
 	return int64((d + unit - 1) / unit)
 }
 
-// fail answers f, if nothing of an answer is out yet.
-func (c *callers) fail(x *exchange, f *route.Failure) {
-	c.metrics.answered(f)
-	if x.began {
+// writeFailure counts f and answers with it unless headers have been sent.
+func (c *callerHandler) writeFailure(x *exchange, f *route.Failure) {
+	c.metrics.countFailure(f)
+	if x.headersSent {
 		return
 	}
-	x.began = true
+	x.headersSent = true
 	body, err := json.Marshal(c.errorBody(x, f))
 	if err != nil {
 		panic(err) // plain strings and numbers always encode
@@ -88,30 +90,30 @@
 	h.Set("Content-Type", "application/json")
 	h.Set(callerapi.HeaderOutcome, string(f.Outcome))
 	if f.RetryAfter > 0 {
-		h.Set(callerapi.HeaderRetryAfter, strconv.FormatInt(ceil(f.RetryAfter, time.Second), 10))
+		h.Set(callerapi.HeaderRetryAfter, strconv.FormatInt(ceilUnits(f.RetryAfter, time.Second), 10))
 	}
 	x.w.WriteHeader(statusOf(f))
-	_, _ = x.w.Write(body) // a caller that is gone can't be told
+	_, _ = x.w.Write(body) // the caller may have disconnected
 }
 
-func (c *callers) notFound(w http.ResponseWriter, r *http.Request) {
-	c.plainFail(w, r, callerapi.CodeNotFound, "there is nothing at this path")
+func (c *callerHandler) notFound(w http.ResponseWriter, r *http.Request) {
+	c.writeFailureWithoutTeam(w, r, callerapi.CodeNotFound, "there is nothing at this path")
 }
 
-func (c *callers) wrongMethod(w http.ResponseWriter, r *http.Request) {
-	c.plainFail(w, r, callerapi.CodeMethodRefused, "this path does not take the method")
+func (c *callerHandler) wrongMethod(w http.ResponseWriter, r *http.Request) {
+	c.writeFailureWithoutTeam(w, r, callerapi.CodeMethodRefused, "this path does not take the method")
 }
 
-func (c *callers) plainFail(w http.ResponseWriter, r *http.Request, code callerapi.Code, message string) {
+func (c *callerHandler) writeFailureWithoutTeam(w http.ResponseWriter, r *http.Request, code callerapi.Code, message string) {
 	x := &exchange{w: w, r: r, id: route.NewRequestID()}
 	w.Header().Set(callerapi.HeaderRequestID, string(x.id))
-	c.fail(x, &route.Failure{Code: code, Message: message, Outcome: callerapi.OutcomeNotRun})
+	c.writeFailure(x, &route.Failure{Code: code, Message: message, Outcome: callerapi.OutcomeNotRun})
 }
 
-// recovered answers a panic in a handler. Whether the request had reached an
-// endpoint isn't known any more, so nothing is promised. When a part of the
-// answer is out the connection is cut: an ordinary end would look whole.
-func (c *callers) recovered(next http.Handler) http.Handler {
+// recoverPanics answers when a handler panics. Whether the request had reached an
+// endpoint is no longer known, so the outcome is unknown. If part of the answer
+// was sent, the connection is aborted: a normal end would look complete.
+func (c *callerHandler) recoverPanics(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		tracked := &trackedWriter{ResponseWriter: w}
 		defer func() {
@@ -124,7 +126,7 @@
 			}
 			c.opts.Part.Error("a handler panicked", "path", r.URL.Path)
 			x := &exchange{w: w, r: r, id: route.NewRequestID()}
-			c.fail(x, &route.Failure{
+			c.writeFailure(x, &route.Failure{
 				Code:    callerapi.CodeInternal,
 				Message: "the entry failed while it held the request",
 				Outcome: callerapi.OutcomeUnknown,
@@ -134,7 +136,7 @@
 	})
 }
 
-// trackedWriter notes whether anything of an answer is out.
+// trackedWriter records whether any part of the answer has been written.
 type trackedWriter struct {
 	http.ResponseWriter
 	wrote bool
@@ -152,5 +154,5 @@
 	return t.ResponseWriter.Write(b)
 }
 
-// Unwrap serves http.ResponseController.
+// Unwrap returns the wrapped writer for http.ResponseController.
 func (t *trackedWriter) Unwrap() http.ResponseWriter { return t.ResponseWriter }
--- a/internal/entry/metrics.go
+++ b/internal/entry/metrics.go
@@ -21,6 +21,6 @@
 	return m
 }
 
-func (m *metrics) answered(f *route.Failure) {
+func (m *metrics) countFailure(f *route.Failure) {
 	m.failures.WithLabelValues(string(f.Code)).Inc()
 }
--- a/internal/entry/outcome.go
+++ b/internal/entry/outcome.go
@@ -10,7 +10,7 @@
 )
 
 // outcome answers GET /v1/requests/{key}.
-func (c *callers) outcome(x *exchange) *route.Failure {
+func (c *callerHandler) outcome(x *exchange) *route.Failure {
 	key, err := url.PathUnescape(chi.URLParam(x.r, "key"))
 	if err != nil || key == "" || len(key) > c.bounds.KeyBytes {
 		return badRequest("the key is malformed")
@@ -20,14 +20,14 @@
 		return failure
 	}
 	if !known.Found {
-		// Nothing is recorded, which promises nothing of a copy under way.
+		// The outcome is unknown: a request with this key may still be running.
 		return &route.Failure{
 			Code: callerapi.CodeNotFound, Message: "nothing is recorded for this key",
 			Outcome: callerapi.OutcomeUnknown,
 		}
 	}
 	x.w.Header().Set(callerapi.HeaderOutcome, string(known.Outcome))
-	return x.json(callerapi.RequestReply{
+	return x.writeJSON(callerapi.RequestReply{
 		Outcome:    known.Outcome,
 		StatusCode: known.StatusCode,
 		AgeMs:      known.Age.Milliseconds(),
--- a/internal/entry/reply.go
+++ b/internal/entry/reply.go
@@ -8,22 +8,22 @@
 	"github.com/hyssopsail/hyssopsail/internal/route"
 )
 
-// replyHead is what each event of one answer repeats.
-type replyHead struct {
-	shape   shape
+// replyFields are the fields that all events of one answer share.
+type replyFields struct {
+	format  completionFormat
 	id      string
-	created int64 // unix s
+	created int64 // Unix time in seconds
 	model   string
 }
 
 const assistant = "assistant"
 
-// whole makes the one JSON answer.
-func (h replyHead) whole(text string, a route.Answer) callerapi.CompletionReply {
+// completionReply returns the body of an answer that isn't streamed.
+func (h replyFields) completionReply(text string, a route.Answer) callerapi.CompletionReply {
 	finish := string(a.Finish)
 	choice := callerapi.Choice{FinishReason: &finish}
 	object := "text_completion"
-	if h.shape == shapeChat {
+	if h.format == formatChat {
 		choice.Message = &callerapi.Message{Role: assistant, Content: text}
 		object = "chat.completion"
 	} else {
@@ -44,11 +44,11 @@
 	}
 }
 
-// wholeSink gathers an answer that goes out in one piece.
-type wholeSink struct{ text strings.Builder }
+// bufferSink collects the text of an answer that isn't streamed.
+type bufferSink struct{ text strings.Builder }
 
 // Pass implements route.Sink.
-func (s *wholeSink) Pass(c engineapi.Chunk) error {
+func (s *bufferSink) Pass(c engineapi.Chunk) error {
 	s.text.WriteString(c.Text)
 	return nil
 }
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -14,19 +14,20 @@
 )
 
 const (
-	idempotentNo = "false"
-	ownPrefix    = "Hyssopsail-"
+	notIdempotent        = "false"
+	reservedHeaderPrefix = "Hyssopsail-"
 )
 
-// connectionHeaders are hop by hop and never passed on, nor is the team's key.
-var connectionHeaders = []string{
+// droppedHeaders are never forwarded: the hop-by-hop headers, the team's key and
+// the idempotency key.
+var droppedHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
 	callerapi.HeaderAuthorise, callerapi.HeaderKey,
 }
 
-// service passes a call on to a plain service.
-func (c *callers) service(x *exchange) *route.Failure {
+// service forwards a call to a plain service.
+func (c *callerHandler) service(x *exchange) *route.Failure {
 	request, failure := c.readCall(x)
 	if failure != nil {
 		return failure
@@ -35,18 +36,18 @@
 	if failure != nil {
 		return failure
 	}
-	x.began = true
+	x.headersSent = true
 	copyHeader(x.w.Header(), answer.Header)
 	x.w.Header().Set(callerapi.HeaderRequestID, string(x.id))
 	x.w.Header().Set(callerapi.HeaderOutcome, string(callerapi.OutcomeCompleted))
 	_ = x.control.SetWriteDeadline(time.Now().Add(c.bounds.WriteTime))
 	x.w.WriteHeader(answer.StatusCode)
-	_, _ = x.w.Write(answer.Body) // a caller that is gone can't be told
+	_, _ = x.w.Write(answer.Body) // the caller may have disconnected
 	return nil
 }
 
-func (c *callers) readCall(x *exchange) (route.CallRequest, *route.Failure) {
-	patience, failure := x.patience()
+func (c *callerHandler) readCall(x *exchange) (route.CallRequest, *route.Failure) {
+	timeout, failure := x.timeout()
 	if failure != nil {
 		return route.CallRequest{}, failure
 	}
@@ -70,23 +71,24 @@
 		Query:      x.r.URL.RawQuery,
 		Header:     header,
 		Body:       body,
-		Once:       strings.EqualFold(x.r.Header.Get(callerapi.HeaderIdempotent), idempotentNo),
+		Once:       strings.EqualFold(x.r.Header.Get(callerapi.HeaderIdempotent), notIdempotent),
 		CallerKind: x.r.Header.Get(callerapi.HeaderCallerKind),
-		Patience:   patience,
+		Patience:   timeout,
 		Arrived:    x.arrived,
 	}, nil
 }
 
-// servicePath gives the path below the service, decoded once, so that the
-// settings' routes and the endpoint see the same. One with "." or ".." parts is
-// refused rather than cleaned: it would match another route's settings than
-// the endpoint serves, so that a call which may not repeat is repeated.
-func servicePath(rest string) (string, bool) {
+// servicePath returns the path below the service, decoded once, so that the
+// settings' routes and the endpoint see the same path. ok is false for a path
+// that isn't clean, such as one with "." or ".." segments. It could match the
+// settings of another route than the one that the endpoint serves, and a call
+// that must not be repeated would be retried.
+func servicePath(rest string) (below string, ok bool) {
 	decoded, err := url.PathUnescape(rest)
 	if err != nil {
 		return "", false
 	}
-	below := "/" + decoded
+	below = "/" + decoded
 	cleaned := path.Clean(below)
 	if strings.HasSuffix(below, "/") && cleaned != "/" {
 		cleaned += "/"
@@ -94,24 +96,24 @@
 	return below, cleaned == below
 }
 
-// copyHeader copies what belongs to the two ends. The system's own headers
-// and the team's key stay here: a caller can't speak as a daemon to an
+// copyHeader copies the end-to-end headers. Headers reserved for the system and
+// the team's key aren't copied, so that a caller can't pose as a daemon to an
 // endpoint, nor an endpoint as a daemon to a caller.
 func copyHeader(to, from http.Header) {
-	named := connectionNamed(from)
+	named := headersListedInConnection(from)
 	for name, values := range from {
-		if strings.HasPrefix(name, ownPrefix) || named[name] {
+		if strings.HasPrefix(name, reservedHeaderPrefix) || named[name] {
 			continue
 		}
 		to[name] = append([]string(nil), values...)
 	}
-	for _, name := range connectionHeaders {
+	for _, name := range droppedHeaders {
 		to.Del(name)
 	}
 }
 
-// connectionNamed are the headers that Connection itself names as hop by hop.
-func connectionNamed(h http.Header) map[string]bool {
+// headersListedInConnection returns the headers that Connection lists as hop-by-hop.
+func headersListedInConnection(h http.Header) map[string]bool {
 	out := map[string]bool{}
 	for _, line := range h.Values("Connection") {
 		for _, name := range strings.Split(line, ",") {
--- a/internal/entry/start.go
+++ b/internal/entry/start.go
@@ -9,29 +9,30 @@
 	"github.com/hyssopsail/hyssopsail/internal/sleep"
 )
 
-// startLook is the pause between two looks whether a daemon that starts has its settings,
-// which it gets within milliseconds of its lease.
-const startLook = 5 * time.Millisecond
+// startupPollInterval is the interval between checks for the settings of a starting daemon,
+// which arrive within milliseconds of its lease.
+const startupPollInterval = 5 * time.Millisecond
 
-// start holds requests of a daemon that has just started until it has its settings. Other
-// entries name it to callers as soon as it has a lease, a moment before it knows any team.
-type start struct {
-	source membership.Source
-	within time.Duration
-	over   atomic.Bool
+// startupWait delays requests until a daemon that has just started has its settings. Other
+// entries give its address to callers as soon as it has a lease, shortly before it has
+// received any team.
+type startupWait struct {
+	source        membership.Source
+	timeout       time.Duration
+	settingsKnown atomic.Bool
 }
 
-// await returns when the daemon is or was current, or after the time that it may take.
-func (s *start) await(ctx context.Context) {
-	if s.over.Load() {
+// await returns once the daemon's settings are or have been current, or after the timeout.
+func (s *startupWait) await(ctx context.Context) {
+	if s.settingsKnown.Load() {
 		return
 	}
-	for began := time.Now(); time.Since(began) < s.within; {
+	for began := time.Now(); time.Since(began) < s.timeout; {
 		if s.source.Current(time.Now()) {
-			s.over.Store(true)
+			s.settingsKnown.Store(true)
 			return
 		}
-		if !sleep.For(ctx, startLook) {
+		if !sleep.For(ctx, startupPollInterval) {
 			return
 		}
 	}
--- a/internal/entry/stream.go
+++ b/internal/entry/stream.go
@@ -8,59 +8,59 @@
 	"github.com/hyssopsail/hyssopsail/internal/route"
 )
 
-// streamSink writes chunks to a caller as they come.
+// streamSink writes each chunk to the caller as it arrives.
 type streamSink struct {
-	x         *exchange
-	events    *eventWriter
-	writeTime time.Duration
-	armed     time.Time // when the write deadline was last moved
+	x             *exchange
+	events        *eventWriter
+	writeTimeout  time.Duration
+	deadlineSetAt time.Time // when the write deadline was last set
 }
 
-func newStreamSink(x *exchange, h replyHead, writeTime time.Duration) *streamSink {
-	return &streamSink{x: x, events: newEventWriter(h), writeTime: writeTime}
+func newStreamSink(x *exchange, h replyFields, writeTimeout time.Duration) *streamSink {
+	return &streamSink{x: x, events: newEventWriter(h), writeTimeout: writeTimeout}
 }
 
-// Pass implements route.Sink. Each chunk is flushed: a token kept back counts
-// against the caller's time between tokens.
+// Pass implements route.Sink. It flushes each chunk, as buffering would add to
+// the caller's time between tokens.
 func (s *streamSink) Pass(c engineapi.Chunk) error {
-	if !s.x.began {
+	if !s.x.headersSent {
 		s.x.startStream()
 	}
-	s.arm()
+	s.extendWriteDeadline()
 	if _, err := s.x.w.Write(s.events.chunk(c)); err != nil {
 		return err
 	}
 	return s.x.control.Flush()
 }
 
-// arm moves the write deadline, so that a caller who stops reading is given
-// up on and its decode slot freed. Moving it for each token would cost a timer
-// update each time; half the bound is often enough.
-func (s *streamSink) arm() {
+// extendWriteDeadline moves the write deadline forward. When a caller stops
+// reading, the deadline ends the request and frees its decode slot. It is moved
+// once half of it has passed, as a timer update for each token is expensive.
+func (s *streamSink) extendWriteDeadline() {
 	now := time.Now()
-	if now.Sub(s.armed) < s.writeTime/2 {
+	if now.Sub(s.deadlineSetAt) < s.writeTimeout/2 {
 		return
 	}
-	s.armed = now
-	// Recorders in tests have no deadline.
-	_ = s.x.control.SetWriteDeadline(now.Add(s.writeTime))
+	s.deadlineSetAt = now
+	// Response recorders in tests don't support deadlines.
+	_ = s.x.control.SetWriteDeadline(now.Add(s.writeTimeout))
 }
 
-// done ends a whole stream.
-func (s *streamSink) done(_ route.Answer) {
-	if !s.x.began {
+// finish ends a stream that is complete.
+func (s *streamSink) finish(_ route.Answer) {
+	if !s.x.headersSent {
 		s.x.startStream()
 	}
 	s.end([]byte(callerapi.StreamDone), callerapi.OutcomeCompleted)
 }
 
-// failed ends a stream that is not whole.
-func (s *streamSink) failed(body []byte) { s.end(body, callerapi.OutcomeFailed) }
+// fail ends an incomplete stream with body, an encoded ErrorBody.
+func (s *streamSink) fail(body []byte) { s.end(body, callerapi.OutcomeFailed) }
 
 func (s *streamSink) end(data []byte, outcome callerapi.Outcome) {
-	s.armed = time.Time{}
-	s.arm()
+	s.deadlineSetAt = time.Time{}
+	s.extendWriteDeadline()
 	s.x.w.Header().Set(callerapi.HeaderOutcome, string(outcome))
-	_, _ = s.x.w.Write([]byte(eventStart + string(data) + eventEnd)) // a caller that is gone can't be told
+	_, _ = s.x.w.Write([]byte(eventStart + string(data) + eventEnd)) // the caller may have disconnected
 	_ = s.x.control.Flush()
 }
