--- a/internal/engineapi/announce.go
+++ b/internal/engineapi/announce.go
@@ -14,17 +14,17 @@
 	Slots        int                    `json:"slots"`             // concurrent requests held in memory
 	KVBytes      int64                  `json:"kv_bytes"`          // memory for KV caches, bytes; 0: bounded by slots alone
 	ChecksTokens bool                   `json:"checks_tokens"`     // refuses orders with an old fencing token
-	LastToken    uint64                 `json:"last_token"`        // highest fencing token taken
+	LastToken    uint64                 `json:"last_token"`        // highest fencing token accepted
 }
 
-// ModelRef names what an engine has loaded.
+// ModelRef identifies a model version, with an adapter if any, that an engine has loaded.
 type ModelRef struct {
 	Model   string `json:"model"`
 	Version string `json:"version"`
 	Adapter string `json:"adapter,omitempty"`
 }
 
-// String gives "model@version" or "model@version/adapter".
+// String returns "model@version" or "model@version/adapter".
 func (m ModelRef) String() string {
 	s := m.Model + "@" + m.Version
 	if m.Adapter != "" {
@@ -33,15 +33,15 @@
 	return s
 }
 
-// Heartbeat renews an endpoint's lease at its home. Load is as the engine
-// reports it, with its lag.
+// Heartbeat renews an endpoint's lease at its home. Load is the engine's own
+// report and may be out of date; see Load.AgeMs.
 type Heartbeat struct {
 	Announcement Announcement `json:"announcement"`
 	Held         []Held       `json:"held"`
 	Load         Load         `json:"load"`
 	Sequence     uint64       `json:"sequence"`
-	// LimitPerSecond is how many requests a second the endpoint takes from all entries
-	// together, until a heartbeat names none; nil: as many as come.
+	// LimitPerSecond limits the requests a second that all entries together send to the
+	// endpoint, until a heartbeat without it; nil: no limit.
 	LimitPerSecond *float64 `json:"limit_per_second,omitempty"`
 }
 
@@ -54,68 +54,68 @@
 	KVBytes int64           `json:"kv_bytes"`
 }
 
-// Stage is where in its life a held request is.
+// Stage is the processing stage of a held request.
 type Stage string
 
 // The stages at an endpoint.
 const (
 	StagePrefill  Stage = "prefill"  // computing
-	StageExported Stage = "exported" // KV kept for a transfer, for its short life
-	StageImported Stage = "imported" // KV here, decode not begun
+	StageExported Stage = "exported" // KV cache kept for a transfer until it expires
+	StageImported Stage = "imported" // KV cache held here, decode not started
 	StageDecode   Stage = "decode"
 	StageCall     Stage = "call" // plain service
 )
 
-// Load is an engine's own, lagging report.
+// Load is the load that an engine reports about itself, with a delay.
 type Load struct {
 	Running        int     `json:"running"`
 	Waiting        int     `json:"waiting"`
-	TokenTimeMs    float64 `json:"token_time_ms"`    // time between tokens at this batch
-	PrefillQueueMs float64 `json:"prefill_queue_ms"` // work ahead of a new prefill
-	AgeMs          int64   `json:"age_ms"`           // how old the figures are
+	TokenTimeMs    float64 `json:"token_time_ms"`    // time between tokens at this batch size
+	PrefillQueueMs float64 `json:"prefill_queue_ms"` // work queued before a new prefill
+	AgeMs          int64   `json:"age_ms"`           // age of these values
 }
 
-// AnnounceReply tells an endpoint where its home is and how often to beat.
+// AnnounceReply tells an endpoint its home and the heartbeat interval.
 type AnnounceReply struct {
 	Home        string            `json:"home"` // host:port of the home's endpoint listener
 	HeartbeatMs int64             `json:"heartbeat_ms"`
 	LeaseMs     int64             `json:"lease_ms"`
-	Addresses   []string          `json:"addresses"` // other entries, to use when the home is gone
+	Addresses   []string          `json:"addresses"` // host:port of other entries, for when the home is unreachable
 	Cancel      []fleet.AttemptID `json:"cancel,omitempty"`
-	CacheAfter  uint64            `json:"cache_after"` // last cache event sequence seen
+	CacheAfter  uint64            `json:"cache_after"` // sequence of the last cache event received
 }
 
-// Leave says that an endpoint takes no new work.
+// Leave announces that an endpoint accepts no new work.
 type Leave struct {
 	ID          fleet.EndpointID  `json:"id"`
 	Incarnation fleet.Incarnation `json:"incarnation"`
 }
 
-// LeaveReply confirms that no new grant is given from now on.
+// LeaveReply confirms that the endpoint gets no new grants from now on.
 type LeaveReply struct {
 	Spread bool `json:"spread"` // the home itself has confirmed
 }
 
-// CacheEvents are numbered changes of an engine's prefix cache.
+// CacheEvents reports changes of an engine's prefix cache.
 type CacheEvents struct {
 	ID          fleet.EndpointID  `json:"id"`
 	Incarnation fleet.Incarnation `json:"incarnation"`
 	Events      []CacheEvent      `json:"events"`
 }
 
-// CacheEvent is one stored or evicted prefix block.
+// CacheEvent reports one prefix block that was stored or evicted.
 type CacheEvent struct {
 	Sequence uint64 `json:"sequence"`
 	Prefix   uint64 `json:"prefix"` // see PrefixHashes
 	Stored   bool   `json:"stored"` // false: evicted
 }
 
-// CacheEventsReply asks for a resync when a gap was found.
+// CacheEventsReply asks for a resync when sequence numbers are missing.
 type CacheEventsReply struct {
 	Resync bool `json:"resync"`
 }
 
-// CacheSnapshot is the whole prefix cache after a sequence.
+// CacheSnapshot is the whole prefix cache after the event with Sequence.
 type CacheSnapshot struct {
 	Incarnation fleet.Incarnation `json:"incarnation"`
 	Sequence    uint64            `json:"sequence"`
--- a/internal/engineapi/check.go
+++ b/internal/engineapi/check.go
@@ -10,17 +10,18 @@
 	"github.com/hyssopsail/hyssopsail/internal/fleet"
 )
 
-// The bounds of an announcement.
+// Limits on the fields of an announcement.
 const (
 	maxNameBytes = 256
 	maxModels    = 256
 	maxSlots     = 1 << 16
 )
 
-// Check tells whether an announcement can be taken: names and lists are
-// bounded, the address is host:port, and role and service fit.
+// Check returns an error unless the announcement is valid: names and lists are
+// within their limits, the address is host:port, and the role is known and has
+// the service or models that it needs.
 func (a Announcement) Check() error {
-	if !nameOK(string(a.ID)) || !nameOK(string(a.Zone)) {
+	if !isValidName(string(a.ID)) || !isValidName(string(a.Zone)) {
 		return trace.BadParameter("endpoint ID or availability zone is empty or too long")
 	}
 	if a.Incarnation == 0 {
@@ -32,14 +33,14 @@
 	if a.Slots < 1 || a.Slots > maxSlots || a.KVBytes < 0 {
 		return trace.BadParameter("endpoint %q has %d slots and %d bytes", a.ID, a.Slots, a.KVBytes)
 	}
-	return a.checkWork()
+	return a.checkRole()
 }
 
-// checkWork checks what the endpoint works on.
-func (a Announcement) checkWork() error {
+// checkRole checks the role, and the service or models that go with it.
+func (a Announcement) checkRole() error {
 	switch a.Role {
 	case fleet.RolePlain:
-		if !nameOK(a.Service) {
+		if !isValidName(a.Service) {
 			return trace.BadParameter("plain endpoint %q names no service", a.ID)
 		}
 		return nil
@@ -54,7 +55,7 @@
 		return trace.BadParameter("endpoint %q has %d models", a.ID, len(a.Models))
 	}
 	for _, m := range a.Models {
-		if !nameOK(m.Model) || !nameOK(m.Version) || len(m.Adapter) > maxNameBytes {
+		if !isValidName(m.Model) || !isValidName(m.Version) || len(m.Adapter) > maxNameBytes {
 			return trace.BadParameter("endpoint %q has a model without name or version", a.ID)
 		}
 	}
@@ -67,17 +68,17 @@
 		return trace.BadParameter("address is not host:port")
 	}
 	number, err := strconv.ParseUint(port, 10, 16)
-	if err != nil || number == 0 || !hostOK(host) || net.JoinHostPort(host, port) != address {
+	if err != nil || number == 0 || !isValidHost(host) || net.JoinHostPort(host, port) != address {
 		return trace.BadParameter("address %q can't be called", address)
 	}
 	return nil
 }
 
-func nameOK(name string) bool { return name != "" && len(name) <= maxNameBytes }
+func isValidName(name string) bool { return name != "" && len(name) <= maxNameBytes }
 
-// hostOK tells whether host is made of the characters of names and IP numbers
-// only, so that it can't change the meaning of a URL that it stands in.
-func hostOK(host string) bool {
+// isValidHost reports whether host has only characters of host names and IP
+// addresses, so that it can't change the meaning of a URL that contains it.
+func isValidHost(host string) bool {
 	if host == "" || len(host) > maxNameBytes {
 		return false
 	}
@@ -96,5 +97,5 @@
 	return true
 }
 
-// AddressOK tells whether address is host:port and can be called.
+// AddressOK reports whether address is a valid host:port.
 func AddressOK(address string) bool { return checkAddress(address) == nil }
--- a/internal/engineapi/check_test.go
+++ b/internal/engineapi/check_test.go
@@ -19,7 +19,7 @@
 
 func TestAnnouncementCheck(t *testing.T) {
 	assert.NilError(t, announcement().Check())
-	for name, spoil := range map[string]func(*Announcement){
+	for name, invalidate := range map[string]func(*Announcement){
 		"no ID":             func(a *Announcement) { a.ID = "" },
 		"long ID":           func(a *Announcement) { a.ID = fleet.EndpointID(strings.Repeat("x", 300)) },
 		"no zone":           func(a *Announcement) { a.Zone = "" },
@@ -42,7 +42,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			a := announcement()
-			spoil(&a)
+			invalidate(&a)
 			assert.Assert(t, a.Check() != nil)
 		})
 	}
--- a/internal/engineapi/doc.go
+++ b/internal/engineapi/doc.go
@@ -1,6 +1,6 @@
-// Package engineapi is the HTTP and JSON contract between hyssopsail and the
-// endpoints: what endpoints tell the system, and what the system asks of them.
-// Bodies are JSON; streams are server-sent events, one Chunk a data line.
+// Package engineapi defines the HTTP API between hyssopsail and the endpoints,
+// in both directions. Bodies are JSON; streams are server-sent events with one
+// Chunk in each data line.
 //
 // Endpoint to daemon (the daemon's endpoint listener; Authorization: Bearer
 // with the fleet's endpoint key):
@@ -22,6 +22,6 @@
 //	GET  /v1/kv/{handle}                -> raw KV bytes (between engines)
 //	GET  /v1/cache                      -> CacheSnapshot
 //
-// Plain services get the caller's own method, path and body below
-// /call/, with HeaderAttempt added.
+// Plain services receive the caller's method, path and body below /call/, with
+// HeaderAttempt added.
 package engineapi
--- a/internal/engineapi/known.go
+++ b/internal/engineapi/known.go
@@ -1,9 +1,9 @@
 package engineapi
 
-// MediaEvents is the content type of decode streams.
+// MediaEvents is the media type of decode streams.
 const MediaEvents = "text/event-stream"
 
-// Known tells whether c is one of the codes above.
+// Known reports whether c is one of the error codes of endpoints.
 func (c Code) Known() bool {
 	switch c {
 	case CodeStale, CodeFull, CodeNoModel, CodeGone, CodeTransfer,
@@ -13,7 +13,7 @@
 	return false
 }
 
-// Known tells whether f is one of the ends of a stream, or none.
+// Known reports whether f is FinishNone or one of the reasons for which a stream ends.
 func (f Finish) Known() bool {
 	switch f {
 	case FinishNone, FinishStop, FinishLength, FinishCancelled, FinishError:
--- a/internal/engineapi/prefix.go
+++ b/internal/engineapi/prefix.go
@@ -6,9 +6,9 @@
 // cache, in bytes.
 const PrefixBlockBytes = 512
 
-// PrefixHashes gives the hash of the prompt up to the end of each whole
-// block, shortest first. Engines name the blocks of their prefix cache with
-// the same numbers. Models have different hashes.
+// PrefixHashes returns the hash of the prompt up to the end of each whole
+// block, shortest prefix first. Engines identify the blocks of their prefix
+// cache by the same hashes. The hashes also depend on the model.
 func PrefixHashes(model ModelRef, prompt string) []uint64 {
 	digest := xxhash.New()
 	_, _ = digest.WriteString(model.String())
--- a/internal/engineapi/work.go
+++ b/internal/engineapi/work.go
@@ -3,17 +3,17 @@
 import "github.com/hyssopsail/hyssopsail/internal/fleet"
 
 // HeaderAttempt carries the attempt ID to plain services, and HeaderOwner the
-// daemon process that sends it. HeaderRefusal on an answer has the Code of an
-// endpoint that did not run the call; a service that knows nothing of
-// hyssopsail never sets it.
+// daemon process that sends it. HeaderRefusal in an answer carries the Code of
+// an endpoint that did not run the call; a service that doesn't implement this
+// API never sets it.
 const (
 	HeaderAttempt = "Hyssopsail-Attempt"
 	HeaderOwner   = "Hyssopsail-Owner"
 	HeaderRefusal = "Hyssopsail-Refusal"
 )
 
-// Work is what each request to an engine names: a stale attempt, owner or
-// incarnation is refused with CodeStale.
+// Work holds the fields that all requests for work at an engine share. A stale
+// attempt, owner or incarnation is refused with CodeStale.
 type Work struct {
 	Attempt     fleet.AttemptID   `json:"attempt_id"`
 	Owner       fleet.Owner       `json:"owner"`
@@ -31,8 +31,8 @@
 	MaxTokens int    `json:"max_tokens"`
 }
 
-// PrefillReply names the KV cache, which lives for ExpiresMs unless it is
-// transferred.
+// PrefillReply identifies the KV cache, which expires after ExpiresMs unless it
+// is transferred.
 type PrefillReply struct {
 	Attempt      fleet.AttemptID   `json:"attempt_id"`
 	Incarnation  fleet.Incarnation `json:"incarnation"`
@@ -53,15 +53,15 @@
 	KVBytes      int64  `json:"kv_bytes"`
 }
 
-// ImportReply confirms that the KV cache is held here.
+// ImportReply confirms that the endpoint holds the KV cache.
 type ImportReply struct {
 	Attempt     fleet.AttemptID   `json:"attempt_id"`
 	Incarnation fleet.Incarnation `json:"incarnation"`
 	TransferMs  float64           `json:"transfer_ms"`
 }
 
-// DecodeRequest streams output tokens. With Offset > 0 the answer goes on
-// after that many tokens, which Prefix holds.
+// DecodeRequest asks for a stream of output tokens. With Offset > 0 the stream
+// continues after that many tokens, whose text is Prefix.
 type DecodeRequest struct {
 	Work
 	Prompt    string `json:"prompt"`
@@ -70,8 +70,8 @@
 	Prefix    string `json:"prefix,omitempty"`
 }
 
-// Chunk is one event of a decode stream. Offset counts output tokens before
-// this chunk; Tokens is how many it holds. The last chunk has Finish set.
+// Chunk is one event of a decode stream. Offset is the number of output tokens
+// before this chunk; Tokens is the number in it. The last chunk has Finish set.
 type Chunk struct {
 	Attempt     fleet.AttemptID   `json:"attempt_id"`
 	Incarnation fleet.Incarnation `json:"incarnation"`
@@ -81,10 +81,10 @@
 	Finish      Finish            `json:"finish,omitempty"`
 }
 
-// Finish tells why a stream ended.
+// Finish is the reason for which a stream ended.
 type Finish string
 
-// The ends of a decode stream.
+// The reasons for which a decode stream ends.
 const (
 	FinishNone      Finish = ""
 	FinishStop      Finish = "stop"
@@ -93,35 +93,36 @@
 	FinishError     Finish = "error"
 )
 
-// CancelRequest frees all that an attempt holds at this endpoint.
+// CancelRequest frees all that an attempt holds at an endpoint.
 type CancelRequest struct {
 	Attempt fleet.AttemptID `json:"attempt_id"`
 }
 
-// CancelReply confirms; Freed is false when nothing was held. Later work of
-// the attempt is refused with CodeStale either way.
+// CancelReply confirms a cancel; Freed is false when nothing was held. In both
+// cases later work of the attempt is refused with CodeStale.
 type CancelReply struct {
 	Freed bool `json:"freed"`
 }
 
-// HeldReply lists what occupies memory.
+// HeldReply lists the requests that occupy engine memory.
 type HeldReply struct {
 	Incarnation fleet.Incarnation `json:"incarnation"`
 	Held        []Held            `json:"held"`
 }
 
-// OrderKind is an operator-level order to an engine.
+// OrderKind is the kind of an Order.
 type OrderKind string
 
-// The orders.
+// The kinds of orders.
 const (
 	OrderLoad       OrderKind = "load"
 	OrderUnload     OrderKind = "unload"
 	OrderChangeRole OrderKind = "change-role"
 )
 
-// Order tells an engine to load, unload or change role. Token is the fencing
-// number; engines that check it refuse one lower than the last they took.
+// Order tells an engine to load or unload a model, or to change its role. Token
+// is a fencing token; engines that check it refuse one that is lower than the
+// highest that they have accepted.
 type Order struct {
 	ID    string             `json:"id"`
 	Token uint64             `json:"token"`
@@ -130,7 +131,7 @@
 	Role  fleet.EndpointRole `json:"role,omitempty"`
 }
 
-// OrderReply gives the engine's state after the order.
+// OrderReply reports the engine's state after the order.
 type OrderReply struct {
 	Done      bool   `json:"done"`
 	LastToken uint64 `json:"last_token"`
@@ -146,7 +147,7 @@
 	CodeNoModel    Code = "no-model"    // model or version not loaded
 	CodeGone       Code = "gone"        // KV handle expired or unknown
 	CodeTransfer   Code = "transfer"    // the fetch from the other engine failed
-	CodeLeaving    Code = "leaving"     // takes no new work
+	CodeLeaving    Code = "leaving"     // accepts no new work
 	CodeOldToken   Code = "old-token"   // fencing token too low
 	CodeBadRequest Code = "bad-request" // malformed
 	CodeWrongRole  Code = "wrong-role"  // not this endpoint's kind of work
