--- a/internal/engine/bench_test.go
+++ b/internal/engine/bench_test.go
@@ -10,7 +10,7 @@
 	"github.com/hyssopsail/hyssopsail/internal/engineapi"
 )
 
-// BenchmarkStream gives the cost of one chunk of one token over a loopback
+// BenchmarkStream measures the cost of one chunk of one token over a loopback
 // connection, one write for each chunk, both sides in this process.
 func BenchmarkStream(b *testing.B) {
 	target := benchTarget(b, func(w http.ResponseWriter, _ *http.Request) {
@@ -29,7 +29,7 @@
 	request.MaxTokens = 0
 	b.ReportAllocs()
 	b.ResetTimer()
-	stream, err := NewClient(Options{}).Decode(b.Context(), target, open, request)
+	stream, err := NewClient(Options{}).Decode(b.Context(), target, allowAll, request)
 	for err == nil {
 		_, err = stream.Next()
 	}
@@ -38,15 +38,14 @@
 	}
 }
 
-// BenchmarkCall gives the time of one plain call over loopback, both sides in
-// this process.
+// BenchmarkCall measures one plain call over loopback, both sides in this process.
 func BenchmarkCall(b *testing.B) {
 	target := benchTarget(b, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") })
 	client := NewClient(Options{})
 	b.ReportAllocs()
 	for b.Loop() {
 		request := httptest.NewRequest(http.MethodGet, "/x", nil)
-		response, err := client.Call(b.Context(), target, open, testAttempt, request)
+		response, err := client.Call(b.Context(), target, allowAll, testAttempt, request)
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -15,60 +15,60 @@
 
 const opCall = "call"
 
-// Call implements Client. The path of r is the one below the service; /call is
-// put before it. Each call is sent once at most. An answer that carries
-// engineapi.HeaderRefusal is an *Error with that code: the service did not run
-// the call.
+// Call implements Client. The path of r is relative to the service and is
+// prefixed with /call. A call is sent at most once. An answer that carries
+// engineapi.HeaderRefusal becomes an *Error with that code: the service did not
+// run the call.
 func (c *HTTPClient) Call(ctx context.Context, t Target, gate Gate, attempt fleet.AttemptID, r *http.Request) (*http.Response, error) {
-	request, err := c.forward(t, attempt, r)
+	request, err := c.newCallRequest(t, attempt, r)
 	if err != nil {
-		return nil, c.finish(opCall, &Error{Target: t, Op: opCall, Err: err})
+		return nil, c.countResult(opCall, &Error{Target: t, Op: opCall, Err: err})
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
-	silence := time.AfterFunc(c.options.CallTimeout, func() { cancel(ErrIdle) })
+	idleTimer := time.AfterFunc(c.options.CallHeaderTimeout, func() { cancel(ErrIdle) })
 	response, _, failure := c.roundTrip(ctx, t, gate, opCall, request)
 	if failure != nil {
-		silence.Stop()
+		idleTimer.Stop()
 		cancel(failure)
-		return nil, c.finish(opCall, failure)
+		return nil, c.countResult(opCall, failure)
 	}
 	if response.Header.Get(engineapi.HeaderRefusal) != "" {
-		silence.Stop()
-		failure = refusedCall(t, response)
+		idleTimer.Stop()
+		failure = callRefusal(t, response)
 		cancel(failure)
-		return nil, c.finish(opCall, failure)
+		return nil, c.countResult(opCall, failure)
 	}
-	silence.Reset(c.options.CallIdle)
-	cleanResponse(t, response)
+	idleTimer.Reset(c.options.CallIdleTimeout)
+	sanitizeResponse(t, response)
 	response.Body = &callBody{
-		target: t, ctx: ctx, cancel: cancel, silence: silence, idle: c.options.CallIdle,
-		body: response.Body, left: c.options.MaxCallResponse,
+		target: t, ctx: ctx, cancel: cancel, idleTimer: idleTimer, idle: c.options.CallIdleTimeout,
+		body: response.Body, remaining: c.options.MaxCallResponseBytes,
 	}
-	return response, c.finish(opCall, nil)
+	return response, c.countResult(opCall, nil)
 }
 
-func refusedCall(t Target, response *http.Response) *Error {
+func callRefusal(t Target, response *http.Response) *Error {
 	code := engineapi.Code(response.Header.Get(engineapi.HeaderRefusal))
-	failure := refused(t, opCall, response)
+	failure := refusalError(t, opCall, response)
 	if code.Known() {
 		failure.Code = code
 	}
 	return failure
 }
 
-// forward makes the request to the endpoint out of the caller's.
-func (c *HTTPClient) forward(t Target, attempt fleet.AttemptID, r *http.Request) (*http.Request, error) {
-	if !validMethod(r.Method) {
+// newCallRequest returns the request to the endpoint for the caller's request r.
+func (c *HTTPClient) newCallRequest(t Target, attempt fleet.AttemptID, r *http.Request) (*http.Request, error) {
+	if !isAllowedMethod(r.Method) {
 		return nil, fmt.Errorf("%w: method %q", ErrAddress, r.Method)
 	}
 	target, err := c.callURL(t, r.URL)
 	if err != nil {
 		return nil, err
 	}
-	if r.ContentLength > c.options.MaxCallRequest {
-		return nil, fmt.Errorf("%w: body over %d bytes", ErrOversized, c.options.MaxCallRequest)
+	if r.ContentLength > c.options.MaxCallRequestBytes {
+		return nil, fmt.Errorf("%w: body over %d bytes", ErrOversized, c.options.MaxCallRequestBytes)
 	}
-	header := forwardedHeader(r.Header)
+	header := forwardableHeader(r.Header)
 	header.Set(engineapi.HeaderAttempt, string(attempt))
 	if c.options.Owner != (fleet.Owner{}) {
 		header.Set(engineapi.HeaderOwner, c.options.Owner.String())
@@ -78,7 +78,7 @@
 		URL:           target,
 		Host:          target.Host,
 		Header:        header,
-		Body:          onceBody{&boundedReader{reader: bodyOf(r), left: c.options.MaxCallRequest}},
+		Body:          nonReplayableBody{&boundedReader{reader: bodyOf(r), remaining: c.options.MaxCallRequestBytes}},
 		ContentLength: max(r.ContentLength, 0),
 	}, nil
 }
@@ -90,52 +90,52 @@
 	return r.Body
 }
 
-// boundedReader fails, rather than ends, past its bound: a body cut short must
-// not look whole.
+// boundedReader returns ErrOversized, not io.EOF, past its limit, so that a
+// truncated body doesn't look complete.
 type boundedReader struct {
-	reader io.Reader
-	left   int64
+	reader    io.Reader
+	remaining int64 // bytes
 }
 
 // Read implements io.Reader.
 func (b *boundedReader) Read(p []byte) (int, error) {
 	n, err := b.reader.Read(p)
-	b.left -= int64(n)
-	if b.left < 0 {
+	b.remaining -= int64(n)
+	if b.remaining < 0 {
 		return 0, ErrOversized
 	}
 	return n, err
 }
 
-// callBody is the answer's body: bounded, and given up when it falls silent.
+// callBody is an answer's body with a size limit and an idle timeout.
 type callBody struct {
-	target  Target
-	ctx     context.Context
-	cancel  context.CancelCauseFunc
-	silence *time.Timer
-	idle    time.Duration
-	body    io.ReadCloser
-	left    int64
-	once    sync.Once
+	target    Target
+	ctx       context.Context
+	cancel    context.CancelCauseFunc
+	idleTimer *time.Timer
+	idle      time.Duration
+	body      io.ReadCloser
+	remaining int64 // bytes
+	once      sync.Once
 }
 
 // Read implements io.Reader; a failure is an *Error.
 func (b *callBody) Read(p []byte) (int, error) {
 	n, err := b.body.Read(p)
-	b.left -= int64(n)
-	if b.left < 0 {
+	b.remaining -= int64(n)
+	if b.remaining < 0 {
 		return 0, b.failure(ErrOversized)
 	}
 	if err == nil {
-		b.silence.Reset(b.idle)
+		b.idleTimer.Reset(b.idle)
 		return n, nil
 	}
 	if errors.Is(err, io.EOF) {
-		b.silence.Stop()
+		b.idleTimer.Stop()
 		return n, io.EOF
 	}
-	if because := context.Cause(b.ctx); because != nil {
-		err = because
+	if cause := context.Cause(b.ctx); cause != nil {
+		err = cause
 	}
 	return n, b.failure(err)
 }
@@ -147,7 +147,7 @@
 // Close implements io.Closer.
 func (b *callBody) Close() error {
 	b.once.Do(func() {
-		b.silence.Stop()
+		b.idleTimer.Stop()
 		b.cancel(context.Canceled)
 		b.body.Close()
 	})
--- a/internal/engine/callheader.go
+++ b/internal/engine/callheader.go
@@ -6,61 +6,62 @@
 	"strings"
 )
 
-// ownHeaders begins the headers that only the system itself sets.
-const ownHeaders = "Hyssopsail-"
+// reservedHeaderPrefix is the prefix of headers that only hyssopsail may set.
+const reservedHeaderPrefix = "Hyssopsail-"
 
-// hopHeaders belong to one connection, not to the call.
-var hopHeaders = []string{
+// hopByHopHeaders apply to one connection and aren't forwarded.
+var hopByHopHeaders = []string{
 	"Connection", "Expect", "Keep-Alive", "Proxy-Authenticate",
 	"Proxy-Authorization", "Proxy-Connection", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade",
 }
 
-// secretHeaders are between the caller and the system.
-var secretHeaders = []string{"Authorization", "Host"}
+// callerOnlyHeaders are meant for hyssopsail and not for the endpoint.
+var callerOnlyHeaders = []string{"Authorization", "Host"}
 
-// forwardedHeader gives the headers of a caller that an endpoint may see.
-func forwardedHeader(from http.Header) http.Header {
+// forwardableHeader returns a copy of the caller's headers that an endpoint may see.
+func forwardableHeader(from http.Header) http.Header {
 	to := from.Clone()
 	if to == nil {
 		to = http.Header{}
 	}
-	dropHop(to)
-	for _, name := range secretHeaders {
+	deleteHopByHop(to)
+	for _, name := range callerOnlyHeaders {
 		to.Del(name)
 	}
-	dropOwn(to)
+	deleteReserved(to)
 	if _, ok := to["User-Agent"]; !ok {
-		to["User-Agent"] = nil // net/http would add its own
+		to["User-Agent"] = nil // keeps net/http from adding its own
 	}
 	return to
 }
 
-// dropHop takes out the hop-by-hop headers, those that Connection names too.
-func dropHop(h http.Header) {
+// deleteHopByHop deletes the hop-by-hop headers, including those listed in Connection.
+func deleteHopByHop(h http.Header) {
 	for _, line := range h["Connection"] {
 		for name := range strings.SplitSeq(line, ",") {
 			h.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		h.Del(name)
 	}
 }
 
-func dropOwn(h http.Header) {
+func deleteReserved(h http.Header) {
 	for name := range h {
-		if strings.HasPrefix(http.CanonicalHeaderKey(name), ownHeaders) {
+		if strings.HasPrefix(http.CanonicalHeaderKey(name), reservedHeaderPrefix) {
 			delete(h, name)
 		}
 	}
 }
 
-// cleanResponse takes out what a service may not tell the caller: outcomes,
-// which are the system's to say, and its own address.
-func cleanResponse(t Target, response *http.Response) {
-	dropHop(response.Header)
-	dropOwn(response.Header)
+// sanitizeResponse deletes headers that a service may not pass to the caller:
+// hop-by-hop and reserved headers, as only hyssopsail reports outcomes, trailers,
+// and a Location that is malformed or reveals the endpoint's address.
+func sanitizeResponse(t Target, response *http.Response) {
+	deleteHopByHop(response.Header)
+	deleteReserved(response.Header)
 	response.Trailer = nil
 	location, err := url.Parse(response.Header.Get("Location"))
 	if err != nil || location.Host == t.Address {
@@ -68,9 +69,9 @@
 	}
 }
 
-// validMethod tells whether method is one a caller may use. CONNECT would ask
-// the endpoint to open a tunnel.
-func validMethod(method string) bool {
+// isAllowedMethod reports whether a caller may use method. CONNECT, for one, would
+// ask the endpoint to open a tunnel.
+func isAllowedMethod(method string) bool {
 	switch method {
 	case http.MethodGet, http.MethodHead, http.MethodPost, http.MethodPut,
 		http.MethodPatch, http.MethodDelete, http.MethodOptions:
--- a/internal/engine/callpath.go
+++ b/internal/engine/callpath.go
@@ -6,25 +6,25 @@
 	"strings"
 )
 
-// callPrefix is where plain services take callers' paths.
+// callPrefix is the path below which plain services receive callers' paths.
 const callPrefix = "/call"
 
-// maxUnescapes is how often a path is unescaped in the search for segments
-// that climb; services that decode more often than that are not known.
-const maxUnescapes = 3
+// maxUnescapePasses is how often a path is unescaped in the search for traversal
+// segments. No service is known that decodes a path more often.
+const maxUnescapePasses = 3
 
-// callURL puts the caller's path below callPrefix at t. Scheme, user and host
-// of from are dropped.
+// callURL returns the URL at t for the caller's path and query, below
+// callPrefix. Scheme, user and host of from are ignored.
 //
 // Failure: a caller sends "/../v1/cancel", perhaps with the dots escaped once
-// or twice, and so reaches an endpoint's own paths. A path with a segment that
-// climbs, at any level of escaping, is refused and never cleaned up.
+// or twice, and reaches an endpoint's own paths. A path with a traversal
+// segment, at any level of escaping, is therefore refused and never cleaned.
 func (c *HTTPClient) callURL(t Target, from *url.URL) (*url.URL, error) {
 	path := from.EscapedPath()
 	if !strings.HasPrefix(path, "/") {
 		path = "/" + path
 	}
-	if climbs(path) {
+	if isTraversal(path) {
 		return nil, fmt.Errorf("%w: path", ErrAddress)
 	}
 	target, err := c.targetURL(t, "")
@@ -40,25 +40,25 @@
 	return target, nil
 }
 
-// climbs tells whether a path has a segment "." or "..", a backslash or a
+// isTraversal reports whether a path has a segment "." or "..", a backslash or a
 // control character, plain or escaped.
-func climbs(path string) bool {
-	for range maxUnescapes {
-		if hasClimb(path) {
+func isTraversal(path string) bool {
+	for range maxUnescapePasses {
+		if hasUnsafeSegment(path) {
 			return true
 		}
 		decoded, err := url.PathUnescape(path)
 		if err != nil || decoded == path {
-			// A stray "%" is refused by url.PathUnescape at the first level;
-			// deeper it is plain text.
+			// callURL refuses an invalid escape at the first level; at deeper
+			// levels it is plain text.
 			return false
 		}
 		path = decoded
 	}
-	return hasClimb(path)
+	return hasUnsafeSegment(path)
 }
 
-func hasClimb(path string) bool {
+func hasUnsafeSegment(path string) bool {
 	for _, r := range path {
 		if r < ' ' || r == 0x7f || r == '\\' {
 			return true
--- a/internal/engine/cancel_test.go
+++ b/internal/engine/cancel_test.go
@@ -14,40 +14,40 @@
 	"gotest.tools/v3/assert"
 )
 
-// tries records the tries at cancels and answers them.
-type tries struct {
-	mu      sync.Mutex
-	times   []time.Duration
-	running int
-	most    int
-	begun   time.Time
-	answer  func(n int) error
-	takes   time.Duration
+// cancelRecorder records when cancels are sent and answers them.
+type cancelRecorder struct {
+	mu         sync.Mutex
+	times      []time.Duration
+	running    int
+	maxRunning int
+	start      time.Time
+	answer     func(n int) error
+	duration   time.Duration
 }
 
-func (r *tries) try(_ context.Context, _ Target, _ fleet.AttemptID) error {
+func (r *cancelRecorder) send(_ context.Context, _ Target, _ fleet.AttemptID) error {
 	r.mu.Lock()
-	r.times = append(r.times, time.Since(r.begun))
+	r.times = append(r.times, time.Since(r.start))
 	n := len(r.times)
 	r.running++
-	r.most = max(r.most, r.running)
+	r.maxRunning = max(r.maxRunning, r.running)
 	r.mu.Unlock()
-	time.Sleep(r.takes)
+	time.Sleep(r.duration)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.running--
 	return r.answer(n)
 }
 
-func (r *tries) canceller(o Options) *canceller {
-	r.begun = time.Now()
-	return newCanceller(o.withDefaults(), newMetrics(nil), r.try)
+func (r *cancelRecorder) canceller(o Options) *canceller {
+	r.start = time.Now()
+	return newCanceller(o.withDefaults(), newMetrics(nil), r.send)
 }
 
 var errLost = errors.New("lost")
 
-// The network loses a cancel twice. The engine must be asked again until it
-// confirms, and then no more.
+// The network loses a cancel twice. It must be retried until it is confirmed, and
+// no more after that.
 func TestCancelIsRetriedUntilConfirmed(t *testing.T) {
 	for name, confirm := range map[string]error{
 		"confirmed":        nil,
@@ -55,7 +55,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				r := &tries{answer: func(n int) error {
+				r := &cancelRecorder{answer: func(n int) error {
 					if n < 3 {
 						return errLost
 					}
@@ -73,9 +73,9 @@
 	}
 }
 
-func TestCancelEndsAtItsBound(t *testing.T) {
+func TestCancelEndsAtItsTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := &tries{answer: func(int) error { return errLost }}
+		r := &cancelRecorder{answer: func(int) error { return errLost }}
 		c := r.canceller(Options{})
 		c.add(targetAt("127.0.0.1:1"), testAttempt)
 		time.Sleep(time.Minute)
@@ -87,12 +87,12 @@
 	})
 }
 
-// An endpoint dies with many callers' requests, and each cancel hangs. Tries
-// and memory must stay bounded.
+// An endpoint dies while it holds many requests, and each cancel hangs. Concurrent
+// sends and memory must stay bounded.
 func TestCancelsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := &tries{answer: func(int) error { return nil }, takes: time.Second}
-		c := r.canceller(Options{CancelWorkers: 4, CancelPending: 100})
+		r := &cancelRecorder{answer: func(int) error { return nil }, duration: time.Second}
+		c := r.canceller(Options{MaxCancelWorkers: 4, MaxPendingCancels: 100})
 		for n := range 1000 {
 			c.add(targetAt("127.0.0.1:1"), fleet.AttemptID(fmt.Sprint(n)))
 		}
@@ -100,14 +100,14 @@
 		time.Sleep(time.Minute)
 		synctest.Wait()
 		assert.Equal(t, len(r.times), 100)
-		assert.Equal(t, r.most, 4)
+		assert.Equal(t, r.maxRunning, 4)
 		assert.Equal(t, pending(c), 0)
 	})
 }
 
-func TestRepeatedCancelIsOne(t *testing.T) {
+func TestRepeatedCancelIsSentOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := &tries{answer: func(int) error { return nil }, takes: time.Second}
+		r := &cancelRecorder{answer: func(int) error { return nil }, duration: time.Second}
 		c := r.canceller(Options{})
 		c.add(targetAt("127.0.0.1:1"), testAttempt)
 		c.add(targetAt("127.0.0.1:1"), testAttempt)
@@ -120,5 +120,5 @@
 func pending(c *canceller) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.plan.pending)
+	return len(c.queue.pending)
 }
--- a/internal/engine/canceller.go
+++ b/internal/engine/canceller.go
@@ -11,63 +11,64 @@
 	"github.com/hyssopsail/hyssopsail/internal/logging"
 )
 
-// canceller is a pool of workers over a cancelPlan. Workers start with the
-// first cancel and end when none is left. mu is held for no I/O.
+// canceller sends the cancels of a cancelQueue with a pool of workers, which
+// start when a cancel is added and end when none is left to send. mu isn't held
+// during I/O.
 type canceller struct {
-	part    logging.Part
-	metrics *metrics
-	try     func(context.Context, Target, fleet.AttemptID) error
-	most    int // workers
+	log        logging.Part
+	metrics    *metrics
+	send       func(context.Context, Target, fleet.AttemptID) error
+	maxWorkers int
 
 	mu      sync.Mutex
-	plan    *cancelPlan
+	queue   *cancelQueue
 	workers int
 	wake    chan struct{} // closed and replaced when a cancel is added
 }
 
-func newCanceller(o Options, m *metrics, try func(context.Context, Target, fleet.AttemptID) error) *canceller {
+func newCanceller(o Options, m *metrics, send func(context.Context, Target, fleet.AttemptID) error) *canceller {
 	return &canceller{
-		part:    o.Part,
-		metrics: m,
-		try:     try,
-		most:    o.CancelWorkers,
-		plan:    newCancelPlan(o.CancelTimeout, o.CancelPending),
-		wake:    make(chan struct{}),
+		log:        o.Part,
+		metrics:    m,
+		send:       send,
+		maxWorkers: o.MaxCancelWorkers,
+		queue:      newCancelQueue(o.CancelTimeout, o.MaxPendingCancels),
+		wake:       make(chan struct{}),
 	}
 }
 
 func (c *canceller) add(t Target, attempt fleet.AttemptID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.plan.add(time.Now(), t, attempt) {
-		c.metrics.dropped.Inc()
-		c.part.Warn("too many cancels wait for confirmation", "endpoint", t.ID, "attempt", attempt)
+	if !c.queue.add(time.Now(), t, attempt) {
+		c.metrics.unconfirmed.Inc()
+		c.log.Warn("too many cancels wait for confirmation", "endpoint", t.ID, "attempt", attempt)
 		return
 	}
-	c.metrics.pending.Set(float64(len(c.plan.pending)))
+	c.metrics.pendingCancels.Set(float64(len(c.queue.pending)))
 	close(c.wake)
 	c.wake = make(chan struct{})
-	if c.workers < c.most {
+	if c.workers < c.maxWorkers {
 		c.workers++
-		go c.work()
+		go c.runWorker()
 	}
 }
 
-func (c *canceller) work() {
+func (c *canceller) runWorker() {
 	for {
-		due, wait, wake := c.take()
+		due, wait, wake := c.nextDue()
 		if due != nil {
-			c.done(due, c.try(context.Background(), due.target, due.attempt))
+			c.recordResult(due, c.send(context.Background(), due.target, due.attempt))
 			continue
 		}
 		if wait == 0 {
 			return
 		}
-		pause(wait, wake)
+		waitForWake(wait, wake)
 	}
 }
 
-func pause(wait time.Duration, wake <-chan struct{}) {
+func waitForWake(wait time.Duration, wake <-chan struct{}) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
@@ -76,36 +77,36 @@
 	}
 }
 
-// take gives work, a time to wait, or neither: the worker has then been
-// counted off.
-func (c *canceller) take() (*pendingCancel, time.Duration, <-chan struct{}) {
+// nextDue returns a cancel that is due, or the time to wait for one. If it returns
+// neither, the worker has been removed from the count and must end.
+func (c *canceller) nextDue() (*pendingCancel, time.Duration, <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	due, wait := c.plan.take(time.Now())
+	due, wait := c.queue.take(time.Now())
 	if due == nil && wait == 0 {
 		c.workers--
 	}
 	return due, wait, c.wake
 }
 
-func (c *canceller) done(p *pendingCancel, err error) {
+func (c *canceller) recordResult(p *pendingCancel, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	defer func() { c.metrics.pending.Set(float64(len(c.plan.pending))) }()
-	if settled(err) {
-		c.plan.confirmed(p)
+	defer func() { c.metrics.pendingCancels.Set(float64(len(c.queue.pending))) }()
+	if isSettled(err) {
+		c.queue.remove(p)
 		return
 	}
-	if c.plan.failed(time.Now(), p) {
+	if c.queue.reschedule(time.Now(), p) {
 		return
 	}
-	c.metrics.dropped.Inc()
-	c.part.Warn("endpoint never confirmed a cancel", "endpoint", p.target.ID, "attempt", p.attempt, "err", err)
+	c.metrics.unconfirmed.Inc()
+	c.log.Warn("giving up on a cancel that the endpoint has not confirmed", "endpoint", p.target.ID, "attempt", p.attempt, "err", err)
 }
 
-// settled tells whether the endpoint holds nothing of the attempt any more: it
-// confirmed, or knows neither attempt nor incarnation.
-func settled(err error) bool {
+// isSettled reports whether the endpoint no longer holds anything of the attempt:
+// it confirmed the cancel, or answered with CodeStale.
+func isSettled(err error) bool {
 	if err == nil {
 		return true
 	}
--- a/internal/engine/check.go
+++ b/internal/engine/check.go
@@ -7,13 +7,13 @@
 	"github.com/hyssopsail/hyssopsail/internal/fleet"
 )
 
-// checkAnswer refuses an answer that is another attempt's, or comes from
-// another process than the one that t names.
+// checkAnswer returns an error for an answer that belongs to another attempt, or
+// comes from another incarnation than t's.
 //
-// Failure: an endpoint dies and a new process takes its address, or an answer
-// is crossed with another caller's; the caller would get somebody else's text.
-// Attempt IDs are random and used once and incarnations rise at each start, so
-// a wrong answer can't match both.
+// Failure: an endpoint dies and a new process takes over its address, or two
+// callers' answers are swapped, and a caller gets somebody else's text. Attempt
+// IDs are random and used once, and incarnations rise at each start, so a wrong
+// answer can't match both.
 func checkAnswer(t Target, op string, want, got fleet.AttemptID, incarnation fleet.Incarnation) error {
 	if want != got {
 		return &Error{Target: t, Op: op, Sent: true, Err: ErrAttempt}
@@ -43,32 +43,32 @@
 	return checkIncarnation(t, op, a.Incarnation)
 }
 
-// position follows the tokens of one stream.
-type position struct {
-	target  Target
-	attempt fleet.AttemptID
-	next    int // offset of the next token
-	end     int // one past the last token that may come; 0: no bound
+// streamPosition tracks and checks the token offsets of one stream.
+type streamPosition struct {
+	target     Target
+	attempt    fleet.AttemptID
+	nextOffset int // offset of the next token
+	maxOffset  int // limit for nextOffset; 0: none
 }
 
-// take checks one chunk and moves past it.
-func (p *position) take(chunk engineapi.Chunk) error {
+// advance checks a chunk and moves the position past it.
+func (p *streamPosition) advance(chunk engineapi.Chunk) error {
 	if err := checkAnswer(p.target, opDecode, p.attempt, chunk.Attempt, chunk.Incarnation); err != nil {
 		return err
 	}
-	if err := p.order(chunk); err != nil {
+	if err := p.checkOrder(chunk); err != nil {
 		return &Error{Target: p.target, Op: opDecode, Sent: true, Err: err}
 	}
-	p.next += chunk.Tokens
+	p.nextOffset += chunk.Tokens
 	return nil
 }
 
-func (p *position) order(chunk engineapi.Chunk) error {
-	if chunk.Offset > p.next {
-		return fmt.Errorf("%w: offset %d, not %d", ErrGap, chunk.Offset, p.next)
+func (p *streamPosition) checkOrder(chunk engineapi.Chunk) error {
+	if chunk.Offset > p.nextOffset {
+		return fmt.Errorf("%w: offset %d, not %d", ErrGap, chunk.Offset, p.nextOffset)
 	}
-	if chunk.Offset < p.next {
-		return fmt.Errorf("%w: offset %d, not %d", ErrRepeat, chunk.Offset, p.next)
+	if chunk.Offset < p.nextOffset {
+		return fmt.Errorf("%w: offset %d, not %d", ErrRepeat, chunk.Offset, p.nextOffset)
 	}
 	if chunk.Tokens < 0 || (chunk.Tokens == 0 && chunk.Text != "") {
 		return fmt.Errorf("%w: %d tokens", ErrMalformed, chunk.Tokens)
@@ -76,8 +76,8 @@
 	if chunk.Tokens == 0 && chunk.Finish == engineapi.FinishNone {
 		return fmt.Errorf("%w: empty chunk", ErrMalformed)
 	}
-	if p.end > 0 && chunk.Tokens > p.end-p.next {
-		return fmt.Errorf("%w: more than %d tokens", ErrOversized, p.end)
+	if p.maxOffset > 0 && chunk.Tokens > p.maxOffset-p.nextOffset {
+		return fmt.Errorf("%w: more than %d tokens", ErrOversized, p.maxOffset)
 	}
 	if !chunk.Finish.Known() {
 		return fmt.Errorf("%w: finish %q", ErrMalformed, chunk.Finish)
--- a/internal/engine/chunkparse.go
+++ b/internal/engine/chunkparse.go
@@ -18,13 +18,13 @@
 	finishMember      = []byte(`,"finish":"`)
 )
 
-// maxDigits keeps numbers far from any overflow; longer ones go the long way.
+// maxDigits excludes overflow; longer numbers are left to encoding/json.
 const maxDigits = 15
 
-// parseChunk reads a chunk in the form that most engines write: members in
-// order, no spaces, strings of plain ASCII. ok is false for any other form,
-// right or wrong, which is then for encoding/json to judge. Where ok is true
-// the chunk is the one that encoding/json gives.
+// parseChunk is a fast path for chunks as most engines encode them: members in
+// order, no spaces, strings of unescaped ASCII. For any other input, valid or not,
+// ok is false and the caller uses encoding/json. If ok is true, chunk equals
+// what encoding/json returns.
 func parseChunk(data []byte, attempt fleet.AttemptID) (chunk engineapi.Chunk, ok bool) {
 	p := chunkParser{rest: data}
 	id := p.text(attemptMember)
@@ -36,7 +36,7 @@
 	if p.failed || len(p.rest) > 0 {
 		return engineapi.Chunk{}, false
 	}
-	// Comparing saves the allocation of the same string for each token.
+	// Reusing attempt saves allocating the same string for each token.
 	chunk.Attempt = attempt
 	if string(id) != string(attempt) {
 		chunk.Attempt = fleet.AttemptID(id)
@@ -46,8 +46,8 @@
 	return chunk, true
 }
 
-// chunkParser takes a chunk from the front of rest. After a failure the other
-// steps change nothing that is used.
+// chunkParser parses a chunk from the front of rest. Once failed is set, the
+// results are invalid.
 type chunkParser struct {
 	rest   []byte
 	failed bool
@@ -59,7 +59,7 @@
 	p.failed = p.failed || !ok
 }
 
-// text takes a string after member up to its closing quote, which stays.
+// text parses a string after member up to its closing quote, which stays in rest.
 func (p *chunkParser) text(member []byte) []byte {
 	p.skip(member)
 	for n, c := range p.rest {
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// number takes a whole number without sign after member.
+// number parses an unsigned integer after member.
 func (p *chunkParser) number(member []byte) uint64 {
 	p.skip(member)
 	n := 0
@@ -93,8 +93,8 @@
 	return value
 }
 
-// finish takes the closing of the text, the finish if there is one, and the
-// closing of the chunk.
+// finish parses the closing quote of the text, the finish member if there is
+// one, and the closing brace.
 func (p *chunkParser) finish() []byte {
 	p.skip([]byte{'"'})
 	var finish []byte
--- a/internal/engine/chunkparse_test.go
+++ b/internal/engine/chunkparse_test.go
@@ -9,7 +9,7 @@
 	"github.com/hyssopsail/hyssopsail/internal/engineapi"
 )
 
-// FuzzParseChunk holds the short way to what encoding/json makes of a line.
+// FuzzParseChunk checks that the fast path returns the same as encoding/json.
 func FuzzParseChunk(f *testing.F) {
 	for _, seed := range []string{
 		`{"attempt_id":"0af1","incarnation":4,"offset":0,"tokens":1,"text":"cotton "}`,
@@ -39,9 +39,9 @@
 	})
 }
 
-// What encoding/json writes for a plain chunk goes the short way: else each
-// token would silently cost ten times as much.
-func TestPlainChunksGoTheShortWay(t *testing.T) {
+// Plain chunks as encoding/json encodes them must take the fast path: otherwise
+// each token would cost ten times as much without any other sign.
+func TestPlainChunksTakeTheFastPath(t *testing.T) {
 	for _, c := range []engineapi.Chunk{
 		{Attempt: testAttempt, Incarnation: 1 << 40, Offset: 4095, Tokens: 1, Text: "cotton offcuts, 3% linen "},
 		{Attempt: testAttempt, Incarnation: 4, Offset: 7, Tokens: 0, Finish: engineapi.FinishStop},
--- a/internal/engine/conn.go
+++ b/internal/engine/conn.go
@@ -6,60 +6,59 @@
 	"sync"
 )
 
-// guardedConn counts the writes that have begun, so that a failed request is
-// known to have left nothing only when that is certain.
+// guardedConn counts the writes that have begun, so that a failed request counts
+// as not sent only when that is certain.
 //
-// Failure: http.Transport may return an error, say for an ended context, while
-// its writing goroutine still is to write the request. Taking "no byte was
-// written yet" for "not sent" would let a second try run beside the first.
-// seal and Write hold the same mutex: once seal has found no write, none can
-// begin.
+// Failure: http.Transport may return an error, say for an ended context, before
+// its writing goroutine writes the request. If "no byte was written yet" counted
+// as "not sent", a second send could run beside the first. seal and Write hold
+// the same mutex: once seal has found no write, none can begin.
 type guardedConn struct {
 	net.Conn
-	mu     sync.Mutex
-	writes uint64
-	sealed error
+	mu       sync.Mutex
+	writes   uint64
+	sealedBy error // returned by Write; nil: not sealed
 }
 
 // Write implements net.Conn.
 func (c *guardedConn) Write(b []byte) (int, error) {
-	if err := c.begin(); err != nil {
+	if err := c.beginWrite(); err != nil {
 		return 0, err
 	}
 	return c.Conn.Write(b)
 }
 
-func (c *guardedConn) begin() error {
+func (c *guardedConn) beginWrite() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.sealed != nil {
-		return c.sealed
+	if c.sealedBy != nil {
+		return c.sealedBy
 	}
 	c.writes++
 	return nil
 }
 
-func (c *guardedConn) mark() uint64 {
+func (c *guardedConn) writeCount() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.writes
 }
 
-// seal forbids all writes when none has begun since mark, and tells whether
-// that was so.
-func (c *guardedConn) seal(mark uint64, cause error) bool {
+// seal makes all writes fail with cause, provided that none has begun since
+// writeCount returned count, and reports whether it did.
+func (c *guardedConn) seal(count uint64, cause error) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.writes != mark {
+	if c.writes != count {
 		return false
 	}
-	c.sealed = cause
+	c.sealedBy = cause
 	return true
 }
 
-// guardedFrom finds the guardedConn below a transport's connection; nil when
-// there is none.
-func guardedFrom(conn net.Conn) *guardedConn {
+// guardedConnOf returns the guardedConn that underlies a transport's connection;
+// nil if there is none.
+func guardedConnOf(conn net.Conn) *guardedConn {
 	if t, ok := conn.(*tls.Conn); ok {
 		conn = t.NetConn()
 	}
--- a/internal/engine/contract.go
+++ b/internal/engine/contract.go
@@ -17,19 +17,19 @@
 	Address     string // host:port
 }
 
-// Gate is the last check before bytes leave for a target: it tells whether
-// the team's data may still go there and whether this daemon still holds its
-// lease. It is asked directly before each send.
+// Gate is the last check before bytes are sent to a target. It returns an error
+// if the team's data may no longer go there or this daemon no longer holds its
+// lease. It is called directly before each send.
 type Gate func(Target) error
 
 // Client calls endpoints. Errors are *Error.
 type Client interface {
 	Prefill(ctx context.Context, t Target, gate Gate, r engineapi.PrefillRequest) (engineapi.PrefillReply, error)
 	Import(ctx context.Context, t Target, gate Gate, r engineapi.ImportRequest) (engineapi.ImportReply, error)
-	// Decode gives a stream whose chunks have passed all checks.
+	// Decode returns a stream whose chunks have passed all checks.
 	Decode(ctx context.Context, t Target, gate Gate, r engineapi.DecodeRequest) (Stream, error)
-	// Cancel returns at once and retries until confirmed, the endpoint's
-	// incarnation is gone, or the bound of cancel retries has passed.
+	// Cancel returns at once. The cancel is retried until it is confirmed, the
+	// endpoint's incarnation is gone, or Options.CancelTimeout has passed.
 	Cancel(t Target, attempt fleet.AttemptID)
 	Held(ctx context.Context, t Target) (engineapi.HeldReply, error)
 	Cache(ctx context.Context, t Target) (engineapi.CacheSnapshot, error)
@@ -41,19 +41,19 @@
 
 // Stream is a checked decode stream.
 type Stream interface {
-	// Next gives the next chunk; after one with Finish set it gives io.EOF. A
-	// stream that breaks before gives an *Error.
+	// Next returns the next chunk; after one with Finish set it returns io.EOF. If
+	// the stream fails before, it returns an *Error.
 	Next() (engineapi.Chunk, error)
 	Close() error
 }
 
-// Error tells how a call to an endpoint failed.
+// Error describes how a call to an endpoint failed.
 type Error struct {
 	Target Target
 	Op     string
 	Code   engineapi.Code // empty when the endpoint gave no answer
-	Sent   bool           // false: no byte of the request has left
-	Rest   time.Duration  // for which the endpoint wants nothing from this daemon; 0: it didn't ask
+	Sent   bool           // false: no byte of the request has been sent
+	Rest   time.Duration  // cooldown that the endpoint asked this daemon for; 0: none
 	Err    error
 }
 
@@ -69,5 +69,5 @@
 	return s
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
--- a/internal/engine/doc.go
+++ b/internal/engine/doc.go
@@ -1,4 +1,4 @@
-// Package engine is the client to endpoints: it speaks engineapi, checks
-// attempt, incarnation and offsets of each answer, and retries cancels until
-// they are confirmed.
+// Package engine implements the client for the API of package engineapi. It
+// checks attempt, incarnation and offsets of each answer, and retries cancels
+// until they are confirmed.
 package engine
--- a/internal/engine/dueheap.go
+++ b/internal/engine/dueheap.go
@@ -1,6 +1,6 @@
 package engine
 
-// dueHeap is a container/heap of cancels, the one due first on top.
+// dueHeap is a container/heap of cancels, ordered by due time.
 type dueHeap []*pendingCancel
 
 // Len implements sort.Interface.
--- a/internal/engine/events.go
+++ b/internal/engine/events.go
@@ -12,33 +12,33 @@
 	"github.com/hyssopsail/hyssopsail/internal/fleet"
 )
 
-// readerSize is the buffer of one stream in bytes; most chunks fit in it.
-const readerSize = 4096
+// readBufferBytes is the buffer size of one stream; most chunks fit in it.
+const readBufferBytes = 4096
 
 var (
-	dataField = []byte("data:")
-	space     = []byte(" ")
-	fields    = [][]byte{[]byte("event:"), []byte("id:"), []byte("retry:")}
+	dataField     = []byte("data:")
+	space         = []byte(" ")
+	ignoredFields = [][]byte{[]byte("event:"), []byte("id:"), []byte("retry:")}
 )
 
-// chunkReader reads the chunks of a server-sent event stream, one a data
-// line. Comments and other fields are passed over.
+// chunkReader reads the chunks of a server-sent event stream, one in each data
+// line. Comments and other fields are ignored.
 type chunkReader struct {
-	buffer  *bufio.Reader
-	long    []byte // a line longer than the buffer
-	maxLine int
-	attempt fleet.AttemptID // whose chunks are expected
+	reader       *bufio.Reader
+	longBuffer   []byte // holds a line longer than reader's buffer
+	maxLineBytes int
+	attempt      fleet.AttemptID // expected in the chunks
 }
 
 func newChunkReader(r io.Reader, maxLine int, attempt fleet.AttemptID) *chunkReader {
-	return &chunkReader{buffer: bufio.NewReaderSize(r, readerSize), maxLine: maxLine, attempt: attempt}
+	return &chunkReader{reader: bufio.NewReaderSize(r, readBufferBytes), maxLineBytes: maxLine, attempt: attempt}
 }
 
-// next gives the next chunk. The stream's end gives ErrBroken: whole streams
-// end at a chunk with Finish set, after which next isn't called.
+// next returns the next chunk. At the stream's end it returns ErrBroken: complete
+// streams end with a chunk that has Finish set, after which next isn't called.
 func (r *chunkReader) next() (engineapi.Chunk, error) {
 	for {
-		line, err := r.line()
+		line, err := r.readLine()
 		if err != nil {
 			return engineapi.Chunk{}, err
 		}
@@ -46,62 +46,62 @@
 		if ok {
 			return decodeChunk(data, r.attempt)
 		}
-		if !passedOver(line) {
+		if !isIgnoredLine(line) {
 			return engineapi.Chunk{}, fmt.Errorf("%w: not an event line", ErrMalformed)
 		}
 	}
 }
 
-// line gives one line without its end; it is valid until the next call.
-func (r *chunkReader) line() ([]byte, error) {
-	line, err := r.buffer.ReadSlice('\n')
+// readLine returns one line without its line ending. It is valid until the next call.
+func (r *chunkReader) readLine() ([]byte, error) {
+	line, err := r.reader.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
-		line, err = r.longLine(line)
+		line, err = r.readLongLine(line)
 	}
 	if errors.Is(err, ErrOversized) {
 		return nil, err
 	}
 	if err != nil {
-		return nil, brokenBy(err)
+		return nil, truncatedError(err)
 	}
-	if len(line) > r.maxLine {
-		return nil, fmt.Errorf("%w: line over %d bytes", ErrOversized, r.maxLine)
+	if len(line) > r.maxLineBytes {
+		return nil, fmt.Errorf("%w: line over %d bytes", ErrOversized, r.maxLineBytes)
 	}
 	return bytes.TrimRight(line, "\r\n"), nil
 }
 
-// brokenBy makes the error of a stream that ends before its last chunk, be it
-// inside a line.
+// truncatedError returns the error for a stream that ends before its last chunk,
+// possibly inside a line.
 //
-// Failure: the connection ends early with io.EOF, and a caller that looks for
-// io.EOF as the mark of a whole stream takes half an answer for a whole one.
-// io.EOF is therefore never in the chain of a failure.
-func brokenBy(err error) error {
+// Failure: the connection ends early with io.EOF, and a caller that checks for
+// io.EOF as the end of a complete stream takes a partial answer for a complete
+// one. An error therefore never wraps io.EOF.
+func truncatedError(err error) error {
 	if errors.Is(err, io.EOF) {
 		err = io.ErrUnexpectedEOF
 	}
 	return fmt.Errorf("%w: %w", ErrBroken, err)
 }
 
-func (r *chunkReader) longLine(head []byte) ([]byte, error) {
-	r.long = append(r.long[:0], head...)
+func (r *chunkReader) readLongLine(head []byte) ([]byte, error) {
+	r.longBuffer = append(r.longBuffer[:0], head...)
 	for {
-		part, err := r.buffer.ReadSlice('\n')
-		r.long = append(r.long, part...)
-		if len(r.long) > r.maxLine {
-			return nil, fmt.Errorf("%w: line over %d bytes", ErrOversized, r.maxLine)
+		part, err := r.reader.ReadSlice('\n')
+		r.longBuffer = append(r.longBuffer, part...)
+		if len(r.longBuffer) > r.maxLineBytes {
+			return nil, fmt.Errorf("%w: line over %d bytes", ErrOversized, r.maxLineBytes)
 		}
 		if !errors.Is(err, bufio.ErrBufferFull) {
-			return r.long, err
+			return r.longBuffer, err
 		}
 	}
 }
 
-func passedOver(line []byte) bool {
+func isIgnoredLine(line []byte) bool {
 	if len(line) == 0 || line[0] == ':' {
 		return true
 	}
-	for _, f := range fields {
+	for _, f := range ignoredFields {
 		if bytes.HasPrefix(line, f) {
 			return true
 		}
--- a/internal/engine/exchange.go
+++ b/internal/engine/exchange.go
@@ -15,64 +15,63 @@
 	"github.com/hyssopsail/hyssopsail/internal/engineapi"
 )
 
-// exchange is one kind of JSON call.
-type exchange struct {
-	op      string
-	method  string
-	path    string
-	timeout time.Duration
-	limit   int64 // bytes of the answer
+// operation describes one kind of call with a JSON body.
+type operation struct {
+	op            string
+	method        string
+	path          string
+	timeout       time.Duration
+	maxReplyBytes int64
 }
 
-// onceBody hides the type of a body from net/http.
+// nonReplayableBody hides the type of a body from net/http.
 //
-// Failure: http.Transport sends a request again by itself when a kept
-// connection breaks and the request has no body, or has a GetBody. The
-// endpoint may have run the first copy, so that a call that may not repeat runs
-// twice. A body that is neither nil nor http.NoBody, without GetBody, takes
-// every such path away.
-type onceBody struct {
+// Failure: http.Transport resends a request by itself when a reused connection
+// breaks and the request has no body, or has GetBody. The endpoint may have run
+// the first one, so that a call that must not be repeated runs twice. A body that
+// is neither nil nor http.NoBody, without GetBody, rules out any such resend.
+type nonReplayableBody struct {
 	io.Reader
 }
 
 // Close implements io.Closer.
-func (onceBody) Close() error { return nil }
+func (nonReplayableBody) Close() error { return nil }
 
-// exchange sends in as JSON (nil: no body) and reads the answer into out.
+// doJSON sends in as JSON (nil: empty body) and decodes the answer into out.
 // Errors are *Error.
-func (c *HTTPClient) exchange(ctx context.Context, t Target, gate Gate, x exchange, in, out any) error {
+func (c *HTTPClient) doJSON(ctx context.Context, t Target, gate Gate, x operation, in, out any) error {
 	body, err := encode(in)
 	if err != nil {
 		return &Error{Target: t, Op: x.op, Err: err}
 	}
 	ctx, stop := context.WithTimeout(ctx, x.timeout)
 	defer stop()
-	for try := 0; ; try++ {
+	for resent := false; ; resent = true {
 		response, s, err := c.post(ctx, t, gate, x, body)
 		if err == nil {
 			return readReply(t, x, response, out)
 		}
-		// A second try is made only when the first met a closed connection and
-		// is known to have sent nothing; see guardedConn.
-		if try > 0 || err.Sent || !s.stale() || ctx.Err() != nil {
+		// The request is resent only if the first send used a connection that the
+		// endpoint had closed, and certainly sent nothing; see guardedConn.
+		if resent || err.Sent || !s.metClosedConn() || ctx.Err() != nil {
 			return err
 		}
 	}
 }
 
-// post sends one JSON request and gives the answer once its header is there
-// and its status is below 400.
-func (c *HTTPClient) post(ctx context.Context, t Target, gate Gate, x exchange, body []byte) (*http.Response, *send, *Error) {
+// post sends one JSON request and returns the answer once its header has been
+// received. A status other than 200 is an error.
+func (c *HTTPClient) post(ctx context.Context, t Target, gate Gate, x operation, body []byte) (*http.Response, *sendState, *Error) {
 	target, err := c.targetURL(t, x.path)
 	if err != nil {
-		return nil, &send{}, &Error{Target: t, Op: x.op, Err: err}
+		return nil, &sendState{}, &Error{Target: t, Op: x.op, Err: err}
 	}
 	request := &http.Request{
 		Method:        x.method,
 		URL:           target,
 		Host:          target.Host,
 		Header:        http.Header{"Content-Type": {"application/json"}},
-		Body:          onceBody{bytes.NewReader(body)},
+		Body:          nonReplayableBody{bytes.NewReader(body)},
 		ContentLength: int64(len(body)),
 	}
 	response, s, failure := c.roundTrip(ctx, t, gate, x.op, request)
@@ -80,49 +79,50 @@
 		return nil, s, failure
 	}
 	if response.StatusCode != http.StatusOK {
-		return nil, s, refused(t, x.op, response)
+		return nil, s, refusalError(t, x.op, response)
 	}
 	return response, s, nil
 }
 
-// roundTrip asks the gate, sends request and waits for the answer's header.
-func (c *HTTPClient) roundTrip(ctx context.Context, t Target, gate Gate, op string, request *http.Request) (*http.Response, *send, *Error) {
-	// cancel ends with ctx: each caller gives a ctx that it ends itself.
+// roundTrip checks the gate, sends request and waits for the answer's header.
+func (c *HTTPClient) roundTrip(ctx context.Context, t Target, gate Gate, op string, request *http.Request) (*http.Response, *sendState, *Error) {
+	// After success closing the body calls cancel. Besides, each caller ends its ctx.
 	ctx, cancel := context.WithCancelCause(ctx)
-	s := &send{target: t, gate: gate, cancel: cancel}
-	if err := s.ask(); err != nil {
+	s := &sendState{target: t, gate: gate, cancel: cancel}
+	if err := s.checkGate(); err != nil {
 		cancel(err)
 		return nil, s, &Error{Target: t, Op: op, Err: err}
 	}
-	response, err := c.transport.RoundTrip(request.WithContext(s.trace(ctx)))
+	response, err := c.transport.RoundTrip(request.WithContext(s.withTrace(ctx)))
 	if err == nil {
-		response.Body = &closingBody{ReadCloser: response.Body, cancel: cancel}
+		response.Body = &cancellingBody{ReadCloser: response.Body, cancel: cancel}
 		return response, s, nil
 	}
 	defer cancel(err)
-	return nil, s, &Error{Target: t, Op: op, Sent: s.left(), Err: cause(ctx, s, err)}
+	return nil, s, &Error{Target: t, Op: op, Sent: s.mayHaveSent(), Err: failureCause(ctx, s, err)}
 }
 
-// closingBody ends the request's context when the answer is done with.
-type closingBody struct {
+// cancellingBody cancels the request's context when the answer's body is closed.
+type cancellingBody struct {
 	io.ReadCloser
 	cancel context.CancelCauseFunc
 }
 
 // Close implements io.Closer.
-func (b *closingBody) Close() error {
+func (b *cancellingBody) Close() error {
 	err := b.ReadCloser.Close()
 	b.cancel(context.Canceled)
 	return err
 }
 
-// cause prefers the reason of an ended context over the transport's words.
-func cause(ctx context.Context, s *send, err error) error {
-	if refusal := s.refusal(); refusal != nil {
+// failureCause returns the gate's refusal or the cause of an ended context, if there
+// is one, rather than the transport's error.
+func failureCause(ctx context.Context, s *sendState, err error) error {
+	if refusal := s.gateError(); refusal != nil {
 		return refusal
 	}
-	if because := context.Cause(ctx); because != nil {
-		return because
+	if cause := context.Cause(ctx); cause != nil {
+		return cause
 	}
 	return err
 }
@@ -134,7 +134,7 @@
 	return json.Marshal(in)
 }
 
-// targetURL makes the URL of path at t, whose address must be host:port.
+// targetURL returns the URL of path at t, whose address must be host:port.
 func (c *HTTPClient) targetURL(t Target, path string) (*url.URL, error) {
 	if !engineapi.AddressOK(t.Address) {
 		return nil, fmt.Errorf("%w: %q", ErrAddress, t.Address)
@@ -142,9 +142,9 @@
 	return &url.URL{Scheme: c.scheme, Host: t.Address, Path: path}, nil
 }
 
-func readReply(t Target, x exchange, response *http.Response, out any) error {
+func readReply(t Target, x operation, response *http.Response, out any) error {
 	defer response.Body.Close()
-	body, err := readBounded(response.Body, x.limit)
+	body, err := readBounded(response.Body, x.maxReplyBytes)
 	if err == nil {
 		err = unmarshal(body, out)
 	}
@@ -172,12 +172,12 @@
 	return body, nil
 }
 
-// maxErrorBytes bounds the body of a refusal.
+// maxErrorBytes limits the body of an error answer.
 const maxErrorBytes = 16 << 10
 
-// refused reads a refusal. An endpoint that gives no readable one leaves Code
-// empty.
-func refused(t Target, op string, response *http.Response) *Error {
+// refusalError returns the error for a refusal. Code stays empty if the body isn't a
+// valid engineapi.ErrorReply with a known code.
+func refusalError(t Target, op string, response *http.Response) *Error {
 	defer response.Body.Close()
 	failure := &Error{
 		Target: t, Op: op, Sent: true, Err: fmt.Errorf("status %d", response.StatusCode),
--- a/internal/engine/failure.go
+++ b/internal/engine/failure.go
@@ -7,29 +7,29 @@
 
 // The causes in an Error, for errors.Is.
 var (
-	// ErrGate says that the gate refused the send.
+	// ErrGate means that the gate refused the send.
 	ErrGate = errors.New("gate refused")
-	// ErrAttempt says that an answer belongs to another attempt.
+	// ErrAttempt means that an answer belongs to another attempt.
 	ErrAttempt = errors.New("answer of another attempt")
-	// ErrIncarnation says that an answer comes from another process of the
-	// endpoint than the one asked.
+	// ErrIncarnation means that an answer comes from another incarnation of the
+	// endpoint than the target's.
 	ErrIncarnation = errors.New("answer of another incarnation")
-	// ErrEarlier says that an answer comes from an earlier process of the
-	// endpoint: it is late, and tells nothing against the process of now.
+	// ErrEarlier means that an answer comes from an earlier incarnation of the
+	// endpoint: it is late, and no evidence against the present incarnation.
 	ErrEarlier = fmt.Errorf("%w, an earlier one", ErrIncarnation)
-	// ErrGap says that tokens are missing before a chunk.
+	// ErrGap means that tokens are missing before a chunk.
 	ErrGap = errors.New("tokens missing in stream")
-	// ErrRepeat says that a chunk holds tokens that were given before.
+	// ErrRepeat means that a chunk repeats tokens of earlier chunks.
 	ErrRepeat = errors.New("tokens repeated in stream")
-	// ErrMalformed says that an answer can't be read.
+	// ErrMalformed means that an answer can't be parsed.
 	ErrMalformed = errors.New("malformed answer")
-	// ErrOversized says that a body or line is over its bound.
+	// ErrOversized means that a body or line exceeds its size limit.
 	ErrOversized = errors.New("over the size bound")
-	// ErrBroken says that a stream ended before its last chunk.
+	// ErrBroken means that an answer or stream ended early.
 	ErrBroken = errors.New("stream ended early")
-	// ErrIdle says that an endpoint was silent for too long.
+	// ErrIdle means that an endpoint sent nothing within a timeout.
 	ErrIdle = errors.New("endpoint silent too long")
-	// ErrAddress says that a target's address or a call's path isn't one that
-	// may be sent to.
+	// ErrAddress means that a target's address, or a call's method or path, isn't
+	// allowed.
 	ErrAddress = errors.New("address or path not allowed")
 )
--- a/internal/engine/harness_test.go
+++ b/internal/engine/harness_test.go
@@ -21,13 +21,13 @@
 	testIncarnation = fleet.Incarnation(4)
 )
 
-func open(Target) error { return nil }
+func allowAll(Target) error { return nil }
 
 func targetAt(address string) Target {
 	return Target{ID: "engine-1", Incarnation: testIncarnation, Zone: "howrah", Address: address}
 }
 
-// serve runs an endpoint made of one handler.
+// serve runs an endpoint with the given handler.
 func serve(t *testing.T, handler http.HandlerFunc) Target {
 	t.Helper()
 	server := httptest.NewServer(handler)
@@ -43,47 +43,47 @@
 	}
 }
 
-// tally counts the requests whose first line has come, over all connections.
-type tally struct {
+// requestLog records the requests received over all connections.
+type requestLog struct {
 	mu    sync.Mutex
 	lines []string
 }
 
-func (c *tally) add(line string) int {
+func (c *requestLog) add(line string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lines = append(c.lines, line)
 	return len(c.lines)
 }
 
-func (c *tally) count() int {
+func (c *requestLog) count() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.lines)
 }
 
-// closingServer answers the first request with body and keeps the connection;
-// each later request makes it close the connection without an answer, once it
-// has read the request's header.
-func closingServer(t *testing.T, body string) (Target, *tally) {
+// closingServer answers the first request with body and keeps the connection
+// open. On each later request it reads the header and closes the connection
+// without an answer.
+func closingServer(t *testing.T, body string) (Target, *requestLog) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	t.Cleanup(func() { listener.Close() })
-	seen := &tally{}
+	seen := &requestLog{}
 	go func() {
 		for {
 			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go closeSecond(conn, seen, body)
+			go closeAtSecondRequest(conn, seen, body)
 		}
 	}()
 	return targetAt(listener.Addr().String()), seen
 }
 
-func closeSecond(conn net.Conn, seen *tally, body string) {
+func closeAtSecondRequest(conn net.Conn, seen *requestLog, body string) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
 	for {
@@ -108,10 +108,10 @@
 	return request
 }
 
-// openStreams gives the gauge's value.
+// openStreams returns the value of the gauge of open streams.
 func (c *HTTPClient) openStreams() float64 {
 	var m dto.Metric
-	if err := c.metrics.streams.Write(&m); err != nil {
+	if err := c.metrics.openStreams.Write(&m); err != nil {
 		panic(err)
 	}
 	return m.GetGauge().GetValue()
--- a/internal/engine/metrics.go
+++ b/internal/engine/metrics.go
@@ -6,7 +6,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// The values of label result, besides the endpoints' own codes.
+// The values of label result, besides engineapi's error codes.
 const (
 	resultDone   = "done"
 	resultGate   = "gate"
@@ -14,13 +14,13 @@
 	resultFailed = "failed"
 )
 
-// metrics are the client's counts. Labels are bounded: the operations and
-// codes of engineapi.
+// metrics are the client's metrics. The label values are limited to the
+// operations and error codes of engineapi.
 type metrics struct {
-	calls   *prometheus.CounterVec
-	streams prometheus.Gauge
-	pending prometheus.Gauge
-	dropped prometheus.Counter
+	calls          *prometheus.CounterVec
+	openStreams    prometheus.Gauge
+	pendingCancels prometheus.Gauge
+	unconfirmed    prometheus.Counter
 }
 
 func newMetrics(registerer prometheus.Registerer) *metrics {
@@ -29,27 +29,27 @@
 			Name: "hyssopsail_engine_calls_total",
 			Help: "Calls to endpoints by operation and result.",
 		}, []string{"op", "result"}),
-		streams: prometheus.NewGauge(prometheus.GaugeOpts{
+		openStreams: prometheus.NewGauge(prometheus.GaugeOpts{
 			Name: "hyssopsail_engine_streams_count",
 			Help: "Open decode streams.",
 		}),
-		pending: prometheus.NewGauge(prometheus.GaugeOpts{
+		pendingCancels: prometheus.NewGauge(prometheus.GaugeOpts{
 			Name: "hyssopsail_engine_cancels_pending_count",
 			Help: "Cancels that no endpoint has confirmed yet.",
 		}),
-		dropped: prometheus.NewCounter(prometheus.CounterOpts{
+		unconfirmed: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "hyssopsail_engine_cancels_unconfirmed_total",
 			Help: "Cancels given up without confirmation.",
 		}),
 	}
 	if registerer != nil {
-		registerer.MustRegister(m.calls, m.streams, m.pending, m.dropped)
+		registerer.MustRegister(m.calls, m.openStreams, m.pendingCancels, m.unconfirmed)
 	}
 	return m
 }
 
-// finish counts a call's end and passes err on.
-func (c *HTTPClient) finish(op string, err error) error {
+// countResult counts a finished call and returns err.
+func (c *HTTPClient) countResult(op string, err error) error {
 	c.metrics.calls.WithLabelValues(op, resultOf(err)).Inc()
 	return err
 }
--- a/internal/engine/once_test.go
+++ b/internal/engine/once_test.go
@@ -13,11 +13,11 @@
 	"gotest.tools/v3/assert"
 )
 
-// A kept connection is closed by the endpoint just as a call arrives there: the
-// endpoint may have run it. net/http would send a call without a body, or one
-// with an Idempotency-Key, a second time, and a pickup slip would be written
-// twice. The caller must get one failure, and the endpoint one copy.
-func TestClosedConnectionIsNoSecondSend(t *testing.T) {
+// An endpoint closes an idle connection just as a call arrives, and may have run
+// the call. net/http would resend a call without a body, or one with an
+// Idempotency-Key, and it would run twice. The caller must get an error, and the
+// endpoint the call once.
+func TestClosedConnectionCausesNoResend(t *testing.T) {
 	for _, test := range []struct{ method, body, key string }{
 		{http.MethodGet, "", ""},
 		{http.MethodHead, "", ""},
@@ -29,7 +29,7 @@
 		t.Run(test.method+test.body, func(t *testing.T) {
 			target, seen := closingServer(t, "ok")
 			client := NewClient(Options{})
-			first, err := client.Call(t.Context(), target, open, testAttempt, callerRequest(t, "POST", "/warm", "x"))
+			first, err := client.Call(t.Context(), target, allowAll, testAttempt, callerRequest(t, "POST", "/warm", "x"))
 			assert.NilError(t, err)
 			_, err = io.Copy(io.Discard, first.Body)
 			assert.NilError(t, err)
@@ -39,7 +39,7 @@
 			if test.key != "" {
 				request.Header.Set("Idempotency-Key", test.key)
 			}
-			response, err := client.Call(t.Context(), target, open, testAttempt, request)
+			response, err := client.Call(t.Context(), target, allowAll, testAttempt, request)
 			if err == nil {
 				response.Body.Close()
 			}
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestClosedConnectionIsNoSecondRead(t *testing.T) {
+func TestClosedConnectionCausesNoRepeatedRead(t *testing.T) {
 	target, seen := closingServer(t, `{"incarnation":4}`)
 	client := NewClient(Options{})
 	_, err := client.Held(t.Context(), target)
@@ -61,13 +61,13 @@
 	assert.Equal(t, seen.count(), 2)
 }
 
-// The team's zones are narrowed, or the daemon loses its lease, between the
-// choice of an endpoint and the send. Nothing may reach the endpoint, and the
-// caller must be told that nothing was sent.
+// The team's permitted zones are reduced, or the daemon loses its lease, between
+// the choice of an endpoint and the send. Nothing may reach the endpoint, and the
+// error must say that nothing was sent.
 func TestGateRefusesBeforeTheSend(t *testing.T) {
 	for name, allowed := range map[string]int{"before dialling": 0, "with the connection in hand": 1} {
 		t.Run(name, func(t *testing.T) {
-			seen := &tally{}
+			seen := &requestLog{}
 			target := serve(t, func(_ http.ResponseWriter, r *http.Request) { seen.add(r.URL.Path) })
 			asked := 0
 			gate := func(Target) error {
@@ -94,35 +94,35 @@
 	}
 }
 
-func TestUnreachableEndpointGotNothing(t *testing.T) {
+func TestUnreachableEndpointCountsAsNotSent(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	target := targetAt(listener.Addr().String())
 	listener.Close()
-	_, err = NewClient(Options{}).Prefill(t.Context(), target, open, engineapi.PrefillRequest{})
+	_, err = NewClient(Options{}).Prefill(t.Context(), target, allowAll, engineapi.PrefillRequest{})
 	var failure *Error
 	assert.Assert(t, errors.As(err, &failure))
 	assert.Assert(t, !failure.Sent)
 }
 
-// An endpoint has read the request and dies: it may have run it.
+// An endpoint reads the request and dies: it may have run the request.
 func TestRequestThatLeftCountsAsSent(t *testing.T) {
 	target := serve(t, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
-	_, err := NewClient(Options{}).Prefill(t.Context(), target, open, engineapi.PrefillRequest{})
+	_, err := NewClient(Options{}).Prefill(t.Context(), target, allowAll, engineapi.PrefillRequest{})
 	var failure *Error
 	assert.Assert(t, errors.As(err, &failure))
 	assert.Assert(t, failure.Sent)
 }
 
-// A context ends while net/http's writing goroutine has yet to write. Once the
-// request has been called unsent, that goroutine must find the connection
-// shut, or the request would run although it was reported as not sent.
+// A context ends before net/http's writing goroutine writes the request. Once the
+// request has been reported as not sent, the connection must refuse that write, or
+// the request would run nevertheless.
 func TestSealedConnectionWritesNothing(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
 	conn := &guardedConn{Conn: near}
-	mark := conn.mark()
-	assert.Assert(t, conn.seal(mark, errSealed))
+	count := conn.writeCount()
+	assert.Assert(t, conn.seal(count, errSealed))
 	_, err := conn.Write([]byte("late"))
 	assert.ErrorIs(t, err, errSealed)
 }
@@ -130,32 +130,32 @@
 func TestConnectionInUseIsNotSealed(t *testing.T) {
 	near, far := net.Pipe()
 	conn := &guardedConn{Conn: near}
-	mark := conn.mark()
+	count := conn.writeCount()
 	go func() { _, _ = io.Copy(io.Discard, far) }()
 	_, err := conn.Write([]byte("first"))
 	assert.NilError(t, err)
-	assert.Assert(t, !conn.seal(mark, errSealed))
+	assert.Assert(t, !conn.seal(count, errSealed))
 }
 
 // An endpoint accepts the connection and never answers.
-func TestHangingEndpointIsGivenUp(t *testing.T) {
+func TestHangingEndpointTimesOut(t *testing.T) {
 	target := serve(t, func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		<-r.Context().Done()
 	})
-	client := NewClient(Options{HeaderTimeout: 1, ReadTimeout: 1, CallTimeout: 1})
-	_, err := client.Decode(t.Context(), target, open, decodeRequest())
+	client := NewClient(Options{DecodeHeaderTimeout: 1, ReadTimeout: 1, CallHeaderTimeout: 1})
+	_, err := client.Decode(t.Context(), target, allowAll, decodeRequest())
 	assert.ErrorIs(t, err, ErrIdle)
 	_, err = client.Held(t.Context(), target)
 	assert.ErrorIs(t, err, context.DeadlineExceeded)
-	_, err = client.Call(t.Context(), target, open, testAttempt, callerRequest(t, "POST", "/x", "x"))
+	_, err = client.Call(t.Context(), target, allowAll, testAttempt, callerRequest(t, "POST", "/x", "x"))
 	assert.ErrorIs(t, err, ErrIdle)
 }
 
-// Over TLS the transport's connection is not the guarded one itself; the gate
-// must still be able to shut it.
-func TestGateShutsTLSConnections(t *testing.T) {
-	seen := &tally{}
+// Over TLS the transport's connection wraps the guarded one. The gate must still
+// be able to block writes.
+func TestGateBlocksTLSConnections(t *testing.T) {
+	seen := &requestLog{}
 	server := httptest.NewTLSServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		seen.add(r.URL.Path)
 		_, _ = io.WriteString(w, `{"incarnation":4}`)
--- a/internal/engine/options.go
+++ b/internal/engine/options.go
@@ -11,67 +11,68 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Options set up an HTTPClient. A zero field takes DefaultOptions' value.
+// Options configures an HTTPClient. Zero timeouts and limits take the values of
+// DefaultOptions.
 type Options struct {
 	Part       logging.Part
 	Registerer prometheus.Registerer // nil: no metrics
-	// Owner is this process. Plain calls name it; without it an endpoint's home
-	// takes a long call for one that nobody waits for, and cancels it.
+	// Owner is this process, which plain calls name. Without it an endpoint's home
+	// regards a long call as abandoned and cancels it.
 	Owner fleet.Owner
 	TLS   *tls.Config // nil: plain HTTP
 	// Dial opens connections to endpoints; nil: TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
 	DialTimeout     time.Duration
-	IdleConnTimeout time.Duration // a connection unused for so long is closed
-	MaxIdle         int           // unused connections kept for each endpoint
+	IdleConnTimeout time.Duration // an idle connection is closed after this time
+	MaxIdle         int           // idle connections kept for each endpoint
 
-	PrefillTimeout time.Duration // whole call, queue at the engine included
-	ImportTimeout  time.Duration // whole call
-	ReadTimeout    time.Duration // whole Held, Cache or State call
-	OrderTimeout   time.Duration // whole call
-	HeaderTimeout  time.Duration // until the answer's header, Decode
-	CallTimeout    time.Duration // until the answer's header, plain calls
-	FirstTimeout   time.Duration // from a stream's header to its first chunk
-	IdleTimeout    time.Duration // between two chunks of a stream
-	CallIdle       time.Duration // between two reads of a plain answer's body
+	PrefillTimeout      time.Duration // whole call, queue at the engine included
+	ImportTimeout       time.Duration // whole call
+	ReadTimeout         time.Duration // whole Held, Cache or State call
+	OrderTimeout        time.Duration // whole call
+	DecodeHeaderTimeout time.Duration // until the answer's header, Decode calls
+	CallHeaderTimeout   time.Duration // until the answer's header, plain calls
+	FirstChunkTimeout   time.Duration // from a stream's header to its first chunk
+	StreamIdleTimeout   time.Duration // between two chunks of a stream
+	CallIdleTimeout     time.Duration // between two reads of a plain answer's body
 
-	CancelTimeout time.Duration // a cancel is retried for so long
-	CancelTry     time.Duration // one try
-	CancelWorkers int           // concurrent tries
-	CancelPending int           // unconfirmed cancels kept
+	CancelTimeout        time.Duration // for a cancel with all its retries
+	CancelRequestTimeout time.Duration // for one send of a cancel
+	MaxCancelWorkers     int           // concurrent sends of cancels
+	MaxPendingCancels    int           // unconfirmed cancels kept for retries
 
-	MaxReply        int64 // bytes of one JSON answer
-	MaxCache        int64 // bytes of a cache snapshot
-	MaxLine         int   // bytes of one line of a stream
-	MaxCallRequest  int64 // bytes of a plain call's body
-	MaxCallResponse int64 // bytes of a plain answer's body
+	MaxReplyBytes        int64 // of one JSON answer
+	MaxCacheBytes        int64 // of a cache snapshot
+	MaxLineBytes         int   // of one line of a stream
+	MaxCallRequestBytes  int64 // of a plain call's body
+	MaxCallResponseBytes int64 // of a plain answer's body
 }
 
-// DefaultOptions gives the values used for zero fields.
+// DefaultOptions returns the values used for zero fields.
 func DefaultOptions() Options {
 	return Options{
-		DialTimeout:     time.Second,
-		IdleConnTimeout: 15 * time.Second,
-		MaxIdle:         32,
-		PrefillTimeout:  60 * time.Second,
-		ImportTimeout:   10 * time.Second,
-		ReadTimeout:     3 * time.Second,
-		OrderTimeout:    5 * time.Minute,
-		HeaderTimeout:   5 * time.Second,
-		CallTimeout:     60 * time.Second,
-		FirstTimeout:    10 * time.Second,
-		IdleTimeout:     3 * time.Second,
-		CallIdle:        30 * time.Second,
-		CancelTimeout:   10 * time.Second,
-		CancelTry:       500 * time.Millisecond,
-		CancelWorkers:   16,
-		CancelPending:   16384,
-		MaxReply:        1 << 20,
-		MaxCache:        16 << 20,
-		MaxLine:         64 << 10,
-		MaxCallRequest:  64 << 20,
-		MaxCallResponse: 256 << 20,
+		DialTimeout:          time.Second,
+		IdleConnTimeout:      15 * time.Second,
+		MaxIdle:              32,
+		PrefillTimeout:       60 * time.Second,
+		ImportTimeout:        10 * time.Second,
+		ReadTimeout:          3 * time.Second,
+		OrderTimeout:         5 * time.Minute,
+		DecodeHeaderTimeout:  5 * time.Second,
+		CallHeaderTimeout:    60 * time.Second,
+		FirstChunkTimeout:    10 * time.Second,
+		StreamIdleTimeout:    3 * time.Second,
+		CallIdleTimeout:      30 * time.Second,
+		CancelTimeout:        10 * time.Second,
+		CancelRequestTimeout: 500 * time.Millisecond,
+		MaxCancelWorkers:     16,
+		MaxPendingCancels:    16384,
+		MaxReplyBytes:        1 << 20,
+		MaxCacheBytes:        16 << 20,
+		MaxLineBytes:         64 << 10,
+		MaxCallRequestBytes:  64 << 20,
+		MaxCallResponseBytes: 256 << 20,
 	}
 }
 
@@ -84,20 +85,20 @@
 	orDefault(&o.ImportTimeout, d.ImportTimeout)
 	orDefault(&o.ReadTimeout, d.ReadTimeout)
 	orDefault(&o.OrderTimeout, d.OrderTimeout)
-	orDefault(&o.HeaderTimeout, d.HeaderTimeout)
-	orDefault(&o.CallTimeout, d.CallTimeout)
-	orDefault(&o.FirstTimeout, d.FirstTimeout)
-	orDefault(&o.IdleTimeout, d.IdleTimeout)
-	orDefault(&o.CallIdle, d.CallIdle)
+	orDefault(&o.DecodeHeaderTimeout, d.DecodeHeaderTimeout)
+	orDefault(&o.CallHeaderTimeout, d.CallHeaderTimeout)
+	orDefault(&o.FirstChunkTimeout, d.FirstChunkTimeout)
+	orDefault(&o.StreamIdleTimeout, d.StreamIdleTimeout)
+	orDefault(&o.CallIdleTimeout, d.CallIdleTimeout)
 	orDefault(&o.CancelTimeout, d.CancelTimeout)
-	orDefault(&o.CancelTry, d.CancelTry)
-	orDefault(&o.CancelWorkers, d.CancelWorkers)
-	orDefault(&o.CancelPending, d.CancelPending)
-	orDefault(&o.MaxReply, d.MaxReply)
-	orDefault(&o.MaxCache, d.MaxCache)
-	orDefault(&o.MaxLine, d.MaxLine)
-	orDefault(&o.MaxCallRequest, d.MaxCallRequest)
-	orDefault(&o.MaxCallResponse, d.MaxCallResponse)
+	orDefault(&o.CancelRequestTimeout, d.CancelRequestTimeout)
+	orDefault(&o.MaxCancelWorkers, d.MaxCancelWorkers)
+	orDefault(&o.MaxPendingCancels, d.MaxPendingCancels)
+	orDefault(&o.MaxReplyBytes, d.MaxReplyBytes)
+	orDefault(&o.MaxCacheBytes, d.MaxCacheBytes)
+	orDefault(&o.MaxLineBytes, d.MaxLineBytes)
+	orDefault(&o.MaxCallRequestBytes, d.MaxCallRequestBytes)
+	orDefault(&o.MaxCallResponseBytes, d.MaxCallResponseBytes)
 	return o
 }
 
--- a/internal/engine/send.go
+++ b/internal/engine/send.go
@@ -10,52 +10,52 @@
 
 var errSealed = errors.New("request given up before its first byte")
 
-// send is one try at sending one request.
-type send struct {
+// sendState is the state of one send of a request.
+type sendState struct {
 	target Target
 	gate   Gate
 	cancel context.CancelCauseFunc
 
-	mu      sync.Mutex
-	got     bool
-	reused  bool
-	conn    *guardedConn
-	mark    uint64
-	refused error
+	mu           sync.Mutex
+	connected    bool
+	reused       bool
+	conn         *guardedConn
+	writesBefore uint64 // on conn, before this send
+	gateErr      error  // refusal by the gate; nil: none
 }
 
-// trace adds the hook that asks the gate between having a connection and
-// writing to it.
+// withTrace adds a hook that checks the gate after a connection was obtained and
+// before the request is written to it.
 //
-// Failure: the gate is asked, then dialling takes a second or the process is
-// frozen past its lease, and the request leaves although the team's zones have
-// changed or another daemon has taken over. Asking again with the connection
-// in hand leaves only the write itself after the check.
-func (s *send) trace(ctx context.Context) context.Context {
+// Failure: after the gate was checked, dialling takes a second or the process is
+// frozen past its lease, and the request is sent although the team's zones have
+// changed or another daemon has taken over. With a second check once there is a
+// connection, only the write itself follows the check.
+func (s *sendState) withTrace(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: s.gotConn})
 }
 
-func (s *send) gotConn(info httptrace.GotConnInfo) {
+func (s *sendState) gotConn(info httptrace.GotConnInfo) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.got = true
+	s.connected = true
 	s.reused = info.Reused
-	s.conn = guardedFrom(info.Conn)
+	s.conn = guardedConnOf(info.Conn)
 	if s.conn != nil {
-		s.mark = s.conn.mark()
+		s.writesBefore = s.conn.writeCount()
 	}
-	err := s.ask()
+	err := s.checkGate()
 	if err == nil {
 		return
 	}
-	s.refused = err
+	s.gateErr = err
 	if s.conn != nil {
-		s.conn.seal(s.mark, err)
+		s.conn.seal(s.writesBefore, err)
 	}
 	s.cancel(err)
 }
 
-func (s *send) ask() error {
+func (s *sendState) checkGate() error {
 	if s.gate == nil {
 		return nil
 	}
@@ -65,30 +65,30 @@
 	return nil
 }
 
-// left tells, after a failure, whether a byte of the request may have left;
-// when it gives false none can leave any more.
-func (s *send) left() bool {
+// mayHaveSent reports, after a failure, whether a byte of the request may have been
+// sent. Once it has returned false, none can be sent any more.
+func (s *sendState) mayHaveSent() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.got {
+	if !s.connected {
 		return false
 	}
 	if s.conn == nil {
 		return true
 	}
-	return !s.conn.seal(s.mark, errSealed)
+	return !s.conn.seal(s.writesBefore, errSealed)
 }
 
-// stale tells whether a failed request, of which nothing has left, had met a
-// kept connection that the endpoint had closed.
-func (s *send) stale() bool {
+// metClosedConn reports whether a failed request, of which nothing was sent, got an
+// idle connection that the endpoint had closed.
+func (s *sendState) metClosedConn() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.reused && s.refused == nil
+	return s.reused && s.gateErr == nil
 }
 
-func (s *send) refusal() error {
+func (s *sendState) gateError() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.refused
+	return s.gateErr
 }
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -14,43 +14,43 @@
 
 const opDecode = "decode"
 
-// Decode implements Client. The stream's ctx is the given one: when it ends,
-// Next fails. r.DeadlineMs, when set, bounds the wait for the first chunk.
+// Decode implements Client. Once ctx ends, the stream's Next fails. r.DeadlineMs,
+// when set, limits the wait for the first chunk.
 func (c *HTTPClient) Decode(ctx context.Context, t Target, gate Gate, r engineapi.DecodeRequest) (Stream, error) {
 	body, err := encode(r)
 	if err != nil {
-		return nil, c.finish(opDecode, &Error{Target: t, Op: opDecode, Err: err})
+		return nil, c.countResult(opDecode, &Error{Target: t, Op: opDecode, Err: err})
 	}
-	caller := ctx
+	callerCtx := ctx
 	ctx, cancel := context.WithCancelCause(context.WithoutCancel(ctx))
-	follow := context.AfterFunc(caller, func() { cancel(context.Cause(caller)) })
-	silence := NewWatch(c.options.HeaderTimeout, func() { cancel(ErrIdle) })
-	x := exchange{op: opDecode, method: http.MethodPost, path: "/v1/decode"}
-	response, failure := c.open(ctx, t, gate, x, body)
+	stopFollowing := context.AfterFunc(callerCtx, func() { cancel(context.Cause(callerCtx)) })
+	idleTimer := NewWatch(c.options.DecodeHeaderTimeout, func() { cancel(ErrIdle) })
+	x := operation{op: opDecode, method: http.MethodPost, path: "/v1/decode"}
+	response, failure := c.openStream(ctx, t, gate, x, body)
 	if failure != nil {
-		follow()
-		silence.Close()
+		stopFollowing()
+		idleTimer.Close()
 		cancel(failure)
-		return nil, c.finish(opDecode, failure)
+		return nil, c.countResult(opDecode, failure)
 	}
-	silence.SetLimit(c.firstTimeout(r.DeadlineMs))
-	c.metrics.streams.Inc()
+	idleTimer.SetLimit(c.firstChunkTimeout(r.DeadlineMs))
+	c.metrics.openStreams.Inc()
 	return &decodeStream{
-		client:   c,
-		ctx:      ctx,
-		cancel:   cancel,
-		unfollow: follow,
-		silence:  silence,
-		body:     response.Body,
-		chunks:   newChunkReader(response.Body, c.options.MaxLine, r.Attempt),
-		position: position{target: t, attempt: r.Attempt, next: r.Offset, end: r.MaxTokens},
+		client:        c,
+		ctx:           ctx,
+		cancel:        cancel,
+		stopFollowing: stopFollowing,
+		idleTimer:     idleTimer,
+		body:          response.Body,
+		chunks:        newChunkReader(response.Body, c.options.MaxLineBytes, r.Attempt),
+		position:      streamPosition{target: t, attempt: r.Attempt, nextOffset: r.Offset, maxOffset: r.MaxTokens},
 	}, nil
 }
 
-// open sends the request, a second time only if nothing of the first has left.
-func (c *HTTPClient) open(ctx context.Context, t Target, gate Gate, x exchange, body []byte) (*http.Response, *Error) {
+// openStream sends the request, a second time only if nothing was sent the first time.
+func (c *HTTPClient) openStream(ctx context.Context, t Target, gate Gate, x operation, body []byte) (*http.Response, *Error) {
 	response, s, failure := c.post(ctx, t, gate, x, body)
-	if failure != nil && !failure.Sent && s.stale() && ctx.Err() == nil {
+	if failure != nil && !failure.Sent && s.metClosedConn() && ctx.Err() == nil {
 		response, _, failure = c.post(ctx, t, gate, x, body)
 	}
 	if failure != nil {
@@ -64,27 +64,27 @@
 	return response, nil
 }
 
-func (c *HTTPClient) firstTimeout(deadlineMs int64) time.Duration {
-	bound := c.options.FirstTimeout
+func (c *HTTPClient) firstChunkTimeout(deadlineMs int64) time.Duration {
+	bound := c.options.FirstChunkTimeout
 	if deadlineMs > 0 && deadlineMs < bound.Milliseconds() {
 		return time.Duration(deadlineMs) * time.Millisecond
 	}
 	return bound
 }
 
-// decodeStream is a Stream for one goroutine; Close may come from another.
+// decodeStream implements Stream. Next is for one goroutine; another one may call Close.
 type decodeStream struct {
-	client   *HTTPClient
-	ctx      context.Context // of the HTTP request
-	cancel   context.CancelCauseFunc
-	unfollow func() bool // ctx no longer ends with the caller's
-	silence  *Watch      // ends ctx when no chunk comes
-	body     io.ReadCloser
-	chunks   *chunkReader
-	position position
-	began    bool  // the first chunk has come
-	err      error // what Next gives from now on
-	once     sync.Once
+	client         *HTTPClient
+	ctx            context.Context // of the HTTP request
+	cancel         context.CancelCauseFunc
+	stopFollowing  func() bool // detaches ctx from the caller's context
+	idleTimer      *Watch      // cancels ctx when no chunk arrives in time
+	body           io.ReadCloser
+	chunks         *chunkReader
+	position       streamPosition
+	firstChunkRead bool
+	err            error // returned by all further calls of Next
+	once           sync.Once
 }
 
 // Next implements Stream.
@@ -92,12 +92,12 @@
 	if s.err != nil {
 		return engineapi.Chunk{}, s.err
 	}
-	if s.began {
-		s.silence.Begin()
+	if s.firstChunkRead {
+		s.idleTimer.Begin()
 	}
 	chunk, err := s.chunks.next()
 	if err == nil {
-		err = s.position.take(chunk)
+		err = s.position.advance(chunk)
 	}
 	if err != nil {
 		s.fail(err)
@@ -105,37 +105,36 @@
 	}
 	if chunk.Finish != engineapi.FinishNone {
 		s.err = io.EOF
-		_ = s.client.finish(opDecode, nil)
+		_ = s.client.countResult(opDecode, nil)
 		s.once.Do(s.startDrain)
 		return chunk, nil
 	}
-	s.pause()
+	s.endWait()
 	return chunk, nil
 }
 
-// pause ends the wait for a chunk until Next is called again.
+// endWait stops the idle timer until Next is called again.
 //
-// Failure: a caller reads slowly, so that its answer's next token waits here.
-// Were that time counted, an engine that has sent all that it has would be
-// given up on as silent and blamed.
-func (s *decodeStream) pause() {
-	if !s.began {
-		s.began = true
-		s.silence.SetLimit(s.client.options.IdleTimeout)
+// Failure: a caller reads slowly, so that received tokens wait here. If that time
+// counted, an engine that has sent all that it has would be blamed for a timeout.
+func (s *decodeStream) endWait() {
+	if !s.firstChunkRead {
+		s.firstChunkRead = true
+		s.idleTimer.SetLimit(s.client.options.StreamIdleTimeout)
 	}
-	s.silence.End()
+	s.idleTimer.End()
 }
 
-// fail keeps the first error: nothing that comes after it is passed on.
+// fail keeps the first error; nothing received after it is passed on.
 func (s *decodeStream) fail(err error) {
-	if because := context.Cause(s.ctx); because != nil {
-		err = because
+	if cause := context.Cause(s.ctx); cause != nil {
+		err = cause
 	}
 	var known *Error
 	if !errors.As(err, &known) {
 		known = &Error{Target: s.position.target, Op: opDecode, Sent: true, Err: err}
 	}
-	s.err = s.client.finish(opDecode, known)
+	s.err = s.client.countResult(opDecode, known)
 	s.release()
 }
 
@@ -145,37 +144,36 @@
 	return nil
 }
 
-// After its last chunk a stream may take so long, and send so many bytes, to
-// end its body; then its connection can be used again.
+// Limits for reading the rest of the body after the last chunk. A stream that ends
+// within them leaves its connection for reuse.
 const (
-	drainTimeout = 100 * time.Millisecond
-	drainBytes   = 1024
+	drainTimeout  = 100 * time.Millisecond
+	maxDrainBytes = 1024
 )
 
-// startDrain leaves the caller's context before Next returns: the caller
-// usually ends it at once, which would close the connection.
+// startDrain detaches from the caller's context before Next returns: the caller
+// usually cancels it at once, which would close the connection.
 func (s *decodeStream) startDrain() {
-	s.unfollow()
-	s.silence.SetLimit(drainTimeout)
+	s.stopFollowing()
+	s.idleTimer.SetLimit(drainTimeout)
 	go s.drain()
 }
 
-// drain reads the end of the body, which comes after the last chunk, beside
-// the caller: the next stream to this endpoint then needs no new connection.
-// What is read is dropped.
+// drain reads and discards the rest of the body after the last chunk, so that the
+// next stream to this endpoint can reuse the connection.
 func (s *decodeStream) drain() {
-	_, _ = io.CopyN(io.Discard, s.chunks.buffer, drainBytes)
-	s.end()
+	_, _ = io.CopyN(io.Discard, s.chunks.reader, maxDrainBytes)
+	s.closeAll()
 }
 
-// release ends the connection of a stream that isn't whole: what an endpoint
-// sends after a bad chunk is never read.
-func (s *decodeStream) release() { s.once.Do(s.end) }
+// release closes the connection of an incomplete stream: nothing that an endpoint
+// sends after a bad chunk is read.
+func (s *decodeStream) release() { s.once.Do(s.closeAll) }
 
-func (s *decodeStream) end() {
-	s.unfollow()
-	s.silence.Close()
+func (s *decodeStream) closeAll() {
+	s.stopFollowing()
+	s.idleTimer.Close()
 	s.cancel(context.Canceled)
 	s.body.Close()
-	s.client.metrics.streams.Dec()
+	s.client.metrics.openStreams.Dec()
 }
--- a/internal/engine/stream_test.go
+++ b/internal/engine/stream_test.go
@@ -30,7 +30,7 @@
 	return "data: " + string(line) + "\n\n"
 }
 
-// streamOf serves one decode stream.
+// streamOf serves body as a decode stream.
 func streamOf(t *testing.T, body string) Target {
 	t.Helper()
 	return serve(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -52,16 +52,16 @@
 	}
 }
 
-// An endpoint sends an answer that is not this request's, has tokens missing
-// or twice, or can't be read. The caller must get only what came before it,
-// then an error, and never what follows.
+// An endpoint sends a chunk that belongs to another request, has missing or
+// repeated tokens, or can't be parsed. The caller must get the chunks before it,
+// then an error, and nothing that follows.
 func TestStreamChecks(t *testing.T) {
 	crossed, stale := chunk(2, 1, ""), chunk(2, 1, "")
 	crossed.Attempt = "0bad"
 	stale.Incarnation--
 	unknown := chunk(2, 1, "whatever")
-	hollow := chunk(2, 0, "")
-	unnumbered := engineapi.Chunk{Attempt: testAttempt, Incarnation: testIncarnation, Offset: 2, Text: "a"}
+	empty := chunk(2, 0, "")
+	textOnly := engineapi.Chunk{Attempt: testAttempt, Incarnation: testIncarnation, Offset: 2, Text: "a"}
 	end := event(chunk(3, 1, engineapi.FinishStop))
 	for _, test := range []struct {
 		name, body string
@@ -73,8 +73,8 @@
 		{"repeated", event(chunk(1, 1, "")) + end, ErrRepeat},
 		{"negative offset", event(chunk(-1, 1, "")) + end, ErrRepeat},
 		{"negative tokens", strings.Replace(event(chunk(2, 1, "")), `"tokens":1`, `"tokens":-1`, 1) + end, ErrMalformed},
-		{"no tokens", event(hollow) + end, ErrMalformed},
-		{"text without tokens", event(unnumbered) + end, ErrMalformed},
+		{"no tokens", event(empty) + end, ErrMalformed},
+		{"text without tokens", event(textOnly) + end, ErrMalformed},
 		{"unknown finish", event(unknown) + end, ErrMalformed},
 		{"more than asked for", event(chunk(2, 9, "")) + end, ErrOversized},
 		{"overflowing count", event(engineapi.Chunk{Attempt: testAttempt, Incarnation: testIncarnation, Offset: 2, Tokens: 1 << 62}) + end, ErrOversized},
@@ -88,8 +88,8 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			target := streamOf(t, event(chunk(0, 2, ""))+test.body)
-			client := NewClient(Options{MaxLine: 8000})
-			stream, err := client.Decode(t.Context(), target, open, decodeRequest())
+			client := NewClient(Options{MaxLineBytes: 8000})
+			stream, err := client.Decode(t.Context(), target, allowAll, decodeRequest())
 			assert.NilError(t, err)
 			defer stream.Close()
 			text, err := readAll(stream)
@@ -104,28 +104,28 @@
 	}
 }
 
-func TestShortLineBound(t *testing.T) {
-	client := NewClient(Options{MaxLine: 50})
-	stream, err := client.Decode(t.Context(), streamOf(t, event(chunk(0, 2, ""))), open, decodeRequest())
+func TestLineLimitBelowBufferSize(t *testing.T) {
+	client := NewClient(Options{MaxLineBytes: 50})
+	stream, err := client.Decode(t.Context(), streamOf(t, event(chunk(0, 2, ""))), allowAll, decodeRequest())
 	assert.NilError(t, err)
 	_, err = stream.Next()
 	assert.ErrorIs(t, err, ErrOversized)
 }
 
-func TestStreamPassesOverOtherLines(t *testing.T) {
+func TestStreamIgnoresOtherLines(t *testing.T) {
 	body := ": keepalive\n\nevent: chunk\nid: 1\nretry: 5\n" + event(chunk(0, 2, "")) + "\r\n" +
 		event(chunk(2, 1, engineapi.FinishLength)) + "data: nothing is read after the end\n"
-	stream, err := NewClient(Options{}).Decode(t.Context(), streamOf(t, body), open, decodeRequest())
+	stream, err := NewClient(Options{}).Decode(t.Context(), streamOf(t, body), allowAll, decodeRequest())
 	assert.NilError(t, err)
 	text, err := readAll(stream)
 	assert.NilError(t, err)
 	assert.Equal(t, text, "aaa")
 }
 
-// Each stream that ended whole leaves its connection to the next one, though
-// its caller is gone at once.
+// A complete stream leaves its connection for reuse, although its caller cancels
+// the context at once.
 func TestWholeStreamsShareAConnection(t *testing.T) {
-	addresses := &tally{}
+	addresses := &requestLog{}
 	last := make(chan struct{})
 	target := serve(t, func(w http.ResponseWriter, r *http.Request) {
 		addresses.add(r.RemoteAddr)
@@ -137,7 +137,7 @@
 	client := NewClient(Options{})
 	for range 3 {
 		ctx, stop := context.WithCancel(t.Context())
-		stream, err := client.Decode(ctx, target, open, decodeRequest())
+		stream, err := client.Decode(ctx, target, allowAll, decodeRequest())
 		assert.NilError(t, err)
 		_, err = readAll(stream)
 		assert.NilError(t, err)
@@ -153,28 +153,28 @@
 	assert.Equal(t, addresses.lines[0], addresses.lines[2])
 }
 
-func TestStreamGoesOnAtItsOffset(t *testing.T) {
+func TestStreamContinuesAtItsOffset(t *testing.T) {
 	r := decodeRequest()
 	r.Offset = 4
 	body := event(chunk(4, 3, engineapi.FinishStop))
-	stream, err := NewClient(Options{}).Decode(t.Context(), streamOf(t, body), open, r)
+	stream, err := NewClient(Options{}).Decode(t.Context(), streamOf(t, body), allowAll, r)
 	assert.NilError(t, err)
 	text, err := readAll(stream)
 	assert.NilError(t, err)
 	assert.Equal(t, text, "aaa")
 }
 
-func TestOtherContentIsNoStream(t *testing.T) {
+func TestOtherContentTypeIsRefused(t *testing.T) {
 	target := serve(t, func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(w, event(chunk(0, 1, engineapi.FinishStop)))
 	})
-	_, err := NewClient(Options{}).Decode(t.Context(), target, open, decodeRequest())
+	_, err := NewClient(Options{}).Decode(t.Context(), target, allowAll, decodeRequest())
 	assert.ErrorIs(t, err, ErrMalformed)
 }
 
-// An engine stops in the middle of a stream without closing it, and comments
-// go on. The caller must not wait for ever.
-func TestSilentStreamIsGivenUp(t *testing.T) {
+// An engine sends no more chunks in the middle of a stream, but goes on sending
+// comments. The caller must not wait for ever.
+func TestIdleStreamTimesOut(t *testing.T) {
 	target := serve(t, func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Type", engineapi.MediaEvents)
 		_, _ = io.WriteString(w, event(chunk(0, 1, "")))
@@ -185,8 +185,8 @@
 			time.Sleep(time.Millisecond)
 		}
 	})
-	client := NewClient(Options{IdleTimeout: 30 * time.Millisecond})
-	stream, err := client.Decode(t.Context(), target, open, decodeRequest())
+	client := NewClient(Options{StreamIdleTimeout: 30 * time.Millisecond})
+	stream, err := client.Decode(t.Context(), target, allowAll, decodeRequest())
 	assert.NilError(t, err)
 	text, err := readAll(stream)
 	assert.ErrorIs(t, err, ErrIdle)
@@ -201,7 +201,7 @@
 		<-r.Context().Done()
 	})
 	ctx, stop := context.WithCancel(t.Context())
-	stream, err := NewClient(Options{}).Decode(ctx, target, open, decodeRequest())
+	stream, err := NewClient(Options{}).Decode(ctx, target, allowAll, decodeRequest())
 	assert.NilError(t, err)
 	_, err = stream.Next()
 	assert.NilError(t, err)
@@ -210,7 +210,7 @@
 	assert.ErrorIs(t, err, context.Canceled)
 }
 
-func TestAnswersOfOthersAreRefused(t *testing.T) {
+func TestRepliesOfOtherAttemptsAreRefused(t *testing.T) {
 	for name, test := range map[string]struct {
 		body string
 		want error
@@ -222,10 +222,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			target := serve(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, test.body) })
-			client := NewClient(Options{MaxReply: 4000})
-			_, err := client.Prefill(t.Context(), target, open, engineapi.PrefillRequest{Work: engineapi.Work{Attempt: testAttempt}})
+			client := NewClient(Options{MaxReplyBytes: 4000})
+			_, err := client.Prefill(t.Context(), target, allowAll, engineapi.PrefillRequest{Work: engineapi.Work{Attempt: testAttempt}})
 			assert.ErrorIs(t, err, test.want)
-			_, err = client.Import(t.Context(), target, open, engineapi.ImportRequest{Work: engineapi.Work{Attempt: testAttempt}})
+			_, err = client.Import(t.Context(), target, allowAll, engineapi.ImportRequest{Work: engineapi.Work{Attempt: testAttempt}})
 			assert.ErrorIs(t, err, test.want)
 		})
 	}
@@ -237,17 +237,17 @@
 	f.Add([]byte("data: " + strings.Repeat("z", 5000)))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		reader := newChunkReader(strings.NewReader(string(data)), 6000, testAttempt)
-		p := position{target: targetAt("127.0.0.1:1"), attempt: testAttempt, end: 10}
+		p := streamPosition{target: targetAt("127.0.0.1:1"), attempt: testAttempt, maxOffset: 10}
 		for {
 			c, err := reader.next()
 			if err != nil {
 				assert.Assert(t, errors.Is(err, ErrMalformed) || errors.Is(err, ErrBroken) || errors.Is(err, ErrOversized))
 				return
 			}
-			before := p.next
-			if p.take(c) == nil {
+			before := p.nextOffset
+			if p.advance(c) == nil {
 				assert.Equal(t, c.Offset, before)
-				assert.Assert(t, p.next >= before && p.next <= p.end)
+				assert.Assert(t, p.nextOffset >= before && p.nextOffset <= p.maxOffset)
 				assert.Equal(t, c.Attempt, testAttempt)
 			}
 		}
@@ -256,7 +256,7 @@
 
 func BenchmarkDecodeChunk(b *testing.B) {
 	line := event(chunk(0, 1, ""))
-	reader := newChunkReader(&endless{line: line}, 64<<10, testAttempt)
+	reader := newChunkReader(&endlessReader{line: line}, 64<<10, testAttempt)
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, err := reader.next(); err != nil {
@@ -265,7 +265,7 @@
 	}
 }
 
-// endless gives the same event again and again, one a read.
-type endless struct{ line string }
+// endlessReader returns the same event at each read.
+type endlessReader struct{ line string }
 
-func (e *endless) Read(p []byte) (int, error) { return copy(p, e.line), nil }
+func (e *endlessReader) Read(p []byte) (int, error) { return copy(p, e.line), nil }
--- a/internal/engine/watch.go
+++ b/internal/engine/watch.go
@@ -6,72 +6,73 @@
 	"time"
 )
 
-// Watch ends something that has been waited for too long. Begin and End cost
-// an atomic store each, where stopping and resetting a timer for each token
-// costs a lock and often a wake-up of another thread: the timer is left alone
-// and looks, when it fires, how long the wait has really lasted.
+// Watch is an idle timer: it calls a function when one wait has exceeded the
+// limit. Begin and End cost one atomic store each, where stopping and resetting
+// a timer for each token would cost a lock and often wake another thread. The
+// timer keeps running instead and, when it fires, checks how long the present
+// wait has lasted.
 //
-// Begin, End and SetLimit are for one goroutine; Close may come from another.
+// Begin, End and SetLimit are for one goroutine; another one may call Close.
 type Watch struct {
-	epoch  time.Time
-	over   func()
-	limit  atomic.Int64 // ns
-	since  atomic.Int64 // start of the wait, ns after epoch; notWaiting: none
-	closed atomic.Bool
-	timer  *time.Timer
+	epoch     time.Time
+	onTimeout func()
+	limit     atomic.Int64 // ns
+	waitStart atomic.Int64 // ns after epoch; notWaiting: no wait
+	closed    atomic.Bool
+	timer     *time.Timer
 }
 
 const notWaiting = -1
 
-// NewWatch makes a watch whose wait has begun. over is called in a goroutine
-// of its own, at most once, when a wait has lasted for limit.
-func NewWatch(limit time.Duration, over func()) *Watch {
-	w := &Watch{epoch: time.Now(), over: over}
+// NewWatch returns a watch whose first wait has begun. onTimeout is called in a
+// goroutine of its own, at most once, when a wait has lasted for limit.
+func NewWatch(limit time.Duration, onTimeout func()) *Watch {
+	w := &Watch{epoch: time.Now(), onTimeout: onTimeout}
 	w.limit.Store(int64(limit))
-	w.timer = time.AfterFunc(math.MaxInt64, w.look)
+	w.timer = time.AfterFunc(math.MaxInt64, w.check)
 	w.timer.Reset(limit)
 	return w
 }
 
 // Begin starts a wait.
-func (w *Watch) Begin() { w.since.Store(int64(time.Since(w.epoch))) }
+func (w *Watch) Begin() { w.waitStart.Store(int64(time.Since(w.epoch))) }
 
-// End ends it: what comes now takes its own time.
-func (w *Watch) End() { w.since.Store(notWaiting) }
+// End ends the wait; the time until the next Begin doesn't count.
+func (w *Watch) End() { w.waitStart.Store(notWaiting) }
 
-// SetLimit begins a wait with another limit.
+// SetLimit sets the limit and starts a wait.
 func (w *Watch) SetLimit(limit time.Duration) {
 	w.limit.Store(int64(limit))
 	w.Begin()
-	w.arm(limit)
+	w.setTimer(limit)
 }
 
-// Close ends the watch for good.
+// Close stops the watch for good.
 func (w *Watch) Close() {
 	w.closed.Store(true)
 	w.timer.Stop()
 }
 
-// look runs when the timer fires.
-func (w *Watch) look() {
+// check is called when the timer fires.
+func (w *Watch) check() {
 	limit := time.Duration(w.limit.Load())
-	since := w.since.Load()
+	since := w.waitStart.Load()
 	if since == notWaiting {
-		w.arm(limit)
+		w.setTimer(limit)
 		return
 	}
 	left := limit - (time.Since(w.epoch) - time.Duration(since))
 	if left > 0 {
-		w.arm(left)
+		w.setTimer(left)
 		return
 	}
 	if !w.closed.Swap(true) {
-		w.over()
+		w.onTimeout()
 	}
 }
 
-// arm sets the timer, unless the watch was closed meanwhile.
-func (w *Watch) arm(in time.Duration) {
+// setTimer resets the timer, unless the watch has been closed meanwhile.
+func (w *Watch) setTimer(in time.Duration) {
 	w.timer.Reset(in)
 	if w.closed.Load() {
 		w.timer.Stop()
--- a/internal/engine/watch_test.go
+++ b/internal/engine/watch_test.go
@@ -37,7 +37,7 @@
 	})
 }
 
-func TestClosedWatchIsQuiet(t *testing.T) {
+func TestClosedWatchDoesNotFire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := NewWatch(time.Second, func() { t.Error("called") })
 		w.End()
@@ -48,17 +48,17 @@
 	})
 }
 
-// A caller on a slow line takes ten seconds for a token. All of the answer has
-// come by then; an engine that has nothing left to send must not be given up on
-// as silent, which would run the rest of the answer again elsewhere.
-func TestSlowReaderIsNoSilence(t *testing.T) {
+// A caller reads one token every ten seconds, while the whole answer has already
+// been sent. That must not count as an idle engine: the rest of the answer would be
+// run again on another endpoint.
+func TestSlowReaderCausesNoIdleTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client := NewClient(Options{Dial: func(context.Context, string, string) (net.Conn, error) {
 			near, far := net.Pipe()
 			go answerStream(far)
 			return near, nil
 		}})
-		stream, err := client.Decode(t.Context(), targetAt("127.0.0.1:1"), open, decodeRequest())
+		stream, err := client.Decode(t.Context(), targetAt("127.0.0.1:1"), allowAll, decodeRequest())
 		assert.NilError(t, err)
 		count := 0
 		for ; err == nil; count++ {
@@ -81,6 +81,6 @@
 		"HTTP/1.1 200 OK\r\nContent-Type: " + engineapi.MediaEvents + "\r\nConnection: close\r\n\r\n",
 		event(chunk(0, 1, "")), event(chunk(1, 1, "")), event(chunk(2, 1, engineapi.FinishStop)),
 	} {
-		_, _ = io.WriteString(conn, part) // waits until it is read
+		_, _ = io.WriteString(conn, part) // blocks until it is read
 	}
 }
--- a/internal/standin/mixed_test.go
+++ b/internal/standin/mixed_test.go
@@ -61,7 +61,7 @@
 	random := rand.New(rand.NewPCG(1, 2))
 	p := start(t, standin.Options{ID: "prefill", Role: fleet.RolePrefill, Slots: 64})
 	d := start(t, standin.Options{ID: "decode", Role: fleet.RoleDecode, Slots: 64})
-	client := engine.NewClient(engine.Options{IdleTimeout: 200 * time.Millisecond})
+	client := engine.NewClient(engine.Options{StreamIdleTimeout: 200 * time.Millisecond})
 	var callers sync.WaitGroup
 	var mu sync.Mutex
 	wholes := 0
