--- a/internal/standin/announce.go
+++ b/internal/standin/announce.go
@@ -25,23 +25,23 @@
 )
 
 const (
-	defaultBeat  = time.Second
-	shortestBeat = 10 * time.Millisecond
-	longestBeat  = time.Minute
-	tellTimeout  = time.Second
-	mostHops     = 4 // homes followed in one announcement
-	mostEntries  = 64
-	maxAnswer    = 1 << 20
+	defaultHeartbeatInterval = time.Second
+	minHeartbeatInterval     = 10 * time.Millisecond
+	maxHeartbeatInterval     = time.Minute
+	postTimeout              = time.Second
+	maxHomeHops              = 4 // homes tried one after another in findHome
+	maxAddresses             = 64
+	maxReplyBytes            = 1 << 20
 )
 
-// Announcement describes the endpoint as it is now.
+// Announcement returns the present description of the endpoint.
 func (s *Standin) Announcement() engineapi.Announcement {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.announcement()
+	return s.announcementLocked()
 }
 
-func (s *Standin) announcement() engineapi.Announcement {
+func (s *Standin) announcementLocked() engineapi.Announcement {
 	models := slices.SortedFunc(maps.Keys(s.models), func(a, b engineapi.ModelRef) int {
 		return strings.Compare(a.String(), b.String())
 	})
@@ -62,42 +62,43 @@
 
 func (s *Standin) serveState(w http.ResponseWriter, _ *http.Request) { reply(w, s.Announcement()) }
 
-// runAnnounce keeps the endpoint known until ctx ends: it announces itself to
-// one daemon after another until it has a home, sends heartbeats there, and
-// begins again when the home is gone.
+// runAnnounce keeps the endpoint registered until ctx ends: it announces itself
+// to one daemon after another until it has a home, sends heartbeats there, and
+// starts again when the home is unreachable.
 func (s *Standin) runAnnounce(ctx context.Context) {
 	for n := 0; ctx.Err() == nil; n++ {
-		s.waitThaw(ctx.Done())
-		known := s.known()
-		if !s.settle(ctx, known[n%len(known)]) {
-			sleep.For(ctx, s.pause())
+		s.waitWhileFrozen(ctx.Done())
+		known := s.daemonAddresses()
+		if !s.findHome(ctx, known[n%len(known)]) {
+			sleep.For(ctx, s.retryInterval())
 			continue
 		}
-		s.heartbeats(ctx)
+		s.sendHeartbeats(ctx)
 	}
 }
 
-// known gives the daemons that an announcement may go to.
-func (s *Standin) known() []string {
+// daemonAddresses returns the addresses of the daemons to announce to: those that
+// daemons have named, then the configured ones.
+func (s *Standin) daemonAddresses() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	known := append([]string(nil), s.addresses...)
+	known := append([]string(nil), s.namedAddresses...)
 	return append(known, s.options.Entries...)
 }
 
-// pause is the wait between two failed announcements.
-func (s *Standin) pause() time.Duration {
+// retryInterval returns the wait after a failed announcement.
+func (s *Standin) retryInterval() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return min(s.beat, defaultBeat) / 4
+	return min(s.heartbeatInterval, defaultHeartbeatInterval) / 4
 }
 
-// settle announces to a daemon and to the home it names, until a daemon names
-// itself.
-func (s *Standin) settle(ctx context.Context, to string) bool {
-	for range mostHops {
+// findHome announces the endpoint to a daemon, then to the home that the daemon
+// names, until a daemon names itself or none. It reports whether a home was found.
+func (s *Standin) findHome(ctx context.Context, to string) bool {
+	for range maxHomeHops {
 		var answer engineapi.AnnounceReply
-		if err := s.tell(ctx, to, pathAnnounce, s.Announcement(), &answer); err != nil {
+		if err := s.postToDaemon(ctx, to, pathAnnounce, s.Announcement(), &answer); err != nil {
 			s.options.Part.Debug("announcement failed", "to", to, "err", err)
 			return false
 		}
@@ -120,8 +121,8 @@
 	}
 }
 
-// applyReply carries out what a daemon answered: cancels, the heartbeat
-// interval and addresses.
+// applyReply applies a daemon's answer: cancels, the heartbeat interval and
+// the addresses of other entries.
 func (s *Standin) applyReply(answer engineapi.AnnounceReply) {
 	for _, attempt := range answer.Cancel {
 		s.cancel(attempt)
@@ -129,22 +130,23 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if answer.HeartbeatMs > 0 {
-		beat := time.Duration(min(answer.HeartbeatMs, longestBeat.Milliseconds())) * time.Millisecond
-		s.beat = max(beat, shortestBeat)
+		interval := time.Duration(min(answer.HeartbeatMs, maxHeartbeatInterval.Milliseconds())) * time.Millisecond
+		s.heartbeatInterval = max(interval, minHeartbeatInterval)
 	}
 	if len(answer.Addresses) > 0 {
-		s.addresses = append([]string(nil), answer.Addresses[:min(len(answer.Addresses), mostEntries)]...)
+		s.namedAddresses = append([]string(nil), answer.Addresses[:min(len(answer.Addresses), maxAddresses)]...)
 	}
 }
 
-// heartbeats returns when the home is gone or another one was named.
-func (s *Standin) heartbeats(ctx context.Context) {
+// sendHeartbeats sends heartbeats to the home and follows it to another daemon. It
+// returns after two failures in a row, with no home set, or when ctx ends.
+func (s *Standin) sendHeartbeats(ctx context.Context) {
 	misses := 0
-	for sleep.For(ctx, s.interval()) {
-		s.waitThaw(ctx.Done())
-		home, beat := s.heartbeat()
+	for sleep.For(ctx, s.currentHeartbeatInterval()) {
+		s.waitWhileFrozen(ctx.Done())
+		home, heartbeat := s.nextHeartbeat()
 		var answer engineapi.AnnounceReply
-		if err := s.tell(ctx, home, pathHeartbeat, beat, &answer); err != nil {
+		if err := s.postToDaemon(ctx, home, pathHeartbeat, heartbeat, &answer); err != nil {
 			misses++
 			s.options.Part.Debug("heartbeat failed", "home", home, "err", err)
 			if misses >= 2 {
@@ -156,18 +158,18 @@
 		misses = 0
 		s.applyReply(answer)
 		if answer.Home != "" && answer.Home != home {
-			s.settle(ctx, answer.Home)
+			s.findHome(ctx, answer.Home)
 		}
 	}
 }
 
-func (s *Standin) interval() time.Duration {
+func (s *Standin) currentHeartbeatInterval() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.beat
+	return s.heartbeatInterval
 }
 
-func (s *Standin) heartbeat() (home string, beat engineapi.Heartbeat) {
+func (s *Standin) nextHeartbeat() (home string, heartbeat engineapi.Heartbeat) {
 	held := s.Held()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -177,16 +179,16 @@
 		lag = time.Duration(s.faults.LoadLagMs) * time.Millisecond
 	}
 	s.sequence++
-	s.loads.add(now, s.load())
+	s.loadSamples.add(now, s.currentLoad())
 	return s.home, engineapi.Heartbeat{
-		Announcement: s.announcement(),
+		Announcement: s.announcementLocked(),
 		Held:         held,
-		Load:         s.loads.report(now, lag),
+		Load:         s.loadSamples.latestBefore(now, lag),
 		Sequence:     s.sequence,
 	}
 }
 
-// daemonError is a daemon's refusal.
+// daemonError is an answer of a daemon with a status other than 200.
 type daemonError struct {
 	status int
 }
@@ -194,13 +196,13 @@
 // Error implements error.
 func (e *daemonError) Error() string { return fmt.Sprintf("daemon answered with status %d", e.status) }
 
-// tell posts one message to a daemon.
-func (s *Standin) tell(ctx context.Context, to, path string, in, out any) error {
+// postToDaemon posts in as JSON to a daemon and decodes the answer into out.
+func (s *Standin) postToDaemon(ctx context.Context, to, path string, in, out any) error {
 	body, err := json.Marshal(in)
 	if err != nil {
 		return err
 	}
-	ctx, stop := context.WithTimeout(ctx, tellTimeout)
+	ctx, stop := context.WithTimeout(ctx, postTimeout)
 	defer stop()
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+to+path, bytes.NewReader(body))
 	if err != nil {
@@ -216,18 +218,18 @@
 	if response.StatusCode != http.StatusOK {
 		return &daemonError{status: response.StatusCode}
 	}
-	return json.NewDecoder(io.LimitReader(response.Body, maxAnswer)).Decode(out)
+	return json.NewDecoder(io.LimitReader(response.Body, maxReplyBytes)).Decode(out)
 }
 
-// HomeAddress gives the daemon that holds this endpoint's lease; empty when
-// there is none.
+// HomeAddress returns the host:port of the daemon that holds this endpoint's
+// lease; empty if there is none.
 func (s *Standin) HomeAddress() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.home
 }
 
-// leaveMessage is what the endpoint says when it leaves.
+// leaveMessage returns the message that announces the leave.
 func (s *Standin) leaveMessage() engineapi.Leave {
 	return engineapi.Leave{ID: s.options.ID, Incarnation: fleet.Incarnation(s.options.Incarnation)}
 }
--- a/internal/standin/announce_test.go
+++ b/internal/standin/announce_test.go
@@ -18,31 +18,31 @@
 	"github.com/hyssopsail/hyssopsail/internal/standin"
 )
 
-// daemon is a fake of the endpoint listener.
-type daemon struct {
+// fakeDaemon emulates a daemon's endpoint listener.
+type fakeDaemon struct {
 	server *httptest.Server
 
-	mu     sync.Mutex
-	home   string // named in replies; empty: itself
-	others []string
-	cancel []fleet.AttemptID
-	beats  []engineapi.Heartbeat
-	leaves []engineapi.Leave
-	events []engineapi.CacheEvent
-	keys   map[string]int
+	mu         sync.Mutex
+	home       string // home in replies; empty: this daemon
+	others     []string
+	cancel     []fleet.AttemptID
+	heartbeats []engineapi.Heartbeat
+	leaves     []engineapi.Leave
+	events     []engineapi.CacheEvent
+	keys       map[string]int
 }
 
-func newDaemon(t *testing.T) *daemon {
+func newDaemon(t *testing.T) *fakeDaemon {
 	t.Helper()
-	d := &daemon{keys: map[string]int{}}
+	d := &fakeDaemon{keys: map[string]int{}}
 	d.server = httptest.NewServer(http.HandlerFunc(d.serve))
 	t.Cleanup(d.server.Close)
 	return d
 }
 
-func (d *daemon) address() string { return d.server.Listener.Addr().String() }
+func (d *fakeDaemon) address() string { return d.server.Listener.Addr().String() }
 
-func (d *daemon) serve(w http.ResponseWriter, r *http.Request) {
+func (d *fakeDaemon) serve(w http.ResponseWriter, r *http.Request) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.keys[r.Header.Get("Authorization")]++
@@ -50,9 +50,9 @@
 	var answer any = d.reply()
 	switch r.URL.Path {
 	case "/v1/endpoints/heartbeat":
-		var beat engineapi.Heartbeat
-		_ = decoder.Decode(&beat)
-		d.beats = append(d.beats, beat)
+		var heartbeat engineapi.Heartbeat
+		_ = decoder.Decode(&heartbeat)
+		d.heartbeats = append(d.heartbeats, heartbeat)
 	case "/v1/endpoints/leave":
 		var leave engineapi.Leave
 		_ = decoder.Decode(&leave)
@@ -67,7 +67,7 @@
 	_ = json.NewEncoder(w).Encode(answer)
 }
 
-func (d *daemon) reply() engineapi.AnnounceReply {
+func (d *fakeDaemon) reply() engineapi.AnnounceReply {
 	home := d.home
 	if home == "" {
 		home = d.address()
@@ -75,8 +75,8 @@
 	return engineapi.AnnounceReply{Home: home, HeartbeatMs: 10, LeaseMs: 100, Addresses: d.others, Cancel: d.cancel}
 }
 
-// locked runs read under the daemon's lock.
-func (d *daemon) locked(read func() bool) func() bool {
+// locked returns a function that calls read with mu held.
+func (d *fakeDaemon) locked(read func() bool) func() bool {
 	return func() bool {
 		d.mu.Lock()
 		defer d.mu.Unlock()
@@ -88,50 +88,50 @@
 	first, home := newDaemon(t), newDaemon(t)
 	first.home = home.address()
 	s := start(t, standin.Options{Entries: []string{first.address()}, EndpointKey: "k"})
-	eventually(t, "heartbeats", home.locked(func() bool { return len(home.beats) > 2 }))
+	eventually(t, "heartbeats", home.locked(func() bool { return len(home.heartbeats) > 2 }))
 	assert.Equal(t, s.HomeAddress(), home.address())
 	home.mu.Lock()
 	defer home.mu.Unlock()
-	beat := home.beats[1]
-	assert.DeepEqual(t, beat.Announcement, s.Announcement())
-	assert.NilError(t, beat.Announcement.Check())
-	assert.Assert(t, beat.Sequence > home.beats[0].Sequence)
-	assert.Equal(t, home.keys["Bearer k"], len(home.beats)+1)
+	heartbeat := home.heartbeats[1]
+	assert.DeepEqual(t, heartbeat.Announcement, s.Announcement())
+	assert.NilError(t, heartbeat.Announcement.Check())
+	assert.Assert(t, heartbeat.Sequence > home.heartbeats[0].Sequence)
+	assert.Equal(t, home.keys["Bearer k"], len(home.heartbeats)+1)
 }
 
-// The home of an endpoint dies. The endpoint must make itself known elsewhere,
-// at an address that the home had named, though no listed entry is left.
+// The home of an endpoint dies. The endpoint must register at an address that the
+// home had named, as no configured entry is left.
 func TestEndpointFindsAnotherHome(t *testing.T) {
 	first, second := newDaemon(t), newDaemon(t)
 	first.others = []string{second.address()}
 	start(t, standin.Options{Entries: []string{first.address()}})
-	eventually(t, "heartbeats", first.locked(func() bool { return len(first.beats) > 0 }))
+	eventually(t, "heartbeats", first.locked(func() bool { return len(first.heartbeats) > 0 }))
 	first.server.CloseClientConnections()
 	first.server.Close()
-	eventually(t, "heartbeats elsewhere", second.locked(func() bool { return len(second.beats) > 0 }))
+	eventually(t, "heartbeats elsewhere", second.locked(func() bool { return len(second.heartbeats) > 0 }))
 }
 
-// A daemon dies with a request that it had started; the home names the hold
-// in its next reply.
-func TestHomeCancelsHolds(t *testing.T) {
+// A daemon dies while the endpoint holds a request of it. The home cancels the
+// request in its next reply, and the memory must be freed.
+func TestHomeCancelsHeldRequests(t *testing.T) {
 	home := newDaemon(t)
-	timing := quick()
+	timing := fastTiming()
 	timing.KVLife = time.Hour
 	s := start(t, standin.Options{Entries: []string{home.address()}, Timing: timing})
 	f := newFlow(s, s, "orphan")
 	assert.NilError(t, f.runPrefill(t.Context()))
 	eventually(t, "hold reported", home.locked(func() bool {
-		n := len(home.beats)
-		return n > 0 && len(home.beats[n-1].Held) == 1 && home.beats[n-1].Held[0].Owner == owner
+		n := len(home.heartbeats)
+		return n > 0 && len(home.heartbeats[n-1].Held) == 1 && home.heartbeats[n-1].Held[0].Owner == owner
 	}))
 	home.mu.Lock()
 	home.cancel = []fleet.AttemptID{f.attempt}
 	home.mu.Unlock()
-	eventually(t, "memory free", empty(s))
+	eventually(t, "memory free", holdsNothing(s))
 }
 
-// An endpoint is stopped with a stream in flight: the stream must end whole.
-func TestLeaveCutsOffNothing(t *testing.T) {
+// An endpoint leaves while a stream is running: the stream must be completed.
+func TestLeaveLetsStreamsFinish(t *testing.T) {
 	home := newDaemon(t)
 	p := start(t, standin.Options{ID: "prefill", Role: fleet.RolePrefill})
 	d := start(t, standin.Options{ID: "decode", Role: fleet.RoleDecode, Entries: []string{home.address()}, RefuseLeaving: true})
@@ -147,15 +147,15 @@
 	eventually(t, "leave announced", home.locked(func() bool { return len(home.leaves) == 1 }))
 	assert.NilError(t, late.runPrefill(t.Context()))
 	assert.Equal(t, codeOf(late.runImport(t.Context())), engineapi.CodeLeaving)
-	text, _, err := read(stream)
+	text, _, err := readStream(stream)
 	assert.NilError(t, err)
-	assert.Equal(t, text, standin.ExpectedText(f.prompt, f.most))
+	assert.Equal(t, text, standin.ExpectedText(f.prompt, f.maxTokens))
 	assert.NilError(t, <-done)
 	assert.Equal(t, heldAtEnd, 0)
 }
 
-// Cache events of one batch are lost on the way: the home sees a gap in the
-// numbers, and the snapshot has what the events would have told.
+// One batch of cache events is lost: the home must see a gap in the sequence, and
+// the snapshot must contain the missing changes.
 func TestCacheEventsHaveGaps(t *testing.T) {
 	home := newDaemon(t)
 	s := start(t, standin.Options{Entries: []string{home.address()}})
@@ -187,8 +187,8 @@
 	assert.Assert(t, g.kv.WorkMs < f.kv.WorkMs)
 }
 
-// Two operators' orders cross: the older one arrives last.
-func TestOrdersCheckTokensIfAsked(t *testing.T) {
+// The orders of two operators arrive out of order, the older one last.
+func TestOrdersCheckFencingTokensIfConfigured(t *testing.T) {
 	for name, checks := range map[string]bool{"checking": true, "ignoring": false} {
 		t.Run(name, func(t *testing.T) {
 			s := start(t, standin.Options{Role: fleet.RolePrefill, ChecksTokens: checks})
@@ -212,19 +212,19 @@
 	}
 }
 
-// An endpoint process freezes: connections stay open, nothing answers, and
-// after the thaw it goes on where it was.
+// An endpoint process freezes: connections stay open without an answer. Once
+// unfrozen, it continues.
 func TestFreeze(t *testing.T) {
 	home := newDaemon(t)
 	s := start(t, standin.Options{Entries: []string{home.address()}})
-	eventually(t, "heartbeats", home.locked(func() bool { return len(home.beats) > 0 }))
+	eventually(t, "heartbeats", home.locked(func() bool { return len(home.heartbeats) > 0 }))
 	s.SetFaults(standin.Faults{Freeze: true})
 	client := engine.NewClient(engine.Options{ReadTimeout: 20 * time.Millisecond})
 	_, err := client.Held(t.Context(), target(s))
 	assert.ErrorIs(t, err, context.DeadlineExceeded)
 	home.mu.Lock()
-	before := len(home.beats)
+	before := len(home.heartbeats)
 	home.mu.Unlock()
 	s.SetFaults(standin.Faults{})
-	eventually(t, "heartbeats again", home.locked(func() bool { return len(home.beats) > before+1 }))
+	eventually(t, "heartbeats again", home.locked(func() bool { return len(home.heartbeats) > before+1 }))
 }
--- a/internal/standin/audit.go
+++ b/internal/standin/audit.go
@@ -8,39 +8,40 @@
 	"github.com/hyssopsail/hyssopsail/internal/fleet"
 )
 
-// Audit is what one endpoint process did. Times of day are unix ms.
+// Audit records what one endpoint process did. Times of day are Unix time in ms.
 type Audit struct {
 	Endpoint    fleet.EndpointID       `json:"endpoint"`
 	Incarnation fleet.Incarnation      `json:"incarnation"`
 	Zone        fleet.AvailabilityZone `json:"availability_zone"`
 	Role        fleet.EndpointRole     `json:"role"`
 
-	Runs      int `json:"runs"` // prefills and decodes begun
+	Runs      int `json:"runs"` // prefills and decodes started
 	Tokens    int `json:"tokens"`
 	Cancelled int `json:"cancelled"`
 	Orders    int `json:"orders"`
 
-	// PrefillMs is used, discarded or not settled yet. Used means that the KV
-	// cache has left whole; an attempt whose decode never began is seen at the
-	// decode engine, by a Fact with Imports but without Decodes.
+	// PrefillMs is the sum of used and discarded prefill work, counted when a request
+	// is freed. Work counts as used if the KV cache was transferred completely; if
+	// the decode then never started, the decode engine has a Fact with Imports but
+	// without Decodes.
 	PrefillMs          float64 `json:"prefill_ms"`
 	PrefillUsedMs      float64 `json:"prefill_used_ms"`
 	PrefillDiscardedMs float64 `json:"prefill_discarded_ms"`
 
 	Held        int     `json:"held"`
-	MostHeld    int     `json:"most_held"`
-	HeldSeconds float64 `json:"held_seconds"` // requests times seconds
+	MaxHeld     int     `json:"most_held"`
+	HeldSeconds float64 `json:"held_seconds"` // sum over the held requests
 
 	Leaving        bool  `json:"leaving"`
-	LastStartAfter int64 `json:"last_start_after_leave_ms"` // newest work after the leave; 0: none
+	LastStartAfter int64 `json:"last_start_after_leave_ms"` // ms from the leave to the last work started after it; 0: none
 
 	Attempts  []Fact    `json:"attempts"`
 	CallRuns  []CallRun `json:"call_runs"`
 	Repeated  []string  `json:"repeated"`  // markers of plain calls that ran more than once
-	Forgotten int       `json:"forgotten"` // facts and runs over the bound
+	Forgotten int       `json:"forgotten"` // attempts and runs not recorded because of the limit
 }
 
-// Fact is what happened to one attempt here.
+// Fact records what happened to one attempt at this endpoint.
 type Fact struct {
 	Attempt     fleet.AttemptID        `json:"attempt_id"`
 	Owner       fleet.Owner            `json:"owner"`
@@ -52,8 +53,8 @@
 	Calls       int                    `json:"calls"`
 	PrefillMs   float64                `json:"prefill_ms"`
 	PrefillUsed bool                   `json:"prefill_used"`
-	Offset      int                    `json:"offset"` // where decode began
-	Tokens      int                    `json:"tokens"` // made here
+	Offset      int                    `json:"offset"` // first output token of the decode
+	Tokens      int                    `json:"tokens"` // generated here
 	Finish      engineapi.Finish       `json:"finish"`
 	Cancelled   bool                   `json:"cancelled"`
 	StartedMs   int64                  `json:"started_ms"`
@@ -62,95 +63,95 @@
 	prefixes []uint64
 }
 
-// recorder collects the Audit. Standin.mu guards it.
-type recorder struct {
-	audit   Audit
-	most    int
-	facts   map[fleet.AttemptID]*Fact
-	order   []*Fact
-	markers map[string]int
-	changed time.Time
+// auditRecorder collects the Audit. Standin.mu guards it.
+type auditRecorder struct {
+	audit         Audit
+	maxRecords    int
+	byAttempt     map[fleet.AttemptID]*Fact
+	records       []*Fact
+	runsByMarker  map[string]int
+	heldChangedAt time.Time
 }
 
-func newRecorder(most int) *recorder {
-	return &recorder{most: most, facts: map[fleet.AttemptID]*Fact{}, markers: map[string]int{}}
+func newRecorder(most int) *auditRecorder {
+	return &auditRecorder{maxRecords: most, byAttempt: map[fleet.AttemptID]*Fact{}, runsByMarker: map[string]int{}}
 }
 
-// fact gives the record of an attempt; over the bound, one that isn't kept.
-func (r *recorder) fact(zone fleet.AvailabilityZone, w engineapi.Work, marker string, now time.Time) *Fact {
-	if f, ok := r.facts[w.Attempt]; ok {
+// record returns the record of an attempt. Past the limit a new record isn't kept.
+func (r *auditRecorder) record(zone fleet.AvailabilityZone, w engineapi.Work, marker string, now time.Time) *Fact {
+	if f, ok := r.byAttempt[w.Attempt]; ok {
 		f.EndedMs = 0
 		return f
 	}
 	f := &Fact{Attempt: w.Attempt, Owner: w.Owner, Zone: zone, Marker: marker, StartedMs: now.UnixMilli()}
-	if len(r.order) >= r.most {
+	if len(r.records) >= r.maxRecords {
 		r.audit.Forgotten++
 		return f
 	}
-	r.facts[w.Attempt] = f
-	r.order = append(r.order, f)
+	r.byAttempt[w.Attempt] = f
+	r.records = append(r.records, f)
 	return f
 }
 
-// settle counts the prefill work of a hold that is freed.
-func (r *recorder) settle(h *hold) {
+// countPrefillWork counts the prefill work of a request that is being freed.
+func (r *auditRecorder) countPrefillWork(h *heldRequest) {
 	if h.work == 0 {
 		return
 	}
-	done := ms(h.work - h.left)
+	done := milliseconds(h.work - h.workLeft)
 	r.audit.PrefillMs += done
-	if h.fact.PrefillUsed {
+	if h.record.PrefillUsed {
 		r.audit.PrefillUsedMs += done
 		return
 	}
 	r.audit.PrefillDiscardedMs += done
 }
 
-func (r *recorder) heldChanged(now time.Time, held int) {
-	r.integrate(now)
+func (r *auditRecorder) heldChanged(now time.Time, held int) {
+	r.addHeldTime(now)
 	r.audit.Held = held
-	r.audit.MostHeld = max(r.audit.MostHeld, held)
+	r.audit.MaxHeld = max(r.audit.MaxHeld, held)
 }
 
-func (r *recorder) integrate(now time.Time) {
-	if !r.changed.IsZero() {
-		r.audit.HeldSeconds += float64(r.audit.Held) * now.Sub(r.changed).Seconds()
+func (r *auditRecorder) addHeldTime(now time.Time) {
+	if !r.heldChangedAt.IsZero() {
+		r.audit.HeldSeconds += float64(r.audit.Held) * now.Sub(r.heldChangedAt).Seconds()
 	}
-	r.changed = now
+	r.heldChangedAt = now
 }
 
-func (r *recorder) startedLeaving(after time.Duration) {
+func (r *auditRecorder) startedWhileLeaving(after time.Duration) {
 	r.audit.LastStartAfter = max(r.audit.LastStartAfter, after.Milliseconds(), 1)
 }
 
-func (r *recorder) call(run CallRun) {
-	if len(r.audit.CallRuns) >= r.most {
+func (r *auditRecorder) addCall(run CallRun) {
+	if len(r.audit.CallRuns) >= r.maxRecords {
 		r.audit.Forgotten++
 		return
 	}
 	r.audit.CallRuns = append(r.audit.CallRuns, run)
-	r.markers[run.Marker]++
-	if r.markers[run.Marker] == 2 {
+	r.runsByMarker[run.Marker]++
+	if r.runsByMarker[run.Marker] == 2 {
 		r.audit.Repeated = append(r.audit.Repeated, run.Marker)
 	}
 }
 
-// Audit gives a copy of what this process did so far.
+// Audit returns a copy of the audit up to now.
 func (s *Standin) Audit() Audit {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.auditNow()
+	return s.auditLocked()
 }
 
-// auditNow is Audit with mu held.
-func (s *Standin) auditNow() Audit {
-	s.recorder.integrate(time.Now())
+// auditLocked is Audit with mu held.
+func (s *Standin) auditLocked() Audit {
+	s.recorder.addHeldTime(time.Now())
 	a := s.recorder.audit
 	a.Endpoint, a.Incarnation, a.Zone = s.options.ID, s.options.Incarnation, s.options.Zone
 	a.Role = s.role
 	a.Leaving = s.leaving
-	a.Attempts = make([]Fact, len(s.recorder.order))
-	for n, f := range s.recorder.order {
+	a.Attempts = make([]Fact, len(s.recorder.records))
+	for n, f := range s.recorder.records {
 		a.Attempts[n] = *f
 	}
 	a.CallRuns = append([]CallRun(nil), a.CallRuns...)
--- a/internal/standin/batch.go
+++ b/internal/standin/batch.go
@@ -8,24 +8,24 @@
 	"github.com/hyssopsail/hyssopsail/internal/sleep"
 )
 
-// stepPlan is what one step of the engine does.
+// stepPlan describes the work of one engine step.
 type stepPlan struct {
-	decodes []*hold
-	prefill *hold
-	slice   time.Duration // prefill work in this step
-	length  time.Duration
+	decodes     []*heldRequest
+	prefill     *heldRequest
+	prefillWork time.Duration // done in this step
+	duration    time.Duration
 }
 
-// runBatch steps the engine until ctx ends. Steps follow on absolute times, so
-// that late wakeups of the machine don't add up.
+// runBatch runs engine steps until ctx ends. Steps are scheduled at absolute
+// times, so that delays of timers don't add up.
 func (s *Standin) runBatch(ctx context.Context) {
 	at := time.Now()
 	for ctx.Err() == nil {
-		if s.waitThaw(ctx.Done()) {
+		if s.waitWhileFrozen(ctx.Done()) {
 			at = time.Now()
 		}
 		plan := s.planStep()
-		if plan.length == 0 {
+		if plan.duration == 0 {
 			select {
 			case <-s.wake:
 			case <-ctx.Done():
@@ -33,46 +33,46 @@
 			at = time.Now()
 			continue
 		}
-		at = at.Add(plan.length)
+		at = at.Add(plan.duration)
 		if !sleep.For(ctx, time.Until(at)) {
 			return
 		}
-		if late := time.Since(at); late > plan.length {
+		if late := time.Since(at); late > plan.duration {
 			at = time.Now()
 		}
 		s.finishStep(plan)
 	}
 }
 
-// planStep takes all decodes and the first prefill by priority, then arrival.
+// planStep selects all decodes and one prefill, by priority, then arrival.
 func (s *Standin) planStep() stepPlan {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var plan stepPlan
-	for _, h := range s.holds {
+	for _, h := range s.heldRequests {
 		switch h.stage {
 		case engineapi.StageDecode:
 			plan.decodes = append(plan.decodes, h)
 		case engineapi.StagePrefill:
-			if before(h, plan.prefill) {
+			if hasPrecedence(h, plan.prefill) {
 				plan.prefill = h
 			}
 		}
 	}
 	if len(plan.decodes) > 0 {
-		plan.length = s.timing.step(len(plan.decodes))
+		plan.duration = s.timing.step(len(plan.decodes))
 	}
 	if plan.prefill != nil {
-		plan.slice = min(plan.prefill.left, s.timing.PrefillSlice)
-		plan.length += plan.slice
+		plan.prefillWork = min(plan.prefill.workLeft, s.timing.PrefillSlice)
+		plan.duration += plan.prefillWork
 	}
 	if s.faults.Slow > 0 {
-		plan.length = time.Duration(float64(plan.length) * s.faults.Slow)
+		plan.duration = time.Duration(float64(plan.duration) * s.faults.Slow)
 	}
 	return plan
 }
 
-func before(h, other *hold) bool {
+func hasPrecedence(h, other *heldRequest) bool {
 	if other == nil {
 		return true
 	}
@@ -87,59 +87,59 @@
 	defer s.mu.Unlock()
 	now := time.Now()
 	for _, h := range plan.decodes {
-		if s.holds[h.attempt] == h {
-			s.emit(h)
+		if s.heldRequests[h.attempt] == h {
+			s.emitToken(h)
 		}
 	}
-	if h := plan.prefill; h != nil && s.holds[h.attempt] == h {
-		s.advancePrefill(h, plan.slice, now)
+	if h := plan.prefill; h != nil && s.heldRequests[h.attempt] == h {
+		s.advancePrefill(h, plan.prefillWork, now)
 	}
-	s.loads.add(now, s.load())
+	s.loadSamples.add(now, s.currentLoad())
 }
 
-// emit makes one output token.
-func (s *Standin) emit(h *hold) {
+// emitToken generates one output token. mu is held.
+func (s *Standin) emitToken(h *heldRequest) {
 	h.produced++
-	h.fact.Tokens++
+	h.record.Tokens++
 	s.recorder.audit.Tokens++
-	s.grow(h, s.timing.KVToken)
-	if h.produced >= h.total {
-		h.fact.Finish = h.finish()
+	s.growKV(h, s.timing.KVToken)
+	if h.produced >= h.totalTokens {
+		h.record.Finish = h.finishReason()
 		s.free(h, nil)
 	}
-	h.advanced()
+	h.signalProgress()
 }
 
-func (h *hold) finish() engineapi.Finish {
-	if h.cut {
+func (h *heldRequest) finishReason() engineapi.Finish {
+	if h.truncated {
 		return engineapi.FinishLength
 	}
 	return engineapi.FinishStop
 }
 
-func (s *Standin) advancePrefill(h *hold, slice time.Duration, now time.Time) {
-	h.left -= slice
-	h.fact.PrefillMs += ms(slice)
-	if h.left > 0 {
+func (s *Standin) advancePrefill(h *heldRequest, slice time.Duration, now time.Time) {
+	h.workLeft -= slice
+	h.record.PrefillMs += milliseconds(slice)
+	if h.workLeft > 0 {
 		return
 	}
 	s.finishPrefill(h, now)
 }
 
-// load gives the engine's load now. mu is held.
-func (s *Standin) load() engineapi.Load {
+// currentLoad returns the engine's present load. mu is held.
+func (s *Standin) currentLoad() engineapi.Load {
 	var l engineapi.Load
-	for _, h := range s.holds {
+	for _, h := range s.heldRequests {
 		switch h.stage {
 		case engineapi.StageDecode, engineapi.StageCall:
 			l.Running++
 		case engineapi.StagePrefill:
 			l.Waiting++
-			l.PrefillQueueMs += ms(h.left)
+			l.PrefillQueueMs += milliseconds(h.workLeft)
 		}
 	}
-	l.TokenTimeMs = ms(s.timing.step(l.Running))
+	l.TokenTimeMs = milliseconds(s.timing.step(l.Running))
 	return l
 }
 
-func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/internal/standin/cacheevents.go
+++ b/internal/standin/cacheevents.go
@@ -9,53 +9,53 @@
 )
 
 const (
-	mostEvents = 8192 // unsent; older ones are dropped, which makes a gap
-	eventBatch = 1024 // in one message
+	maxQueuedEvents     = 8192 // older ones are dropped, which leaves a gap in the sequence
+	maxEventsPerMessage = 1024
 )
 
-// eventQueue holds cache events that are not sent yet.
+// eventQueue holds the cache events that haven't been sent yet.
 type eventQueue struct {
-	waiting []engineapi.CacheEvent
+	unsent []engineapi.CacheEvent
 }
 
 func (q *eventQueue) add(events []engineapi.CacheEvent) {
-	q.waiting = append(q.waiting, events...)
-	if over := len(q.waiting) - mostEvents; over > 0 {
-		q.waiting = append(q.waiting[:0], q.waiting[over:]...)
+	q.unsent = append(q.unsent, events...)
+	if over := len(q.unsent) - maxQueuedEvents; over > 0 {
+		q.unsent = append(q.unsent[:0], q.unsent[over:]...)
 	}
 }
 
 func (q *eventQueue) take() []engineapi.CacheEvent {
-	n := min(len(q.waiting), eventBatch)
-	batch := append([]engineapi.CacheEvent(nil), q.waiting[:n]...)
-	q.waiting = append(q.waiting[:0], q.waiting[n:]...)
+	n := min(len(q.unsent), maxEventsPerMessage)
+	batch := append([]engineapi.CacheEvent(nil), q.unsent[:n]...)
+	q.unsent = append(q.unsent[:0], q.unsent[n:]...)
 	return batch
 }
 
-// runEvents sends cache events late, until ctx ends. A message that fails is
-// not sent again: the home finds the gap.
+// runEvents sends cache events every Timing.CacheLag until ctx ends. A message that
+// fails is not sent again: the home detects the gap.
 func (s *Standin) runEvents(ctx context.Context) {
 	for sleep.For(ctx, s.timing.CacheLag) {
-		s.waitThaw(ctx.Done())
-		home, batch := s.takeEvents()
+		s.waitWhileFrozen(ctx.Done())
+		home, batch := s.nextEventBatch()
 		if len(batch) == 0 {
 			continue
 		}
 		var answer engineapi.CacheEventsReply
 		events := engineapi.CacheEvents{ID: s.options.ID, Incarnation: s.options.Incarnation, Events: batch}
-		if err := s.tell(ctx, home, pathCacheEvents, events, &answer); err != nil {
-			s.options.Part.Debug("cache events were not taken", "home", home, "err", err)
+		if err := s.postToDaemon(ctx, home, pathCacheEvents, events, &answer); err != nil {
+			s.options.Part.Debug("cache events could not be sent", "home", home, "err", err)
 		}
 	}
 }
 
-func (s *Standin) takeEvents() (home string, batch []engineapi.CacheEvent) {
+func (s *Standin) nextEventBatch() (home string, batch []engineapi.CacheEvent) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.home == "" {
 		return "", nil
 	}
-	batch = s.events.take()
+	batch = s.cacheEvents.take()
 	if len(batch) > 0 && s.faults.CacheGaps > 0 {
 		s.faults.CacheGaps--
 		return "", nil
@@ -65,7 +65,7 @@
 
 func (s *Standin) serveCache(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
-	snapshot := s.cache.snapshot()
+	snapshot := s.prefixCache.snapshot()
 	s.mu.Unlock()
 	snapshot.Incarnation = s.options.Incarnation
 	reply(w, snapshot)
--- a/internal/standin/cancel.go
+++ b/internal/standin/cancel.go
@@ -9,17 +9,17 @@
 )
 
 func (s *Standin) serveCancel(w http.ResponseWriter, r *http.Request) {
-	request, ok := take[engineapi.CancelRequest](w, r)
+	request, ok := decodeBody[engineapi.CancelRequest](w, r)
 	if !ok {
 		return
 	}
-	if s.losesCancel() {
+	if s.shouldIgnoreCancel() {
 		panic(http.ErrAbortHandler) // the connection ends without an answer
 	}
 	reply(w, engineapi.CancelReply{Freed: s.cancel(request.Attempt)})
 }
 
-func (s *Standin) losesCancel() bool {
+func (s *Standin) shouldIgnoreCancel() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.faults.IgnoreCancels == 0 {
@@ -29,17 +29,17 @@
 	return true
 }
 
-// cancel frees an attempt and refuses its later work.
+// cancel frees an attempt and makes later work of the attempt be refused.
 func (s *Standin) cancel(attempt fleet.AttemptID) (freed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.cancelled.add(attempt)
-	h, ok := s.holds[attempt]
+	h, ok := s.heldRequests[attempt]
 	if !ok {
 		return false
 	}
-	h.fact.Cancelled = true
-	h.fact.Finish = engineapi.FinishCancelled
+	h.record.Cancelled = true
+	h.record.Finish = engineapi.FinishCancelled
 	s.recorder.audit.Cancelled++
 	s.free(h, errCancelled)
 	return true
@@ -49,13 +49,13 @@
 	reply(w, engineapi.HeldReply{Incarnation: s.options.Incarnation, Held: s.Held()})
 }
 
-// Held lists the requests in memory.
+// Held returns the requests that occupy memory.
 func (s *Standin) Held() []engineapi.Held {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	held := make([]engineapi.Held, 0, len(s.holds))
-	for _, h := range s.holds {
+	held := make([]engineapi.Held, 0, len(s.heldRequests))
+	for _, h := range s.heldRequests {
 		held = append(held, h.held(now))
 	}
 	return held
--- a/internal/standin/cancel_test.go
+++ b/internal/standin/cancel_test.go
@@ -12,22 +12,22 @@
 	"github.com/hyssopsail/hyssopsail/internal/standin"
 )
 
-// reachFunc brings a request to a stage, and gives the error of the step that
-// waits there, nil when none does.
-type reachFunc func(t *testing.T, f *flow, p, d *standin.Standin) <-chan error
+// stageFunc brings a request to a stage. It returns a channel with the error of
+// the call that blocks there; nil if none does.
+type stageFunc func(t *testing.T, f *flow, p, d *standin.Standin) <-chan error
 
-func prefillRuns(t *testing.T, f *flow, p, _ *standin.Standin) <-chan error {
+func runningPrefill(t *testing.T, f *flow, p, _ *standin.Standin) <-chan error {
 	done := f.inBackground((*flow).runPrefill)
 	eventually(t, "prefill runs", func() bool { return len(p.Held()) == 1 })
 	return done
 }
 
-func prefillExported(t *testing.T, f *flow, _, _ *standin.Standin) <-chan error {
+func exportedPrefill(t *testing.T, f *flow, _, _ *standin.Standin) <-chan error {
 	assert.NilError(t, f.runPrefill(t.Context()))
 	return nil
 }
 
-func transferStalls(t *testing.T, f *flow, p, d *standin.Standin) <-chan error {
+func stalledTransfer(t *testing.T, f *flow, p, d *standin.Standin) <-chan error {
 	assert.NilError(t, f.runPrefill(t.Context()))
 	p.SetFaults(standin.Faults{StallTransfers: true})
 	done := f.inBackground((*flow).runImport)
@@ -35,8 +35,8 @@
 	return done
 }
 
-func streamBegins(t *testing.T, f *flow, _, _ *standin.Standin) <-chan error {
-	f.most = 100_000
+func startedStream(t *testing.T, f *flow, _, _ *standin.Standin) <-chan error {
+	f.maxTokens = 100_000
 	stream := f.toStream(t, 0)
 	_, err := stream.Next()
 	assert.NilError(t, err)
@@ -44,42 +44,42 @@
 	return nil
 }
 
-// A caller goes away at each stage of its request. Its memory must be free
-// after the cancel, what still waits must end, and work of the same attempt
-// that comes late must be refused, or it would hold memory for nobody.
+// A request is cancelled at each of its stages. Its memory must be freed, calls that
+// still block must end, and later work of the same attempt must be refused, or it
+// would hold memory that nobody frees.
 func TestCancelAtEachStage(t *testing.T) {
-	slow := quick()
+	slow := fastTiming()
 	slow.PrefillBase = 1 << 40
 	for _, test := range []struct {
 		stage engineapi.Stage
-		reach reachFunc
+		reach stageFunc
 		pre   standin.Timing
 	}{
-		{engineapi.StagePrefill, prefillRuns, slow},
-		{engineapi.StageExported, prefillExported, quick()},
-		{engineapi.StageImported, transferStalls, quick()},
-		{engineapi.StageDecode, streamBegins, quick()},
+		{engineapi.StagePrefill, runningPrefill, slow},
+		{engineapi.StageExported, exportedPrefill, fastTiming()},
+		{engineapi.StageImported, stalledTransfer, fastTiming()},
+		{engineapi.StageDecode, startedStream, fastTiming()},
 	} {
 		t.Run(string(test.stage), func(t *testing.T) { cancelAt(t, test.stage, test.reach, test.pre) })
 	}
 }
 
-func cancelAt(t *testing.T, stage engineapi.Stage, reach reachFunc, timing standin.Timing) {
-	patient := quick()
-	patient.TransferBound = time.Hour
+func cancelAt(t *testing.T, stage engineapi.Stage, reach stageFunc, timing standin.Timing) {
+	slowTransfer := fastTiming()
+	slowTransfer.TransferBound = time.Hour
 	p := start(t, standin.Options{ID: "prefill", Role: fleet.RolePrefill, Timing: timing})
-	d := start(t, standin.Options{ID: "decode", Role: fleet.RoleDecode, Timing: patient})
+	d := start(t, standin.Options{ID: "decode", Role: fleet.RoleDecode, Timing: slowTransfer})
 	f := newFlow(p, d, "[[tokens=100000]]"+strings.Repeat("x", 4000))
 	waiting := reach(t, f, p, d)
-	// The decode engine first: otherwise its transfer may break at the other
-	// end before its own cancel comes.
+	// The decode engine first: otherwise the transfer may fail at the prefill
+	// engine before the decode engine's own cancel arrives.
 	f.client.Cancel(f.decode, f.attempt)
-	eventually(t, "decode engine free", empty(d))
+	eventually(t, "decode engine free", holdsNothing(d))
 	if stage == engineapi.StageImported {
 		assert.Equal(t, codeOf(<-waiting), engineapi.CodeStale)
 	}
 	f.client.Cancel(f.prefill, f.attempt)
-	eventually(t, "prefill engine free", empty(p))
+	eventually(t, "prefill engine free", holdsNothing(p))
 	if stage == engineapi.StagePrefill {
 		assert.Equal(t, codeOf(<-waiting), engineapi.CodeStale)
 	}
@@ -87,34 +87,33 @@
 	eventually(t, "late import refused", func() bool { return codeOf(f.runImport(t.Context())) == engineapi.CodeStale })
 }
 
-// An engine loses a cancel: the connection ends without an answer and nothing
-// is freed. The caller is gone, so nobody asks again but the client itself.
+// An engine loses a cancel: it closes the connection without an answer and frees
+// nothing. As the caller is gone, only the client can retry.
 func TestLostCancelIsRetried(t *testing.T) {
 	p, d := pair(t)
 	f := newFlow(p, d, "lost cancel [[tokens=100000]]")
-	f.most = 100_000
+	f.maxTokens = 100_000
 	stream := f.toStream(t, 0)
 	d.SetFaults(standin.Faults{IgnoreCancels: 2})
 	f.client.Cancel(f.decode, f.attempt)
-	eventually(t, "decode engine free", empty(d))
-	_, finish, err := read(stream)
+	eventually(t, "decode engine free", holdsNothing(d))
+	_, finish, err := readStream(stream)
 	assert.NilError(t, err)
 	assert.Equal(t, finish, engineapi.FinishCancelled)
 	assert.Equal(t, d.Faults().IgnoreCancels, 0)
 	assert.Equal(t, d.Audit().Cancelled, 1)
 }
 
-// Some engines free a request by themselves when its connection ends, others
-// compute on for nobody.
-func TestDisconnectFreesOnlyIfAsked(t *testing.T) {
+// Some engines free a request when its connection ends; others go on generating.
+func TestDisconnectFreesOnlyIfConfigured(t *testing.T) {
 	for name, frees := range map[string]bool{"frees": true, "goes on": false} {
 		t.Run(name, func(t *testing.T) {
 			p := start(t, standin.Options{ID: "prefill", Role: fleet.RolePrefill})
 			d := start(t, standin.Options{ID: "decode", Role: fleet.RoleDecode, FreeOnDisconnect: frees})
 			f := newFlow(p, d, "gone [[tokens=100000]]")
-			streamBegins(t, f, p, d)
+			startedStream(t, f, p, d)
 			if frees {
-				eventually(t, "memory free", empty(d))
+				eventually(t, "memory free", holdsNothing(d))
 				return
 			}
 			before := d.Audit().Tokens
--- a/internal/standin/cancelledset.go
+++ b/internal/standin/cancelledset.go
@@ -2,19 +2,19 @@
 
 import "github.com/hyssopsail/hyssopsail/internal/fleet"
 
-// mostCancelled bounds the cancelled attempts that are remembered.
-const mostCancelled = 65536
+// maxCancelledAttempts is the number of cancelled attempts that are remembered.
+const maxCancelledAttempts = 65536
 
-// cancelledSet remembers the last cancelled attempts.
+// cancelledSet remembers the most recently cancelled attempts.
 type cancelledSet struct {
-	most    int
-	members map[fleet.AttemptID]struct{}
-	ring    []fleet.AttemptID // full: the oldest is at next
-	next    int
+	capacity int
+	members  map[fleet.AttemptID]struct{}
+	ring     []fleet.AttemptID // once full, the oldest is at next
+	next     int
 }
 
 func newCancelledSet(most int) *cancelledSet {
-	return &cancelledSet{most: most, members: map[fleet.AttemptID]struct{}{}}
+	return &cancelledSet{capacity: most, members: map[fleet.AttemptID]struct{}{}}
 }
 
 func (s *cancelledSet) has(a fleet.AttemptID) bool {
@@ -27,11 +27,11 @@
 		return
 	}
 	s.members[a] = struct{}{}
-	if len(s.ring) < s.most {
+	if len(s.ring) < s.capacity {
 		s.ring = append(s.ring, a)
 		return
 	}
 	delete(s.members, s.ring[s.next])
 	s.ring[s.next] = a
-	s.next = (s.next + 1) % s.most
+	s.next = (s.next + 1) % s.capacity
 }
--- a/internal/standin/crash.go
+++ b/internal/standin/crash.go
@@ -8,12 +8,12 @@
 	"path/filepath"
 )
 
-const auditMode = 0o600
+const auditFileMode = 0o600
 
-// crashByFault ends the process if Faults.Crash says so, without a word to
-// anyone, as a kill would. The audit is written before, and the lock is kept
-// from then on, so that what the file says is all that this process ever did:
-// after a kill from outside nobody could tell wasted work from used work.
+// crashByFault ends the process if Faults.Crash is set, without notice to clients
+// or daemons, as a kill would. It writes the audit first and keeps mu locked from
+// then on, so that the file covers all that this process did. After a kill from
+// outside, wasted and used work couldn't be told apart.
 func (s *Standin) crashByFault() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -27,17 +27,17 @@
 	panic(http.ErrAbortHandler)
 }
 
-// writeAudit writes the whole file or none. mu is held.
+// writeAudit writes the audit file atomically. mu is held.
 func (s *Standin) writeAudit() error {
 	if s.options.AuditFolder == "" {
 		return nil
 	}
-	body, err := json.Marshal(s.auditNow())
+	body, err := json.Marshal(s.auditLocked())
 	if err != nil {
 		return err
 	}
 	name := filepath.Join(s.options.AuditFolder, fmt.Sprintf("%s-%d.json", s.options.ID, s.options.Incarnation))
-	if err := os.WriteFile(name+".partial", body, auditMode); err != nil {
+	if err := os.WriteFile(name+".partial", body, auditFileMode); err != nil {
 		return err
 	}
 	return os.Rename(name+".partial", name)
--- a/internal/standin/crash_test.go
+++ b/internal/standin/crash_test.go
@@ -15,13 +15,13 @@
 	"github.com/hyssopsail/hyssopsail/internal/standin"
 )
 
-// An engine process ends at once in the middle of a prefill, like a killed
-// one. What it had done is only in its memory; if its last audit were not
-// written before, all work that went through it would count as wasted.
+// An engine process exits in the middle of a prefill, like a killed one. Its record
+// is only in memory: unless the audit is written first, all its work would count as
+// wasted.
 func TestCrashFaultLeavesTheAudit(t *testing.T) {
 	folder := t.TempDir()
 	codes := make(chan int, 1)
-	timing := quick()
+	timing := fastTiming()
 	timing.PrefillBase = time.Hour
 	p := start(t, standin.Options{
 		ID: "prefill", Incarnation: 5, Role: fleet.RolePrefill, Timing: timing, AuditFolder: folder,
--- a/internal/standin/decode.go
+++ b/internal/standin/decode.go
@@ -12,11 +12,11 @@
 )
 
 func (s *Standin) serveDecode(w http.ResponseWriter, r *http.Request) {
-	request, ok := take[engineapi.DecodeRequest](w, r)
+	request, ok := decodeBody[engineapi.DecodeRequest](w, r)
 	if !ok {
 		return
 	}
-	s.crash(engineapi.StageDecode, request.Prompt)
+	s.crashOnMarker(engineapi.StageDecode, request.Prompt)
 	h, refused := s.startDecode(request)
 	if refused != nil {
 		refuse(w, *refused)
@@ -32,14 +32,14 @@
 	s.stream(r, h, out, request.Offset)
 }
 
-func (s *Standin) startDecode(r engineapi.DecodeRequest) (*hold, *refusal) {
+func (s *Standin) startDecode(r engineapi.DecodeRequest) (*heldRequest, *refusal) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if refused := s.check(r.Work, fleet.RoleDecode); refused != nil {
+	if refused := s.checkWork(r.Work, fleet.RoleDecode); refused != nil {
 		return nil, refused
 	}
-	h, ok := s.holds[r.Attempt]
-	if !ok || h.stage != engineapi.StageImported || !h.arrived {
+	h, ok := s.heldRequests[r.Attempt]
+	if !ok || h.stage != engineapi.StageImported || !h.kvArrived {
 		return nil, &refusal{engineapi.CodeGone, "no KV cache of this attempt"}
 	}
 	seed := xxhash.Sum64String(r.Prompt)
@@ -47,38 +47,38 @@
 	if r.Offset < 0 || r.Offset >= total || r.Prefix != textOf(seed, 0, r.Offset) {
 		return nil, &refusal{engineapi.CodeBadRequest, "offset and prefix are no part of the answer"}
 	}
-	h.seed, h.total, h.cut = seed, total, cut
+	h.seed, h.totalTokens, h.truncated = seed, total, cut
 	h.produced = r.Offset
-	h.progress = make(chan struct{}, 1)
+	h.progressed = make(chan struct{}, 1)
 	h.stage = engineapi.StageDecode
-	h.fact.Decodes++
-	h.fact.Offset = r.Offset
-	h.fact.Marker = Marker(r.Prompt)
+	h.record.Decodes++
+	h.record.Offset = r.Offset
+	h.record.Marker = Marker(r.Prompt)
 	s.recorder.audit.Runs++
-	s.grow(h, int64(r.Offset)*s.timing.KVToken)
+	s.growKV(h, int64(r.Offset)*s.timing.KVToken)
 	s.wakeBatch()
 	return h, nil
 }
 
-// stream writes tokens as they are made. Text depends on prompt and position
-// alone, so that a slow reader needs no buffer.
-func (s *Standin) stream(r *http.Request, h *hold, out *chunkWriter, sent int) {
+// stream writes tokens as they are generated. The text depends only on prompt and
+// position, so no buffer is needed for a slow reader.
+func (s *Standin) stream(r *http.Request, h *heldRequest, out *chunkWriter, sent int) {
 	if s.options.FreeOnDisconnect {
-		defer func() { s.freeNow(h, errCancelled) }()
+		defer func() { s.freeLocking(h, errCancelled) }()
 	}
-	if !out.begin() {
+	if !out.sendHeader() {
 		return
 	}
 	for {
 		select {
-		case <-h.progress:
+		case <-h.progressed:
 		case <-h.ctx.Done():
 		case <-r.Context().Done():
 			return
 		}
-		s.waitThaw(r.Context().Done())
+		s.waitWhileFrozen(r.Context().Done())
 		s.mu.Lock()
-		produced, finish := h.produced, h.fact.Finish
+		produced, finish := h.produced, h.record.Finish
 		freed := h.ctx.Err() != nil
 		s.mu.Unlock()
 		if produced > sent || freed {
@@ -100,16 +100,16 @@
 	attempt     fleet.AttemptID
 	incarnation fleet.Incarnation
 	fault       ChunkFault
-	written     int
+	chunkCount  int
 }
 
-// faultAfter is how many chunks come before a wrong one.
-const faultAfter = 2
+// chunksBeforeFault is the number of correct chunks before a wrong one.
+const chunksBeforeFault = 2
 
-// writeTimeout ends a stream whose reader takes nothing.
+// writeTimeout ends a stream whose client doesn't read.
 const writeTimeout = 30 * time.Second
 
-func (c *chunkWriter) begin() bool {
+func (c *chunkWriter) sendHeader() bool {
 	c.writer.Header().Set("Content-Type", engineapi.MediaEvents)
 	c.writer.WriteHeader(http.StatusOK)
 	return c.control.Flush() == nil
@@ -124,19 +124,19 @@
 		Text:        textOf(seed, from, to),
 		Finish:      finish,
 	}
-	c.written++
-	if c.written <= faultAfter {
-		return c.put(chunk)
+	c.chunkCount++
+	if c.chunkCount <= chunksBeforeFault {
+		return c.send(chunk)
 	}
 	if c.fault == ChunkGap {
 		c.fault = ""
-		return true // this chunk never leaves
+		return true // the chunk is dropped
 	}
-	return c.put(c.corrupt(chunk, seed))
+	return c.send(c.corrupt(chunk, seed))
 }
 
-// corrupt makes the next chunk wrong, once. A chunk of another attempt or
-// process has another answer's text.
+// corrupt applies the fault to chunk and clears it. A chunk of another attempt or
+// incarnation gets the text of another answer.
 func (c *chunkWriter) corrupt(chunk engineapi.Chunk, seed uint64) engineapi.Chunk {
 	switch c.fault {
 	case ChunkCrossed:
@@ -157,14 +157,14 @@
 	return chunk
 }
 
-func (c *chunkWriter) put(chunk engineapi.Chunk) bool {
+func (c *chunkWriter) send(chunk engineapi.Chunk) bool {
 	line, err := json.Marshal(chunk)
 	if err != nil {
 		return false
 	}
 	line = append([]byte("data: "), line...)
 	line = append(line, '\n', '\n')
-	// A connection without deadlines, as in tests, has none to set.
+	// Writers in tests may not support deadlines.
 	_ = c.control.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := c.writer.Write(line); err != nil {
 		return false
--- a/internal/standin/doc.go
+++ b/internal/standin/doc.go
@@ -1,11 +1,11 @@
 // Package standin emulates endpoints for tests and measurements: a model
 // engine with continuous batching, KV memory, a prefix cache and KV transfer
-// over HTTP, or a plain service that records each run. Time is real. The
-// figures of the emulation are in Timing; what the engine did is in Audit;
-// faults are switched by Faults.
+// over HTTP, or a plain service that records each run. It runs in real time.
+// Timing configures the emulation, Audit records what the engine did, and Faults
+// injects faults.
 //
-// Simplifications: memory is checked when a request enters, and grows by its
-// output without a second check; a cached prefix takes no memory from
-// requests; wire bytes of a transfer are KV bytes divided by
-// Timing.WireScale, while its time follows the whole KV bytes.
+// Simplifications: memory is checked when a request is admitted, and grows with
+// its output without another check; a cached prefix takes no memory from
+// requests; a transfer sends the KV bytes divided by Timing.WireScale, while its
+// duration is that of all KV bytes.
 package standin
--- a/internal/standin/export.go
+++ b/internal/standin/export.go
@@ -12,12 +12,12 @@
 	"github.com/hyssopsail/hyssopsail/internal/sleep"
 )
 
-// stallPoll is how often a stalled transfer looks whether it may go on.
-const stallPoll = 10 * time.Millisecond
+// stallPollInterval is the interval at which a stalled transfer checks whether to continue.
+const stallPollInterval = 10 * time.Millisecond
 
-// serveKV sends a KV cache at the link's rate. The memory is free once the
-// last byte has been written; a transfer that breaks leaves the rest of the
-// KV cache's life to another try.
+// serveKV sends a KV cache at the link's rate. The memory is freed once the last
+// byte has been written. After a transfer that fails, another one may follow until
+// the KV cache expires.
 func (s *Standin) serveKV(w http.ResponseWriter, r *http.Request) {
 	h := s.startExport(chi.URLParam(r, "handle"))
 	if h == nil {
@@ -27,50 +27,50 @@
 	ctx, stop := context.WithCancel(r.Context())
 	defer stop()
 	defer context.AfterFunc(h.ctx, stop)()
-	whole := s.send(ctx, w, int64(h.promptTokens)*s.timing.KVToken)
-	s.endExport(h, whole)
-	if !whole {
-		panic(http.ErrAbortHandler) // the reader must not take it for whole
+	complete := s.sendKV(ctx, w, int64(h.promptTokens)*s.timing.KVToken)
+	s.endExport(h, complete)
+	if !complete {
+		panic(http.ErrAbortHandler) // the reader must not take it for complete
 	}
 }
 
-func (s *Standin) startExport(handle string) *hold {
+func (s *Standin) startExport(handle string) *heldRequest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, h := range s.holds {
+	for _, h := range s.heldRequests {
 		if h.handle == handle && h.stage == engineapi.StageExported {
-			h.transfers++
+			h.runningTransfers++
 			return h
 		}
 	}
 	return nil
 }
 
-func (s *Standin) endExport(h *hold, whole bool) {
+func (s *Standin) endExport(h *heldRequest, complete bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	h.transfers--
-	if whole {
-		h.fact.PrefillUsed = true
+	h.runningTransfers--
+	if complete {
+		h.record.PrefillUsed = true
 		s.free(h, nil)
 		return
 	}
-	if h.transfers == 0 && !time.Now().Before(h.expires) {
+	if h.runningTransfers == 0 && !time.Now().Before(h.expires) {
 		s.free(h, errExpired)
 	}
 }
 
-func (s *Standin) send(ctx context.Context, w http.ResponseWriter, kv int64) bool {
+func (s *Standin) sendKV(ctx context.Context, w http.ResponseWriter, kv int64) bool {
 	w.Header().Set("Content-Type", "application/octet-stream")
-	w.Header().Set("Content-Length", strconv.FormatInt(s.wire(kv), 10))
+	w.Header().Set("Content-Length", strconv.FormatInt(s.wireBytes(kv), 10))
 	control := http.NewResponseController(w)
-	zeros := make([]byte, s.wire(s.egress.piece()))
+	zeros := make([]byte, s.wireBytes(s.egress.pieceBytes()))
 	for sent := int64(0); sent < kv; {
-		part := min(s.egress.piece(), kv-sent)
-		if !s.egress.pass(ctx, part) || !s.waitUnstalled(ctx) {
+		part := min(s.egress.pieceBytes(), kv-sent)
+		if !s.egress.transfer(ctx, part) || !s.waitWhileStalled(ctx) {
 			return false
 		}
-		size := s.wire(sent+part) - s.wire(sent)
+		size := s.wireBytes(sent+part) - s.wireBytes(sent)
 		if _, err := w.Write(zeros[:size]); err != nil {
 			return false
 		}
@@ -82,17 +82,17 @@
 	return ctx.Err() == nil
 }
 
-// wire gives the bytes on the wire for the first kv bytes of a KV cache.
-func (s *Standin) wire(kv int64) int64 {
+// wireBytes returns the number of bytes sent for the first kv bytes of a KV cache.
+func (s *Standin) wireBytes(kv int64) int64 {
 	return (kv + s.timing.WireScale - 1) / s.timing.WireScale
 }
 
-func (s *Standin) waitUnstalled(ctx context.Context) bool {
+func (s *Standin) waitWhileStalled(ctx context.Context) bool {
 	for s.Faults().StallTransfers {
-		if !sleep.For(ctx, stallPoll) {
+		if !sleep.For(ctx, stallPollInterval) {
 			return false
 		}
 	}
-	s.waitThaw(ctx.Done())
+	s.waitWhileFrozen(ctx.Done())
 	return ctx.Err() == nil
 }
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -7,35 +7,35 @@
 	"github.com/hyssopsail/hyssopsail/internal/engineapi"
 )
 
-// ChunkFault is a wrong chunk that a stream is made to hold.
+// ChunkFault is a kind of wrong chunk to inject into a stream.
 type ChunkFault string
 
-// The wrong chunks.
+// The kinds of wrong chunks.
 const (
 	ChunkCrossed ChunkFault = "crossed" // another attempt's ID
 	ChunkStale   ChunkFault = "stale"   // an earlier incarnation
-	ChunkGap     ChunkFault = "gap"     // one token left out
-	ChunkRepeat  ChunkFault = "repeat"  // one token given twice
+	ChunkGap     ChunkFault = "gap"     // a chunk left out
+	ChunkRepeat  ChunkFault = "repeat"  // one token sent twice
 	ChunkCut     ChunkFault = "cut"     // connection closed inside a chunk
 )
 
-// Faults are the switches of an endpoint; the zero Faults is a healthy one.
+// Faults are the faults to inject into an endpoint; the zero value injects none.
 type Faults struct {
-	StallTransfers bool       `json:"stall_transfers"` // KV is sent no further
-	Slow           float64    `json:"slow"`            // each step takes so many times longer; 0: 1
-	Freeze         bool       `json:"freeze"`          // nothing moves, connections stay open
-	IgnoreCancels  int        `json:"ignore_cancels"`  // the next so many cancels are lost
-	CacheGaps      int        `json:"cache_gaps"`      // the next so many batches of cache events are lost
+	StallTransfers bool       `json:"stall_transfers"` // KV transfers stop
+	Slow           float64    `json:"slow"`            // factor on the duration of each step; 0: 1
+	Freeze         bool       `json:"freeze"`          // all processing stops, connections stay open
+	IgnoreCancels  int        `json:"ignore_cancels"`  // number of next cancels to lose
+	CacheGaps      int        `json:"cache_gaps"`      // number of next batches of cache events to lose
 	LoadLagMs      int64      `json:"load_lag_ms"`     // 0: Timing.LoadLag
 	ChunkFault     ChunkFault `json:"chunk_fault"`     // in the next stream
-	FailCalls      bool       `json:"fail_calls"`      // plain calls run, then answer 500
-	CutCalls       bool       `json:"cut_calls"`       // plain calls run, then the connection ends
-	HangCalls      bool       `json:"hang_calls"`      // plain calls run, and never answer
+	FailCalls      bool       `json:"fail_calls"`      // plain calls run, then get status 500
+	CutCalls       bool       `json:"cut_calls"`       // plain calls run, then the connection is closed
+	HangCalls      bool       `json:"hang_calls"`      // plain calls run, but never get an answer
 	CallDelayMs    int64      `json:"call_delay_ms"`   // added to each plain call
-	Crash          bool       `json:"crash"`           // the process ends at once, after its audit was written
+	Crash          bool       `json:"crash"`           // the process writes its audit and exits at once
 }
 
-// SetFaults replaces all switches.
+// SetFaults replaces all faults.
 func (s *Standin) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -44,29 +44,30 @@
 
 func (s *Standin) setFaults(f Faults) {
 	if s.faults.Freeze && !f.Freeze {
-		close(s.thawed)
+		close(s.unfrozen)
 	}
 	if !s.faults.Freeze && f.Freeze {
-		s.thawed = make(chan struct{})
+		s.unfrozen = make(chan struct{})
 	}
 	s.faults = f
 	s.wakeBatch()
 }
 
-// Faults gives the switches as they are now.
+// Faults returns the present faults.
 func (s *Standin) Faults() Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults
 }
 
-// serveFaults takes a part of Faults and leaves the other switches alone.
+// serveFaults answers with the faults. A POST first sets those that its body names
+// and leaves the others unchanged.
 func (s *Standin) serveFaults(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	f := s.faults
 	s.mu.Unlock()
 	if r.Method == http.MethodPost {
-		err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&f)
+		err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&f)
 		if err != nil {
 			refuse(w, refusal{engineapi.CodeBadRequest, err.Error()})
 			return
@@ -77,12 +78,12 @@
 	reply(w, f)
 }
 
-// waitThaw returns when the endpoint isn't frozen, or done is closed; waited
-// tells whether it was frozen.
-func (s *Standin) waitThaw(done <-chan struct{}) (waited bool) {
+// waitWhileFrozen returns when the endpoint isn't frozen or done is closed. waited
+// reports whether it was frozen.
+func (s *Standin) waitWhileFrozen(done <-chan struct{}) (waited bool) {
 	for ; ; waited = true {
 		s.mu.Lock()
-		frozen, thawed := s.faults.Freeze, s.thawed
+		frozen, thawed := s.faults.Freeze, s.unfrozen
 		s.mu.Unlock()
 		if !frozen {
 			return waited
--- a/internal/standin/harness_test.go
+++ b/internal/standin/harness_test.go
@@ -18,15 +18,15 @@
 )
 
 var (
-	model  = engineapi.ModelRef{Model: "fibre", Version: "1"}
-	owner  = fleet.Owner{Instance: "entry-1", Incarnation: 7}
-	number atomic.Uint64
+	model          = engineapi.ModelRef{Model: "fibre", Version: "1"}
+	owner          = fleet.Owner{Instance: "entry-1", Incarnation: 7}
+	attemptCounter atomic.Uint64
 )
 
-func open(engine.Target) error { return nil }
+func allowAll(engine.Target) error { return nil }
 
-// quick makes an engine that is some ten times faster than a real one.
-func quick() standin.Timing {
+// fastTiming returns a timing some ten times faster than that of a real engine.
+func fastTiming() standin.Timing {
 	return standin.Timing{
 		StepBase:       time.Millisecond,
 		StepPerRequest: 100 * time.Microsecond,
@@ -44,7 +44,7 @@
 	}
 }
 
-// start runs an endpoint on a port of the kernel's choice until the test ends.
+// start runs an endpoint until the test ends, by default on a free port.
 func start(t *testing.T, o standin.Options) *standin.Standin {
 	t.Helper()
 	s, stop := startStoppable(t, o)
@@ -61,7 +61,7 @@
 		o.Listen = "127.0.0.1:0"
 	}
 	if o.Timing == (standin.Timing{}) {
-		o.Timing = quick()
+		o.Timing = fastTiming()
 	}
 	o.Zone = "howrah"
 	o.Models = []engineapi.ModelRef{model}
@@ -94,40 +94,40 @@
 }
 
 func newAttempt() fleet.AttemptID {
-	return fleet.AttemptID(fmt.Sprintf("%032x", number.Add(1)))
+	return fleet.AttemptID(fmt.Sprintf("%032x", attemptCounter.Add(1)))
 }
 
 func work(at engine.Target, attempt fleet.AttemptID) engineapi.Work {
 	return engineapi.Work{Attempt: attempt, Owner: owner, Endpoint: at.ID, Incarnation: at.Incarnation, Model: model}
 }
 
-// flow runs one request's steps at two engines.
+// flow runs the steps of one request on two engines.
 type flow struct {
 	client          *engine.HTTPClient
 	prefill, decode engine.Target
 	attempt         fleet.AttemptID
 	prompt          string
-	most            int
+	maxTokens       int
 	kv              engineapi.PrefillReply
 }
 
 func newFlow(p, d *standin.Standin, prompt string) *flow {
 	return &flow{
 		client: engine.NewClient(engine.Options{}), prefill: target(p), decode: target(d),
-		attempt: newAttempt(), prompt: prompt, most: 200,
+		attempt: newAttempt(), prompt: prompt, maxTokens: 200,
 	}
 }
 
 func (f *flow) runPrefill(ctx context.Context) error {
 	var err error
-	f.kv, err = f.client.Prefill(ctx, f.prefill, open, engineapi.PrefillRequest{
-		Work: work(f.prefill, f.attempt), Prompt: f.prompt, MaxTokens: f.most,
+	f.kv, err = f.client.Prefill(ctx, f.prefill, allowAll, engineapi.PrefillRequest{
+		Work: work(f.prefill, f.attempt), Prompt: f.prompt, MaxTokens: f.maxTokens,
 	})
 	return err
 }
 
 func (f *flow) runImport(ctx context.Context) error {
-	_, err := f.client.Import(ctx, f.decode, open, engineapi.ImportRequest{
+	_, err := f.client.Import(ctx, f.decode, allowAll, engineapi.ImportRequest{
 		Work: work(f.decode, f.attempt), Source: f.prefill.Address, Handle: f.kv.Handle,
 		PromptTokens: f.kv.PromptTokens, KVBytes: f.kv.KVBytes,
 	})
@@ -135,20 +135,20 @@
 }
 
 func (f *flow) open(ctx context.Context, offset int) (engine.Stream, error) {
-	return f.client.Decode(ctx, f.decode, open, engineapi.DecodeRequest{
-		Work: work(f.decode, f.attempt), Prompt: f.prompt, MaxTokens: f.most,
-		Offset: offset, Prefix: standin.ExpectedPart(f.prompt, 0, offset),
+	return f.client.Decode(ctx, f.decode, allowAll, engineapi.DecodeRequest{
+		Work: work(f.decode, f.attempt), Prompt: f.prompt, MaxTokens: f.maxTokens,
+		Offset: offset, Prefix: standin.ExpectedRange(f.prompt, 0, offset),
 	})
 }
 
-// toDecode runs all steps before the stream.
+// toDecode runs the steps before the decode.
 func (f *flow) toDecode(t *testing.T) {
 	t.Helper()
 	assert.NilError(t, f.runPrefill(t.Context()))
 	assert.NilError(t, f.runImport(t.Context()))
 }
 
-// toStream runs all steps up to the stream from offset on.
+// toStream runs all steps and returns the stream from offset.
 func (f *flow) toStream(t *testing.T, offset int) engine.Stream {
 	t.Helper()
 	f.toDecode(t)
@@ -157,7 +157,7 @@
 	return stream
 }
 
-// inBackground runs one step on a copy of f and gives its error.
+// inBackground runs one step on a copy of f. The channel receives its error.
 func (f *flow) inBackground(step func(*flow, context.Context) error) <-chan error {
 	copied := *f
 	done := make(chan error, 1)
@@ -165,8 +165,8 @@
 	return done
 }
 
-// read gives a stream's text and last finish.
-func read(s engine.Stream) (text string, finish engineapi.Finish, err error) {
+// readStream returns a stream's text and the finish of its last chunk.
+func readStream(s engine.Stream) (text string, finish engineapi.Finish, err error) {
 	for {
 		chunk, err := s.Next()
 		if errors.Is(err, io.EOF) {
@@ -180,7 +180,7 @@
 	}
 }
 
-// eventually polls until ok gives true.
+// eventually polls until ok returns true; after 10 s the test fails.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(10 * time.Second)
@@ -192,7 +192,7 @@
 	}
 }
 
-func empty(s *standin.Standin) func() bool {
+func holdsNothing(s *standin.Standin) func() bool {
 	return func() bool { return len(s.Held()) == 0 }
 }
 
--- a/internal/standin/importkv.go
+++ b/internal/standin/importkv.go
@@ -13,32 +13,32 @@
 )
 
 func (s *Standin) serveImport(w http.ResponseWriter, r *http.Request) {
-	request, ok := take[engineapi.ImportRequest](w, r)
+	request, ok := decodeBody[engineapi.ImportRequest](w, r)
 	if !ok {
 		return
 	}
-	begun := time.Now()
+	started := time.Now()
 	h, refused := s.startImport(request)
 	if refused != nil {
 		refuse(w, *refused)
 		return
 	}
 	if err := s.fetch(r.Context(), h, request); err != nil {
-		s.freeNow(h, err)
+		s.freeLocking(h, err)
 		refuse(w, transferRefusal(err))
 		return
 	}
 	s.mu.Lock()
-	h.arrived = true
+	h.kvArrived = true
 	s.mu.Unlock()
 	reply(w, engineapi.ImportReply{
 		Attempt:     h.attempt,
 		Incarnation: s.options.Incarnation,
-		TransferMs:  ms(time.Since(begun)),
+		TransferMs:  milliseconds(time.Since(started)),
 	})
 }
 
-// transferError is a fetch that the other engine refused.
+// transferError is an answer of the other engine with a status other than 200.
 type transferError struct {
 	status int
 }
@@ -59,59 +59,59 @@
 	return refusal{engineapi.CodeTransfer, err.Error()}
 }
 
-func (s *Standin) startImport(r engineapi.ImportRequest) (*hold, *refusal) {
+func (s *Standin) startImport(r engineapi.ImportRequest) (*heldRequest, *refusal) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if refused := s.check(r.Work, fleet.RoleDecode); refused != nil {
+	if refused := s.checkWork(r.Work, fleet.RoleDecode); refused != nil {
 		return nil, refused
 	}
-	if refused := s.refuseNew(); refused != nil {
+	if refused := s.refuseIfLeaving(); refused != nil {
 		return nil, refused
 	}
-	if refused := s.takeOver(r); refused != nil {
+	if refused := s.consumeLocalExport(r); refused != nil {
 		return nil, refused
 	}
-	h, refused := s.enter(r.Work, engineapi.StageImported, r.KVBytes, "")
+	h, refused := s.admit(r.Work, engineapi.StageImported, r.KVBytes, "")
 	if refused != nil {
 		return nil, refused
 	}
 	h.promptTokens = r.PromptTokens
-	h.fact.Imports++
+	h.record.Imports++
 	return h, nil
 }
 
-// takeOver frees the exported KV cache of an attempt that goes on in this same
-// process, whose import then needs no transfer. mu is held.
-func (s *Standin) takeOver(r engineapi.ImportRequest) *refusal {
+// consumeLocalExport frees the attempt's exported KV cache if this process is also
+// the source: the import then needs no transfer. mu is held.
+func (s *Standin) consumeLocalExport(r engineapi.ImportRequest) *refusal {
 	if r.Source != s.address {
 		return nil
 	}
-	old, ok := s.holds[r.Attempt]
+	old, ok := s.heldRequests[r.Attempt]
 	if !ok || old.stage != engineapi.StageExported || old.handle != r.Handle {
 		return &refusal{engineapi.CodeGone, "KV cache unknown or expired"}
 	}
-	old.fact.PrefillUsed = true
+	old.record.PrefillUsed = true
 	s.free(old, nil)
 	return nil
 }
 
-// fetch reads the KV cache from the other engine. It ends with the client's
-// connection, a cancel of the attempt, or TransferBound.
-func (s *Standin) fetch(client context.Context, h *hold, r engineapi.ImportRequest) error {
+// fetch reads the KV cache from the other engine. It fails when the client
+// disconnects, the attempt is cancelled, or Timing.TransferBound has passed.
+func (s *Standin) fetch(client context.Context, h *heldRequest, r engineapi.ImportRequest) error {
 	if r.Source == s.Address() {
 		return nil
 	}
 	ctx, stop := context.WithTimeout(client, s.timing.TransferBound)
 	defer stop()
 	defer context.AfterFunc(h.ctx, stop)()
-	err := s.receive(ctx, r)
+	err := s.download(ctx, r)
 	if cause := context.Cause(h.ctx); cause != nil {
 		return cause
 	}
 	return err
 }
 
-func (s *Standin) receive(ctx context.Context, r engineapi.ImportRequest) error {
+func (s *Standin) download(ctx context.Context, r engineapi.ImportRequest) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+r.Source+"/v1/kv/"+r.Handle, nil)
 	if err != nil {
 		return err
@@ -124,14 +124,14 @@
 	if response.StatusCode != http.StatusOK {
 		return &transferError{status: response.StatusCode}
 	}
-	return s.drain(ctx, response.Body)
+	return s.readAtLinkRate(ctx, response.Body)
 }
 
-func (s *Standin) drain(ctx context.Context, body io.Reader) error {
-	part := make([]byte, max(1, s.wire(s.ingress.piece())))
+func (s *Standin) readAtLinkRate(ctx context.Context, body io.Reader) error {
+	part := make([]byte, max(1, s.wireBytes(s.ingress.pieceBytes())))
 	for {
 		n, err := body.Read(part)
-		if n > 0 && !s.ingress.pass(ctx, int64(n)*s.timing.WireScale) {
+		if n > 0 && !s.ingress.transfer(ctx, int64(n)*s.timing.WireScale) {
 			return ctx.Err()
 		}
 		if errors.Is(err, io.EOF) {
--- a/internal/standin/leave.go
+++ b/internal/standin/leave.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	leavePoll  = 20 * time.Millisecond
-	leaveRetry = 100 * time.Millisecond
+	leavePollInterval  = 20 * time.Millisecond
+	leaveRetryInterval = 100 * time.Millisecond
 )
 
-// Leave announces that the endpoint takes no new work, goes on serving, and
-// returns nil once no request is held and Timing.LeaveGrace has passed since a
-// daemon confirmed. When ctx ends before, it gives an error.
+// Leave announces that the endpoint accepts no new work. The endpoint goes on
+// serving; Leave returns nil once Timing.LeaveGrace has passed since a daemon's
+// confirmation and no request is held. If ctx ends before, it returns an error.
 func (s *Standin) Leave(ctx context.Context) error {
 	s.mu.Lock()
 	s.leaving = true
-	s.leftAt = time.Now()
+	s.leaveStarted = time.Now()
 	s.mu.Unlock()
 	if len(s.options.Entries) > 0 && !s.announceLeave(ctx) {
 		return trace.ConnectionProblem(ctx.Err(), "no daemon confirmed the leave of %q", s.options.ID)
@@ -30,26 +30,27 @@
 		return trace.Wrap(ctx.Err())
 	}
 	for len(s.Held()) > 0 {
-		if !sleep.For(ctx, leavePoll) {
+		if !sleep.For(ctx, leavePollInterval) {
 			return trace.LimitExceeded("endpoint %q leaves with requests held", s.options.ID)
 		}
 	}
 	return nil
 }
 
-// announceLeave tells the home, then others, until one confirms.
+// announceLeave sends the leave to the home, then to other daemons, until one
+// confirms. It returns false if ctx ends first.
 func (s *Standin) announceLeave(ctx context.Context) bool {
 	for ctx.Err() == nil {
-		for _, to := range append([]string{s.HomeAddress()}, s.known()...) {
+		for _, to := range append([]string{s.HomeAddress()}, s.daemonAddresses()...) {
 			if to == "" {
 				continue
 			}
 			var answer engineapi.LeaveReply
-			if err := s.tell(ctx, to, pathLeave, s.leaveMessage(), &answer); err == nil {
+			if err := s.postToDaemon(ctx, to, pathLeave, s.leaveMessage(), &answer); err == nil {
 				return true
 			}
 		}
-		sleep.For(ctx, leaveRetry)
+		sleep.For(ctx, leaveRetryInterval)
 	}
 	return false
 }
--- a/internal/standin/link.go
+++ b/internal/standin/link.go
@@ -8,36 +8,37 @@
 	"github.com/hyssopsail/hyssopsail/internal/sleep"
 )
 
-// linkSlice is the time that one piece of a transfer takes at the whole rate.
-// Transfers that run at once take turns by such pieces, and so share the rate.
-const linkSlice = 5 * time.Millisecond
+// linkPieceTime is the time to send one piece of a transfer at the full rate.
+// Concurrent transfers take turns piece by piece, and so share the rate.
+const linkPieceTime = 5 * time.Millisecond
 
-// link is one direction of an engine's network link.
+// link emulates one direction of an engine's network link.
 type link struct {
-	rate int64 // bytes a second
+	bytesPerSecond int64
 
-	mu   sync.Mutex
-	free time.Time
+	mu     sync.Mutex
+	freeAt time.Time
 }
 
-func newLink(rate int64) *link { return &link{rate: rate} }
+func newLink(rate int64) *link { return &link{bytesPerSecond: rate} }
 
-// piece gives the bytes of one piece.
-func (l *link) piece() int64 {
-	return max(1, l.rate*int64(linkSlice)/int64(time.Second))
+// pieceBytes returns the size of one piece in bytes.
+func (l *link) pieceBytes() int64 {
+	return max(1, l.bytesPerSecond*int64(linkPieceTime)/int64(time.Second))
 }
 
-// pass waits until so many bytes have passed; false when ctx ended first.
-func (l *link) pass(ctx context.Context, bytes int64) bool {
+// transfer waits for the time that the link needs for the bytes. It returns false
+// if ctx ends first.
+func (l *link) transfer(ctx context.Context, bytes int64) bool {
 	return sleep.For(ctx, time.Until(l.reserve(time.Now(), bytes)))
 }
 
 func (l *link) reserve(now time.Time, bytes int64) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.free.Before(now) {
-		l.free = now
+	if l.freeAt.Before(now) {
+		l.freeAt = now
 	}
-	l.free = l.free.Add(time.Duration(float64(bytes) / float64(l.rate) * float64(time.Second)))
-	return l.free
+	l.freeAt = l.freeAt.Add(time.Duration(float64(bytes) / float64(l.bytesPerSecond) * float64(time.Second)))
+	return l.freeAt
 }
--- a/internal/standin/loadhistory.go
+++ b/internal/standin/loadhistory.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	mostLoads  = 512
-	loadPeriod = 20 * time.Millisecond // between two samples kept
+	maxLoadSamples     = 512
+	loadSampleInterval = 20 * time.Millisecond // minimum time between two samples
 )
 
 type loadSample struct {
@@ -16,24 +16,24 @@
 	load engineapi.Load
 }
 
-// loadHistory keeps samples so that load can be reported late.
+// loadHistory keeps samples of the load, so that it can be reported with a delay.
 type loadHistory struct {
 	samples []loadSample
 }
 
 func (h *loadHistory) add(now time.Time, l engineapi.Load) {
-	if n := len(h.samples); n > 0 && now.Sub(h.samples[n-1].at) < loadPeriod {
+	if n := len(h.samples); n > 0 && now.Sub(h.samples[n-1].at) < loadSampleInterval {
 		return
 	}
-	if len(h.samples) >= mostLoads {
-		h.samples = append(h.samples[:0], h.samples[mostLoads/2:]...)
+	if len(h.samples) >= maxLoadSamples {
+		h.samples = append(h.samples[:0], h.samples[maxLoadSamples/2:]...)
 	}
 	h.samples = append(h.samples, loadSample{at: now, load: l})
 }
 
-// report gives the newest sample that is at least lag old; without one, an idle
-// engine's load.
-func (h *loadHistory) report(now time.Time, lag time.Duration) engineapi.Load {
+// latestBefore returns the newest sample that is at least lag old; if there is none,
+// the load of an idle engine.
+func (h *loadHistory) latestBefore(now time.Time, lag time.Duration) engineapi.Load {
 	for n := len(h.samples) - 1; n >= 0; n-- {
 		age := now.Sub(h.samples[n].at)
 		if age < lag {
--- a/internal/standin/mixed_test.go
+++ b/internal/standin/mixed_test.go
@@ -16,7 +16,7 @@
 	"github.com/hyssopsail/hyssopsail/internal/standin"
 )
 
-// randomFaults gives one or two faults that leave the process alive.
+// randomFaults returns random faults that don't end the process.
 func randomFaults(random *rand.Rand) standin.Faults {
 	chunks := []standin.ChunkFault{"", standin.ChunkCrossed, standin.ChunkStale, standin.ChunkGap, standin.ChunkRepeat, standin.ChunkCut}
 	return standin.Faults{
@@ -27,10 +27,10 @@
 	}
 }
 
-// attempt runs one request with a caller who may leave at any moment, and
-// frees whatever it may hold. It tells whether the answer was whole.
-func attempt(f *flow, patience time.Duration) (whole bool, err error) {
-	ctx, stop := context.WithTimeout(context.Background(), patience)
+// runRequest runs one request that is abandoned after timeout, then cancels it at
+// both engines. It reports whether the answer was complete.
+func runRequest(f *flow, timeout time.Duration) (complete bool, err error) {
+	ctx, stop := context.WithTimeout(context.Background(), timeout)
 	defer stop()
 	defer f.client.Cancel(f.prefill, f.attempt)
 	defer f.client.Cancel(f.decode, f.attempt)
@@ -42,21 +42,21 @@
 		return false, nil
 	}
 	defer stream.Close()
-	text, _, err := read(stream)
-	expected := standin.ExpectedText(f.prompt, f.most)
+	text, _, err := readStream(stream)
+	expected := standin.ExpectedText(f.prompt, f.maxTokens)
 	if !strings.HasPrefix(expected, text) {
-		return false, fmt.Errorf("%q is no beginning of the answer to %q", text, f.prompt)
+		return false, fmt.Errorf("%q is no prefix of the answer to %q", text, f.prompt)
 	}
 	if err == nil && text != expected {
-		return false, fmt.Errorf("%q was cut without an error", f.prompt)
+		return false, fmt.Errorf("answer to %q was truncated without an error", f.prompt)
 	}
 	return err == nil, nil
 }
 
-// Many callers share two engines while faults come and go: crossed, repeated,
-// missing and cut chunks, lost cancels, stalled transfers, freezes, callers
-// who leave. No caller may get a wrong word, no cut answer may look whole, and
-// at the end no engine holds memory.
+// Many callers share two engines while faults are injected: chunks of other
+// requests, repeated, missing and truncated chunks, lost cancels, stalled
+// transfers, freezes, and callers that disconnect. No caller may get wrong text, no
+// truncated answer may look complete, and at the end no engine may hold memory.
 func TestMixedFaults(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	p := start(t, standin.Options{ID: "prefill", Role: fleet.RolePrefill, Slots: 64})
@@ -64,7 +64,7 @@
 	client := engine.NewClient(engine.Options{StreamIdleTimeout: 200 * time.Millisecond})
 	var callers sync.WaitGroup
 	var mu sync.Mutex
-	wholes := 0
+	completed := 0
 	for n := range 200 {
 		if n%4 == 0 {
 			p.SetFaults(randomFaults(random))
@@ -73,17 +73,17 @@
 		f := newFlow(p, d, fmt.Sprintf("[[id=%d]] %d", n, random.Uint64()))
 		f.client = client
 		if n%10 == 5 {
-			f.prompt += "[[tokens=100000]]" // only a cancel ends it in time
-			f.most = 100_000
+			f.prompt += "[[tokens=100000]]" // too long to finish unless it is cancelled
+			f.maxTokens = 100_000
 		}
-		patience := time.Duration(random.IntN(1500)) * time.Millisecond
+		timeout := time.Duration(random.IntN(1500)) * time.Millisecond
 		callers.Go(func() {
-			whole, err := attempt(f, patience)
+			complete, err := runRequest(f, timeout)
 			assert.Check(t, err)
 			mu.Lock()
 			defer mu.Unlock()
-			if whole {
-				wholes++
+			if complete {
+				completed++
 			}
 		})
 		time.Sleep(time.Duration(random.IntN(10)) * time.Millisecond)
@@ -91,8 +91,8 @@
 	p.SetFaults(standin.Faults{})
 	d.SetFaults(standin.Faults{})
 	callers.Wait()
-	eventually(t, "prefill engine free", empty(p))
-	eventually(t, "decode engine free", empty(d))
-	assert.Assert(t, wholes > 0)
-	t.Logf("%d of 200 answers were whole", wholes)
+	eventually(t, "prefill engine free", holdsNothing(p))
+	eventually(t, "decode engine free", holdsNothing(d))
+	assert.Assert(t, completed > 0)
+	t.Logf("%d of 200 answers were complete", completed)
 }
--- a/internal/standin/options.go
+++ b/internal/standin/options.go
@@ -13,7 +13,7 @@
 	"github.com/hyssopsail/hyssopsail/internal/logging"
 )
 
-// Options describe one emulated endpoint.
+// Options configures one emulated endpoint.
 type Options struct {
 	ID          fleet.EndpointID
 	Incarnation fleet.Incarnation // 0: from the clock
@@ -28,16 +28,16 @@
 	Listen      string   // host:port; empty: no listener, use Handler
 	Advertise   string   // host:port that others use; empty: the listener's
 	Entries     []string // endpoint listeners of daemons; empty: no announcement
-	EndpointKey string   // fleet's key for announcements
+	EndpointKey string   // the fleet's key, sent with messages to daemons
 
 	ChecksTokens     bool            // refuses orders with an old fencing token
 	FreeOnDisconnect bool            // frees a request when its connection ends
-	RefuseLeaving    bool            // takes no new work from the leave on
-	CrashMarker      string          // a prompt or body with it ends the process
+	RefuseLeaving    bool            // refuses new work once Leave was called
+	CrashMarker      string          // a prompt or body that contains it ends the process; empty: none
 	CrashAt          engineapi.Stage // StagePrefill, StageDecode or StageCall
 	Faults           Faults          // at the start
-	MostFacts        int             // attempts kept for the audit; 0: 200000
-	AuditFolder      string          // gets the audit of a process that Faults.Crash ends; empty: none
+	MostFacts        int             // limit of the attempts, and of the plain calls, in the audit; 0: 200000
+	AuditFolder      string          // where a process that Faults.Crash ends writes its audit; empty: none
 
 	Part logging.Part
 	// Exit ends the process; nil: os.Exit.
@@ -47,9 +47,9 @@
 }
 
 const (
-	defaultSlots     = 20
-	defaultMostFacts = 200_000
-	crashCode        = 3 // exit code after a crash marker
+	defaultSlots      = 20
+	defaultMaxRecords = 200_000
+	crashCode         = 3 // exit code after a crash marker or Faults.Crash
 )
 
 func (o Options) withDefaults() Options {
@@ -57,7 +57,7 @@
 	o.Incarnation = cmp.Or(o.Incarnation, fleet.Incarnation(time.Now().UnixMicro()))
 	o.Role = cmp.Or(o.Role, fleet.RoleBoth)
 	o.Slots = cmp.Or(o.Slots, defaultSlots)
-	o.MostFacts = cmp.Or(o.MostFacts, defaultMostFacts)
+	o.MostFacts = cmp.Or(o.MostFacts, defaultMaxRecords)
 	if o.Exit == nil {
 		o.Exit = os.Exit
 	}
--- a/internal/standin/orders.go
+++ b/internal/standin/orders.go
@@ -7,20 +7,20 @@
 	"github.com/hyssopsail/hyssopsail/internal/sleep"
 )
 
-// serveOrder carries out one order at a time. An order ID that was done is
-// answered again without being carried out.
+// serveOrder executes one order at a time. A repeated order is answered without
+// being executed again; orders are identified by ID.
 func (s *Standin) serveOrder(w http.ResponseWriter, r *http.Request) {
-	order, ok := take[engineapi.Order](w, r)
+	order, ok := decodeBody[engineapi.Order](w, r)
 	if !ok {
 		return
 	}
 	s.orders.Lock()
 	defer s.orders.Unlock()
-	if refused := s.takeToken(order); refused != nil {
+	if refused := s.acceptToken(order); refused != nil {
 		refuse(w, *refused)
 		return
 	}
-	if !s.wasDone(order.ID) && takesTime(order.Kind) && !sleep.For(r.Context(), s.timing.LoadTime) {
+	if !s.isDone(order.ID) && takesTime(order.Kind) && !sleep.For(r.Context(), s.timing.LoadTime) {
 		return
 	}
 	reply(w, s.apply(order))
@@ -28,7 +28,7 @@
 
 func takesTime(kind engineapi.OrderKind) bool { return kind != engineapi.OrderUnload }
 
-func (s *Standin) takeToken(o engineapi.Order) *refusal {
+func (s *Standin) acceptToken(o engineapi.Order) *refusal {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch o.Kind {
@@ -43,30 +43,31 @@
 	return nil
 }
 
-func (s *Standin) wasDone(id string) bool {
+func (s *Standin) isDone(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_, ok := s.doneOrder[id]
+	_, ok := s.doneOrders[id]
 	return ok
 }
 
-// mostOrders bounds the order IDs that are remembered.
-const mostOrders = 1024
+// maxRememberedOrders is the number of order IDs at which the memory of executed
+// orders is cleared.
+const maxRememberedOrders = 1024
 
 func (s *Standin) apply(o engineapi.Order) engineapi.OrderReply {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, done := s.doneOrder[o.ID]; !done {
-		s.change(o)
+	if _, done := s.doneOrders[o.ID]; !done {
+		s.applyChange(o)
 	}
-	if len(s.doneOrder) >= mostOrders {
-		clear(s.doneOrder)
+	if len(s.doneOrders) >= maxRememberedOrders {
+		clear(s.doneOrders)
 	}
-	s.doneOrder[o.ID] = struct{}{}
+	s.doneOrders[o.ID] = struct{}{}
 	return engineapi.OrderReply{Done: true, LastToken: s.lastToken}
 }
 
-func (s *Standin) change(o engineapi.Order) {
+func (s *Standin) applyChange(o engineapi.Order) {
 	s.recorder.audit.Orders++
 	switch o.Kind {
 	case engineapi.OrderLoad:
--- a/internal/standin/owner.go
+++ b/internal/standin/owner.go
@@ -7,8 +7,8 @@
 	"github.com/hyssopsail/hyssopsail/internal/fleet"
 )
 
-// parseOwner reads fleet.Owner's String form; a value that isn't one gives an
-// owner that no view holds.
+// parseOwner parses the String form of fleet.Owner. For other text it returns an
+// owner that is in no view.
 func parseOwner(text string) fleet.Owner {
 	cut := strings.LastIndexByte(text, '/')
 	if cut < 0 {
--- a/internal/standin/plain.go
+++ b/internal/standin/plain.go
@@ -14,7 +14,7 @@
 	"github.com/hyssopsail/hyssopsail/internal/sleep"
 )
 
-// CallRun is one run of a plain call.
+// CallRun records one run of a plain call.
 type CallRun struct {
 	Attempt fleet.AttemptID `json:"attempt_id"`
 	Method  string          `json:"method"`
@@ -28,16 +28,16 @@
 	Endpoint fleet.EndpointID `json:"endpoint"`
 	Attempt  fleet.AttemptID  `json:"attempt_id"`
 	Marker   string           `json:"marker"`
-	Bytes    int              `json:"bytes"` // of the body that came
+	Bytes    int              `json:"bytes"` // of the request's body
 }
 
 func (s *Standin) serveCall(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
 		refuse(w, refusal{engineapi.CodeBadRequest, "body can't be read"})
 		return
 	}
-	s.crash(engineapi.StageCall, string(body))
+	s.crashOnMarker(engineapi.StageCall, string(body))
 	run := callRun(r, body)
 	h, refused := s.startCall(r, run)
 	if refused != nil {
@@ -45,8 +45,8 @@
 		refuse(w, *refused)
 		return
 	}
-	defer s.freeNow(h, nil)
-	if !s.workCall(r.Context(), h) {
+	defer s.freeLocking(h, nil)
+	if !s.simulateCall(r.Context(), h) {
 		http.Error(w, "call was given up", http.StatusServiceUnavailable)
 		return
 	}
@@ -67,7 +67,7 @@
 	return run
 }
 
-func (s *Standin) startCall(r *http.Request, run CallRun) (*hold, *refusal) {
+func (s *Standin) startCall(r *http.Request, run CallRun) (*heldRequest, *refusal) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.role != fleet.RolePlain {
@@ -76,22 +76,22 @@
 	if s.cancelled.has(run.Attempt) {
 		return nil, &refusal{engineapi.CodeStale, "attempt was cancelled"}
 	}
-	if refused := s.refuseNew(); refused != nil {
+	if refused := s.refuseIfLeaving(); refused != nil {
 		return nil, refused
 	}
 	work := engineapi.Work{Attempt: run.Attempt, Owner: parseOwner(r.Header.Get(engineapi.HeaderOwner))}
-	h, refused := s.enter(work, engineapi.StageCall, 0, run.Marker)
+	h, refused := s.admit(work, engineapi.StageCall, 0, run.Marker)
 	if refused != nil {
 		return nil, refused
 	}
-	h.fact.Calls++
-	s.recorder.call(run)
+	h.record.Calls++
+	s.recorder.addCall(run)
 	return h, nil
 }
 
-// workCall takes the call's time; false when it was cancelled or its caller is
-// gone.
-func (s *Standin) workCall(client context.Context, h *hold) bool {
+// simulateCall waits for the call's duration. It returns false if the call is
+// cancelled or its client disconnects first.
+func (s *Standin) simulateCall(client context.Context, h *heldRequest) bool {
 	ctx, stop := context.WithCancel(client)
 	defer stop()
 	defer context.AfterFunc(h.ctx, stop)()
--- a/internal/standin/plain_test.go
+++ b/internal/standin/plain_test.go
@@ -19,7 +19,7 @@
 	t.Helper()
 	request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://caller/slips", strings.NewReader(body))
 	assert.NilError(t, err)
-	return engine.NewClient(engine.Options{}).Call(t.Context(), target(s), open, attempt, request)
+	return engine.NewClient(engine.Options{}).Call(t.Context(), target(s), allowAll, attempt, request)
 }
 
 func TestPlainCallIsRecorded(t *testing.T) {
@@ -37,9 +37,9 @@
 	assert.Equal(t, len(s.Audit().Repeated), 0)
 }
 
-// The same slip is run by two attempts: the audit must tell, since two trucks
-// would drive.
-func TestAuditTellsRepeatedCalls(t *testing.T) {
+// Two attempts run the same call. The audit must list it: with a real service the
+// effect would happen twice.
+func TestAuditListsRepeatedCalls(t *testing.T) {
 	s := start(t, standin.Options{Role: fleet.RolePlain, Service: "bank"})
 	for range 2 {
 		response, err := call(t, s, newAttempt(), "[[id=slip-9]]")
@@ -49,7 +49,7 @@
 	assert.DeepEqual(t, s.Audit().Repeated, []string{"slip-9"})
 }
 
-func TestCancelledCallIsRefusedUnrun(t *testing.T) {
+func TestCancelledCallIsRefused(t *testing.T) {
 	s := start(t, standin.Options{Role: fleet.RolePlain, Service: "bank"})
 	client := engine.NewClient(engine.Options{})
 	attempt := newAttempt()
@@ -78,9 +78,9 @@
 	assert.Equal(t, len(s.Audit().CallRuns), 2)
 }
 
-// The home of a plain service changes while a long call runs. The new home
-// learns of the call from the endpoint alone: a call without its owner would
-// be taken for an orphan and cancelled in the middle.
+// The home of a plain service changes during a long call. The new home learns of
+// the call only from the endpoint: without the owner it would regard the call as
+// abandoned and cancel it.
 func TestHeldCallNamesItsOwner(t *testing.T) {
 	s := start(t, standin.Options{Role: fleet.RolePlain, Service: "bank"})
 	s.SetFaults(standin.Faults{HangCalls: true})
@@ -89,7 +89,7 @@
 	go func() {
 		request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://caller/slips", strings.NewReader("x"))
 		if err == nil {
-			_, err = engine.NewClient(engine.Options{Owner: owner}).Call(ctx, target(s), open, newAttempt(), request)
+			_, err = engine.NewClient(engine.Options{Owner: owner}).Call(ctx, target(s), allowAll, newAttempt(), request)
 		}
 		done <- err
 	}()
@@ -97,5 +97,5 @@
 	assert.Equal(t, s.Held()[0].Owner, owner)
 	stop()
 	assert.ErrorIs(t, <-done, context.Canceled)
-	eventually(t, "call given up", empty(s))
+	eventually(t, "call given up", holdsNothing(s))
 }
--- a/internal/standin/prefill.go
+++ b/internal/standin/prefill.go
@@ -12,16 +12,16 @@
 )
 
 var (
-	errExpired = errors.New("KV cache expired")
-	errTooLate = errors.New("deadline passed in the queue")
+	errExpired        = errors.New("KV cache expired")
+	errDeadlinePassed = errors.New("deadline passed in the queue")
 )
 
 func (s *Standin) servePrefill(w http.ResponseWriter, r *http.Request) {
-	request, ok := take[engineapi.PrefillRequest](w, r)
+	request, ok := decodeBody[engineapi.PrefillRequest](w, r)
 	if !ok {
 		return
 	}
-	s.crash(engineapi.StagePrefill, request.Prompt)
+	s.crashOnMarker(engineapi.StagePrefill, request.Prompt)
 	h, refused := s.startPrefill(request)
 	if refused != nil {
 		refuse(w, *refused)
@@ -38,44 +38,45 @@
 		PromptTokens: h.promptTokens,
 		CachedTokens: h.cachedTokens,
 		KVBytes:      int64(h.promptTokens) * s.timing.KVToken,
-		WorkMs:       ms(h.work),
+		WorkMs:       milliseconds(h.work),
 		ExpiresMs:    s.timing.KVLife.Milliseconds(),
 	})
 }
 
-func (s *Standin) startPrefill(r engineapi.PrefillRequest) (*hold, *refusal) {
+func (s *Standin) startPrefill(r engineapi.PrefillRequest) (*heldRequest, *refusal) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if refused := s.check(r.Work, fleet.RolePrefill); refused != nil {
+	if refused := s.checkWork(r.Work, fleet.RolePrefill); refused != nil {
 		return nil, refused
 	}
-	if refused := s.refuseNew(); refused != nil {
+	if refused := s.refuseIfLeaving(); refused != nil {
 		return nil, refused
 	}
 	tokens := PromptTokens(r.Prompt)
-	h, refused := s.enter(r.Work, engineapi.StagePrefill, int64(tokens)*s.timing.KVToken, Marker(r.Prompt))
+	h, refused := s.admit(r.Work, engineapi.StagePrefill, int64(tokens)*s.timing.KVToken, Marker(r.Prompt))
 	if refused != nil {
 		return nil, refused
 	}
 	prefixes := engineapi.PrefixHashes(r.Model, r.Prompt)
-	hits := s.cache.hits(prefixes)
+	hits := s.prefixCache.matchPrefix(prefixes)
 	h.handle = string(r.Attempt) + "-" + strconv.FormatUint(h.arrival, 10)
 	h.promptTokens = tokens
 	h.cachedTokens = min(tokens, hits*engineapi.PrefixBlockBytes/bytesPerToken)
 	h.work = s.timing.prefill(tokens - h.cachedTokens)
-	h.left = h.work
+	h.workLeft = h.work
 	h.ready = make(chan struct{})
-	h.fact.Prefills++
-	h.fact.prefixes = prefixes
+	h.record.Prefills++
+	h.record.prefixes = prefixes
 	s.recorder.audit.Runs++
 	s.wakeBatch()
 	return h, nil
 }
 
-// waitPrefill gives false when the hold was freed before its work was done.
-func (s *Standin) waitPrefill(client context.Context, h *hold, deadlineMs int64) bool {
+// waitPrefill waits for the prefill work. It returns false if the request is freed
+// before the work is done.
+func (s *Standin) waitPrefill(client context.Context, h *heldRequest, deadlineMs int64) bool {
 	if s.options.FreeOnDisconnect {
-		defer context.AfterFunc(client, func() { s.freeNow(h, errCancelled) })()
+		defer context.AfterFunc(client, func() { s.freeLocking(h, errCancelled) })()
 	}
 	if deadlineMs > 0 {
 		deadline := time.AfterFunc(time.Duration(deadlineMs)*time.Millisecond, func() { s.dropQueued(h) })
@@ -89,36 +90,36 @@
 	}
 }
 
-// dropQueued frees a prefill whose work hasn't begun by its deadline.
-func (s *Standin) dropQueued(h *hold) {
+// dropQueued frees a prefill whose work hasn't started by its deadline.
+func (s *Standin) dropQueued(h *heldRequest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if h.stage == engineapi.StagePrefill && h.left == h.work {
-		s.free(h, errTooLate)
+	if h.stage == engineapi.StagePrefill && h.workLeft == h.work {
+		s.free(h, errDeadlinePassed)
 	}
 }
 
-func (s *Standin) freeNow(h *hold, cause error) {
+func (s *Standin) freeLocking(h *heldRequest, cause error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.free(h, cause)
 }
 
-// finishPrefill keeps the KV cache for its short life. mu is held.
-func (s *Standin) finishPrefill(h *hold, now time.Time) {
+// finishPrefill keeps the KV cache for export until it expires. mu is held.
+func (s *Standin) finishPrefill(h *heldRequest, now time.Time) {
 	h.stage = engineapi.StageExported
 	h.expires = now.Add(s.timing.KVLife)
-	s.events.add(s.cache.store(h.fact.prefixes))
-	h.fact.prefixes = nil
+	s.cacheEvents.add(s.prefixCache.store(h.record.prefixes))
+	h.record.prefixes = nil
 	close(h.ready)
 	time.AfterFunc(s.timing.KVLife, func() { s.expire(h) })
 }
 
-// expire frees a KV cache that no transfer is reading.
-func (s *Standin) expire(h *hold) {
+// expire frees an exported KV cache unless a transfer is reading it.
+func (s *Standin) expire(h *heldRequest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if h.stage == engineapi.StageExported && h.transfers == 0 {
+	if h.stage == engineapi.StageExported && h.runningTransfers == 0 {
 		s.free(h, errExpired)
 	}
 }
--- a/internal/standin/prefixcache.go
+++ b/internal/standin/prefixcache.go
@@ -6,13 +6,12 @@
 	"github.com/hyssopsail/hyssopsail/internal/engineapi"
 )
 
-// prefixCache holds blocks of prompts, least recently used out first. It is
-// not safe for concurrent use.
+// prefixCache is an LRU cache of prompt blocks. It is not safe for concurrent use.
 type prefixCache struct {
-	most     int // blocks
-	blocks   map[uint64]*list.Element
-	order    *list.List // front: used last; values are uint64
-	sequence uint64
+	maxBlocks    int
+	blocks       map[uint64]*list.Element
+	recentlyUsed *list.List // front: most recent; values are uint64
+	sequence     uint64
 }
 
 func cacheBlocks(t Timing) int {
@@ -20,32 +19,32 @@
 }
 
 func newPrefixCache(most int) *prefixCache {
-	return &prefixCache{most: most, blocks: map[uint64]*list.Element{}, order: list.New()}
+	return &prefixCache{maxBlocks: most, blocks: map[uint64]*list.Element{}, recentlyUsed: list.New()}
 }
 
-// hits gives how many blocks from the start are cached, and marks them used.
-func (c *prefixCache) hits(prefixes []uint64) int {
+// matchPrefix returns how many blocks from the start are cached, and marks them as used.
+func (c *prefixCache) matchPrefix(prefixes []uint64) int {
 	for n, p := range prefixes {
 		element, ok := c.blocks[p]
 		if !ok {
 			return n
 		}
-		c.order.MoveToFront(element)
+		c.recentlyUsed.MoveToFront(element)
 	}
 	return len(prefixes)
 }
 
-// store adds blocks and gives what has changed.
+// store adds blocks, evicts others if necessary, and returns the changes.
 func (c *prefixCache) store(prefixes []uint64) []engineapi.CacheEvent {
 	var events []engineapi.CacheEvent
 	for _, p := range prefixes {
 		if element, ok := c.blocks[p]; ok {
-			c.order.MoveToFront(element)
+			c.recentlyUsed.MoveToFront(element)
 			continue
 		}
-		c.blocks[p] = c.order.PushFront(p)
+		c.blocks[p] = c.recentlyUsed.PushFront(p)
 		events = append(events, c.event(p, true))
-		if c.order.Len() > c.most {
+		if c.recentlyUsed.Len() > c.maxBlocks {
 			events = append(events, c.evict())
 		}
 	}
@@ -53,7 +52,7 @@
 }
 
 func (c *prefixCache) evict() engineapi.CacheEvent {
-	prefix := c.order.Remove(c.order.Back()).(uint64)
+	prefix := c.recentlyUsed.Remove(c.recentlyUsed.Back()).(uint64)
 	delete(c.blocks, prefix)
 	return c.event(prefix, false)
 }
@@ -65,7 +64,7 @@
 
 func (c *prefixCache) snapshot() engineapi.CacheSnapshot {
 	s := engineapi.CacheSnapshot{Sequence: c.sequence, Prefixes: make([]uint64, 0, len(c.blocks))}
-	for e := c.order.Front(); e != nil; e = e.Next() {
+	for e := c.recentlyUsed.Front(); e != nil; e = e.Next() {
 		s.Prefixes = append(s.Prefixes, e.Value.(uint64))
 	}
 	return s
--- a/internal/standin/reply.go
+++ b/internal/standin/reply.go
@@ -8,10 +8,10 @@
 	"github.com/hyssopsail/hyssopsail/internal/engineapi"
 )
 
-// maxBody bounds a request's body, bytes.
-const maxBody = 16 << 20
+// maxBodyBytes limits a request's body.
+const maxBodyBytes = 16 << 20
 
-// refusal is why a request isn't taken.
+// refusal is the reason for which a request is refused.
 type refusal struct {
 	code    engineapi.Code
 	message string
@@ -36,7 +36,7 @@
 func refuse(w http.ResponseWriter, r refusal) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(r.status())
-	// A reply that can't be written has lost its reader.
+	// An error means that the client has disconnected.
 	_ = json.NewEncoder(w).Encode(engineapi.ErrorReply{Code: r.code, Message: r.message})
 }
 
@@ -45,10 +45,10 @@
 	_ = json.NewEncoder(w).Encode(value)
 }
 
-// take reads a request's JSON body; when it can't be read the request has been
-// refused.
-func take[T any](w http.ResponseWriter, r *http.Request) (value T, ok bool) {
-	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&value)
+// decodeBody decodes a request's JSON body. If it fails, it refuses the request and
+// returns false.
+func decodeBody[T any](w http.ResponseWriter, r *http.Request) (value T, ok bool) {
+	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&value)
 	if err != nil {
 		refuse(w, refusal{engineapi.CodeBadRequest, err.Error()})
 		return value, false
--- a/internal/standin/request_test.go
+++ b/internal/standin/request_test.go
@@ -18,17 +18,17 @@
 	p, d := pair(t)
 	f := newFlow(p, d, "[[id=one]] which fibres are in this bale?")
 	stream := f.toStream(t, 0)
-	text, finish, err := read(stream)
+	text, finish, err := readStream(stream)
 	assert.NilError(t, err)
-	assert.Equal(t, text, standin.ExpectedText(f.prompt, f.most))
+	assert.Equal(t, text, standin.ExpectedText(f.prompt, f.maxTokens))
 	assert.Equal(t, finish, engineapi.FinishStop)
-	assert.Assert(t, empty(p)())
-	assert.Assert(t, empty(d)())
+	assert.Assert(t, holdsNothing(p)())
+	assert.Assert(t, holdsNothing(d)())
 	a := p.Audit()
 	assert.Equal(t, a.PrefillUsedMs, a.PrefillMs)
 	assert.Assert(t, a.PrefillMs > 0)
 	assert.Equal(t, a.Attempts[0].Marker, "one")
-	tokens, _ := standin.OutputTokens(f.prompt, f.most)
+	tokens, _ := standin.OutputTokens(f.prompt, f.maxTokens)
 	assert.Equal(t, d.Audit().Tokens, tokens)
 }
 
@@ -36,52 +36,52 @@
 	both := start(t, standin.Options{Role: fleet.RoleBoth})
 	f := newFlow(both, both, "[[tokens=5]]")
 	stream := f.toStream(t, 0)
-	text, _, err := read(stream)
+	text, _, err := readStream(stream)
 	assert.NilError(t, err)
-	assert.Equal(t, text, standin.ExpectedText(f.prompt, f.most))
+	assert.Equal(t, text, standin.ExpectedText(f.prompt, f.maxTokens))
 	assert.Equal(t, both.Audit().PrefillUsedMs, both.Audit().PrefillMs)
 }
 
-// A decode engine dies after some tokens. The caller sees one answer without a
-// repeated or missing word: the request goes on elsewhere at the next token.
+// A decode engine dies after some tokens, and another one continues at the next
+// token. The parts together must be the whole answer.
 func TestResumeAtOffset(t *testing.T) {
 	p, d := pair(t)
 	f := newFlow(p, d, "resume me [[tokens=40]]")
 	stream := f.toStream(t, 13)
-	text, _, err := read(stream)
+	text, _, err := readStream(stream)
 	assert.NilError(t, err)
-	assert.Equal(t, standin.ExpectedPart(f.prompt, 0, 13)+text, standin.ExpectedText(f.prompt, f.most))
+	assert.Equal(t, standin.ExpectedRange(f.prompt, 0, 13)+text, standin.ExpectedText(f.prompt, f.maxTokens))
 }
 
 func TestResumeWithWrongPrefixIsRefused(t *testing.T) {
 	p, d := pair(t)
 	f := newFlow(p, d, "resume me [[tokens=40]]")
 	f.toDecode(t)
-	_, err := f.client.Decode(t.Context(), f.decode, open, engineapi.DecodeRequest{
+	_, err := f.client.Decode(t.Context(), f.decode, allowAll, engineapi.DecodeRequest{
 		Work: work(f.decode, f.attempt), Prompt: f.prompt, Offset: 3, Prefix: " not it",
 	})
 	assert.Equal(t, codeOf(err), engineapi.CodeBadRequest)
 }
 
-// A prefill's KV cache waits too long for a decode slot. The import must say
-// that it is gone, the memory must be free, and the work counts as discarded.
+// An exported KV cache expires before its import. The import must be refused with
+// CodeGone, the memory must be freed, and the work must count as discarded.
 func TestExportedKVExpires(t *testing.T) {
-	timing := quick()
+	timing := fastTiming()
 	timing.KVLife = 5 * time.Millisecond
 	p := start(t, standin.Options{ID: "prefill", Role: fleet.RolePrefill, Timing: timing})
 	d := start(t, standin.Options{ID: "decode", Role: fleet.RoleDecode})
 	f := newFlow(p, d, "late")
 	assert.NilError(t, f.runPrefill(t.Context()))
-	eventually(t, "KV cache expired", empty(p))
+	eventually(t, "KV cache expired", holdsNothing(p))
 	assert.Equal(t, codeOf(f.runImport(t.Context())), engineapi.CodeGone)
-	assert.Assert(t, empty(d)())
+	assert.Assert(t, holdsNothing(d)())
 	a := p.Audit()
 	assert.Assert(t, a.PrefillDiscardedMs > 0)
 	assert.Equal(t, a.PrefillUsedMs, 0.0)
 }
 
-// A link stalls in the middle of a KV transfer. The request is given up when
-// its patience ends, and neither engine keeps its memory.
+// A link stalls in the middle of a KV transfer and the caller gives the request up.
+// After the cancels neither engine may hold its memory.
 func TestStalledTransferFreesBothEnds(t *testing.T) {
 	p, d := pair(t)
 	p.SetFaults(standin.Faults{StallTransfers: true})
@@ -95,13 +95,13 @@
 	assert.ErrorIs(t, <-done, context.Canceled)
 	f.client.Cancel(f.prefill, f.attempt)
 	f.client.Cancel(f.decode, f.attempt)
-	eventually(t, "prefill engine free", empty(p))
-	eventually(t, "decode engine free", empty(d))
+	eventually(t, "prefill engine free", holdsNothing(p))
+	eventually(t, "decode engine free", holdsNothing(d))
 }
 
-// The process of a decode engine is replaced by a new one on the same address.
-// Work meant for the old one, and chunks of the new one for a request that
-// knows the old one, must not be taken.
+// A decode engine's process is replaced by a new one at the same address. The new
+// one must refuse work for the old one, and the client must refuse answers of the
+// new one to calls that were meant for the old one.
 func TestNewIncarnationOnTheSameAddress(t *testing.T) {
 	p := start(t, standin.Options{ID: "prefill", Role: fleet.RolePrefill})
 	old, stop := startStoppable(t, standin.Options{ID: "decode", Role: fleet.RoleDecode, Incarnation: 1})
@@ -109,8 +109,8 @@
 	f.toDecode(t)
 	stop()
 	fresh := start(t, standin.Options{ID: "decode", Role: fleet.RoleDecode, Incarnation: 2, Listen: f.decode.Address})
-	// The old client may still hold a connection to the dead process, and then
-	// only learns that it broke.
+	// The old client may still have a connection to the dead process, and would then
+	// only get a connection error.
 	f.client = engine.NewClient(engine.Options{})
 	_, err := f.open(t.Context(), 0)
 	assert.Equal(t, codeOf(err), engineapi.CodeStale)
@@ -120,8 +120,8 @@
 	assert.NilError(t, err)
 }
 
-// Wrong chunks of every kind come in the middle of a stream. The caller must
-// see the right beginning of its own answer and then an error.
+// Each kind of wrong chunk is sent in the middle of a stream. The caller must get a
+// correct prefix of its answer and then an error.
 func TestWrongChunksEndTheStream(t *testing.T) {
 	for fault, want := range map[standin.ChunkFault]error{
 		standin.ChunkCrossed: engine.ErrAttempt,
@@ -135,15 +135,15 @@
 			d.SetFaults(standin.Faults{ChunkFault: fault})
 			f := newFlow(p, d, "spoilt [[tokens=30]]")
 			stream := f.toStream(t, 0)
-			text, _, err := read(stream)
+			text, _, err := readStream(stream)
 			assert.ErrorIs(t, err, want)
 			assert.Assert(t, text != "")
-			assert.Assert(t, strings.HasPrefix(standin.ExpectedText(f.prompt, f.most), text))
+			assert.Assert(t, strings.HasPrefix(standin.ExpectedText(f.prompt, f.maxTokens), text))
 		})
 	}
 }
 
-func TestSlotsAndMemoryAreExact(t *testing.T) {
+func TestSlotAndMemoryLimits(t *testing.T) {
 	p := start(t, standin.Options{ID: "prefill", Role: fleet.RolePrefill})
 	for name, o := range map[string]standin.Options{
 		"slots":  {ID: "decode", Role: fleet.RoleDecode, Slots: 1},
@@ -159,7 +159,7 @@
 	}
 }
 
-// A request ends each engine that runs it.
+// A request with the crash marker makes the engine that runs it exit.
 func TestCrashMarkerEndsTheProcess(t *testing.T) {
 	codes := make(chan int, 1)
 	p := start(t, standin.Options{
@@ -174,10 +174,10 @@
 	assert.Equal(t, len(p.Audit().Attempts), 0)
 }
 
-// An engine process is killed in the middle of a prefill. The client learns at
-// once, and the dead process's record has no memory held.
+// An engine process is stopped in the middle of a prefill. The client must get an
+// error at once, and the audit must show no held request.
 func TestKilledProcessHoldsNothing(t *testing.T) {
-	timing := quick()
+	timing := fastTiming()
 	timing.PrefillBase = time.Hour
 	p, stop := startStoppable(t, standin.Options{ID: "prefill", Role: fleet.RolePrefill, Timing: timing})
 	f := newFlow(p, p, "killed")
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -12,14 +12,14 @@
 	"github.com/gravitational/trace"
 )
 
-// headerTimeout bounds the header of a request.
+// headerTimeout limits the time to read a request's header.
 const headerTimeout = 5 * time.Second
 
 // Handler serves engineapi, GET /audit and GET and POST /faults.
 func (s *Standin) Handler() http.Handler {
 	router := chi.NewRouter()
 	router.Group(func(r chi.Router) {
-		r.Use(s.frozen)
+		r.Use(s.holdWhileFrozen)
 		r.Post("/v1/prefill", s.servePrefill)
 		r.Post("/v1/kv/import", s.serveImport)
 		r.Get("/v1/kv/{handle}", s.serveKV)
@@ -37,16 +37,16 @@
 	return router
 }
 
-// frozen holds requests back while the endpoint is frozen.
-func (s *Standin) frozen(next http.Handler) http.Handler {
+// holdWhileFrozen delays requests while the endpoint is frozen.
+func (s *Standin) holdWhileFrozen(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		s.waitThaw(r.Context().Done())
+		s.waitWhileFrozen(r.Context().Done())
 		next.ServeHTTP(w, r)
 	})
 }
 
-// Run serves until ctx ends, then drops all connections and frees all memory:
-// a planned stop calls Leave before. Audit can still be asked after it.
+// Run serves until ctx ends, then closes all connections and frees all memory; for
+// a planned stop, call Leave first. Audit still works after Run has returned.
 func (s *Standin) Run(ctx context.Context) error {
 	listener, err := s.listen()
 	if err != nil {
@@ -97,10 +97,10 @@
 	return listener, nil
 }
 
-// Ready is closed when Address is known.
+// Ready returns a channel that is closed once Address is known.
 func (s *Standin) Ready() <-chan struct{} { return s.ready }
 
-// Address gives the host:port that others use.
+// Address returns the host:port at which others reach the endpoint.
 func (s *Standin) Address() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -10,8 +10,9 @@
 	"github.com/hyssopsail/hyssopsail/internal/fleet"
 )
 
-// Standin is one emulated endpoint. mu guards all fields below it and is held
-// for no I/O; orders has its own lock, taken before mu.
+// Standin is one emulated endpoint. mu guards all fields below it and isn't held
+// during I/O, except when Faults.Crash ends the process. The lock orders is taken
+// before mu.
 type Standin struct {
 	options Options
 	timing  Timing
@@ -20,57 +21,57 @@
 	ingress *link
 	ready   chan struct{} // closed when address is known
 
-	orders sync.Mutex // one order at a time
+	orders sync.Mutex // serializes orders
 
-	mu        sync.Mutex
-	address   string
-	role      fleet.EndpointRole
-	models    map[engineapi.ModelRef]struct{}
-	lastToken uint64
-	doneOrder map[string]struct{}
-	faults    Faults
-	thawed    chan struct{}
-	wake      chan struct{}
-	holds     map[fleet.AttemptID]*hold
-	kvUsed    int64
-	arrivals  uint64
-	cancelled *cancelledSet
-	cache     *prefixCache
-	events    eventQueue
-	loads     loadHistory
-	recorder  *recorder
-	leaving   bool
-	leftAt    time.Time
-	home      string
-	addresses []string
-	beat      time.Duration
-	sequence  uint64
+	mu                sync.Mutex
+	address           string
+	role              fleet.EndpointRole
+	models            map[engineapi.ModelRef]struct{}
+	lastToken         uint64
+	doneOrders        map[string]struct{}
+	faults            Faults
+	unfrozen          chan struct{}
+	wake              chan struct{}
+	heldRequests      map[fleet.AttemptID]*heldRequest
+	kvUsed            int64
+	lastArrival       uint64
+	cancelled         *cancelledSet
+	prefixCache       *prefixCache
+	cacheEvents       eventQueue
+	loadSamples       loadHistory
+	recorder          *auditRecorder
+	leaving           bool
+	leaveStarted      time.Time
+	home              string
+	namedAddresses    []string
+	heartbeatInterval time.Duration
+	sequence          uint64
 }
 
-// New makes an endpoint; Run starts it.
+// New returns an endpoint; Run starts it.
 func New(o Options) (*Standin, error) {
 	o = o.withDefaults()
 	if err := o.check(); err != nil {
 		return nil, err
 	}
 	s := &Standin{
-		options:   o,
-		timing:    o.Timing,
-		client:    &http.Client{Transport: o.Transport, CheckRedirect: noRedirect},
-		egress:    newLink(o.Timing.LinkRate),
-		ingress:   newLink(o.Timing.LinkRate),
-		ready:     make(chan struct{}),
-		address:   o.Advertise,
-		role:      o.Role,
-		models:    map[engineapi.ModelRef]struct{}{},
-		doneOrder: map[string]struct{}{},
-		thawed:    make(chan struct{}),
-		wake:      make(chan struct{}, 1),
-		holds:     map[fleet.AttemptID]*hold{},
-		cancelled: newCancelledSet(mostCancelled),
-		cache:     newPrefixCache(cacheBlocks(o.Timing)),
-		recorder:  newRecorder(o.MostFacts),
-		beat:      defaultBeat,
+		options:           o,
+		timing:            o.Timing,
+		client:            &http.Client{Transport: o.Transport, CheckRedirect: noRedirect},
+		egress:            newLink(o.Timing.LinkRate),
+		ingress:           newLink(o.Timing.LinkRate),
+		ready:             make(chan struct{}),
+		address:           o.Advertise,
+		role:              o.Role,
+		models:            map[engineapi.ModelRef]struct{}{},
+		doneOrders:        map[string]struct{}{},
+		unfrozen:          make(chan struct{}),
+		wake:              make(chan struct{}, 1),
+		heldRequests:      map[fleet.AttemptID]*heldRequest{},
+		cancelled:         newCancelledSet(maxCancelledAttempts),
+		prefixCache:       newPrefixCache(cacheBlocks(o.Timing)),
+		recorder:          newRecorder(o.MostFacts),
+		heartbeatInterval: defaultHeartbeatInterval,
 	}
 	for _, m := range o.Models {
 		s.models[m] = struct{}{}
@@ -81,7 +82,7 @@
 
 func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// wakeBatch lets runBatch plan its next step now.
+// wakeBatch wakes runBatch if it waits for work.
 func (s *Standin) wakeBatch() {
 	select {
 	case s.wake <- struct{}{}:
@@ -89,57 +90,58 @@
 	}
 }
 
-// enter makes room for a request, or tells why there is none. mu is held.
-func (s *Standin) enter(w engineapi.Work, stage engineapi.Stage, kv int64, marker string) (*hold, *refusal) {
-	if _, ok := s.holds[w.Attempt]; ok {
+// admit reserves a slot and memory for a request, or returns why it can't. mu is held.
+func (s *Standin) admit(w engineapi.Work, stage engineapi.Stage, kv int64, marker string) (*heldRequest, *refusal) {
+	if _, ok := s.heldRequests[w.Attempt]; ok {
 		return nil, &refusal{engineapi.CodeBadRequest, "attempt is held already"}
 	}
-	if len(s.holds) >= s.options.Slots {
+	if len(s.heldRequests) >= s.options.Slots {
 		return nil, &refusal{engineapi.CodeFull, "no slot"}
 	}
 	if s.options.KVBytes > 0 && s.kvUsed+kv > s.options.KVBytes {
 		return nil, &refusal{engineapi.CodeFull, "no memory"}
 	}
 	now := time.Now()
-	s.arrivals++
+	s.lastArrival++
 	ctx, cancel := context.WithCancelCause(context.Background())
-	h := &hold{
+	h := &heldRequest{
 		attempt: w.Attempt, owner: w.Owner, stage: stage, priority: w.Priority,
-		since: now, arrival: s.arrivals, kv: kv, ctx: ctx, cancel: cancel,
-		fact: s.recorder.fact(s.options.Zone, w, marker, now),
+		startedAt: now, arrival: s.lastArrival, kvBytes: kv, ctx: ctx, cancel: cancel,
+		record: s.recorder.record(s.options.Zone, w, marker, now),
 	}
-	s.recorder.heldChanged(now, len(s.holds)+1)
+	s.recorder.heldChanged(now, len(s.heldRequests)+1)
 	if s.leaving {
-		s.recorder.startedLeaving(now.Sub(s.leftAt))
+		s.recorder.startedWhileLeaving(now.Sub(s.leaveStarted))
 	}
-	s.holds[w.Attempt] = h
+	s.heldRequests[w.Attempt] = h
 	s.kvUsed += kv
 	return h, nil
 }
 
-// free takes a request out of memory. mu is held.
-func (s *Standin) free(h *hold, cause error) {
-	if s.holds[h.attempt] != h {
+// free releases a request's slot and memory, if it is still held. mu is held.
+func (s *Standin) free(h *heldRequest, cause error) {
+	if s.heldRequests[h.attempt] != h {
 		return
 	}
-	delete(s.holds, h.attempt)
-	s.kvUsed -= h.kv
+	delete(s.heldRequests, h.attempt)
+	s.kvUsed -= h.kvBytes
 	now := time.Now()
-	s.recorder.heldChanged(now, len(s.holds))
-	s.recorder.settle(h)
-	h.fact.EndedMs = now.UnixMilli()
+	s.recorder.heldChanged(now, len(s.heldRequests))
+	s.recorder.countPrefillWork(h)
+	h.record.EndedMs = now.UnixMilli()
 	h.cancel(cause)
 	s.wakeBatch()
 }
 
-// grow adds KV bytes to a request. mu is held.
-func (s *Standin) grow(h *hold, bytes int64) {
-	h.kv += bytes
+// growKV adds KV bytes to a request. mu is held.
+func (s *Standin) growKV(h *heldRequest, bytes int64) {
+	h.kvBytes += bytes
 	s.kvUsed += bytes
 }
 
-// check refuses work that isn't for this process now. mu is held.
-func (s *Standin) check(w engineapi.Work, kind fleet.EndpointRole) *refusal {
+// checkWork refuses work that is meant for another process, belongs to a cancelled
+// attempt, or doesn't fit the endpoint's role or models. mu is held.
+func (s *Standin) checkWork(w engineapi.Work, kind fleet.EndpointRole) *refusal {
 	if w.Endpoint != s.options.ID || w.Incarnation != s.options.Incarnation {
 		return &refusal{engineapi.CodeStale, "another endpoint or incarnation"}
 	}
@@ -158,31 +160,32 @@
 	return nil
 }
 
-// refuseNew refuses new work of an endpoint that leaves. mu is held.
-func (s *Standin) refuseNew() *refusal {
+// refuseIfLeaving refuses new work while the endpoint is leaving, if
+// Options.RefuseLeaving is set. mu is held.
+func (s *Standin) refuseIfLeaving() *refusal {
 	if s.leaving && s.options.RefuseLeaving {
 		return &refusal{engineapi.CodeLeaving, "leaving"}
 	}
 	return nil
 }
 
-// crash ends the process when text has the crash marker. Where Exit returns,
-// as in tests, the request still goes no further.
-func (s *Standin) crash(stage engineapi.Stage, text string) {
+// crashOnMarker ends the process when text contains the crash marker. If Exit
+// returns, as in tests, the request is aborted.
+func (s *Standin) crashOnMarker(stage engineapi.Stage, text string) {
 	marker := s.options.CrashMarker
 	if marker == "" || s.options.CrashAt != stage || !contains(text, marker) {
 		return
 	}
-	s.options.Part.Error("a request ends this process", "stage", stage)
+	s.options.Part.Error("exiting on a request with the crash marker", "stage", stage)
 	s.options.Exit(crashCode)
 	panic(http.ErrAbortHandler)
 }
 
-// freeAll ends what waits for this process, which is gone.
+// freeAll frees all requests when the process ends.
 func (s *Standin) freeAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, h := range s.holds {
-		s.free(h, errGone)
+	for _, h := range s.heldRequests {
+		s.free(h, errProcessEnded)
 	}
 }
--- a/internal/standin/timing.go
+++ b/internal/standin/timing.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// Timing holds the figures of an emulated engine. A zero field takes
-// DefaultTiming's value.
+// Timing configures durations, rates and sizes of an emulated engine. A zero field
+// takes DefaultTiming's value.
 type Timing struct {
-	StepBase       time.Duration // one step of the batch, however small
+	StepBase       time.Duration // fixed part of one batch step
 	StepPerRequest time.Duration // added for each request in the batch
-	PrefillBase    time.Duration // one prefill, however short
+	PrefillBase    time.Duration // fixed part of one prefill
 	PrefillToken   time.Duration // added for each prompt token not cached
-	PrefillSlice   time.Duration // prefill work in one step
-	KVLife         time.Duration // of an exported KV cache
+	PrefillSlice   time.Duration // most prefill work in one step
+	KVLife         time.Duration // until an exported KV cache expires
 	KVToken        int64         // bytes of KV cache for each token
-	LinkRate       int64         // KV bytes a second, each way; shared by transfers
-	WireScale      int64         // KV bytes for one byte on the wire
+	LinkRate       int64         // KV bytes a second in each direction, shared by all transfers
+	WireScale      int64         // KV bytes that one sent byte stands for
 	TransferBound  time.Duration // an import that takes longer fails
 	LoadTime       time.Duration // to load a model or change role
 	LoadLag        time.Duration // age of reported load
 	CacheLag       time.Duration // wait before cache events are sent
-	CacheBytes     int64         // prefix cache
+	CacheBytes     int64         // capacity of the prefix cache
 	CallTime       time.Duration // one plain call
-	LeaveGrace     time.Duration // still serving after leave was announced
+	LeaveGrace     time.Duration // from a daemon's confirmation of a leave until Leave may return
 }
 
-// DefaultTiming gives a token time of 30 ms at 20 requests and a prefill of
-// 500 ms for 2000 tokens.
+// DefaultTiming returns a timing with 30 ms between tokens at 20 requests and a
+// prefill of 500 ms for 2000 tokens.
 func DefaultTiming() Timing {
 	return Timing{
 		StepBase:       10 * time.Millisecond,
@@ -70,12 +70,12 @@
 	return t
 }
 
-// step gives the time of one step with so many requests in the batch.
+// step returns the duration of one step with the given number of requests.
 func (t Timing) step(batch int) time.Duration {
 	return t.StepBase + time.Duration(batch)*t.StepPerRequest
 }
 
-// prefill gives the work of computing so many tokens.
+// prefill returns the engine time to compute the given number of tokens.
 func (t Timing) prefill(tokens int) time.Duration {
 	return t.PrefillBase + time.Duration(tokens)*t.PrefillToken
 }
--- a/internal/standin/timing_test.go
+++ b/internal/standin/timing_test.go
@@ -14,8 +14,8 @@
 
 var testModel = engineapi.ModelRef{Model: "m", Version: "1"}
 
-// bubble runs body beside an engine without sockets, on synctest's clock.
-func bubble(t *testing.T, timing Timing, body func(s *Standin)) {
+// withEngine runs an engine without sockets on synctest's clock and calls body.
+func withEngine(t *testing.T, timing Timing, body func(s *Standin)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		s, err := New(Options{ID: "e", Timing: timing, Models: []engineapi.ModelRef{testModel}, Advertise: "e:1"})
@@ -36,18 +36,18 @@
 	}
 }
 
-func startTestPrefill(t *testing.T, s *Standin, attempt string, priority int) *hold {
+func startTestPrefill(t *testing.T, s *Standin, attempt string, priority int) *heldRequest {
 	t.Helper()
 	h, refused := s.startPrefill(engineapi.PrefillRequest{Work: s.testWork(attempt, priority), Prompt: "x"})
 	assert.Assert(t, refused == nil)
 	return h
 }
 
-func startTestDecode(t *testing.T, s *Standin, attempt string) *hold {
+func startTestDecode(t *testing.T, s *Standin, attempt string) *heldRequest {
 	t.Helper()
 	h, refused := s.startImport(engineapi.ImportRequest{Work: s.testWork(attempt, 0), Source: "other:1"})
 	assert.Assert(t, refused == nil)
-	h.arrived = true
+	h.kvArrived = true
 	h, refused = s.startDecode(engineapi.DecodeRequest{Work: s.testWork(attempt, 0), Prompt: "[[tokens=10]]"})
 	assert.Assert(t, refused == nil)
 	return h
@@ -55,34 +55,34 @@
 
 func TestTokenTimeGrowsWithTheBatch(t *testing.T) {
 	for batch, want := range map[int]time.Duration{1: 110 * time.Millisecond, 20: 300 * time.Millisecond} {
-		bubble(t, Timing{}, func(s *Standin) {
-			begun := time.Now()
+		withEngine(t, Timing{}, func(s *Standin) {
+			started := time.Now()
 			s.SetFaults(Faults{Freeze: true})
 			synctest.Wait()
-			var last *hold
+			var last *heldRequest
 			for n := range batch {
 				last = startTestDecode(t, s, string(rune('a'+n)))
 			}
 			s.SetFaults(Faults{})
 			<-last.ctx.Done()
-			assert.Equal(t, time.Since(begun), want)
+			assert.Equal(t, time.Since(started), want)
 		})
 	}
 }
 
-func TestSlowFaultStretchesSteps(t *testing.T) {
-	bubble(t, Timing{}, func(s *Standin) {
+func TestSlowFaultLengthensSteps(t *testing.T) {
+	withEngine(t, Timing{}, func(s *Standin) {
 		s.SetFaults(Faults{Slow: 3})
 		synctest.Wait()
-		begun := time.Now()
+		started := time.Now()
 		<-startTestDecode(t, s, "a").ctx.Done()
-		assert.Equal(t, time.Since(begun), 330*time.Millisecond)
+		assert.Equal(t, time.Since(started), 330*time.Millisecond)
 	})
 }
 
 func TestPrefillGoesByPriority(t *testing.T) {
-	bubble(t, Timing{}, func(s *Standin) {
-		begun := time.Now()
+	withEngine(t, Timing{}, func(s *Standin) {
+		started := time.Now()
 		s.SetFaults(Faults{Freeze: true})
 		synctest.Wait()
 		low := startTestPrefill(t, s, "low", 0)
@@ -90,32 +90,32 @@
 		s.SetFaults(Faults{})
 		work := s.timing.prefill(1)
 		<-high.ready
-		assert.Equal(t, time.Since(begun), work)
+		assert.Equal(t, time.Since(started), work)
 		<-low.ready
-		assert.Equal(t, time.Since(begun), 2*work)
+		assert.Equal(t, time.Since(started), 2*work)
 	})
 }
 
 func TestQueuedPrefillEndsAtItsDeadline(t *testing.T) {
-	bubble(t, Timing{}, func(s *Standin) {
+	withEngine(t, Timing{}, func(s *Standin) {
 		startTestPrefill(t, s, "first", 1)
 		second := startTestPrefill(t, s, "second", 0)
 		assert.Assert(t, !s.waitPrefill(t.Context(), second, 50))
-		assert.ErrorIs(t, context.Cause(second.ctx), errTooLate)
+		assert.ErrorIs(t, context.Cause(second.ctx), errDeadlinePassed)
 	})
 }
 
 func TestLinkIsShared(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newLink(1000)
-		begun := time.Now()
+		started := time.Now()
 		done := make(chan time.Duration, 2)
 		for range 2 {
 			go func() {
 				for range 100 {
-					l.pass(t.Context(), 5)
+					l.transfer(t.Context(), 5)
 				}
-				done <- time.Since(begun)
+				done <- time.Since(started)
 			}()
 		}
 		first, second := <-done, <-done
@@ -126,24 +126,24 @@
 
 func TestLoadIsReportedLate(t *testing.T) {
 	var h loadHistory
-	begun := time.Unix(1000, 0)
+	started := time.Unix(1000, 0)
 	for n := range 3000 {
-		h.add(begun.Add(time.Duration(n)*loadPeriod), engineapi.Load{Running: n})
+		h.add(started.Add(time.Duration(n)*loadSampleInterval), engineapi.Load{Running: n})
 	}
-	now := begun.Add(2999 * loadPeriod)
-	assert.Equal(t, h.report(now, 5*loadPeriod).Running, 2994)
-	assert.Equal(t, h.report(now, 5*loadPeriod).AgeMs, int64(100))
-	assert.Equal(t, h.report(now, time.Hour).Running, 0)
-	assert.Assert(t, len(h.samples) <= mostLoads)
+	now := started.Add(2999 * loadSampleInterval)
+	assert.Equal(t, h.latestBefore(now, 5*loadSampleInterval).Running, 2994)
+	assert.Equal(t, h.latestBefore(now, 5*loadSampleInterval).AgeMs, int64(100))
+	assert.Equal(t, h.latestBefore(now, time.Hour).Running, 0)
+	assert.Assert(t, len(h.samples) <= maxLoadSamples)
 }
 
 func TestPrefixCacheEvictsTheOldest(t *testing.T) {
 	c := newPrefixCache(2)
 	c.store([]uint64{1, 2})
-	assert.Equal(t, c.hits([]uint64{1}), 1)
+	assert.Equal(t, c.matchPrefix([]uint64{1}), 1)
 	events := c.store([]uint64{3})
 	assert.DeepEqual(t, events, []engineapi.CacheEvent{{Sequence: 3, Prefix: 3, Stored: true}, {Sequence: 4, Prefix: 2}})
-	assert.Equal(t, c.hits([]uint64{1, 2, 3}), 1)
+	assert.Equal(t, c.matchPrefix([]uint64{1, 2, 3}), 1)
 	assert.DeepEqual(t, c.snapshot().Prefixes, []uint64{1, 3})
 }
 
@@ -156,12 +156,12 @@
 	assert.Assert(t, s.has("j") && s.has("h") && !s.has("g"))
 }
 
-func TestTextIsDecidedByPromptAndPosition(t *testing.T) {
+func TestTextDependsOnPromptAndPosition(t *testing.T) {
 	tokens, cut := OutputTokens("[[tokens=30]]", 20)
 	assert.Equal(t, tokens, 20)
 	assert.Assert(t, cut)
 	whole := ExpectedText("p", 12)
-	assert.Equal(t, ExpectedPart("p", 0, 5)+ExpectedPart("p", 5, 12), whole)
+	assert.Equal(t, ExpectedRange("p", 0, 5)+ExpectedRange("p", 5, 12), whole)
 	assert.Assert(t, whole != ExpectedText("q", 12))
 }
 
