--- a/internal/engine/events.go
+++ b/internal/engine/events.go
@@ -30,8 +30,8 @@
 	attempt      fleet.AttemptID // expected in the chunks
 }
 
-func newChunkReader(r io.Reader, maxLine int, attempt fleet.AttemptID) *chunkReader {
-	return &chunkReader{reader: bufio.NewReaderSize(r, readBufferBytes), maxLineBytes: maxLine, attempt: attempt}
+func newChunkReader(r io.Reader, maxLineBytes int, attempt fleet.AttemptID) *chunkReader {
+	return &chunkReader{reader: bufio.NewReaderSize(r, readBufferBytes), maxLineBytes: maxLineBytes, attempt: attempt}
 }
 
 // next returns the next chunk. At the stream's end it returns ErrBroken: complete
--- a/internal/standin/announce.go
+++ b/internal/standin/announce.go
@@ -68,8 +68,8 @@
 func (s *Standin) runAnnounce(ctx context.Context) {
 	for n := 0; ctx.Err() == nil; n++ {
 		s.waitWhileFrozen(ctx.Done())
-		known := s.daemonAddresses()
-		if !s.findHome(ctx, known[n%len(known)]) {
+		addresses := s.daemonAddresses()
+		if !s.findHome(ctx, addresses[n%len(addresses)]) {
 			sleep.For(ctx, s.retryInterval())
 			continue
 		}
@@ -82,8 +82,8 @@
 func (s *Standin) daemonAddresses() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	known := append([]string(nil), s.namedAddresses...)
-	return append(known, s.options.Entries...)
+	addresses := append([]string(nil), s.namedAddresses...)
+	return append(addresses, s.options.Entries...)
 }
 
 // retryInterval returns the wait after a failed announcement.
--- a/internal/standin/audit.go
+++ b/internal/standin/audit.go
@@ -73,7 +73,7 @@
 	heldChangedAt time.Time
 }
 
-func newRecorder(most int) *auditRecorder {
+func newAuditRecorder(most int) *auditRecorder {
 	return &auditRecorder{maxRecords: most, byAttempt: map[fleet.AttemptID]*Fact{}, runsByMarker: map[string]int{}}
 }
 
--- a/internal/standin/batch.go
+++ b/internal/standin/batch.go
@@ -117,9 +117,9 @@
 	return engineapi.FinishStop
 }
 
-func (s *Standin) advancePrefill(h *heldRequest, slice time.Duration, now time.Time) {
-	h.workLeft -= slice
-	h.record.PrefillMs += milliseconds(slice)
+func (s *Standin) advancePrefill(h *heldRequest, work time.Duration, now time.Time) {
+	h.workLeft -= work
+	h.record.PrefillMs += milliseconds(work)
 	if h.workLeft > 0 {
 		return
 	}
--- a/internal/standin/link.go
+++ b/internal/standin/link.go
@@ -20,7 +20,7 @@
 	freeAt time.Time
 }
 
-func newLink(rate int64) *link { return &link{bytesPerSecond: rate} }
+func newLink(bytesPerSecond int64) *link { return &link{bytesPerSecond: bytesPerSecond} }
 
 // pieceBytes returns the size of one piece in bytes.
 func (l *link) pieceBytes() int64 {
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -70,7 +70,7 @@
 		heldRequests:      map[fleet.AttemptID]*heldRequest{},
 		cancelled:         newCancelledSet(maxCancelledAttempts),
 		prefixCache:       newPrefixCache(cacheBlocks(o.Timing)),
-		recorder:          newRecorder(o.MostFacts),
+		recorder:          newAuditRecorder(o.MostFacts),
 		heartbeatInterval: defaultHeartbeatInterval,
 	}
 	for _, m := range o.Models {
