--- a/internal/engine/exchange.go
+++ b/internal/engine/exchange.go
@@ -181,7 +181,7 @@
 	defer response.Body.Close()
 	failure := &Error{
 		Target: t, Op: op, Sent: true, Err: fmt.Errorf("status %d", response.StatusCode),
-		Rest: dispatch.RestOf(response.StatusCode, response.Header),
+		Rest: dispatch.CooldownFromAnswer(response.StatusCode, response.Header),
 	}
 	body, err := readBounded(response.Body, maxErrorBytes)
 	if err != nil {
--- a/internal/entry/completions.go
+++ b/internal/entry/completions.go
@@ -120,7 +120,7 @@
 // serveJSON answers with the complete text or an error, never with part of the text.
 func (c *callerHandler) serveJSON(x *exchange, request route.ModelRequest, head replyFields) *route.Failure {
 	sink := &bufferSink{}
-	answer := c.opts.Router.Model(x.r.Context(), request, sink)
+	answer := c.opts.Router.Complete(x.r.Context(), request, sink)
 	if answer.Failure != nil {
 		return answer.Failure
 	}
@@ -133,7 +133,7 @@
 // an ErrorBody; a stream that ends with neither was truncated in transit.
 func (c *callerHandler) serveStream(x *exchange, request route.ModelRequest, head replyFields) *route.Failure {
 	sink := newStreamSink(x, head, c.bounds.WriteTime)
-	answer := c.opts.Router.Model(x.r.Context(), request, sink)
+	answer := c.opts.Router.Complete(x.r.Context(), request, sink)
 	if answer.Failure == nil {
 		sink.finish(answer)
 		return nil
--- a/internal/entry/exchange.go
+++ b/internal/entry/exchange.go
@@ -75,7 +75,7 @@
 func (c *callerHandler) unknownTeam(x *exchange) *route.Failure {
 	if !c.opts.Source.Current(time.Now()) {
 		// Refuses returns nil if the settings have become current since the check above.
-		if failure := c.opts.Router.Refuses("", x.key); failure != nil {
+		if failure := c.opts.Router.EarlyRefusal("", x.key); failure != nil {
 			return failure
 		}
 	}
@@ -117,7 +117,7 @@
 
 // readBody reads the body within the team's size limit and Bounds.BodyTime.
 func (c *callerHandler) readBody(x *exchange) ([]byte, *route.Failure) {
-	if failure := c.opts.Router.Refuses(x.team.Name, x.key); failure != nil {
+	if failure := c.opts.Router.EarlyRefusal(x.team.Name, x.key); failure != nil {
 		return nil, failure
 	}
 	limit := c.bounds.BodyBytes
--- a/internal/entry/outcome.go
+++ b/internal/entry/outcome.go
@@ -15,7 +15,7 @@
 	if err != nil || key == "" || len(key) > c.bounds.KeyBytes {
 		return badRequest("the key is malformed")
 	}
-	known, failure := c.opts.Router.Lookup(x.r.Context(), x.team.Name, key)
+	known, failure := c.opts.Router.LookupKey(x.r.Context(), x.team.Name, key)
 	if failure != nil {
 		return failure
 	}
--- a/internal/entry/reply.go
+++ b/internal/entry/reply.go
@@ -19,7 +19,7 @@
 const assistant = "assistant"
 
 // completionReply returns the body of an answer that isn't streamed.
-func (h replyFields) completionReply(text string, a route.Answer) callerapi.CompletionReply {
+func (h replyFields) completionReply(text string, a route.ModelResult) callerapi.CompletionReply {
 	finish := string(a.Finish)
 	choice := callerapi.Choice{FinishReason: &finish}
 	object := "text_completion"
@@ -36,7 +36,7 @@
 	}
 }
 
-func usage(a route.Answer) *callerapi.Usage {
+func usage(a route.ModelResult) *callerapi.Usage {
 	return &callerapi.Usage{
 		PromptTokens:     a.PromptTokens,
 		CompletionTokens: a.OutputTokens,
@@ -47,8 +47,8 @@
 // bufferSink collects the text of an answer that isn't streamed.
 type bufferSink struct{ text strings.Builder }
 
-// Pass implements route.Sink.
-func (s *bufferSink) Pass(c engineapi.Chunk) error {
+// WriteChunk implements route.Sink.
+func (s *bufferSink) WriteChunk(c engineapi.Chunk) error {
 	s.text.WriteString(c.Text)
 	return nil
 }
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -71,7 +71,7 @@
 		Query:      x.r.URL.RawQuery,
 		Header:     header,
 		Body:       body,
-		Once:       strings.EqualFold(x.r.Header.Get(callerapi.HeaderIdempotent), notIdempotent),
+		AtMostOnce: strings.EqualFold(x.r.Header.Get(callerapi.HeaderIdempotent), notIdempotent),
 		CallerKind: x.r.Header.Get(callerapi.HeaderCallerKind),
 		Patience:   timeout,
 		Arrived:    x.arrived,
--- a/internal/entry/stream.go
+++ b/internal/entry/stream.go
@@ -20,9 +20,9 @@
 	return &streamSink{x: x, events: newEventWriter(h), writeTimeout: writeTimeout}
 }
 
-// Pass implements route.Sink. It flushes each chunk, as buffering would add to
+// WriteChunk implements route.Sink. It flushes each chunk, as buffering would add to
 // the caller's time between tokens.
-func (s *streamSink) Pass(c engineapi.Chunk) error {
+func (s *streamSink) WriteChunk(c engineapi.Chunk) error {
 	if !s.x.headersSent {
 		s.x.startStream()
 	}
@@ -47,7 +47,7 @@
 }
 
 // finish ends a stream that is complete.
-func (s *streamSink) finish(_ route.Answer) {
+func (s *streamSink) finish(_ route.ModelResult) {
 	if !s.x.headersSent {
 		s.x.startStream()
 	}
