--- a/scripts/deployment.sh
+++ b/scripts/deployment.sh
@@ -1,5 +1,5 @@
-# Shell functions that start a whole deployment for scripts/experiment. Source
-# it after scripts/fleet.sh, whose FLEET, BIN and PIDS it uses.
+# Shell functions that start a deployment for scripts/experiment; scripts/relaycost
+# uses some too. Source it after scripts/fleet.sh, whose FLEET, BIN and PIDS it uses.
 
 export HYSSOPSAIL_ENDPOINT_KEY=experiment-endpoint-key
 declare -A STANDIN_PID=() STANDIN_ARGS=() DAEMON_PID=()
@@ -8,8 +8,9 @@
 ENGINE_FLAGS=()
 DIRECT_ENGINES=()
 
-# layout DEPLOYMENT sets ZONES, MODEL, SERVICE and the numbers of endpoints.
-layout() {
+# set_layout DEPLOYMENT sets ZONES, MODEL, SERVICE and the numbers of endpoints, for
+# added-delay also DAEMONS and ENGINE_FLAGS.
+set_layout() {
 	case $1 in
 	sutokatha)
 		ZONES=(howrah kolkata-north barasat durgapur)
@@ -25,7 +26,7 @@
 		ENGINE_FLAGS=(--slots 100 --prefill-base 10ms --prefill-token 1us --step-base 10ms --step-per-request 1us --kv-token 1024)
 		;;
 	*)
-		printf 'no deployment %s\n' "$1" >&2
+		printf 'unknown deployment %s\n' "$1" >&2
 		return 2
 		;;
 	esac
@@ -33,7 +34,7 @@
 
 zone_of() { printf '%s' "${ZONES[$(($1 % ${#ZONES[@]}))]}"; }
 
-# port N KIND gives the port of daemon N, KIND 0 rpc, 1 callers, 2 endpoints,
+# port N KIND prints a port of daemon N. KIND: 0 rpc, 1 callers, 2 endpoints,
 # 3 operators.
 port() { printf '%s' "${PORT[$(($1 * 4 + $2))]}"; }
 
@@ -45,7 +46,7 @@
 answers() { (exec 3<>"/dev/tcp/127.0.0.1/$1") 2>/dev/null; }
 
 start_deployment() {
-	layout "$1"
+	set_layout "$1"
 	"$BIN/hyssopsail" certs --folder "$FLEET/keys" "${DAEMONS[@]}" >/dev/null
 	printf 'experiment-operator-key' >"$FLEET/operator-key"
 	read -r -a PORT <<<"$(free_ports $((4 * ${#DAEMONS[@]})))"
@@ -83,7 +84,7 @@
 
 all_listed() { [ "$(tool endpoints | grep -c -e prefill- -e decode- -e plain-)" -ge "${#STANDINS[@]}" ]; }
 
-# start_direct_engines starts engines that no daemon knows, for direct calls.
+# start_direct_engines starts engines that register with no daemon, for direct calls.
 start_direct_engines() {
 	local n role
 	for role in prefill decode; do
@@ -98,8 +99,8 @@
 	done
 }
 
-# start_endpoint ID NUMBER ARGS... starts an emulated endpoint, which keeps its
-# place and arguments when it is started again.
+# start_endpoint ID NUMBER ARGS... starts an emulated endpoint. NUMBER selects its zone.
+# run_endpoint restarts it with the same zone and arguments.
 start_endpoint() {
 	local id=$1
 	STANDIN_ARGS[$id]="--zone $(zone_of "$2") ${*:3}"
@@ -112,7 +113,7 @@
 	local id=$1 entries=() n
 	for n in "${!DAEMONS[@]}"; do entries+=(--entry "127.0.0.1:$(port "$n" 2)"); done
 	rm -f "$FLEET/$id/address"
-	# shellcheck disable=SC2086 # the arguments hold no spaces of their own
+	# shellcheck disable=SC2086 # no argument contains a space
 	"$BIN/hyssopsail-standin" --id "$id" --leave-grace 500ms --link-rate 5000000000 --address-file "$FLEET/$id/address" --audit-folder "$FLEET/audits" \
 		"${ENGINE_FLAGS[@]}" "${entries[@]}" ${STANDIN_ARGS[$id]} 2>>"$FLEET/$id/log" &
 	PIDS+=($!)
@@ -137,7 +138,7 @@
 	for id in "${DIRECT_ENGINES[@]}"; do printf '%s,' "$(address_of "$id")"; done
 }
 
-# cpu_seconds PID gives the processor time that a process has used.
+# cpu_seconds PID prints the processor time that a process has used, in seconds.
 cpu_seconds() {
 	awk -v ticks="$(getconf CLK_TCK)" '{sub(/.*\) /, ""); print ($12 + $13) / ticks}' "/proc/$1/stat"
 }
@@ -151,22 +152,23 @@
 	for n in "${!DAEMONS[@]}"; do printf '127.0.0.1:%s,' "$(port "$n" 1)"; done
 }
 
-# apply_variant NAME puts a variant's decisions in force everywhere.
+# apply_variant NAME applies the settings of a variant and waits up to 10 s until they
+# are in force on every live instance.
 apply_variant() {
 	local base="examples/experiments/$deployment/settings/fleet.yaml"
 	cat "$base" "examples/experiments/variants/$1.yaml" >"$FLEET/settings/fleet.yaml"
 	tool settings apply --overwrite --wait 10s "$FLEET/settings/fleet.yaml" >/dev/null
 }
 
-# forget PID takes a process that was killed on purpose off the list.
-forget() {
-	local pid kept=()
-	for pid in "${PIDS[@]}"; do [ "$pid" = "$1" ] || kept+=("$pid"); done
-	PIDS=("${kept[@]}")
+# remove_pid PID removes a deliberately killed process from PIDS and reaps it.
+remove_pid() {
+	local pid remaining=()
+	for pid in "${PIDS[@]}"; do [ "$pid" = "$1" ] || remaining+=("$pid"); done
+	PIDS=("${remaining[@]}")
 	wait "$1" 2>/dev/null || true
 }
 
-# set_faults JSON ID... switches faults of emulated endpoints.
+# set_faults JSON ID... sets the faults of emulated endpoints.
 set_faults() {
 	local json=$1 id
 	shift
@@ -178,10 +180,11 @@
 	for id in "${STANDINS[@]}"; do [[ ${STANDIN_ARGS[$id]} != *"--zone $1 "* ]] || printf '%s ' "$id"; done
 }
 
-# middle FILE gives the seconds from the start to the middle of what counts.
-middle() { awk '/^duration:/ {d=$2} /^warmup:/ {w=$2} END {print (d + w) / 2}' "$1"; }
+# measured_midpoint FILE prints the seconds from the start of an experiment to the middle
+# of its measured period, which begins after the warmup.
+measured_midpoint() { awk '/^duration:/ {d=$2} /^warmup:/ {w=$2} END {print (d + w) / 2}' "$1"; }
 
-# run_fault FILE FAULT starts the fault's action beside the run that follows.
+# run_fault FILE FAULT schedules a fault in the background for the run that follows.
 run_fault() {
 	FAULT_PID=""
 	case $2 in
@@ -193,15 +196,15 @@
 	esac
 	(
 		trap - EXIT
-		sleep "$(middle "$1")"
-		act "$2"
+		sleep "$(measured_midpoint "$1")"
+		inject_fault "$2"
 	) &
 	FAULT_PID=$!
 }
 
-act() {
+inject_fault() {
 	case $1 in
-	# The process ends like a killed one but leaves its audit.
+	# The process exits as if killed, but writes its audit.
 	engine-killed) curl -sS -X POST -d '{"crash":true}' "http://$(address_of decode-0)/faults" >/dev/null 2>&1 || true ;;
 	entry-killed) kill -KILL "${DAEMON_PID[8]}" ;;
 	zone-slow) set_faults '{"slow":2}' $(in_zone "${ZONES[1]}") ;;
@@ -213,16 +216,17 @@
 	esac
 }
 
-# end_fault FAULT puts right what the fault broke, for the next run.
+# end_fault FAULT waits for the fault's background job and restores the deployment for
+# the next run.
 end_fault() {
 	[ -z "$FAULT_PID" ] || wait "$FAULT_PID" || true
 	case $1 in
 	engine-killed)
-		forget "${STANDIN_PID[decode-0]}"
+		remove_pid "${STANDIN_PID[decode-0]}"
 		run_endpoint decode-0
 		;;
 	entry-killed)
-		forget "${DAEMON_PID[8]}"
+		remove_pid "${DAEMON_PID[8]}"
 		run_daemon 8
 		wait_for 15 answers "$(port 8 1)"
 		;;
--- a/scripts/fleet.sh
+++ b/scripts/fleet.sh
@@ -1,6 +1,5 @@
-# Shell functions that start a small fleet on loopback, for scripts/demo and
-# scripts/experiment. Source it; set FLEET (a scratch folder) first. It ends
-# only the processes that it started, by pid.
+# Shell functions that start a fleet on loopback, for other scripts. Set FLEET (a
+# scratch folder) before sourcing it. It stops only processes that are in PIDS.
 
 ROOT=$(cd "$(dirname "${BASH_SOURCE[0]}")/.." && pwd)
 BIN=$ROOT/bin
@@ -8,8 +7,8 @@
 
 say() { printf '\n== %s\n' "$*"; }
 
-# free_ports N prints N loopback ports on which nothing listens now. Something
-# else may take one before the daemon does; the daemon then says so and ends.
+# free_ports N prints N loopback ports on which nothing listens now. If another process
+# takes one before the daemon does, the daemon reports it and exits.
 free_ports() {
 	local -A chosen=()
 	local port
@@ -22,22 +21,23 @@
 	printf '%s ' "${!chosen[@]}"
 }
 
-# wait_for SECONDS COMMAND... polls until the command succeeds.
+# wait_for SECONDS COMMAND... polls until the command succeeds, or fails at the timeout.
 wait_for() {
-	local limit=$1
+	local timeout=$1
 	shift
-	local deadline=$((SECONDS + limit))
+	local deadline=$((SECONDS + timeout))
 	until "$@" >/dev/null 2>&1; do
 		if [ "$SECONDS" -ge "$deadline" ]; then
-			printf 'not so within %s s: %s\n' "$limit" "$*" >&2
+			printf 'timed out after %s s: %s\n' "$timeout" "$*" >&2
 			return 1
 		fi
 		sleep 0.05
 	done
 }
 
-# write_daemon ID ZONE ROLES RPC CALLERS ENDPOINTS OPERATORS writes a daemon's
-# file. CONTROL holds the control addresses as a YAML flow list.
+# write_daemon ID ZONE ROLES RPC CALLERS ENDPOINTS OPERATORS writes the configuration of
+# a daemon; the last four are ports. CONTROL holds the control addresses as a YAML flow
+# list.
 write_daemon() {
 	local id=$1 zone=$2 roles=$3
 	local data=""
@@ -67,7 +67,8 @@
 	PIDS+=($!)
 }
 
-# stop_all ends what this script started: gracefully, and after 30 s by force.
+# stop_all sends SIGTERM to all processes in PIDS, and SIGKILL to those that still run
+# after 30 s. It fails if a process had to be killed or exited with an error.
 stop_all() {
 	local pid
 	for pid in "${PIDS[@]}"; do
