--- a/docs/design_test.go
+++ b/docs/design_test.go
@@ -17,17 +17,18 @@
 	"github.com/hyssopsail/hyssopsail/internal/settings"
 )
 
+// timeoutRow matches a row of the table of timeouts: name and default.
 var timeoutRow = regexp.MustCompile("(?m)^\\| `(\\w+)` \\| ([\\dhms.]+) \\|")
 
-// An operator sets a timeout by the page's default, which the code no longer
-// has, and loses a margin that another timeout rests on.
+// Guards against a default timeout on the page that differs from the code: an operator who
+// relies on it can lose a margin that another timeout depends on.
 func TestTimeoutsOfThePage(t *testing.T) {
 	text, err := yaml.Marshal(settings.DefaultTimeouts())
 	assert.NilError(t, err)
 	want := map[string]time.Duration{}
 	assert.NilError(t, yaml.Unmarshal(text, &want))
 	got := map[string]time.Duration{}
-	for _, row := range timeoutRow.FindAllStringSubmatch(read(t, "DESIGN.md"), -1) {
+	for _, row := range timeoutRow.FindAllStringSubmatch(readFile(t, "DESIGN.md"), -1) {
 		value, err := time.ParseDuration(row[2])
 		assert.NilError(t, err, row[0])
 		got[row[1]] = value
@@ -35,11 +36,11 @@
 	assert.DeepEqual(t, got, want)
 }
 
-// Each relation between timeouts that the checks enforce is on the page. The
-// rules stand in check_timeouts.go as text for whoever broke one.
+// Guards against relations between timeouts that are enforced but missing on the page. The
+// test takes them from the error messages in check_timeouts.go.
 func TestRelationsOfThePage(t *testing.T) {
-	page := read(t, "DESIGN.md")
-	rules := setOf(`"(\w+ (?:[*+] [\w%]+ )?(?:<=|>=|<) [\w%]+) \(now`, read(t, "../internal/settings/check_timeouts.go"))
+	page := readFile(t, "DESIGN.md")
+	rules := firstGroups(`"(\w+ (?:[*+] [\w%]+ )?(?:<=|>=|<) [\w%]+) \(now`, readFile(t, "../internal/settings/check_timeouts.go"))
 	assert.Equal(t, len(rules), 6)
 	for rule := range rules {
 		rule = strings.NewReplacer("%d", "3", "%v", "3s").Replace(rule)
@@ -49,24 +50,25 @@
 
 const modulePath = "github.com/hyssopsail/hyssopsail/internal/"
 
+// layerRow matches a row of the table of layers: number and packages.
 var layerRow = regexp.MustCompile(`(?m)^\| (\d) [^|]*\| ([a-z/ ]+) \|$`)
 
-// A package of a lower layer imports one above it, and soon two parts can't be
-// read or tested without each other.
+// Guards against a package that imports one of the same or a higher layer: such imports
+// lead to packages that can't be read or tested without each other.
 func TestLayersOfThePage(t *testing.T) {
 	layer := map[string]string{}
-	for _, row := range layerRow.FindAllStringSubmatch(read(t, "DESIGN.md"), -1) {
+	for _, row := range layerRow.FindAllStringSubmatch(readFile(t, "DESIGN.md"), -1) {
 		for _, name := range strings.Fields(row[2]) {
 			layer[name] = row[1]
 		}
 	}
-	internal := filepath.Join(root, "internal")
-	err := filepath.WalkDir(internal, func(path string, entry fs.DirEntry, err error) error {
+	internalFolder := filepath.Join(moduleRoot, "internal")
+	err := filepath.WalkDir(internalFolder, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() || filepath.Ext(path) != ".go" || strings.HasSuffix(path, "_test.go") {
 			return err
 		}
-		name, err := filepath.Rel(internal, filepath.Dir(path))
-		if err != nil || strings.HasPrefix(read(t, path), "//go:build") || onlyTests(t, filepath.Dir(path)) {
+		name, err := filepath.Rel(internalFolder, filepath.Dir(path))
+		if err != nil || strings.HasPrefix(readFile(t, path), "//go:build") || hasOnlyTests(t, filepath.Dir(path)) {
 			return err
 		}
 		assert.Check(t, layer[name] != "", "DESIGN.md has no layer for %s", name)
@@ -75,16 +77,17 @@
 			return err
 		}
 		for _, spec := range file.Imports {
-			imported, own := strings.CutPrefix(strings.Trim(spec.Path.Value, `"`), modulePath)
-			assert.Check(t, !own || layer[imported] < layer[name], "%s imports %s, which stands no higher", path, imported)
+			imported, inModule := strings.CutPrefix(strings.Trim(spec.Path.Value, `"`), modulePath)
+			assert.Check(t, !inModule || layer[imported] < layer[name], "%s imports %s, which stands no higher", path, imported)
 		}
 		return nil
 	})
 	assert.NilError(t, err)
 }
 
-// onlyTests tells whether a package holds tests beside its doc comment.
-func onlyTests(t *testing.T, folder string) bool {
+// hasOnlyTests reports whether the folder of a package contains no Go files other than
+// tests and doc.go.
+func hasOnlyTests(t *testing.T, folder string) bool {
 	t.Helper()
 	files, err := os.ReadDir(folder)
 	assert.NilError(t, err)
--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -1,5 +1,5 @@
-// Package docs holds the checks of the pages beside it: what they name must be
-// in the tree.
+// Package docs tests the documentation pages in this folder: what they name must
+// exist in the source tree.
 package docs
 
 import (
@@ -14,104 +14,106 @@
 	"gotest.tools/v3/assert"
 )
 
-// root is the module's folder.
-const root = ".."
+// moduleRoot is the path of the module's root folder.
+const moduleRoot = ".."
 
-func read(t *testing.T, path string) string {
+func readFile(t *testing.T, path string) string {
 	t.Helper()
 	data, err := os.ReadFile(path)
 	assert.NilError(t, err)
 	return string(data)
 }
 
-// sources gives the text of all Go files, those of tests or the others.
-func sources(t *testing.T, tests bool) string {
+// goSource returns the concatenated text of all test files if tests is true, otherwise of
+// all other Go files.
+func goSource(t *testing.T, tests bool) string {
 	t.Helper()
 	var all strings.Builder
-	err := filepath.WalkDir(root, func(path string, entry os.DirEntry, err error) error {
+	err := filepath.WalkDir(moduleRoot, func(path string, entry os.DirEntry, err error) error {
 		if err != nil || entry.IsDir() || filepath.Ext(path) != ".go" || strings.HasSuffix(path, "_test.go") != tests {
 			return err
 		}
-		all.WriteString(read(t, path))
+		all.WriteString(readFile(t, path))
 		return nil
 	})
 	assert.NilError(t, err)
 	return all.String()
 }
 
-// pages gives the text of all pages of the tree by path.
-func pages(t *testing.T) map[string]string {
+// readPages returns the text of all documentation pages by path.
+func readPages(t *testing.T) map[string]string {
 	t.Helper()
-	found := map[string]string{}
+	texts := map[string]string{}
 	for _, pattern := range []string{"*.md", "docs/*.md", "docs/*/*.md", "examples/*/README.md"} {
-		paths, err := filepath.Glob(filepath.Join(root, pattern))
+		paths, err := filepath.Glob(filepath.Join(moduleRoot, pattern))
 		assert.NilError(t, err)
 		for _, path := range paths {
-			found[path] = read(t, path)
+			texts[path] = readFile(t, path)
 		}
 	}
-	return found
+	return texts
 }
 
-// setOf gives what a pattern's first group matches.
-func setOf(pattern, text string) map[string]bool {
-	found := map[string]bool{}
+// firstGroups returns the set of texts that the first group of pattern matches in text.
+func firstGroups(pattern, text string) map[string]bool {
+	groups := map[string]bool{}
 	for _, match := range regexp.MustCompile(pattern).FindAllStringSubmatch(text, -1) {
-		found[match[1]] = true
+		groups[match[1]] = true
 	}
-	return found
+	return groups
 }
 
-// A reader looks for a proof and finds no such test: it was renamed or removed.
+// Guards against pages that name a test that was renamed or removed.
 func TestNamedTestsExist(t *testing.T) {
-	defined := setOf(`(?m)^func ((?:Test|Fuzz|Benchmark)\w+)\(`, sources(t, true))
-	for path, text := range pages(t) {
-		for name := range setOf("\\b((?:Test|Fuzz)[A-Z]\\w+)", text) {
+	defined := firstGroups(`(?m)^func ((?:Test|Fuzz|Benchmark)\w+)\(`, goSource(t, true))
+	for path, text := range readPages(t) {
+		for name := range firstGroups("\\b((?:Test|Fuzz)[A-Z]\\w+)", text) {
 			assert.Check(t, defined[name], "%s names %s, which no test file has", path, name)
 		}
 	}
 }
 
-// The table of proofs names a test with its package.
+// Guards against proofs that name a test with a package that doesn't have it.
 func TestProofsAreInTheirPackages(t *testing.T) {
-	proof := regexp.MustCompile("`(\\w+)\\.((?:Test|Fuzz)\\w+)`")
-	found := proof.FindAllStringSubmatch(read(t, "PROOFS.md"), -1)
-	assert.Assert(t, len(found) > 50)
-	for _, match := range found {
-		files, err := filepath.Glob(filepath.Join(root, "internal", match[1], "*_test.go"))
+	proofPattern := regexp.MustCompile("`(\\w+)\\.((?:Test|Fuzz)\\w+)`")
+	proofs := proofPattern.FindAllStringSubmatch(readFile(t, "PROOFS.md"), -1)
+	assert.Assert(t, len(proofs) > 50)
+	for _, match := range proofs {
+		files, err := filepath.Glob(filepath.Join(moduleRoot, "internal", match[1], "*_test.go"))
 		assert.NilError(t, err)
 		if match[1] == "platform" { // the one package outside internal
-			files, err = filepath.Glob(filepath.Join(root, match[1], "*_test.go"))
+			files, err = filepath.Glob(filepath.Join(moduleRoot, match[1], "*_test.go"))
 			assert.NilError(t, err)
 		}
 		var text strings.Builder
 		for _, file := range files {
-			text.WriteString(read(t, file))
+			text.WriteString(readFile(t, file))
 		}
 		assert.Check(t, strings.Contains(text.String(), "\nfunc "+match[2]+"("), "no test %s.%s", match[1], match[2])
 	}
 }
 
-var suffixes = regexp.MustCompile(`_(bucket|sum|count)$`)
+// histogramSuffix matches the suffixes of the series of a histogram.
+var histogramSuffix = regexp.MustCompile(`_(bucket|sum|count)$`)
 
-// An alert that names a metric which no daemon has never fires, and nobody
-// notices until it is needed.
+// Guards against alerts and pages that name a metric that no daemon has: such an alert
+// never fires. Also guards against metrics that MONITORING.md doesn't explain.
 func TestMetricsExist(t *testing.T) {
-	registered := setOf(`"(hyssopsail_[a-z_]+)"`, sources(t, false))
+	registered := firstGroups(`"(hyssopsail_[a-z_]+)"`, goSource(t, false))
 	assert.Assert(t, len(registered) > 40)
 	for _, path := range []string{"alerts.yaml", "dashboard.json", "MONITORING.md", "OPERATIONS.md"} {
-		for name := range setOf(`\b(hyssopsail_[a-z_]+)`, read(t, path)) {
-			known := registered[name] || registered[suffixes.ReplaceAllString(name, "")]
+		for name := range firstGroups(`\b(hyssopsail_[a-z_]+)`, readFile(t, path)) {
+			known := registered[name] || registered[histogramSuffix.ReplaceAllString(name, "")]
 			assert.Check(t, known, "%s names %s, which no daemon has", path, name)
 		}
 	}
-	explained := setOf("`(hyssopsail_[a-z_]+)", read(t, "MONITORING.md"))
+	explained := firstGroups("`(hyssopsail_[a-z_]+)", readFile(t, "MONITORING.md"))
 	for name := range registered {
 		assert.Check(t, explained[name], "MONITORING.md doesn't explain %s", name)
 	}
 }
 
-// A rules file or dashboard that doesn't parse is refused as a whole.
+// Guards against a rules file or dashboard that doesn't parse: it is rejected as a whole.
 func TestMonitoringFilesParse(t *testing.T) {
 	var rules struct {
 		Groups []struct {
@@ -125,7 +127,7 @@
 			} `yaml:"rules"`
 		} `yaml:"groups"`
 	}
-	decoder := yaml.NewDecoder(strings.NewReader(read(t, "alerts.yaml")))
+	decoder := yaml.NewDecoder(strings.NewReader(readFile(t, "alerts.yaml")))
 	decoder.KnownFields(true)
 	assert.NilError(t, decoder.Decode(&rules))
 	for _, group := range rules.Groups {
@@ -140,37 +142,37 @@
 			Targets []struct{ Expr string }
 		}
 	}
-	assert.NilError(t, json.Unmarshal([]byte(read(t, "dashboard.json")), &dashboard))
+	assert.NilError(t, json.Unmarshal([]byte(readFile(t, "dashboard.json")), &dashboard))
 	assert.Assert(t, len(dashboard.Panels) > 20)
 }
 
-// Each alert says what to do, and each part that writes to the log is named.
+// Guards against alerts and log prefixes that MONITORING.md doesn't explain.
 func TestAlertsAndPrefixesAreExplained(t *testing.T) {
-	page := read(t, "MONITORING.md")
-	for alert := range setOf(`alert: (\w+)`, read(t, "alerts.yaml")) {
+	page := readFile(t, "MONITORING.md")
+	for alert := range firstGroups(`alert: (\w+)`, readFile(t, "alerts.yaml")) {
 		assert.Check(t, strings.Contains(page, "| "+alert+" |"), "MONITORING.md doesn't explain %s", alert)
 	}
-	for prefix := range setOf(`(?:newPart|logging\.For)\([\w.]*[lL]ogger, "([a-z-]+)"\)`, sources(t, false)) {
+	for prefix := range firstGroups(`(?:newPart|logging\.For)\([\w.]*[lL]ogger, "([a-z-]+)"\)`, goSource(t, false)) {
 		assert.Check(t, strings.Contains(page, "| `"+prefix+"` |"), "MONITORING.md doesn't explain the prefix %s", prefix)
 	}
 }
 
-// A page that no index names is found by nobody.
+// Guards against pages that readers can't find because no index links to them.
 func TestIndexesAreComplete(t *testing.T) {
 	for index, pattern := range map[string]string{"DESIGN.md": "design/*.md", "PROOFS.md": "proofs/*.md"} {
 		paths, err := filepath.Glob(pattern)
 		assert.NilError(t, err)
-		text := read(t, index)
+		text := readFile(t, index)
 		for _, path := range paths {
 			assert.Check(t, strings.Contains(text, "]("+path+")"), "%s doesn't name %s", index, path)
 		}
 	}
 }
 
-// A link of a page leads nowhere after a file was moved.
+// Guards against links in pages to files that were moved or removed.
 func TestLinksLead(t *testing.T) {
-	for path, text := range pages(t) {
-		for link := range setOf(`\]\(([^)#]+)[^)]*\)`, text) {
+	for path, text := range readPages(t) {
+		for link := range firstGroups(`\]\(([^)#]+)[^)]*\)`, text) {
 			if strings.Contains(link, "://") {
 				continue
 			}
