--- a/internal/membership/source.go
+++ b/internal/membership/source.go
@@ -6,7 +6,7 @@
 	"github.com/hyssopsail/hyssopsail/internal/fleet"
 )
 
-// Source gives the parts of a daemon access to the shared state.
+// Source provides the components of a daemon with access to the shared state.
 type Source interface {
 	// State returns the latest applied state, which is never nil.
 	State() *State
--- a/internal/outcome/fleet_test.go
+++ b/internal/outcome/fleet_test.go
@@ -181,7 +181,7 @@
 	return next, lost
 }
 
-// setGroup gives a shard new replicas at the next epoch.
+// setGroup assigns new replicas to a shard at the next epoch.
 func (f *testFleet) setGroup(shard fleet.LedgerShard, names ...fleet.InstanceID) {
 	f.change(func(s *membership.State) {
 		if f.groups[shard] == nil {
