--- a/internal/allocation/request.go
+++ b/internal/allocation/request.go
@@ -29,7 +29,7 @@
 	Excluded                   []string      // IDs of endpoints
 }
 
-// Placement is the choice of endpoints for a request. The zero Grant means that there is no
+// Placement is the choice of endpoints for a request. The zero Placement means that there is no
 // capacity.
 type Placement struct {
 	Endpoint        string
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -132,7 +132,7 @@
 	return c.options.Group.Status().Leader.GetRpcAddress()
 }
 
-// pause waits for d; it returns ErrUnavailable if ctx ends first.
+// waitFor waits for d; it returns ErrUnavailable if ctx ends first.
 func waitFor(ctx context.Context, d time.Duration) error {
 	if !sleep.For(ctx, d) {
 		return trace.Wrap(ErrUnavailable, "%v", ctx.Err())
--- a/internal/coordinator/fleet_test.go
+++ b/internal/coordinator/fleet_test.go
@@ -76,7 +76,7 @@
 // initialSeeds are the seeds of all instances at the first start.
 var initialSeeds = []string{"control0", "control1", "control2"}
 
-// senderKept is how long a gone entry counts among the senders.
+// senderRetention is how long a removed entry counts among the senders.
 const senderRetention = 6 * time.Second
 
 func (f *fleet) start(i *instance) {
--- a/internal/crashboard/board.go
+++ b/internal/crashboard/board.go
@@ -62,8 +62,8 @@
 	return &pb.ReportCrashesReply{}, nil
 }
 
-// ChangesSince returns the findings that have changed after a mark, and a channel that is closed at the
-// next change. A nil mark, or one of another epoch, returns all of them.
+// ChangesSince returns the findings that have changed after a mark, and a channel that is closed
+// at the next change. A nil mark, or one of another epoch, returns all of them.
 func (b *Board) ChangesSince(mark *pb.CrashMark) (*pb.CrashNews, <-chan struct{}) {
 	now := time.Now()
 	b.mu.Lock()
--- a/internal/crashboard/doc.go
+++ b/internal/crashboard/doc.go
@@ -4,7 +4,7 @@
 // The Client of an entry counts the losses that this entry sees, and reports them to every
 // control instance, whose Board counts the losses that all entries see. Entries receive the
 // changes of a board in the replies when they poll its instance. Both apply the rule of
-// suspect.Losses.
+// suspect.LossTracker.
 //
 //   - Control instances don't exchange findings: each receives those of all entries that can
 //     reach it.
--- a/internal/dispatch/cooldown.go
+++ b/internal/dispatch/cooldown.go
@@ -74,7 +74,8 @@
 	}
 }
 
-// RecordLeaving records that an endpoint announced that it is leaving. It reports whether that is new.
+// RecordLeaving records that an endpoint announced that it is leaving. It reports whether that is
+// new.
 func (b *EndpointStats) RecordLeaving(now time.Time, e *Endpoint) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -116,8 +117,8 @@
 	return Accepting
 }
 
-// AllowedBySignals reports whether an endpoint's signals allow requests from this entry now, given the
-// mechanisms that are on.
+// AllowedBySignals reports whether an endpoint's signals allow requests from this entry now,
+// given the mechanisms that are on.
 func (b *EndpointStats) AllowedBySignals(now time.Time, e *Endpoint) bool {
 	switch b.Availability(now, e) {
 	case CoolingDown:
--- a/internal/dispatch/cooldown_test.go
+++ b/internal/dispatch/cooldown_test.go
@@ -8,7 +8,7 @@
 )
 
 // Guards against header values by which a faulty endpoint takes itself out of service for good.
-func TestParseRest(t *testing.T) {
+func TestParseRetryAfter(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		values []string
--- a/internal/dispatch/doc.go
+++ b/internal/dispatch/doc.go
@@ -7,5 +7,5 @@
 // entries only from the load that endpoints report with their answers, which
 // becomes outdated.
 //
-// Locks: Book.mu is a leaf.
+// Locks: EndpointStats.mu is a leaf.
 package dispatch
--- a/internal/dispatch/endpoint_stats.go
+++ b/internal/dispatch/endpoint_stats.go
@@ -22,8 +22,8 @@
 	cooldowns    map[string]requestedCooldown // latest of each endpoint, by endpoint ID
 }
 
-// NewEndpointStats returns empty statistics for an entry in the given zone. seed seeds the random part
-// of choices.
+// NewEndpointStats returns empty statistics for an entry in the given zone. seed seeds the random
+// part of choices.
 func NewEndpointStats(zone string, seed uint64, policy Policy) *EndpointStats {
 	return &EndpointStats{zone: zone, policy: policy, random: rand.New(rand.NewPCG(seed, 1)), states: map[Incarnation]*endpointState{}, prefillSpeeds: map[string]*prefillSpeed{}, tokenDurationsNs: map[string]float64{}, cooldowns: map[string]requestedCooldown{}}
 }
--- a/internal/endpoint/trackedslot.go
+++ b/internal/endpoint/trackedslot.go
@@ -48,8 +48,8 @@
 	return t
 }
 
-// Running implements Follower. An attempt runs from the start of Take until
-// Give.
+// Running implements Follower. An attempt runs from the start of Acquire until
+// Release.
 func (f *HomeClient) Running(attempt fleet.AttemptID) bool {
 	f.slotsMu.Lock()
 	defer f.slotsMu.Unlock()
--- a/internal/endpointlimit/client.go
+++ b/internal/endpointlimit/client.go
@@ -65,14 +65,14 @@
 	}
 }
 
-// NewDisconnectedClient returns a Client that reaches no limit server: endpoints that name a limit get
-// nothing.
+// NewDisconnectedClient returns a Client that reaches no limit server: endpoints that name a
+// limit get nothing.
 func NewDisconnectedClient() *Client {
 	return NewClient(nil, func() []string { return nil }, func(int, func(i, j int)) {})
 }
 
-// AcquirePermit requests a permit to send one request to an endpoint, which must be used soon. It also
-// returns nil if a limit server knows that the limit has ended.
+// AcquirePermit requests a permit to send one request to an endpoint, which must be used soon. It
+// also returns nil if a limit server knows that the limit has ended.
 func (c *Client) AcquirePermit(ctx context.Context, e Endpoint) *DeniedError {
 	denied := &DeniedError{RetryAfter: minBackoff, NoLimitServer: true}
 	for _, server := range c.limitServers(e) {
--- a/internal/endpointlimit/doc.go
+++ b/internal/endpointlimit/doc.go
@@ -6,9 +6,9 @@
 // tracks its Share in a Ledger of its own and grants permits, each for one request, to the
 // entries that request them (Client, Server). Senders follow these rules:
 //
-//   - Client.Hear records the limit signal of each answer.
+//   - Client.RecordSignal records the limit signal of each answer.
 //   - Before each send to an endpoint that is known to name a limit, for whatever purpose,
-//     Client.Take requests a permit. Without one nothing is sent.
+//     Client.AcquirePermit requests a permit. Without one nothing is sent.
 //   - A permit is used soon: permits that are granted in one span of time lead to arrivals
 //     in another.
 //
--- a/internal/endpointlimit/token_bucket.go
+++ b/internal/endpointlimit/token_bucket.go
@@ -6,8 +6,8 @@
 // tokens, beyond one token: entries request permits in bursts.
 const burstDuration = 20 * time.Millisecond
 
-// TokenBucket is a token bucket; a token permits one request. The zero Bucket is empty. It is not
-// safe for concurrent use.
+// TokenBucket is a token bucket; a token permits one request. The zero TokenBucket is empty.
+// It is not safe for concurrent use.
 type TokenBucket struct {
 	tokens   float64
 	filledAt time.Time
--- a/internal/follower/follower_test.go
+++ b/internal/follower/follower_test.go
@@ -308,8 +308,8 @@
 	})
 }
 
-// A newer configuration is announced and its blocks don't arrive: Behind returns how long
-// that has lasted, until they arrive.
+// A newer configuration is announced and its blocks don't arrive: OutdatedFor returns how
+// long that has lasted, until they arrive.
 func TestOutdatedDuration(t *testing.T) {
 	run(t, func(t *testing.T, f *fleet) {
 		f.commit(document(1, "one"))
--- a/internal/quota/client.go
+++ b/internal/quota/client.go
@@ -83,8 +83,8 @@
 	outcomeSkipped               // it was not asked, since it failed recently
 )
 
-// Take takes the cost of a request from a team's quota. The error is a *SpentError or
-// ErrNoKeeper.
+// Take takes the cost of a request from a team's quota. The error is an *ExhaustedError or
+// ErrNoQuotaServer.
 func (c *Client) Take(ctx context.Context, team string, limit Limit, cost float64) (Grant, error) {
 	exhausted, failed := 0, 0
 	for _, server := range c.shuffledServers() {
--- a/internal/relay/contract.go
+++ b/internal/relay/contract.go
@@ -117,15 +117,15 @@
 	// ReadPrefillResult reads the answer to a prefill.
 	ReadPrefillResult(r *Reply) (PrefillResult, error)
 	// Reserve reserves a slot and memory at an endpoint for the time ttl. It returns
-	// ErrNoRoom if the endpoint is full. The signals of the answer are returned with an
+	// ErrNoMemory if the endpoint is full. The signals of the answer are returned with an
 	// error too.
 	Reserve(ctx context.Context, e *dispatch.Endpoint, tokens int, ttl time.Duration) (Reservation, error)
 	// ReleaseReservation releases what Reserve has reserved.
 	ReleaseReservation(ctx context.Context, e *dispatch.Endpoint, reservationID string)
 	// ReleasePrefill frees the result of a prefill that nobody will use.
 	ReleasePrefill(ctx context.Context, e *dispatch.Endpoint, handle string)
-	// HasConnectionOpenedBefore reports whether a connection to the endpoint that was opened before the given
-	// time is still open, which shows that its process has not ended since.
+	// HasConnectionOpenedBefore reports whether a connection to the endpoint that was opened
+	// before the given time is still open, which shows that its process has not ended since.
 	HasConnectionOpenedBefore(e *dispatch.Endpoint, before time.Time) bool
 }
 
--- a/internal/relay/ending.go
+++ b/internal/relay/ending.go
@@ -9,9 +9,9 @@
 	"github.com/hyssopsail/hyssopsail/internal/dispatch"
 )
 
-// RetryAfter of a request that did not run, as shares of the caller's Patience: the
+// RetryAfter of a request that did not run, as shares of the CallerTimeout: the
 // request could not be served in time, and a burst lasts some seconds. The spread keeps
-// callers that were refused together from returning together. A caller whose Patience is
+// callers that were refused together from returning together. A caller whose timeout is
 // unknown gets defaultRetryAfter.
 const (
 	defaultRetryAfter = 400 * time.Millisecond
--- a/internal/relay/metrics.go
+++ b/internal/relay/metrics.go
@@ -40,7 +40,7 @@
 	unwantedAttempts *prometheus.CounterVec
 }
 
-// answerBuckets range from a plain call's answer to the longest Patience, in seconds.
+// answerBuckets range from a plain call's answer to the longest CallerTimeout, in seconds.
 var answerBuckets = []float64{0.02, 0.05, 0.1, 0.15, 0.3, 0.6, 0.9, 1.5, 3, 6, 14}
 
 func newMetrics(to prometheus.Registerer) *metrics {
--- a/internal/relay/model.go
+++ b/internal/relay/model.go
@@ -139,7 +139,7 @@
 
 // maxEventWait returns how long a caller waits for the next event of a stream, including
 // the first, before it leaves: the longest of two seconds, four times the target and eight
-// times the route's EventGap.
+// times the route's MaxEventGap.
 func maxEventWait(r *routetable.Route) time.Duration {
 	return max(2*time.Second, 4*r.Target, 8*r.MaxEventGap)
 }
--- a/internal/relay/progress.go
+++ b/internal/relay/progress.go
@@ -36,7 +36,7 @@
 }
 
 // isLate reports whether the first part was forwarded after the target, or another one
-// after a longer pause than the route's EventGap.
+// after a longer pause than the route's MaxEventGap.
 func (ex *activeExchange) isLate() bool {
 	lateFirst := ex.route.Target > 0 && ex.progress.firstAt.Sub(ex.exchange.Received) > ex.route.Target
 	return lateFirst || ex.route.MaxEventGap > 0 && ex.progress.pause > ex.route.MaxEventGap
--- a/internal/relay/quota.go
+++ b/internal/relay/quota.go
@@ -14,7 +14,7 @@
 // QuotaClient enforces the teams' quotas across all entries.
 type QuotaClient interface {
 	// Take takes a request's cost from a team's quota. The error is a
-	// *quota.SpentError or quota.ErrNoKeeper.
+	// *quota.ExhaustedError or quota.ErrNoQuotaServer.
 	Take(ctx context.Context, team string, limit quota.Limit, cost float64) (quota.Grant, error)
 	// Return returns the cost of a request that did not run.
 	Return(ctx context.Context, g quota.Grant) error
--- a/internal/relay/shutdown.go
+++ b/internal/relay/shutdown.go
@@ -28,7 +28,7 @@
 func (l ShutdownPlan) MaxDuration() time.Duration { return max(0, l.Timeout-shutdownMargin) }
 
 // AcceptDuration returns how long to accept new requests: as long as callers cache an address, but
-// at most three quarters of Limit, so that requests still in flight can finish.
+// at most three quarters of MaxDuration, so that requests still in flight can finish.
 func (l ShutdownPlan) AcceptDuration() time.Duration {
 	return min(addressTTLFactor*MaxAddressTTL, l.MaxDuration()*3/4)
 }
--- a/internal/retrybudget/account.go
+++ b/internal/retrybudget/account.go
@@ -44,8 +44,8 @@
 	return a.arrivals > 1
 }
 
-// RecordArrivalWith is Arrived for an attempt with a reservation of its own, which may be nil. If
-// the attempt was the first arrival, the reservation is kept for the next attempt.
+// RecordArrivalWith is RecordArrival for an attempt with a reservation of its own, which may be
+// nil. If the attempt was the first arrival, the reservation is kept for the next attempt.
 func (a *Account) RecordArrivalWith(now time.Time, own *Reservation) bool {
 	a.arrivals++
 	if a.arrivals == 1 {
--- a/internal/retrybudget/budget.go
+++ b/internal/retrybudget/budget.go
@@ -85,7 +85,7 @@
 	return b.share.fraction(now)
 }
 
-// remaining is Left for the counts of a service. The caller holds b.mu.
+// remaining is Remaining for the counts of a service. The caller holds b.mu.
 func (b *Budget) remaining(now time.Time, u *usage) float64 {
 	return u.remaining(usableFraction*b.limits.Ratio, usableFraction*b.limits.Slack*b.share.fraction(now))
 }
--- a/internal/routetable/document.go
+++ b/internal/routetable/document.go
@@ -122,8 +122,8 @@
 	Moves, Backups   bool
 	BlockTokens      int           // tokens per memory block
 	PrefillResultTTL time.Duration // how long the result of a prefill is kept
-	// MaxReservationDuration is the longest time that an endpoint reserves memory for a request before it
-	// arrives; 0 if endpoints don't.
+	// MaxReservationDuration is the longest time that an endpoint reserves memory for a request
+	// before it arrives; 0 if endpoints don't.
 	MaxReservationDuration time.Duration
 }
 
--- a/internal/schedule/contract.go
+++ b/internal/schedule/contract.go
@@ -42,7 +42,7 @@
 	Plan(in StartInput) StartPlan
 }
 
-// StartPlan is the decision of a Start policy.
+// StartPlan is the decision of a StartPolicy.
 type StartPlan struct {
 	Delay        time.Duration // delay before the prefill starts
 	ReserveFirst bool          // hold the decode grant before the prefill starts
--- a/internal/schedule/leastload.go
+++ b/internal/schedule/leastload.go
@@ -10,7 +10,7 @@
 // ignores caches, links and predicted times. It is a baseline for comparison.
 type leastReportedLoad struct{}
 
-// Choose implements Choice.
+// Choose implements ChoicePolicy.
 func (leastReportedLoad) Choose(r Request, candidates []endpoint.Candidate, _ *rand.Rand) (endpoint.Candidate, bool) {
 	var best *endpoint.Candidate
 	for n := range candidates {
--- a/internal/schedule/leastwait.go
+++ b/internal/schedule/leastwait.go
@@ -41,7 +41,7 @@
 	return leastWait{kind: kind, maxScan: maxScan, prefill: o.Prefill, links: o.Links}
 }
 
-// Choose implements Choice. It scans the candidates from a random position and
+// Choose implements ChoicePolicy. It scans the candidates from a random position and
 // probes a cache only where a full cache hit could beat the best so far.
 func (p leastWait) Choose(r Request, candidates []endpoint.Candidate, random *rand.Rand) (endpoint.Candidate, bool) {
 	if len(candidates) == 0 {
--- a/internal/schedule/modelplan.go
+++ b/internal/schedule/modelplan.go
@@ -110,7 +110,7 @@
 }
 
 // sustained returns the demands, largest shortage first, whose shortage has
-// exceeded the threshold for Hold.
+// exceeded the threshold for PlanOptions.Hold.
 func (p *ModelPlanner) sustained(now time.Time, s planState) []PlanDemand {
 	var out []PlanDemand
 	shortages := map[demandKey]float64{}
--- a/internal/schedule/names.go
+++ b/internal/schedule/names.go
@@ -72,7 +72,7 @@
 	return NameTwoChoices
 }
 
-// StartByName returns the Start policy called name. The error is a
+// StartByName returns the StartPolicy called name. The error is a
 // BadParameter.
 func StartByName(name string) (StartPolicy, error) {
 	switch name {
--- a/internal/schedule/roundrobin.go
+++ b/internal/schedule/roundrobin.go
@@ -13,7 +13,7 @@
 	next atomic.Uint64
 }
 
-// Choose implements Choice.
+// Choose implements ChoicePolicy.
 func (p *roundRobin) Choose(r Request, candidates []endpoint.Candidate, _ *rand.Rand) (endpoint.Candidate, bool) {
 	for range candidates {
 		at := p.next.Add(1) - 1
--- a/internal/schedule/twochoices.go
+++ b/internal/schedule/twochoices.go
@@ -20,7 +20,7 @@
 	links LinkCost
 }
 
-// Choose implements Choice.
+// Choose implements ChoicePolicy.
 func (p twoChoices) Choose(r Request, candidates []endpoint.Candidate, random *rand.Rand) (endpoint.Candidate, bool) {
 	var best *endpoint.Candidate
 	for range maxDrawRounds {
--- a/internal/suspect/apply.go
+++ b/internal/suspect/apply.go
@@ -95,8 +95,8 @@
 	return out
 }
 
-// evictionRemovals returns removals that keep the number of suspects within Limits.Most: those
-// unchanged for longest first and quarantined ones last, so that many crashes of requests
+// evictionRemovals returns removals that keep the number of suspects within Limits.MaxTracked:
+// those unchanged for longest first and quarantined ones last, so that many crashes of requests
 // with many neighbours don't release a request that is known to crash endpoints.
 func evictionRemovals(suspects map[fleet.Fingerprint]fleet.Suspect, changed []fleet.Suspect, limits Limits) []fleet.Suspect {
 	after := make(map[fleet.Fingerprint]fleet.Suspect, len(suspects)+len(changed))
--- a/internal/suspect/limits.go
+++ b/internal/suspect/limits.go
@@ -8,5 +8,5 @@
 	MaxTracked int           // maximum number of suspects; quarantined ones are evicted last
 }
 
-// DefaultLimits apply where the settings have no value: Life follows their quarantine life.
+// DefaultLimits apply where the settings have no value: TTL follows their quarantine life.
 var DefaultLimits = Limits{TTL: time.Hour, MaxTracked: 4096}
--- a/internal/suspect/losses.go
+++ b/internal/suspect/losses.go
@@ -15,7 +15,7 @@
 	// of one crash less than a quarantine takes. When an endpoint dies, every request that ran
 	// there has the weight of one crash, which is too many findings to share.
 	minSharedWeight = (MultiSuspectCrashes - 1) * crashWeight
-	// evictionKeepFraction is the fraction of Limits.Most that an eviction leaves.
+	// evictionKeepFraction is the fraction of Limits.MaxTracked that an eviction leaves.
 	evictionKeepFraction = 0.75
 )
 
