--- a/internal/coordinator/commands.go
+++ b/internal/coordinator/commands.go
@@ -77,7 +77,7 @@
 		return trace.Wrap(ErrUnavailable, "this member is out of touch")
 	}
 	if known.GetState() != pb.EndpointState_ENDPOINT_STATE_GONE && known.GetBorn() == r.Born {
-		c.recordEndpointHeard(r.Id)
+		c.recordEndpointSeen(r.Id)
 	}
 	return nil
 }
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -35,9 +35,9 @@
 	refusalLog *rate.Limiter
 
 	mu              sync.Mutex
-	endpointsHeard  map[string]bool      // endpoints heard since the last report to the leader
-	entriesHeard    map[string]bool      // entries heard since then
-	lastHeard       map[string]time.Time // as leader: when each endpoint and entry was last heard
+	endpointsSeen   map[string]bool      // endpoints heard since the last report to the leader
+	entriesSeen     map[string]bool      // entries heard since then
+	lastSeen        map[string]time.Time // as leader: when each endpoint and entry was last heard
 	leadingSince    time.Time            // zero when not leading
 	lastLeaderRun   time.Time            // as leader: when runLeaderTasks last looked for expired records
 	contactUntil    time.Time
@@ -56,9 +56,9 @@
 		versions:        newEntryVersions(),
 		ready:           make(chan struct{}),
 		refusalLog:      rate.NewLimiter(refusalLogsPerSecond, refusalLogBurst),
-		endpointsHeard:  map[string]bool{},
-		entriesHeard:    map[string]bool{},
-		lastHeard:       map[string]time.Time{},
+		endpointsSeen:   map[string]bool{},
+		entriesSeen:     map[string]bool{},
+		lastSeen:        map[string]time.Time{},
 		inProgress:      map[string]bool{},
 		contactRegained: make(chan struct{}),
 	}
--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -212,10 +212,10 @@
 		old := f.leader(f.instances...)
 		f.restart(old, false)
 		time.Sleep(2 * time.Second)
-		assert.Equal(t, state(), pb.EndpointState_ENDPOINT_STATE_READY, "a new leader has heard nobody yet")
+		assert.Equal(t, state(), pb.EndpointState_ENDPOINT_STATE_READY, "a new leader has received no heartbeat yet")
 		f.await(8*time.Second, "silent", func() bool { return state() == pb.EndpointState_ENDPOINT_STATE_SILENT })
 		assert.NilError(t, beat(1, 50))
-		f.await(time.Second, "heard again", func() bool { return state() == pb.EndpointState_ENDPOINT_STATE_READY })
+		f.await(time.Second, "received a heartbeat again", func() bool { return state() == pb.EndpointState_ENDPOINT_STATE_READY })
 	})
 }
 
@@ -224,7 +224,7 @@
 func TestAddresses(t *testing.T) {
 	runFleet(t, 3, func(t *testing.T, f *fleet) {
 		f.formed()
-		ask := func(r *pb.EntryRecord) {
+		poll := func(r *pb.EntryRecord) {
 			_, err := f.instances[0].Follow(f.within(time.Second), &pb.FollowRequest{Self: r})
 			assert.NilError(t, err)
 		}
@@ -236,7 +236,7 @@
 		list := func(zone string) []string { return f.instances[1].EntryAddresses(zone, "r") }
 		for range 4 {
 			for _, e := range entries {
-				ask(e)
+				poll(e)
 			}
 			time.Sleep(500 * time.Millisecond)
 		}
@@ -244,7 +244,7 @@
 		assert.Equal(t, list("y")[0], "c:1")
 		assert.Equal(t, len(list("y")), 2, "a caller needs a second entry when its zone's entry is down")
 		entries[0].Gone = true
-		ask(entries[0])
+		poll(entries[0])
 		f.await(300*time.Millisecond, "left", func() bool { return list("z")[0] != "a:1" })
 		f.await(3*time.Second, "all silent", func() bool { return len(list("z")) == 0 })
 	})
--- a/internal/coordinator/lost.go
+++ b/internal/coordinator/lost.go
@@ -13,13 +13,13 @@
 // replacements the loss of one more instance would stop the group. A voter that was only
 // away joins again when it is back.
 func (c *Coordinator) removeLostVoter() {
-	heard, silent := c.partitionVoters()
+	responsive, silent := c.partitionVoters()
 	after := voterRemovalDelay
-	if quorumAtRisk(heard, len(silent), c.options.Tolerance) {
+	if quorumAtRisk(responsive, len(silent), c.options.Tolerance) {
 		after = urgentRemovalDelay
 	}
 	lost := c.firstSilentFor(silent, after)
-	if lost == nil || heard < c.options.requiredVoters() || !c.beginTask(lost.DiskId) {
+	if lost == nil || responsive < c.options.requiredVoters() || !c.beginTask(lost.DiskId) {
 		return
 	}
 	go func() {
@@ -27,28 +27,28 @@
 		ctx, cancel := context.WithTimeout(context.Background(), joinTimeout)
 		defer cancel()
 		_, err := c.options.Group.ProposeMember(ctx, true, lost)
-		c.options.Part.Warn("Removing a silent voter finished.", "instance", lost.InstanceId, "disk", lost.DiskId, "heard", heard, "err", err)
+		c.options.Part.Warn("Removing a silent voter finished.", "instance", lost.InstanceId, "disk", lost.DiskId, "heard", responsive, "err", err)
 	}()
 }
 
 // partitionVoters counts the voters that are heard, including this one, and returns the
 // silent ones.
-func (c *Coordinator) partitionVoters() (heard int, silent []replica.MemberProgress) {
+func (c *Coordinator) partitionVoters() (responsive int, silent []replica.MemberProgress) {
 	for _, m := range c.options.Group.Status().Members {
 		switch {
 		case m.Member.Learner:
-		case c.isHeard(m):
-			heard++
+		case c.isResponsive(m):
+			responsive++
 		default:
 			silent = append(silent, m)
 		}
 	}
-	return heard, silent
+	return responsive, silent
 }
 
-// isHeard reports whether a member answered within memberTimeout; this member always
+// isResponsive reports whether a member answered within memberTimeout; this member always
 // counts as heard.
-func (c *Coordinator) isHeard(m replica.MemberProgress) bool {
+func (c *Coordinator) isResponsive(m replica.MemberProgress) bool {
 	return m.Member.DiskId == c.options.Self.DiskId || m.LastContactMs >= 0 && m.LastContactMs < memberTimeout.Milliseconds()
 }
 
@@ -75,9 +75,9 @@
 // A group whose remaining voters could not bear that many losses is left alone: a change
 // that few disks hold could be lost with them. So is a single silent voter: it is usually
 // back soon, and each removal and return changes the membership.
-func quorumAtRisk(heard, silent, tolerance int) bool {
-	majority := (heard+silent)/2 + 1
-	return silent >= minSilentVotersAtRisk && heard-tolerance < majority && heard-tolerance > heard/2
+func quorumAtRisk(responsive, silent, tolerance int) bool {
+	majority := (responsive+silent)/2 + 1
+	return silent >= minSilentVotersAtRisk && responsive-tolerance < majority && responsive-tolerance > responsive/2
 }
 
 func (c *Coordinator) leadingLongerThan(d time.Duration) bool {
--- a/internal/coordinator/membership.go
+++ b/internal/coordinator/membership.go
@@ -170,7 +170,7 @@
 // would stop the group.
 func (c *Coordinator) findReplacedDisks(ctx context.Context) {
 	for _, m := range c.options.Group.Status().Members {
-		if !c.isHeard(m) && c.beginTask(m.Member.RpcAddress) {
+		if !c.isResponsive(m) && c.beginTask(m.Member.RpcAddress) {
 			go c.identify(ctx, m.Member)
 		}
 	}
--- a/internal/coordinator/replaced_test.go
+++ b/internal/coordinator/replaced_test.go
@@ -46,9 +46,9 @@
 
 func TestQuorumAtRisk(t *testing.T) {
 	for _, test := range []struct {
-		name                     string
-		heard, silent, tolerance int
-		want                     bool
+		name                          string
+		responsive, silent, tolerance int
+		want                          bool
 	}{
 		{"nobody silent", 5, 0, 1, false},
 		{"one of five down", 4, 1, 1, false},
@@ -61,6 +61,6 @@
 		{"one of six down", 5, 1, 2, false},
 		{"three replaced, of five", 5, 3, 1, true},
 	} {
-		assert.Equal(t, quorumAtRisk(test.heard, test.silent, test.tolerance), test.want, test.name)
+		assert.Equal(t, quorumAtRisk(test.responsive, test.silent, test.tolerance), test.want, test.name)
 	}
 }
--- a/internal/coordinator/seen.go
+++ b/internal/coordinator/seen.go
@@ -13,16 +13,16 @@
 	"github.com/hyssopsail/hyssopsail/internal/sleep"
 )
 
-func (c *Coordinator) recordEndpointHeard(endpoint string) {
+func (c *Coordinator) recordEndpointSeen(endpoint string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.endpointsHeard[endpoint] = true
+	c.endpointsSeen[endpoint] = true
 }
 
-func (c *Coordinator) recordEntryHeard(entry string) {
+func (c *Coordinator) recordEntrySeen(entry string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.entriesHeard[entry] = true
+	c.entriesSeen[entry] = true
 }
 
 // runSeenReports reports to the leader every seenReportInterval until ctx ends, and at
@@ -112,10 +112,10 @@
 	defer c.mu.Unlock()
 	request := &pb.SeenRequest{
 		Member:    c.options.Self.DiskId,
-		Endpoints: slices.Collect(maps.Keys(c.endpointsHeard)), Entries: slices.Collect(maps.Keys(c.entriesHeard)),
+		Endpoints: slices.Collect(maps.Keys(c.endpointsSeen)), Entries: slices.Collect(maps.Keys(c.entriesSeen)),
 	}
-	clear(c.endpointsHeard)
-	clear(c.entriesHeard)
+	clear(c.endpointsSeen)
+	clear(c.entriesSeen)
 	return request
 }
 
@@ -123,10 +123,10 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, id := range request.Endpoints {
-		c.endpointsHeard[id] = true
+		c.endpointsSeen[id] = true
 	}
 	for _, id := range request.Entries {
-		c.entriesHeard[id] = true
+		c.entriesSeen[id] = true
 	}
 }
 
@@ -153,10 +153,10 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, id := range request.Endpoints {
-		c.lastHeard[id] = now
+		c.lastSeen[id] = now
 	}
 	for _, id := range request.Entries {
-		c.lastHeard[id] = now
+		c.lastSeen[id] = now
 	}
 	return &pb.SeenReply{Index: index}, nil
 }
@@ -189,7 +189,7 @@
 	defer c.mu.Unlock()
 	if c.leadingSince.IsZero() || now.Sub(c.lastLeaderRun) > 2*leaderRunInterval+callTimeout {
 		c.leadingSince = now
-		clear(c.lastHeard)
+		clear(c.lastSeen)
 	}
 	c.lastLeaderRun = now
 	expired := &pb.Expire{}
@@ -221,9 +221,9 @@
 // silenceOf returns how long a record has been unheard. A record that was never heard
 // counts from the first call. It is called with c.mu held.
 func (c *Coordinator) silenceOf(id string, now time.Time) time.Duration {
-	last, ok := c.lastHeard[id]
+	last, ok := c.lastSeen[id]
 	if !ok {
-		c.lastHeard[id] = now
+		c.lastSeen[id] = now
 		return 0
 	}
 	return now.Sub(last)
--- a/internal/coordinator/serve.go
+++ b/internal/coordinator/serve.go
@@ -153,7 +153,7 @@
 // nothing is proposed: it could not be committed, and hundreds of entries poll again and
 // again.
 func (c *Coordinator) recordEntry(r *pb.EntryRecord) {
-	c.recordEntryHeard(r.Id)
+	c.recordEntrySeen(r.Id)
 	if !c.current(time.Now()) || !catalog.EntryChanges(c.options.Machine.Entry(r.Id), r) || !c.beginTask(r.Id) {
 		return
 	}
--- a/internal/dispatch/answer_duration.go
+++ b/internal/dispatch/answer_duration.go
@@ -14,28 +14,28 @@
 
 // RecordAnswer records that an answer of estimate tokens took the given time
 // from its first part to its end.
-func (b *EndpointStats) RecordAnswer(service string, estimate int, took time.Duration) {
+func (stats *EndpointStats) RecordAnswer(service string, estimate int, took time.Duration) {
 	if estimate <= 0 || took <= 0 {
 		return
 	}
 	measured := float64(took) / float64(estimate)
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	average := b.tokenDurationNs(service)
-	b.tokenDurationsNs[service] = average + tokenDurationWeight*(min(measured, 3*average)-average)
+	stats.mu.Lock()
+	defer stats.mu.Unlock()
+	average := stats.tokenDurationNs(service)
+	stats.tokenDurationsNs[service] = average + tokenDurationWeight*(min(measured, 3*average)-average)
 }
 
 // EstimateAnswerDuration returns the expected generation time of an answer of estimate tokens.
-func (b *EndpointStats) EstimateAnswerDuration(service string, estimate int) time.Duration {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return time.Duration(b.tokenDurationNs(service) * float64(estimate))
+func (stats *EndpointStats) EstimateAnswerDuration(service string, estimate int) time.Duration {
+	stats.mu.Lock()
+	defer stats.mu.Unlock()
+	return time.Duration(stats.tokenDurationNs(service) * float64(estimate))
 }
 
 // tokenDurationNs returns a service's average generation time per estimated
-// token, in ns. The caller must hold b.mu.
-func (b *EndpointStats) tokenDurationNs(service string) float64 {
-	if average, ok := b.tokenDurationsNs[service]; ok {
+// token, in ns. The caller must hold stats.mu.
+func (stats *EndpointStats) tokenDurationNs(service string) float64 {
+	if average, ok := stats.tokenDurationsNs[service]; ok {
 		return average
 	}
 	return float64(initialTokenDuration)
--- a/internal/dispatch/blocked.go
+++ b/internal/dispatch/blocked.go
@@ -4,40 +4,40 @@
 
 // Block stops all traffic to an endpoint until the given time. Unlike an ejected
 // endpoint, a blocked one isn't chosen even if it is the only candidate.
-func (b *EndpointStats) Block(e *Endpoint, until time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.block(b.stateOf(e.Incarnation()), until)
+func (stats *EndpointStats) Block(e *Endpoint, until time.Time) {
+	stats.mu.Lock()
+	defer stats.mu.Unlock()
+	stats.block(stats.stateOf(e.Incarnation()), until)
 }
 
-// block implements Block. The caller must hold b.mu.
-func (b *EndpointStats) block(s *endpointState, until time.Time) {
+// block implements Block. The caller must hold stats.mu.
+func (stats *EndpointStats) block(s *endpointState, until time.Time) {
 	if until.After(s.blockedUntil) {
 		s.blockedUntil = until
 	}
-	if until.After(b.blockedUntil) {
-		b.blockedUntil = until
+	if until.After(stats.blockedUntil) {
+		stats.blockedUntil = until
 	}
 }
 
 // IsBlocked reports whether an endpoint is blocked now.
-func (b *EndpointStats) IsBlocked(now time.Time, e *Endpoint) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.lookup(e.Incarnation())
+func (stats *EndpointStats) IsBlocked(now time.Time, e *Endpoint) bool {
+	stats.mu.Lock()
+	defer stats.mu.Unlock()
+	s := stats.lookup(e.Incarnation())
 	return s != nil && s.isBlocked(now)
 }
 
 // Unblocked returns the endpoints that aren't blocked now. It reuses the array of list.
-func (b *EndpointStats) Unblocked(now time.Time, list []*Endpoint) []*Endpoint {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if !now.Before(b.blockedUntil) {
+func (stats *EndpointStats) Unblocked(now time.Time, list []*Endpoint) []*Endpoint {
+	stats.mu.Lock()
+	defer stats.mu.Unlock()
+	if !now.Before(stats.blockedUntil) {
 		return list
 	}
 	unblocked := list[:0]
 	for _, e := range list {
-		if s := b.lookup(e.Incarnation()); s == nil || !s.isBlocked(now) {
+		if s := stats.lookup(e.Incarnation()); s == nil || !s.isBlocked(now) {
 			unblocked = append(unblocked, e)
 		}
 	}
@@ -46,13 +46,13 @@
 
 // NextUnblockTime returns the earliest time at which one of the blocked endpoints is unblocked;
 // zero if there is none. A leaving endpoint is left out: it gets no more work.
-func (b *EndpointStats) NextUnblockTime(now time.Time, list []*Endpoint) time.Time {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (stats *EndpointStats) NextUnblockTime(now time.Time, list []*Endpoint) time.Time {
+	stats.mu.Lock()
+	defer stats.mu.Unlock()
 	var first time.Time
 	for _, e := range list {
-		s := b.lookup(e.Incarnation())
-		if s == nil || !s.isBlocked(now) || s.isLeaving(now) && b.policy.Has(AvoidLeaving) {
+		s := stats.lookup(e.Incarnation())
+		if s == nil || !s.isBlocked(now) || s.isLeaving(now) && stats.policy.Has(AvoidLeaving) {
 			continue
 		}
 		if first.IsZero() || s.blockedUntil.Before(first) {
--- a/internal/dispatch/choose.go
+++ b/internal/dispatch/choose.go
@@ -42,16 +42,16 @@
 // Choose returns the eligible endpoint of least cost. If all are ejected, it
 // returns the one whose ejection ends first, since waiting until then would serve
 // no request. ok is false if there are no candidates.
-func (b *EndpointStats) Choose(now time.Time, candidates []*Endpoint, load LoadFunc) (choice Choice, ok bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	baseFailureShare := b.minFailureShare(candidates)
+func (stats *EndpointStats) Choose(now time.Time, candidates []*Endpoint, load LoadFunc) (choice Choice, ok bool) {
+	stats.mu.Lock()
+	defer stats.mu.Unlock()
+	baseFailureShare := stats.minFailureShare(candidates)
 	eligible := 0
 	var best, fallback Choice
 	var fallbackUntil time.Time
 	for _, e := range candidates {
-		s := b.stateOf(e.Incarnation())
-		c := b.evaluate(now, e, s, load, baseFailureShare)
+		s := stats.stateOf(e.Incarnation())
+		c := stats.evaluate(now, e, s, load, baseFailureShare)
 		if s.isEligible(now) {
 			eligible++
 			best = cheaper(best, c)
@@ -78,18 +78,18 @@
 
 // minFailureShare returns the lowest failure share of the candidates: failures
 // that they have in common come from the requests, and no choice avoids them.
-func (b *EndpointStats) minFailureShare(candidates []*Endpoint) float64 {
+func (stats *EndpointStats) minFailureShare(candidates []*Endpoint) float64 {
 	least := 1.0
 	for _, e := range candidates {
-		least = min(least, b.stateOf(e.Incarnation()).failureShare)
+		least = min(least, stats.stateOf(e.Incarnation()).failureShare)
 	}
 	return least
 }
 
-func (b *EndpointStats) evaluate(now time.Time, e *Endpoint, s *endpointState, load LoadFunc, baseFailureShare float64) Choice {
+func (stats *EndpointStats) evaluate(now time.Time, e *Endpoint, s *endpointState, load LoadFunc, baseFailureShare float64) Choice {
 	others := s.estimateOthers(now)
 	endpointLoad := load(e, s.ownInFlight, s.promptTokens, s.memoryTokens, others)
-	if b.policy.Has(ObservedWaits) {
+	if stats.policy.Has(ObservedWaits) {
 		endpointLoad = max(endpointLoad, s.estimateWait(now))
 	}
 	cost := endpointLoad
@@ -97,10 +97,10 @@
 	if now.Sub(s.fullAt) < fullPenaltyDuration {
 		cost += fullCost
 	}
-	if e.Zone != b.zone {
+	if e.Zone != stats.zone {
 		cost += otherZoneCost
 	}
-	cost += costJitter * b.random.Float64()
+	cost += costJitter * stats.random.Float64()
 	c := Choice{Endpoint: e, Cost: cost, EndpointLoad: endpointLoad, OwnInFlight: s.ownInFlight, OthersInFlight: others, ReportAgeMs: -1}
 	if !s.reportedAt.IsZero() {
 		c.ReportAgeMs = now.Sub(s.reportedAt).Milliseconds()
--- a/internal/dispatch/cooldown.go
+++ b/internal/dispatch/cooldown.go
@@ -43,12 +43,12 @@
 }
 
 // StartCooldown records that an endpoint requested a cooldown from this entry.
-func (b *EndpointStats) StartCooldown(now time.Time, e *Endpoint, d time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.stateOf(e.Incarnation())
-	b.applyCooldown(s, now.Add(d))
-	b.cooldowns[e.ID] = requestedCooldown{receivedAt: now, until: s.cooldownUntil}
+func (stats *EndpointStats) StartCooldown(now time.Time, e *Endpoint, d time.Duration) {
+	stats.mu.Lock()
+	defer stats.mu.Unlock()
+	s := stats.stateOf(e.Incarnation())
+	stats.applyCooldown(s, now.Add(d))
+	stats.cooldowns[e.ID] = requestedCooldown{receivedAt: now, until: s.cooldownUntil}
 }
 
 // requestedCooldown is a cooldown that was requested under an endpoint's ID.
@@ -64,26 +64,26 @@
 	return id.Born > 0 && !c.receivedAt.IsZero() && c.receivedAt.UnixMilli() >= int64(id.Born)
 }
 
-// applyCooldown extends the cooldown of an endpoint to until. The caller must hold b.mu.
-func (b *EndpointStats) applyCooldown(s *endpointState, until time.Time) {
+// applyCooldown extends the cooldown of an endpoint to until. The caller must hold stats.mu.
+func (stats *EndpointStats) applyCooldown(s *endpointState, until time.Time) {
 	if until.After(s.cooldownUntil) {
 		s.cooldownUntil = until
 	}
-	if b.policy.Has(HonorCooldown) {
-		b.block(s, s.cooldownUntil)
+	if stats.policy.Has(HonorCooldown) {
+		stats.block(s, s.cooldownUntil)
 	}
 }
 
 // RecordLeaving records that an endpoint announced that it is leaving. It reports whether that is
 // new.
-func (b *EndpointStats) RecordLeaving(now time.Time, e *Endpoint) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.stateOf(e.Incarnation())
+func (stats *EndpointStats) RecordLeaving(now time.Time, e *Endpoint) bool {
+	stats.mu.Lock()
+	defer stats.mu.Unlock()
+	s := stats.stateOf(e.Incarnation())
 	isNew := !s.isLeaving(now)
 	s.leavingUntil = now.Add(leavingDuration)
-	if b.policy.Has(AvoidLeaving) {
-		b.block(s, s.leavingUntil)
+	if stats.policy.Has(AvoidLeaving) {
+		stats.block(s, s.leavingUntil)
 	}
 	return isNew
 }
@@ -99,13 +99,13 @@
 )
 
 // String returns the name used in logs and metrics.
-func (u Availability) String() string { return [...]string{"wanted", "resting", "leaving"}[u] }
+func (a Availability) String() string { return [...]string{"wanted", "resting", "leaving"}[a] }
 
 // Availability returns the current Availability of an endpoint. Leaving has precedence.
-func (b *EndpointStats) Availability(now time.Time, e *Endpoint) Availability {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.lookup(e.Incarnation())
+func (stats *EndpointStats) Availability(now time.Time, e *Endpoint) Availability {
+	stats.mu.Lock()
+	defer stats.mu.Unlock()
+	s := stats.lookup(e.Incarnation())
 	switch {
 	case s == nil:
 		return Accepting
@@ -119,12 +119,12 @@
 
 // AllowedBySignals reports whether an endpoint's signals allow requests from this entry now,
 // given the mechanisms that are on.
-func (b *EndpointStats) AllowedBySignals(now time.Time, e *Endpoint) bool {
-	switch b.Availability(now, e) {
+func (stats *EndpointStats) AllowedBySignals(now time.Time, e *Endpoint) bool {
+	switch stats.Availability(now, e) {
 	case CoolingDown:
-		return !b.policy.Has(HonorCooldown)
+		return !stats.policy.Has(HonorCooldown)
 	case Leaving:
-		return !b.policy.Has(AvoidLeaving)
+		return !stats.policy.Has(AvoidLeaving)
 	case Accepting:
 	}
 	return true
--- a/internal/dispatch/endpoint_stats.go
+++ b/internal/dispatch/endpoint_stats.go
@@ -28,29 +28,29 @@
 	return &EndpointStats{zone: zone, policy: policy, random: rand.New(rand.NewPCG(seed, 1)), states: map[Incarnation]*endpointState{}, prefillSpeeds: map[string]*prefillSpeed{}, tokenDurationsNs: map[string]float64{}, cooldowns: map[string]requestedCooldown{}}
 }
 
-func (b *EndpointStats) stateOf(id Incarnation) *endpointState {
-	s := b.states[id]
+func (stats *EndpointStats) stateOf(id Incarnation) *endpointState {
+	s := stats.states[id]
 	if s == nil {
 		s = &endpointState{}
-		b.states[id] = s
+		stats.states[id] = s
 	}
 	return s
 }
 
 // lookup returns the state of an endpoint, with a cooldown that was requested under its
 // ID; nil if there is neither.
-func (b *EndpointStats) lookup(id Incarnation) *endpointState {
-	if c := b.cooldowns[id.ID]; c.appliesTo(id) {
-		b.applyCooldown(b.stateOf(id), c.until)
+func (stats *EndpointStats) lookup(id Incarnation) *endpointState {
+	if c := stats.cooldowns[id.ID]; c.appliesTo(id) {
+		stats.applyCooldown(stats.stateOf(id), c.until)
 	}
-	return b.states[id]
+	return stats.states[id]
 }
 
 // Begin records the start of an attempt; End must follow.
-func (b *EndpointStats) Begin(now time.Time, e *Endpoint, w Work) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.stateOf(e.Incarnation())
+func (stats *EndpointStats) Begin(now time.Time, e *Endpoint, w Work) {
+	stats.mu.Lock()
+	defer stats.mu.Unlock()
+	s := stats.stateOf(e.Incarnation())
 	s.ownInFlight++
 	s.promptTokens += w.PromptTokens
 	s.memoryTokens += w.MemoryTokens
@@ -61,22 +61,22 @@
 }
 
 // End records the end of an attempt. w must equal the argument of Begin.
-func (b *EndpointStats) End(now time.Time, e *Endpoint, w Work, o Outcome) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.stateOf(e.Incarnation())
+func (stats *EndpointStats) End(now time.Time, e *Endpoint, w Work, o Outcome) {
+	stats.mu.Lock()
+	defer stats.mu.Unlock()
+	s := stats.stateOf(e.Incarnation())
 	s.ownInFlight--
 	s.promptTokens -= w.PromptTokens
 	s.memoryTokens -= w.MemoryTokens
 	s.lastUsed = now
-	s.recordOutcome(now, o, b.policy)
+	s.recordOutcome(now, o, stats.policy)
 }
 
 // RecordOutcome records the outcome of a call that was not recorded by Begin.
-func (b *EndpointStats) RecordOutcome(now time.Time, e *Endpoint, o Outcome) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.stateOf(e.Incarnation()).recordOutcome(now, o, b.policy)
+func (stats *EndpointStats) RecordOutcome(now time.Time, e *Endpoint, o Outcome) {
+	stats.mu.Lock()
+	defer stats.mu.Unlock()
+	stats.stateOf(e.Incarnation()).recordOutcome(now, o, stats.policy)
 }
 
 func (s *endpointState) recordOutcome(now time.Time, o Outcome, policy Policy) {
@@ -121,39 +121,39 @@
 }
 
 // RecordLoad records the load that an endpoint reported with an answer.
-func (b *EndpointStats) RecordLoad(now time.Time, e *Endpoint, l ReportedLoad) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.stateOf(e.Incarnation())
+func (stats *EndpointStats) RecordLoad(now time.Time, e *Endpoint, l ReportedLoad) {
+	stats.mu.Lock()
+	defer stats.mu.Unlock()
+	s := stats.stateOf(e.Incarnation())
 	s.othersInFlight = max(0, float64(l.Running+l.Waiting-s.ownInFlight))
 	s.reportedAt = now
 }
 
 // RecordFull records that an endpoint rejected a request for lack of memory or capacity.
-func (b *EndpointStats) RecordFull(now time.Time, e *Endpoint) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.stateOf(e.Incarnation()).fullAt = now
+func (stats *EndpointStats) RecordFull(now time.Time, e *Endpoint) {
+	stats.mu.Lock()
+	defer stats.mu.Unlock()
+	stats.stateOf(e.Incarnation()).fullAt = now
 }
 
 // RefusedRecently reports whether an endpoint has rejected an attempt recently.
-func (b *EndpointStats) RefusedRecently(now time.Time, e *Endpoint) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.states[e.Incarnation()]
+func (stats *EndpointStats) RefusedRecently(now time.Time, e *Endpoint) bool {
+	stats.mu.Lock()
+	defer stats.mu.Unlock()
+	s := stats.states[e.Incarnation()]
 	return s != nil && !s.refusedAt.IsZero() && now.Sub(s.refusedAt) < recentRefusalDuration
 }
 
 // Zone returns the entry's zone.
-func (b *EndpointStats) Zone() string { return b.zone }
+func (stats *EndpointStats) Zone() string { return stats.zone }
 
 // UnavailableIDs returns the IDs of the endpoints that are ejected or blocked now.
-func (b *EndpointStats) UnavailableIDs(now time.Time, endpoints []*Endpoint) []string {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (stats *EndpointStats) UnavailableIDs(now time.Time, endpoints []*Endpoint) []string {
+	stats.mu.Lock()
+	defer stats.mu.Unlock()
 	var list []string
 	for _, e := range endpoints {
-		if s := b.lookup(e.Incarnation()); s != nil && (!s.isEligible(now) || s.isBlocked(now)) {
+		if s := stats.lookup(e.Incarnation()); s != nil && (!s.isEligible(now) || s.isBlocked(now)) {
 			list = append(list, e.ID)
 		}
 	}
@@ -162,17 +162,17 @@
 
 // Sweep removes expired cooldowns and the state of endpoints that have been idle for
 // idleStateTimeout, unless they are blocked, leaving or in a cooldown.
-func (b *EndpointStats) Sweep(now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for id, s := range b.states {
+func (stats *EndpointStats) Sweep(now time.Time) {
+	stats.mu.Lock()
+	defer stats.mu.Unlock()
+	for id, s := range stats.states {
 		if s.ownInFlight == 0 && now.Sub(s.lastUsed) > idleStateTimeout && !s.isBlocked(now) && !s.isLeaving(now) && !now.Before(s.cooldownUntil) {
-			delete(b.states, id)
+			delete(stats.states, id)
 		}
 	}
-	for id, c := range b.cooldowns {
+	for id, c := range stats.cooldowns {
 		if !now.Before(c.until) {
-			delete(b.cooldowns, id)
+			delete(stats.cooldowns, id)
 		}
 	}
 }
--- a/internal/dispatch/prefill.go
+++ b/internal/dispatch/prefill.go
@@ -16,31 +16,31 @@
 // RecordPrefill records that prefill of a prompt took the given time at an endpoint,
 // including its wait there. The wait is the best evidence of other entries' prompts:
 // their number is only reported with this entry's own answers.
-func (b *EndpointStats) RecordPrefill(now time.Time, e *Endpoint, tokens int, took time.Duration) {
+func (stats *EndpointStats) RecordPrefill(now time.Time, e *Endpoint, tokens int, took time.Duration) {
 	if took <= 0 || tokens <= 0 {
 		return
 	}
 	measured := float64(tokens) / took.Seconds()
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	speed := b.prefillSpeeds[e.Service]
+	stats.mu.Lock()
+	defer stats.mu.Unlock()
+	speed := stats.prefillSpeeds[e.Service]
 	if speed == nil {
 		speed = &prefillSpeed{tokensPerSecond: initialPrefillTokensPerSecond}
-		b.prefillSpeeds[e.Service] = speed
+		stats.prefillSpeeds[e.Service] = speed
 	}
 	speed.tokensPerSecond = max(measured, speed.tokensPerSecond-prefillSpeedDecay*(speed.tokensPerSecond-measured))
-	s := b.stateOf(e.Incarnation())
+	s := stats.stateOf(e.Incarnation())
 	s.observedWait = max(0, speed.tokensPerSecond/measured-1)
 	s.waitObservedAt = now
 }
 
 // EstimatePrefillDuration returns the expected prefill duration of a prompt, including its wait.
 // queued is the work ahead of it, in multiples of its own prefill duration.
-func (b *EndpointStats) EstimatePrefillDuration(service string, tokens int, queued float64) time.Duration {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (stats *EndpointStats) EstimatePrefillDuration(service string, tokens int, queued float64) time.Duration {
+	stats.mu.Lock()
+	defer stats.mu.Unlock()
 	tokensPerSecond := float64(initialPrefillTokensPerSecond)
-	if speed := b.prefillSpeeds[service]; speed != nil {
+	if speed := stats.prefillSpeeds[service]; speed != nil {
 		tokensPerSecond = speed.tokensPerSecond
 	}
 	return time.Duration((1 + queued) * float64(tokens) / tokensPerSecond * float64(time.Second))
@@ -71,7 +71,7 @@
 )
 
 // String returns the name used in logs and metrics.
-func (p PrefillMode) String() string { return [...]string{"reader", "own", "later"}[p] }
+func (m PrefillMode) String() string { return [...]string{"reader", "own", "later"}[m] }
 
 // The parameters of prefill placement.
 const (
@@ -89,23 +89,23 @@
 
 // Bounds returns the longest acceptable wait at a prefill endpoint for a prompt whose
 // prefill alone takes the given time there, and whether local prefill is allowed.
-func (r PrefillPlacement) Bounds(alone time.Duration) (maxBacklog time.Duration, allowLocal bool) {
+func (p PrefillPlacement) Bounds(alone time.Duration) (maxBacklog time.Duration, allowLocal bool) {
 	local := localPrefillFactor * alone
-	return max(maxRemotePrefillDuration, local) - alone, r.allowsLocalPrefill(local)
+	return max(maxRemotePrefillDuration, local) - alone, p.allowsLocalPrefill(local)
 }
 
-func (r PrefillPlacement) allowsLocalPrefill(local time.Duration) bool {
-	return r.Policy.Has(AllowLocalPrefill) && (r.MaxEventGap == 0 || local <= time.Duration(eventGapShare*float64(r.MaxEventGap)))
+func (p PrefillPlacement) allowsLocalPrefill(local time.Duration) bool {
+	return p.Policy.Has(AllowLocalPrefill) && (p.MaxEventGap == 0 || local <= time.Duration(eventGapShare*float64(p.MaxEventGap)))
 }
 
 // Choose returns where a prompt is prefilled. alone is its prefill duration at a
 // prefill endpoint without other prompts, total the duration including its wait.
-func (r PrefillPlacement) Choose(alone, total time.Duration) PrefillMode {
+func (p PrefillPlacement) Choose(alone, total time.Duration) PrefillMode {
 	local := localPrefillFactor * alone
 	if total <= max(maxRemotePrefillDuration, 2*alone) || total <= local {
 		return PrefillRemote
 	}
-	if r.allowsLocalPrefill(local) {
+	if p.allowsLocalPrefill(local) {
 		return PrefillLocal
 	}
 	return PrefillDeferred
--- a/internal/relay/allocate.go
+++ b/internal/relay/allocate.go
@@ -12,10 +12,10 @@
 // Allocator assigns places for the whole fleet. An error means that no home could be
 // asked.
 type Allocator interface {
-	Allot(ctx context.Context, service string, ask allocation.ReservationRequest, wait time.Duration) (allocation.Reservation, error)
-	Settle(ctx context.Context, p allocation.Reservation, o allocation.Outcome) error
+	Allot(ctx context.Context, service string, request allocation.ReservationRequest, wait time.Duration) (allocation.Reservation, error)
+	Settle(ctx context.Context, r allocation.Reservation, o allocation.Outcome) error
 	// Read reports that a prefill took a different time than was promised.
-	Read(ctx context.Context, p allocation.Reservation, o allocation.Outcome, reading, took time.Duration) error
+	Read(ctx context.Context, r allocation.Reservation, o allocation.Outcome, prefillTime, took time.Duration) error
 }
 
 // maxAllocationWait limits one request for a place; an exchange that waits longer asks
@@ -32,7 +32,7 @@
 // Load pattern: hundreds of entries share a hundred endpoints, so that each entry uses an
 // endpoint once in minutes, and a burst fills nearly all of them. Entries that ask
 // endpoints by themselves pick full ones, since they know nothing about them.
-func (ex *activeExchange) allocate(ctx context.Context, left time.Duration) (at *place, asked bool) {
+func (ex *activeExchange) allocate(ctx context.Context, left time.Duration) (at *placement, asked bool) {
 	options := ex.router.options
 	candidates := ex.router.candidates(ex.service, dispatch.StageDecode, ex.model(), ex.tried)
 	if options.Allocator == nil || !options.Policy.Has(dispatch.HomeReservation) || ex.exchange.Prompt == nil || ex.engine.MaxReservationDuration == 0 || len(candidates) == 0 {
@@ -52,7 +52,7 @@
 }
 
 // reserveAllocated reserves memory at the endpoint that the home has named.
-func (ex *activeExchange) reserveAllocated(ctx context.Context, assigned allocation.Reservation) *place {
+func (ex *activeExchange) reserveAllocated(ctx context.Context, assigned allocation.Reservation) *placement {
 	e := ex.findEndpoint(dispatch.StageDecode, assigned.Endpoint)
 	if e == nil {
 		// It has just registered, and this entry doesn't know it yet. It is not faulty.
@@ -65,7 +65,7 @@
 		ex.settleAllocation(assigned, reserveOutcome(ctx, err))
 		return nil
 	}
-	at := ex.keepIfPermitted(ctx, &place{endpoint: e, reservationID: reservationID, allocated: &assigned})
+	at := ex.keepIfPermitted(ctx, &placement{endpoint: e, reservationID: reservationID, allocated: &assigned})
 	if at == nil {
 		ex.settleAllocation(assigned, allocation.OutcomeDone)
 	}
@@ -84,28 +84,28 @@
 // allocationRequest describes what the exchange needs.
 func (ex *activeExchange) allocationRequest() allocation.ReservationRequest {
 	stats, tokens := ex.router.options.Stats, ex.exchange.Prompt.Tokens
-	a := allocation.ReservationRequest{
+	request := allocation.ReservationRequest{
 		Exchange: ex.exchange.ID, Model: ex.model(), Zone: stats.Zone(), PromptTokens: tokens, OutputTokens: ex.exchange.Prompt.ReservedOutput(),
 		CapacityTokens: ex.engine.KVTokens, AnswerDuration: ex.expectedAnswerTime(),
 	}
 	if !ex.skipsPrefill() {
-		a.PrefillDuration = stats.EstimatePrefillDuration(ex.service, tokens, 0)
-		reading := dispatch.PrefillPlacement{MaxEventGap: ex.route.MaxEventGap, Policy: ex.router.options.Policy}
-		a.MaxBacklog, a.AllowLocalPrefill = reading.Bounds(a.PrefillDuration)
+		request.PrefillDuration = stats.EstimatePrefillDuration(ex.service, tokens, 0)
+		prefillPlacement := dispatch.PrefillPlacement{MaxEventGap: ex.route.MaxEventGap, Policy: ex.router.options.Policy}
+		request.MaxBacklog, request.AllowLocalPrefill = prefillPlacement.Bounds(request.PrefillDuration)
 	}
-	a.Excluded = append(a.Excluded, ex.unknownEndpoints...)
+	request.Excluded = append(request.Excluded, ex.unknownEndpoints...)
 	for id := range ex.tried {
-		a.Excluded = append(a.Excluded, id.ID)
+		request.Excluded = append(request.Excluded, id.ID)
 	}
-	a.Excluded = append(a.Excluded, stats.UnavailableIDs(time.Now(), ex.router.options.View().Endpoints[ex.service])...)
-	return a
+	request.Excluded = append(request.Excluded, stats.UnavailableIDs(time.Now(), ex.router.options.View().Endpoints[ex.service])...)
+	return request
 }
 
 // settleAllocation returns a place to its home in the background.
-func (ex *activeExchange) settleAllocation(p allocation.Reservation, o allocation.Outcome) {
+func (ex *activeExchange) settleAllocation(assigned allocation.Reservation, o allocation.Outcome) {
 	ex.releaseAsync(func(ctx context.Context) {
-		if err := ex.router.options.Allocator.Settle(ctx, p, o); err != nil {
-			ex.router.options.Part.Debug("Could not return a place to its home.", "request", p.Exchange, "home", p.Home, "err", err)
+		if err := ex.router.options.Allocator.Settle(ctx, assigned, o); err != nil {
+			ex.router.options.Part.Debug("Could not return a place to its home.", "request", assigned.Exchange, "home", assigned.Home, "err", err)
 		}
 	})
 }
@@ -125,13 +125,13 @@
 const prefillDelayTolerance = 60 * time.Millisecond
 
 // reportPrefillDelay reports a prefill endpoint that failed or was late to the home.
-func (ex *activeExchange) reportPrefillDelay(o dispatch.Outcome, readingTime, took time.Duration) {
-	if ex.allocated == nil || allocationOutcome(o) == allocation.OutcomeDone && took < ex.allocated.PrefillBacklog+readingTime+prefillDelayTolerance {
+func (ex *activeExchange) reportPrefillDelay(o dispatch.Outcome, prefillTime, took time.Duration) {
+	if ex.allocated == nil || allocationOutcome(o) == allocation.OutcomeDone && took < ex.allocated.PrefillBacklog+prefillTime+prefillDelayTolerance {
 		return
 	}
 	assigned := *ex.allocated
 	ex.releaseAsync(func(ctx context.Context) {
-		if err := ex.router.options.Allocator.Read(ctx, assigned, allocationOutcome(o), readingTime, took); err != nil {
+		if err := ex.router.options.Allocator.Read(ctx, assigned, allocationOutcome(o), prefillTime, took); err != nil {
 			ex.router.options.Part.Debug("Could not report a prefill delay.", "request", assigned.Exchange, "home", assigned.Home, "err", err)
 		}
 	})
--- a/internal/relay/allocate_test.go
+++ b/internal/relay/allocate_test.go
@@ -145,24 +145,24 @@
 		fx.router.options.Allocator = h
 		fx.serve(t, newModelExchange())
 		synctest.Wait()
-		assert.Assert(t, len(h.asks) > 1)
-		assert.DeepEqual(t, h.asks[1].Excluded, []string{"new"})
+		assert.Assert(t, len(h.requests) > 1)
+		assert.DeepEqual(t, h.requests[1].Excluded, []string{"new"})
 		assert.DeepEqual(t, h.settled, []allocation.Outcome{allocation.OutcomeDone})
 	})
 }
 
 // homeWithUnknownEndpoint is a home that names an endpoint which nobody else knows.
 type homeWithUnknownEndpoint struct {
-	mu      sync.Mutex
-	asks    []allocation.ReservationRequest
-	settled []allocation.Outcome
+	mu       sync.Mutex
+	requests []allocation.ReservationRequest
+	settled  []allocation.Outcome
 }
 
-func (h *homeWithUnknownEndpoint) Allot(_ context.Context, _ string, ask allocation.ReservationRequest, _ time.Duration) (allocation.Reservation, error) {
+func (h *homeWithUnknownEndpoint) Allot(_ context.Context, _ string, request allocation.ReservationRequest, _ time.Duration) (allocation.Reservation, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.asks = append(h.asks, ask)
-	if len(h.asks) > 1 {
+	h.requests = append(h.requests, request)
+	if len(h.requests) > 1 {
 		return allocation.Reservation{}, allocation.ErrNoHome
 	}
 	return allocation.Reservation{Placement: allocation.Placement{Endpoint: "new"}}, nil
--- a/internal/relay/cooldown_test.go
+++ b/internal/relay/cooldown_test.go
@@ -48,11 +48,11 @@
 
 // maxCooldownArrivals returns the largest number of arrivals in one cooldown.
 func (e *limitedEndpoint) maxCooldownArrivals() int {
-	most := 0
+	highest := 0
 	for _, p := range e.cooldowns {
-		most = max(most, p.arrivals)
+		highest = max(highest, p.arrivals)
 	}
-	return most
+	return highest
 }
 
 // overloadCooldown asks for three seconds of cooldown in the middle of the run.
@@ -64,10 +64,10 @@
 }
 
 // fixedHome names the same endpoint for every request, whatever it excludes.
-type fixedHome struct{ endpoint, reader string }
+type fixedHome struct{ endpoint, prefillEndpoint string }
 
 func (h fixedHome) Allot(context.Context, string, allocation.ReservationRequest, time.Duration) (allocation.Reservation, error) {
-	return allocation.Reservation{Placement: allocation.Placement{Endpoint: h.endpoint, PrefillEndpoint: h.reader}}, nil
+	return allocation.Reservation{Placement: allocation.Placement{Endpoint: h.endpoint, PrefillEndpoint: h.prefillEndpoint}}, nil
 }
 
 func (fixedHome) Settle(context.Context, allocation.Reservation, allocation.Outcome) error {
@@ -78,17 +78,17 @@
 	return nil
 }
 
-// unwantedCase says which endpoints of four want nothing, and by which path requests come.
-type unwantedCase struct {
-	name      string
-	model     bool
-	endpoints []string
-	reading   time.Duration
-	home      Allocator
+// unavailableCase says which of four endpoints are unavailable, and by which path requests come.
+type unavailableCase struct {
+	name        string
+	model       bool
+	endpoints   []string
+	prefillTime time.Duration
+	home        Allocator
 }
 
-// unwantedCases are the paths on which a request may reach an endpoint.
-var unwantedCases = []unwantedCase{
+// unavailableCases are the paths on which a request may reach an endpoint.
+var unavailableCases = []unavailableCase{
 	{"one of four", false, []string{"e0"}, 0, nil},
 	{"all but one", false, []string{"e0", "e1", "e2"}, 0, nil},
 	{"all", false, []string{"e0", "e1", "e2", "e3"}, 0, nil},
@@ -96,18 +96,18 @@
 	{"all that read prompts", true, []string{"e0", "e1"}, 0, nil},
 	{"generates", true, []string{"e2"}, 0, nil},
 	{"all that generate, and prompts take long", true, []string{"e2", "e3"}, 800 * time.Millisecond, nil},
-	{"a home names it", true, []string{"e2"}, 0, fixedHome{endpoint: "e2", reader: "e0"}},
-	{"a home names it to read", true, []string{"e0"}, 0, fixedHome{endpoint: "e2", reader: "e0"}},
+	{"a home names it", true, []string{"e2"}, 0, fixedHome{endpoint: "e2", prefillEndpoint: "e0"}},
+	{"a home names it to read", true, []string{"e0"}, 0, fixedHome{endpoint: "e2", prefillEndpoint: "e0"}},
 }
 
-// testUnwanted runs each case. setUp makes an endpoint want nothing, and check verifies what
+// testUnavailable runs each case. setUp makes an endpoint want nothing, and check verifies what
 // it got.
-func testUnwanted(t *testing.T, setUp func(*limitedEndpoint), check func(t *testing.T, id string, e *limitedEndpoint)) {
-	for _, test := range unwantedCases {
+func testUnavailable(t *testing.T, setUp func(*limitedEndpoint), check func(t *testing.T, id string, e *limitedEndpoint)) {
+	for _, test := range unavailableCases {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := newLimitedFleet(3, test.model, nil, nil, nil, nil)
-				f.service.prefillTime = test.reading
+				f.service.prefillTime = test.prefillTime
 				for _, id := range test.endpoints {
 					setUp(f.service.endpoints[id])
 				}
@@ -128,7 +128,7 @@
 // idle by then, and is sent the next request, or one that was placed there before.
 func TestEndpointInCooldownGetsNoRequests(t *testing.T) {
 	setUp := func(e *limitedEndpoint) { e.cooldown = overloadCooldown }
-	testUnwanted(t, setUp, func(t *testing.T, id string, e *limitedEndpoint) {
+	testUnavailable(t, setUp, func(t *testing.T, id string, e *limitedEndpoint) {
 		assert.Check(t, e.maxCooldownArrivals() <= maxArrivalsInCooldown, "%s got %d requests in a cooldown", id, e.maxCooldownArrivals())
 	})
 }
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -71,7 +71,7 @@
 			return ex.giveUp(ctx, ex.unsentReason())
 		}
 		if ex.isQuarantined() {
-			ex.releasePlace(&place{endpoint: endpoint, reservationID: call.ReservationID})
+			ex.releasePlacement(&placement{endpoint: endpoint, reservationID: call.ReservationID})
 			return ex.giveUp(ctx, ex.unsentReason())
 		}
 		a := ex.sendAttempt(ctx, call)
@@ -163,9 +163,9 @@
 	return nil, nil
 }
 
-func (ex *activeExchange) chooseEndpoint(stage dispatch.Stage, tried map[dispatch.Incarnation]bool, fill dispatch.LoadFunc) (dispatch.Choice, bool) {
+func (ex *activeExchange) chooseEndpoint(stage dispatch.Stage, tried map[dispatch.Incarnation]bool, load dispatch.LoadFunc) (dispatch.Choice, bool) {
 	candidates := ex.router.candidates(ex.service, stage, ex.model(), tried)
-	choice, ok := ex.router.options.Stats.Choose(time.Now(), candidates, fill)
+	choice, ok := ex.router.options.Stats.Choose(time.Now(), candidates, load)
 	if ok {
 		ex.logDecision("Chosen.", "endpoint", choice.Endpoint.ID, "stage", stage, "among", choice.Candidates,
 			"cost", rounded(choice.Cost), "own", choice.OwnInFlight, "others", rounded(choice.OthersInFlight), "age_ms", choice.ReportAgeMs)
--- a/internal/relay/fakes_test.go
+++ b/internal/relay/fakes_test.go
@@ -112,8 +112,8 @@
 	return Reservation{ID: fmt.Sprint("hold", f.reserved), Signals: f.signals}, nil
 }
 
-func (f *fakeEndpoints) ReleaseReservation(_ context.Context, e *dispatch.Endpoint, hold string) {
-	f.recordRelease(&f.releasedReservations, e.ID+" "+hold)
+func (f *fakeEndpoints) ReleaseReservation(_ context.Context, e *dispatch.Endpoint, reservationID string) {
+	f.recordRelease(&f.releasedReservations, e.ID+" "+reservationID)
 }
 
 func (f *fakeEndpoints) ReleasePrefill(_ context.Context, e *dispatch.Endpoint, handle string) {
--- a/internal/relay/leave_test.go
+++ b/internal/relay/leave_test.go
@@ -9,14 +9,15 @@
 	"github.com/hyssopsail/hyssopsail/internal/dispatch"
 )
 
-// countAfterLeaving counts an arrival from an entry that was told that the endpoint leaves.
+// countAfterLeaving counts an arrival from an entry that has received the signal that the endpoint
+// leaves.
 func (e *limitedEndpoint) countAfterLeaving(at time.Duration, entry int) {
-	if told, ok := e.toldLeavingAt[entry]; ok && at >= told+limitReactionTime {
+	if signaledAt, ok := e.leavingSignaledAt[entry]; ok && at >= signaledAt+limitReactionTime {
 		e.afterLeaving++
 	}
 }
 
-// signalLeaving reports whether the endpoint tells an entry that it is leaving.
+// signalLeaving reports whether the endpoint signals to an entry that it is leaving.
 func (s *limitedService) signalLeaving(id string, entry int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -24,11 +25,11 @@
 	if e.leavesAt == 0 || at < e.leavesAt {
 		return false
 	}
-	if e.toldLeavingAt == nil {
-		e.toldLeavingAt = map[int]time.Duration{}
+	if e.leavingSignaledAt == nil {
+		e.leavingSignaledAt = map[int]time.Duration{}
 	}
-	if _, ok := e.toldLeavingAt[entry]; !ok {
-		e.toldLeavingAt[entry] = at
+	if _, ok := e.leavingSignaledAt[entry]; !ok {
+		e.leavingSignaledAt[entry] = at
 	}
 	return true
 }
@@ -38,8 +39,8 @@
 // them.
 func TestLeavingEndpointGetsNoMore(t *testing.T) {
 	setUp := func(e *limitedEndpoint) { e.leavesAt = 5 * time.Second }
-	testUnwanted(t, setUp, func(t *testing.T, id string, e *limitedEndpoint) {
-		assert.Check(t, e.afterLeaving == 0, "%s got %d requests from entries that it had told", id, e.afterLeaving)
+	testUnavailable(t, setUp, func(t *testing.T, id string, e *limitedEndpoint) {
+		assert.Check(t, e.afterLeaving == 0, "%s got %d requests from entries that had received its signal", id, e.afterLeaving)
 	})
 }
 
--- a/internal/relay/limit.go
+++ b/internal/relay/limit.go
@@ -48,11 +48,11 @@
 
 // receiveLimit processes what the answer to a request sent at sent says about its
 // endpoint's limit.
-func (ex *activeExchange) receiveLimit(e *dispatch.Endpoint, sent time.Time, w endpointlimit.Signal) {
+func (ex *activeExchange) receiveLimit(e *dispatch.Endpoint, sent time.Time, signal endpointlimit.Signal) {
 	limits := ex.router.options.Limits
-	known, changed := limits.RecordSignal(time.Now(), sent, limitKey(e), w)
-	if changed || w.Kind == endpointlimit.KindInvalid {
-		ex.router.metrics.limitSignals.WithLabelValues(w.Kind.String()).Inc()
+	known, changed := limits.RecordSignal(time.Now(), sent, limitKey(e), signal)
+	if changed || signal.Kind == endpointlimit.KindInvalid {
+		ex.router.metrics.limitSignals.WithLabelValues(signal.Kind.String()).Inc()
 	}
 	if !changed {
 		return
@@ -80,14 +80,14 @@
 // chosen, while the request waited for memory or its prompt was read.
 func (ex *activeExchange) acquirePermit(ctx context.Context, e *dispatch.Endpoint) bool {
 	limits, stats := ex.router.options.Limits, ex.router.options.Stats
-	asked := time.Now()
-	if !stats.AllowedBySignals(asked, e) {
+	requestedAt := time.Now()
+	if !stats.AllowedBySignals(requestedAt, e) {
 		return false
 	}
-	if at, ok := ex.permits[e.Incarnation()]; ok && asked.Sub(at) < permitTTL {
+	if at, ok := ex.permits[e.Incarnation()]; ok && requestedAt.Sub(at) < permitTTL {
 		return true
 	}
-	if stats.IsBlocked(asked, e) {
+	if stats.IsBlocked(requestedAt, e) {
 		return false
 	}
 	if !ex.router.options.Policy.Has(dispatch.EnforceLimits) || !limits.Limit(limitKey(e)).Limited {
@@ -95,7 +95,7 @@
 	}
 	denied := limits.AcquirePermit(ctx, limitKey(e))
 	if denied == nil {
-		ex.permits[e.Incarnation()] = asked
+		ex.permits[e.Incarnation()] = requestedAt
 		return true
 	}
 	stats.Block(e, time.Now().Add(denied.RetryAfter))
@@ -130,7 +130,7 @@
 
 // keepIfPermitted returns at if its endpoint may be sent a request. Otherwise it releases
 // the reservation and returns nil. at may be nil.
-func (ex *activeExchange) keepIfPermitted(ctx context.Context, at *place) *place {
+func (ex *activeExchange) keepIfPermitted(ctx context.Context, at *placement) *placement {
 	if at == nil || ex.acquirePermit(ctx, at.endpoint) {
 		return at
 	}
--- a/internal/relay/limit_fixture_test.go
+++ b/internal/relay/limit_fixture_test.go
@@ -26,7 +26,7 @@
 	limitFactor       = 1.5
 	limitSlack        = 5
 	limitSettleTime   = 3 * time.Second        // after it was first named
-	limitReactionTime = 500 * time.Millisecond // after an entry was told
+	limitReactionTime = 500 * time.Millisecond // after an entry received the signal
 	limitedWork       = 20 * time.Millisecond
 	limitedDuration   = 20 * time.Second
 	limitedBegin      = 2 * time.Second
@@ -47,27 +47,27 @@
 // limitedEndpoint is one endpoint of a limitedService.
 type limitedEndpoint struct {
 	// limit returns the limit that it names at a time; named is false for none.
-	limit   func(at time.Duration) (perSecond float64, named bool)
-	refuses bool // it rejects requests while it names a limit
-	slots   int  // it rejects requests while this many are running; 0 for no bound
-	running int
-	first   time.Duration
-	toldAt  map[int]time.Duration // when each entry was first told; empty while none is named
+	limit      func(at time.Duration) (perSecond float64, named bool)
+	refuses    bool // it rejects requests while it names a limit
+	slots      int  // it rejects requests while this many are running; 0 for no bound
+	running    int
+	first      time.Duration
+	signaledAt map[int]time.Duration // when each entry first received the limit; empty while none is named
 	// cooldown returns the cooldown that it asks for at a time, when it rejects the request;
 	// nil for none.
-	cooldown      func(at time.Duration) time.Duration
-	cooldowns     []cooldownPeriod
-	leavesAt      time.Duration         // when it begins to say that it leaves; 0 for never
-	toldLeavingAt map[int]time.Duration // when each entry was told so
-	afterLeaving  int                   // arrivals from entries that had been told
-	arrivals      []limitedArrival
+	cooldown          func(at time.Duration) time.Duration
+	cooldowns         []cooldownPeriod
+	leavesAt          time.Duration         // when it begins to signal that it leaves; 0 for never
+	leavingSignaledAt map[int]time.Duration // when each entry first received that signal
+	afterLeaving      int                   // arrivals from entries that had received it
+	arrivals          []limitedArrival
 }
 
 // limitedArrival is one attempt that reached an endpoint.
 type limitedArrival struct {
 	at       time.Duration
 	entry    int
-	knownFor time.Duration // how long its entry had been told; 0 where it was not
+	knownFor time.Duration // how long its entry had known the limit; 0 where it did not
 }
 
 // steady names a constant limit from limitedBegin on.
@@ -84,21 +84,21 @@
 	full := e.slots > 0 && e.running > e.slots
 	perSecond, named := e.limit(at)
 	a := limitedArrival{at: at, entry: entry}
-	if told, ok := e.toldAt[entry]; ok {
-		a.knownFor = at - told
+	if signaledAt, ok := e.signaledAt[entry]; ok {
+		a.knownFor = at - signaledAt
 	}
 	e.arrivals = append(e.arrivals, a)
 	e.countDuringCooldown(at, entry)
 	e.countAfterLeaving(at, entry)
 	if !named {
-		e.toldAt, e.first = nil, 0
+		e.signaledAt, e.first = nil, 0
 		return nil, full
 	}
-	if e.toldAt == nil {
-		e.toldAt, e.first = map[int]time.Duration{}, at
+	if e.signaledAt == nil {
+		e.signaledAt, e.first = map[int]time.Duration{}, at
 	}
-	if _, ok := e.toldAt[entry]; !ok {
-		e.toldAt[entry] = at
+	if _, ok := e.signaledAt[entry]; !ok {
+		e.signaledAt[entry] = at
 	}
 	return []string{strconv.FormatFloat(perSecond, 'f', -1, 64)}, e.refuses || full
 }
@@ -113,7 +113,7 @@
 // with the number that arrived and the number allowed.
 func (e *limitedEndpoint) fullestWindow() (share, got, allowed float64) {
 	for n, a := range e.arrivals {
-		most, whole := e.maxLimit(a.at)
+		maxPerSecond, whole := e.maxLimit(a.at)
 		if !whole {
 			continue
 		}
@@ -126,7 +126,7 @@
 				count++
 			}
 		}
-		bound := limitFactor*most*limitWindow.Seconds() + limitSlack
+		bound := limitFactor*maxPerSecond*limitWindow.Seconds() + limitSlack
 		if count/bound > share {
 			share, got, allowed = count/bound, count, bound
 		}
@@ -136,15 +136,15 @@
 
 // maxLimit returns the largest limit that was named in a window, and whether there was a
 // limit all the time from limitSettleTime before it.
-func (e *limitedEndpoint) maxLimit(from time.Duration) (most float64, whole bool) {
+func (e *limitedEndpoint) maxLimit(from time.Duration) (maxPerSecond float64, whole bool) {
 	for at := from - limitSettleTime; at <= from+limitWindow; at += 50 * time.Millisecond {
 		perSecond, named := e.limit(at)
 		if !named {
 			return 0, false
 		}
-		most = max(most, perSecond)
+		maxPerSecond = max(maxPerSecond, perSecond)
 	}
-	return most, true
+	return maxPerSecond, true
 }
 
 // limitedSender is the Endpoints of one entry.
@@ -253,8 +253,8 @@
 
 // startMember starts a control instance without any state.
 func (f *limitedFleet) startMember(address string) {
-	keeper := endpointlimit.NewServer(address, func() []string { return f.members }, nil)
-	f.net.Serve(address, keeper, pb.DRPCLimitKeeperDescription{})
+	server := endpointlimit.NewServer(address, func() []string { return f.members }, nil)
+	f.net.Serve(address, server, pb.DRPCLimitKeeperDescription{})
 }
 
 func (f *limitedFleet) newEntry(n int, view *View) *Router {
--- a/internal/relay/metrics.go
+++ b/internal/relay/metrics.go
@@ -14,10 +14,10 @@
 	ended         *prometheus.CounterVec
 	firstPart     *prometheus.HistogramVec
 	attempts      *prometheus.CounterVec
-	placeWait     prometheus.Histogram
+	placementWait prometheus.Histogram
 	noMemory      prometheus.Counter
 	prefillTime   prometheus.Histogram
-	promptPlaces  *prometheus.CounterVec
+	prefillModes  *prometheus.CounterVec
 	running       prometheus.Gauge
 	extraArrivals *prometheus.CounterVec
 	// retriesDenied counts attempts that were not made because the retry budget was spent.
@@ -58,7 +58,7 @@
 			Name: "hyssopsail_relay_sends_total",
 			Help: "Sends of exchanges to endpoints by what came of them.",
 		}, []string{"outcome"}),
-		placeWait: with.NewHistogram(prometheus.HistogramOpts{
+		placementWait: with.NewHistogram(prometheus.HistogramOpts{
 			Name: "hyssopsail_relay_place_wait_seconds", Buckets: answerBuckets,
 			Help: "Time that model requests waited for memory at an endpoint.",
 		}),
@@ -70,7 +70,7 @@
 			Name: "hyssopsail_relay_prefill_seconds", Buckets: answerBuckets,
 			Help: "Time that prefills took, waits included.",
 		}),
-		promptPlaces: with.NewCounterVec(prometheus.CounterOpts{
+		prefillModes: with.NewCounterVec(prometheus.CounterOpts{
 			Name: "hyssopsail_relay_prompts_total",
 			Help: "Prompts by where they were read.",
 		}, []string{"place"}),
@@ -163,4 +163,6 @@
 	return refusal
 }
 
-func (m *metrics) observePlaceWait(since time.Time) { m.placeWait.Observe(time.Since(since).Seconds()) }
+func (m *metrics) observePlacementWait(since time.Time) {
+	m.placementWait.Observe(time.Since(since).Seconds())
+}
--- a/internal/relay/model.go
+++ b/internal/relay/model.go
@@ -30,8 +30,8 @@
 	maxReserveAttempts = 3
 )
 
-// place is memory at an endpoint for one request.
-type place struct {
+// placement is memory at an endpoint for one request.
+type placement struct {
 	endpoint      *dispatch.Endpoint
 	reservationID string                  // empty where endpoints don't reserve memory
 	allocated     *allocation.Reservation // nil where no home assigned it
@@ -41,7 +41,7 @@
 // the prompt read. A prompt that is read and finds no memory wastes prefill capacity just
 // when it is short.
 func (ex *activeExchange) prepareModel(ctx context.Context) (*dispatch.Endpoint, *Call) {
-	at := ex.awaitPlace(ctx)
+	at := ex.awaitPlacement(ctx)
 	if at == nil {
 		return nil, nil
 	}
@@ -56,23 +56,23 @@
 		call.Source = &Source{Address: ex.unusedPrefill.endpoint.Address, Handle: ex.unusedPrefill.handle}
 	}
 	if ctx.Err() != nil || !ex.reserveRetry() {
-		ex.releasePlace(at)
+		ex.releasePlacement(at)
 		return nil, nil
 	}
 	if !ex.acquirePermit(ctx, at.endpoint) {
-		ex.releasePlace(at)
+		ex.releasePlacement(at)
 		return ex.prepareModel(ctx)
 	}
 	call.TimeLeft = time.Until(ex.deadline) - networkMargin
 	return at.endpoint, call
 }
 
-// awaitPlace requests memory until it gets some or more waiting is futile. Where a home
+// awaitPlacement requests memory until it gets some or more waiting is futile. Where a home
 // says that there is no memory, endpoints are not asked as well: that would take freed
 // memory from requests that are queued at the home, and from large requests most.
-func (ex *activeExchange) awaitPlace(ctx context.Context) *place {
+func (ex *activeExchange) awaitPlacement(ctx context.Context) *placement {
 	since, waiting := ex.waitState()
-	defer ex.router.metrics.observePlaceWait(time.Now())
+	defer ex.router.metrics.observePlacementWait(time.Now())
 	for {
 		pause, giveUp := waiting.NextPoll(time.Since(since))
 		if giveUp {
@@ -85,7 +85,7 @@
 			pause = allocationRetryInterval
 		} else if ex.canPrefillSoon() {
 			found := false
-			at, found = ex.findPlace(ctx)
+			at, found = ex.findPlacement(ctx)
 			if !found && !ex.awaitUnblocked(ctx, dispatch.StageDecode) {
 				return nil
 			}
@@ -144,9 +144,9 @@
 	return max(2*time.Second, 4*r.Target, 8*r.MaxEventGap)
 }
 
-// findPlace asks the endpoints with the most free memory in the local view. found is false
+// findPlacement asks the endpoints with the most free memory in the local view. found is false
 // when there are no endpoints to ask.
-func (ex *activeExchange) findPlace(ctx context.Context) (at *place, found bool) {
+func (ex *activeExchange) findPlacement(ctx context.Context) (at *placement, found bool) {
 	excluded := map[dispatch.Incarnation]bool{}
 	for id := range ex.tried {
 		excluded[id] = true
@@ -158,9 +158,9 @@
 		}
 		found = true
 		if ex.engine.MaxReservationDuration == 0 || ex.exchange.Prompt == nil || !ex.router.options.Policy.Has(dispatch.ReserveMemoryFirst) {
-			at = &place{endpoint: choice.Endpoint}
+			at = &placement{endpoint: choice.Endpoint}
 		} else if reservationID, err := ex.reserveMemory(ctx, choice.Endpoint); err == nil {
-			at = &place{endpoint: choice.Endpoint, reservationID: reservationID}
+			at = &placement{endpoint: choice.Endpoint, reservationID: reservationID}
 		}
 		if at = ex.keepIfPermitted(ctx, at); at != nil {
 			return at, true
@@ -182,7 +182,7 @@
 	if reserved.Limit.Kind == endpointlimit.KindLimit {
 		ex.receiveLimit(e, now, reserved.Limit)
 	}
-	ex.receiveUnwanted(e, reserved.Signals)
+	ex.receiveAvailability(e, reserved.Signals)
 	switch {
 	case err == nil:
 	case errors.Is(err, errNoResponse):
--- a/internal/relay/prefill.go
+++ b/internal/relay/prefill.go
@@ -31,9 +31,9 @@
 	if ex.skipsPrefill() {
 		return nil
 	}
-	choice, promptPlace, reservation := ex.permittedPrefillEndpoint(ctx)
-	ex.router.metrics.promptPlaces.WithLabelValues(promptPlace.String()).Inc()
-	if promptPlace != dispatch.PrefillRemote {
+	choice, mode, reservation := ex.permittedPrefillEndpoint(ctx)
+	ex.router.metrics.prefillModes.WithLabelValues(mode.String()).Inc()
+	if mode != dispatch.PrefillRemote {
 		return nil
 	}
 	ex.prefillAttempted = true
@@ -72,9 +72,9 @@
 // permittedPrefillEndpoint returns prefillEndpoint's choice, within the retry budget and
 // the endpoint's limit. Without one of these the decode endpoint reads the prompt.
 func (ex *activeExchange) permittedPrefillEndpoint(ctx context.Context) (dispatch.Choice, dispatch.PrefillMode, *retrybudget.Reservation) {
-	choice, place := ex.prefillEndpoint()
-	if place != dispatch.PrefillRemote {
-		return choice, place, nil
+	choice, mode := ex.prefillEndpoint()
+	if mode != dispatch.PrefillRemote {
+		return choice, mode, nil
 	}
 	reservation, allowed := ex.reservePrefillBudget(choice.Endpoint)
 	if allowed && ex.acquirePermit(ctx, choice.Endpoint) {
@@ -95,8 +95,8 @@
 	if e == nil {
 		return dispatch.Choice{}, dispatch.PrefillLocal
 	}
-	readingTime := ex.router.options.Stats.EstimatePrefillDuration(ex.service, ex.exchange.Prompt.Tokens, 0)
-	queued := float64(ex.allocated.PrefillBacklog) / float64(max(readingTime, time.Millisecond))
+	prefillTime := ex.router.options.Stats.EstimatePrefillDuration(ex.service, ex.exchange.Prompt.Tokens, 0)
+	queued := float64(ex.allocated.PrefillBacklog) / float64(max(prefillTime, time.Millisecond))
 	return dispatch.Choice{Endpoint: e, EndpointLoad: queued}, dispatch.PrefillRemote
 }
 
@@ -108,9 +108,9 @@
 	if !ok {
 		return choice, dispatch.PrefillLocal
 	}
-	readingTime := stats.EstimatePrefillDuration(ex.service, tokens, 0)
-	reading := dispatch.PrefillPlacement{MaxEventGap: ex.route.MaxEventGap, Policy: ex.router.options.Policy}
-	return choice, reading.Choose(readingTime, stats.EstimatePrefillDuration(ex.service, tokens, choice.EndpointLoad))
+	prefillTime := stats.EstimatePrefillDuration(ex.service, tokens, 0)
+	prefillPlacement := dispatch.PrefillPlacement{MaxEventGap: ex.route.MaxEventGap, Policy: ex.router.options.Policy}
+	return choice, prefillPlacement.Choose(prefillTime, stats.EstimatePrefillDuration(ex.service, tokens, choice.EndpointLoad))
 }
 
 // sendPrefill sends a prefill. arrived reports whether the call counts as an arrival: one
@@ -170,8 +170,8 @@
 	if ex.skipsPrefill() {
 		return true
 	}
-	_, place := ex.choosePrefillEndpoint()
-	return place != dispatch.PrefillDeferred
+	_, mode := ex.choosePrefillEndpoint()
+	return mode != dispatch.PrefillDeferred
 }
 
 // byPromptTokens measures a prefill endpoint by the prompts queued before this one, in
--- a/internal/relay/release.go
+++ b/internal/relay/release.go
@@ -46,13 +46,13 @@
 	return true
 }
 
-// releasePlace releases the place that was assigned to the exchange and its memory.
-func (ex *activeExchange) releasePlace(at *place) {
+// releasePlacement releases the place that was assigned to the exchange and its memory.
+func (ex *activeExchange) releasePlacement(at *placement) {
 	ex.settleActiveAllocation(dispatch.OutcomeCanceled)
 	ex.releaseReservation(at)
 }
 
-func (ex *activeExchange) releaseReservation(at *place) {
+func (ex *activeExchange) releaseReservation(at *placement) {
 	if at.reservationID == "" {
 		return
 	}
--- a/internal/relay/resumption_test.go
+++ b/internal/relay/resumption_test.go
@@ -75,7 +75,7 @@
 // in any case.
 func TestNewRequestsBesideResumptions(t *testing.T) {
 	with, without := runResumptions(t), runResumptions(t, dispatch.LocalPrefillOnResume)
-	t.Logf("read where they go on: %+v; by readers: %+v", with, without)
+	t.Logf("local prefill on resume: %+v; off: %+v", with, without)
 	assert.Assert(t, with.freshInTarget > without.freshInTarget)
 	assert.Assert(t, with.returnedServed >= without.returnedServed)
 }
--- a/internal/relay/shutdown.go
+++ b/internal/relay/shutdown.go
@@ -25,10 +25,10 @@
 }
 
 // MaxDuration returns when to end at the latest, counted from the start of the shutdown.
-func (l ShutdownPlan) MaxDuration() time.Duration { return max(0, l.Timeout-shutdownMargin) }
+func (p ShutdownPlan) MaxDuration() time.Duration { return max(0, p.Timeout-shutdownMargin) }
 
 // AcceptDuration returns how long to accept new requests: as long as callers cache an address, but
 // at most three quarters of MaxDuration, so that requests still in flight can finish.
-func (l ShutdownPlan) AcceptDuration() time.Duration {
-	return min(addressTTLFactor*MaxAddressTTL, l.MaxDuration()*3/4)
+func (p ShutdownPlan) AcceptDuration() time.Duration {
+	return min(addressTTLFactor*MaxAddressTTL, p.MaxDuration()*3/4)
 }
--- a/internal/relay/signals.go
+++ b/internal/relay/signals.go
@@ -21,19 +21,19 @@
 		return
 	}
 	ex.receiveLimit(e, sent, reply.Limit)
-	ex.receiveUnwanted(e, reply.Signals)
+	ex.receiveAvailability(e, reply.Signals)
 }
 
-// receiveUnwanted processes that an endpoint asks for a cooldown, or leaves.
-func (ex *activeExchange) receiveUnwanted(e *dispatch.Endpoint, w Signals) {
+// receiveAvailability processes that an endpoint asks for a cooldown, or leaves.
+func (ex *activeExchange) receiveAvailability(e *dispatch.Endpoint, signals Signals) {
 	now, stats := time.Now(), ex.router.options.Stats
-	if w.Cooldown > 0 {
-		stats.StartCooldown(now, e, w.Cooldown)
+	if signals.Cooldown > 0 {
+		stats.StartCooldown(now, e, signals.Cooldown)
 		ex.router.metrics.unwantedSignals.WithLabelValues(dispatch.CoolingDown.String()).Inc()
 		ex.router.options.Part.Info("Endpoint asked for a cooldown.", "endpoint", e.ID, "service", ex.service,
-			"rest_ms", w.Cooldown.Milliseconds(), "request", ex.exchange.ID)
+			"rest_ms", signals.Cooldown.Milliseconds(), "request", ex.exchange.ID)
 	}
-	if w.Leaving && stats.RecordLeaving(now, e) {
+	if signals.Leaving && stats.RecordLeaving(now, e) {
 		ex.router.metrics.unwantedSignals.WithLabelValues(dispatch.Leaving.String()).Inc()
 		ex.router.options.Part.Info("Endpoint is leaving.", "endpoint", e.ID, "service", ex.service, "request", ex.exchange.ID)
 	}
@@ -42,11 +42,11 @@
 // recordAttempt records an attempt to an endpoint that has a limit, is in cooldown or leaving.
 func (ex *activeExchange) recordAttempt(e *dispatch.Endpoint, kind attemptKind) {
 	ex.consumePermit(e, kind)
-	unwanted := ex.router.options.Stats.Availability(time.Now(), e)
-	if unwanted == dispatch.Accepting {
+	availability := ex.router.options.Stats.Availability(time.Now(), e)
+	if availability == dispatch.Accepting {
 		return
 	}
-	ex.router.metrics.unwantedAttempts.WithLabelValues(unwanted.String(), string(kind)).Inc()
+	ex.router.metrics.unwantedAttempts.WithLabelValues(availability.String(), string(kind)).Inc()
 	ex.router.options.Part.Warn("Sent to an endpoint in cooldown or leaving.", "request", ex.exchange.ID, "endpoint", e.ID,
-		"why", unwanted, "kind", kind)
+		"why", availability, "kind", kind)
 }
--- a/internal/route/attempt.go
+++ b/internal/route/attempt.go
@@ -83,7 +83,7 @@
 	r.release(a.prefill, failed, 0)
 	r.release(a.decode, failed, a.tokens)
 	r.opts.Guard.End(a.request.fingerprint, a.request.params.permitted, a.id, failed == nil, failed.endpointMayHaveCrashed())
-	if failed != nil && failed.cause == causeCallerGone {
+	if failed != nil && failed.cause == causeCallerDisconnected {
 		a.request.recordEvent(timeline.KindCancelled, a.id, "")
 	}
 }
--- a/internal/route/attemptfailure.go
+++ b/internal/route/attemptfailure.go
@@ -16,20 +16,20 @@
 type cause int
 
 const (
-	causeCallerGone       cause = iota + 1
-	causeDeadline               // the caller's patience or the maximum request duration is over
-	causeForbidden              // the check of placement refused the send
-	causeNoEndpoint             // there are no candidates
-	causeExhausted              // all candidates have already failed the request
-	causeNoSlot                 // no slot became free in time
-	causeRefused                // the endpoint refused, wasn't reached or sent an unusable answer
-	causeConnectionBroken       // the endpoint may have crashed
-	causeStalled                // the transfer or the stream stalled
-	causeKVExpired              // the KV cache expired before it was used
-	causeGrantExpired           // the grant expired before the send; no endpoint is at fault
-	causeOverBudget             // the fleet's retry budget doesn't allow another arrival
-	causeAborted                // this entry has lost its place in the fleet
-	causeFinal                  // see attemptFailure.failure
+	causeCallerDisconnected cause = iota + 1
+	causeDeadline                 // the caller's patience or the maximum request duration is over
+	causeForbidden                // the check of placement refused the send
+	causeNoEndpoint               // there are no candidates
+	causeExhausted                // all candidates have already failed the request
+	causeNoSlot                   // no slot became free in time
+	causeRefused                  // the endpoint refused, wasn't reached or sent an unusable answer
+	causeConnectionBroken         // the endpoint may have crashed
+	causeStalled                  // the transfer or the stream stalled
+	causeKVExpired                // the KV cache expired before it was used
+	causeGrantExpired             // the grant expired before the send; no endpoint is at fault
+	causeOverBudget               // the fleet's retry budget doesn't allow another arrival
+	causeAborted                  // this entry has lost its place in the fleet
+	causeFinal                    // see attemptFailure.failure
 )
 
 // attemptFailure describes an attempt that ended without a complete answer.
@@ -45,7 +45,7 @@
 
 // notEndpointFault reports whether the failure is unrelated to the endpoint.
 func (c cause) notEndpointFault() bool {
-	return c == causeCallerGone || c == causeAborted || c == causeGrantExpired || c == causeOverBudget
+	return c == causeCallerDisconnected || c == causeAborted || c == causeGrantExpired || c == causeOverBudget
 }
 
 // endpointMayHaveCrashed reports whether the endpoint may have crashed during the
@@ -119,7 +119,7 @@
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return causeDeadline
 	}
-	return causeCallerGone
+	return causeCallerDisconnected
 }
 
 func causeFromCode(c engineapi.Code) cause {
--- a/internal/route/decide_test.go
+++ b/internal/route/decide_test.go
@@ -72,7 +72,7 @@
 	cancelled, cancel := context.WithCancel(t.Context())
 	cancel()
 	broken := &engine.Error{Target: target, Sent: true, Err: context.Canceled}
-	assert.Equal(t, attemptFailureFromError(cancelled, cancelled, broken).cause, causeCallerGone)
+	assert.Equal(t, attemptFailureFromError(cancelled, cancelled, broken).cause, causeCallerDisconnected)
 	assert.Equal(t, attemptFailureFromError(t.Context(), cancelled, broken).cause, causeStalled)
 }
 
@@ -92,7 +92,7 @@
 		"full":             {func(in *retryInput) { in.attemptFailure = &attemptFailure{cause: causeNoSlot} }, false, callerapi.CodeOverloaded, callerapi.OutcomeNotRun},
 		"full, wasted":     {func(in *retryInput) { in.attemptFailure, in.maybeSent = &attemptFailure{cause: causeNoSlot}, true }, false, callerapi.CodeOverloaded, callerapi.OutcomeFailed},
 		"no endpoint":      {func(in *retryInput) { in.attemptFailure = &attemptFailure{cause: causeNoEndpoint} }, false, callerapi.CodeNoZone, callerapi.OutcomeNotRun},
-		"caller gone":      {func(in *retryInput) { in.attemptFailure = &attemptFailure{cause: causeCallerGone} }, false, callerapi.CodeDeadline, callerapi.OutcomeNotRun},
+		"caller gone":      {func(in *retryInput) { in.attemptFailure = &attemptFailure{cause: causeCallerDisconnected} }, false, callerapi.CodeDeadline, callerapi.OutcomeNotRun},
 		"forbidden, again": {func(in *retryInput) { in.attemptFailure = &attemptFailure{cause: causeForbidden} }, true, "", ""},
 		"quarantined": {func(in *retryInput) {
 			in.attemptFailure = finalAttemptFailure(notRun(callerapi.CodeQuarantined, "", 0))
--- a/internal/route/decode.go
+++ b/internal/route/decode.go
@@ -102,7 +102,7 @@
 	}
 	a.recordFirstToken(c)
 	if err := m.sink.WriteChunk(c); err != nil {
-		return false, &attemptFailure{cause: causeCallerGone}
+		return false, &attemptFailure{cause: causeCallerDisconnected}
 	}
 	m.passedTokens += c.Tokens
 	m.text.WriteString(c.Text)
--- a/internal/route/retry.go
+++ b/internal/route/retry.go
@@ -64,7 +64,7 @@
 func failureForCause(failed *attemptFailure) *Failure {
 	after := durationOrDefault(failed.retryAfter, DefaultRetryAfter)
 	switch failed.cause {
-	case causeCallerGone:
+	case causeCallerDisconnected:
 		f := callerGoneFailure()
 		f.Outcome = callerapi.OutcomeNotRun
 		return f
