--- a/internal/route/arrival.go
+++ b/internal/route/arrival.go
@@ -34,7 +34,7 @@
 		return true
 	}
 	a.router.metrics.extraRefused.Inc()
-	a.router.opts.Logger.Info("Retry budget exhausted; not sending the request again.", "request", a.request, "pool", a.pool, "budget_left", a.account.Remaining(time.Now()))
+	a.router.opts.Logger.Info("Retry budget spent.", "request", a.request, "pool", a.pool, "budget_left", a.account.Remaining(time.Now()))
 	return false
 }
 
@@ -46,7 +46,7 @@
 		return
 	}
 	a.router.metrics.extraArrivals.Inc()
-	a.router.opts.Logger.Info("Extra arrival at an endpoint pool.", "request", a.request, "pool", a.pool, "endpoint", at,
+	a.router.opts.Logger.Info("Extra arrival.", "request", a.request, "pool", a.pool, "endpoint", at,
 		"arrivals", a.account.Arrivals(), "budget_left", a.account.Remaining(time.Now()), "share", a.router.opts.Budget.SlackShare(time.Now()))
 }
 
--- a/internal/route/cooldown.go
+++ b/internal/route/cooldown.go
@@ -86,7 +86,7 @@
 	}
 	r.cooldowns.add(time.Now(), t, d)
 	r.metrics.cooldowns.Inc()
-	r.opts.Logger.Info("An endpoint asks for a cooldown.", "endpoint", t.ID, "rest_ms", d.Milliseconds())
+	r.opts.Logger.Info("Endpoint asked for a cooldown.", "endpoint", t.ID, "rest_ms", d.Milliseconds())
 }
 
 // recordCooldownFromError records the cooldown that a failed call's answer asked for.
