--- a/internal/allocation/client.go
+++ b/internal/allocation/client.go
@@ -111,22 +111,22 @@
 }
 
 // Settle releases a reservation and reports how its use ended.
-func (c *Client) Settle(ctx context.Context, p Reservation, o Outcome) error {
-	return c.callHome(ctx, p.Home, func(ctx context.Context, home pb.DRPCAllotterClient) error {
+func (c *Client) Settle(ctx context.Context, r Reservation, o Outcome) error {
+	return c.callHome(ctx, r.Home, func(ctx context.Context, home pb.DRPCAllotterClient) error {
 		_, err := home.Settle(ctx, &pb.SettleRequest{
-			Exchange: p.Exchange, Service: p.Service, Endpoint: p.Endpoint, Outcome: wireOutcome(o), Entry: c.entry,
+			Exchange: r.Exchange, Service: r.Service, Endpoint: r.Endpoint, Outcome: wireOutcome(o), Entry: c.entry,
 		})
 		return err
 	})
 }
 
-// Read reports that the prefill endpoint of a reservation failed or was late. alone is the
-// expected duration of the prefill without its wait.
-func (c *Client) Read(ctx context.Context, p Reservation, o Outcome, alone, took time.Duration) error {
-	return c.callHome(ctx, p.Home, func(ctx context.Context, home pb.DRPCAllotterClient) error {
+// Read reports that the prefill endpoint of a reservation failed or was late. prefillTime
+// is the expected duration of the prefill without its wait.
+func (c *Client) Read(ctx context.Context, r Reservation, o Outcome, prefillTime, took time.Duration) error {
+	return c.callHome(ctx, r.Home, func(ctx context.Context, home pb.DRPCAllotterClient) error {
 		_, err := home.Read(ctx, &pb.ReadRequest{
-			Service: p.Service, Reader: p.PrefillEndpoint, Outcome: wireOutcome(o), Entry: c.entry,
-			PromisedMs: wireMillis(p.PrefillBacklog + alone), TookMs: wireMillis(took),
+			Service: r.Service, Reader: r.PrefillEndpoint, Outcome: wireOutcome(o), Entry: c.entry,
+			PromisedMs: wireMillis(r.PrefillBacklog + prefillTime), TookMs: wireMillis(took),
 		})
 		return err
 	})
--- a/internal/allocation/endpoint_usage.go
+++ b/internal/allocation/endpoint_usage.go
@@ -47,8 +47,8 @@
 
 // recordUnreachable records that an entry could not reach the endpoint.
 //
-// Failure guarded: one entry is cut off from endpoints that all others reach, and
-// its reports alone would keep the fleet from using them.
+// Guards against this failure: one entry is cut off from endpoints that all others reach,
+// and its reports alone would keep the fleet from using them.
 func (u *endpointUsage) recordUnreachable(now time.Time, entry string) {
 	pause := unconfirmedPause
 	if u.unreachableBy != entry && now.Sub(u.unreachableAt) < confirmationWindow {
@@ -80,10 +80,10 @@
 
 // untrackedUse is memory in use that is known only from an endpoint's refusal.
 //
-// Failure guarded: a home starts while hundreds of answers are under way, as after
-// the previous home died. It takes full endpoints for empty ones and chooses them
-// again and again. So memory that a refusal shows to be in use is counted; it fades
-// over the duration of one answer, as the unknown answers end.
+// Guards against this failure: a home starts while hundreds of answers are under way, as
+// after the previous home died. It takes full endpoints for empty ones and chooses them
+// again and again. So memory that a refusal shows to be in use is counted; it fades over
+// the duration of one answer, as the unknown answers end.
 type untrackedUse struct {
 	tokens       int
 	observedAt   time.Time
--- a/internal/catalog/machine_test.go
+++ b/internal/catalog/machine_test.go
@@ -76,8 +76,8 @@
 		{"late ready", func(l *log) { l.report("a", 2, draining); l.report("a", 1, ready) }, draining},
 		{"same number", func(l *log) { l.report("a", 2, draining); l.report("a", 2, ready) }, draining},
 		{"after it left", func(l *log) { l.report("a", 1, ready); l.retire("a"); l.report("a", 9, ready) }, gone},
-		{"left before it was heard", func(l *log) { l.retire("a"); l.report("a", 1, ready) }, gone},
-		{"silent, then heard", func(l *log) { l.report("a", 1, ready); l.expire("a", 1); l.report("a", 2, ready) }, ready},
+		{"left before it was seen", func(l *log) { l.retire("a"); l.report("a", 1, ready) }, gone},
+		{"silent, then seen", func(l *log) { l.report("a", 1, ready); l.expire("a", 1); l.report("a", 2, ready) }, ready},
 		{"silent, late heartbeat", func(l *log) { l.report("a", 3, ready); l.expire("a", 1); l.report("a", 2, ready) }, silent},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -89,7 +89,7 @@
 }
 
 // A leader is suspended after it found an endpoint silent, and its command is committed
-// after another leader has heard the endpoint again.
+// after another leader has seen the endpoint again.
 func TestLateExpireCommandIsDropped(t *testing.T) {
 	l := newLog(t)
 	l.report("a", 1, ready)
@@ -167,7 +167,7 @@
 	assert.Equal(t, len(l.machine.ReadyEntries()), 0)
 	assert.Equal(t, l.machine.Senders(), 4)
 	report(&pb.EntryRecord{Id: "3", Name: "silent", Ready: true})
-	assert.Equal(t, l.machine.ReadyEntries()[0].Id, "3", "heard again")
+	assert.Equal(t, l.machine.ReadyEntries()[0].Id, "3", "seen again")
 	expire("1")
 	expire("2")
 	assert.Equal(t, l.machine.Senders(), 2)
--- a/internal/coordinator/commands.go
+++ b/internal/coordinator/commands.go
@@ -54,7 +54,7 @@
 }
 
 // ReportEndpoint processes an endpoint's heartbeat. Only a heartbeat that changes the
-// endpoint's record goes through the log. Others are counted as heard, but only while
+// endpoint's record goes through the log. Others count as seen, but only while
 // this member is in contact with the leader: otherwise the leader would not learn of
 // them, and the endpoint must turn to another member.
 func (c *Coordinator) ReportEndpoint(ctx context.Context, r *pb.EndpointRecord) error {
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -35,9 +35,9 @@
 	refusalLog *rate.Limiter
 
 	mu              sync.Mutex
-	endpointsSeen   map[string]bool      // endpoints heard since the last report to the leader
-	entriesSeen     map[string]bool      // entries heard since then
-	lastSeen        map[string]time.Time // as leader: when each endpoint and entry was last heard
+	endpointsSeen   map[string]bool      // endpoints seen since the last report to the leader
+	entriesSeen     map[string]bool      // entries seen since then
+	lastSeen        map[string]time.Time // as leader: when each endpoint and entry was last seen
 	leadingSince    time.Time            // zero when not leading
 	lastLeaderRun   time.Time            // as leader: when runLeaderTasks last looked for expired records
 	contactUntil    time.Time
@@ -68,7 +68,8 @@
 	return c
 }
 
-// entriesBehind returns the number of entries behind, for the metrics.
+// entriesBehind returns the number of entries with an outdated configuration, for the
+// metrics.
 func (c *Coordinator) entriesBehind() float64 {
 	return float64(c.versions.behind(c.options.Machine.CurrentDocument().Version(), time.Now()))
 }
--- a/internal/coordinator/lost.go
+++ b/internal/coordinator/lost.go
@@ -8,7 +8,7 @@
 	"github.com/hyssopsail/hyssopsail/internal/replica"
 )
 
-// removeLostVoter removes a voter that has not been heard for long, one at a time. A
+// removeLostVoter removes a voter that has not responded for long, one at a time. A
 // replaced instance would otherwise count for quorums forever, and after some
 // replacements the loss of one more instance would stop the group. A voter that was only
 // away joins again when it is back.
@@ -31,7 +31,7 @@
 	}()
 }
 
-// partitionVoters counts the voters that are heard, including this one, and returns the
+// partitionVoters counts the voters that respond, including this one, and returns the
 // silent ones.
 func (c *Coordinator) partitionVoters() (responsive int, silent []replica.MemberProgress) {
 	for _, m := range c.options.Group.Status().Members {
@@ -47,7 +47,7 @@
 }
 
 // isResponsive reports whether a member answered within memberTimeout; this member always
-// counts as heard.
+// counts as responsive.
 func (c *Coordinator) isResponsive(m replica.MemberProgress) bool {
 	return m.Member.DiskId == c.options.Self.DiskId || m.LastContactMs >= 0 && m.LastContactMs < memberTimeout.Milliseconds()
 }
@@ -70,9 +70,9 @@
 // being lost after that. The replaced instances still counted, so the four remaining of
 // eight were no majority: no change was accepted any more, and entries served the
 // configuration that a member had on its disk. After an early removal the instances that
-// are heard still have a majority after the losses.
+// respond still have a majority after the losses.
 //
-// A group whose remaining voters could not bear that many losses is left alone: a change
+// A group whose remaining voters could not bear that many losses is not changed: a change
 // that few disks hold could be lost with them. So is a single silent voter: it is usually
 // back soon, and each removal and return changes the membership.
 func quorumAtRisk(responsive, silent, tolerance int) bool {
--- a/internal/coordinator/options.go
+++ b/internal/coordinator/options.go
@@ -15,9 +15,9 @@
 
 // Intervals and timeouts of a Coordinator.
 const (
-	// seenReportInterval is the interval at which a member reports to the leader whom it
-	// has heard. The leader's answer makes the member current for contactValidity, so
-	// that entries leave a member that was cut off well within 2 s.
+	// seenReportInterval is the interval at which a member reports to the leader which
+	// endpoints and entries it has seen. The leader's answer makes the member current for
+	// contactValidity, so that entries leave a member that was cut off well within 2 s.
 	seenReportInterval = 300 * time.Millisecond
 	contactValidity    = 900 * time.Millisecond
 	// leaderPollInterval is how often a member checks whether there is another leader.
@@ -25,10 +25,10 @@
 	// leaderRunInterval is how often the leader looks for members with a new disk and for
 	// records without heartbeats.
 	leaderRunInterval = 400 * time.Millisecond
-	// memberTimeout is how long a member may be unheard before the leader asks at its
+	// memberTimeout is how long a member may not respond before the leader asks at its
 	// address which disk is there: twenty heartbeats of the group.
 	memberTimeout = 2 * time.Second
-	// voterRemovalDelay is how long a voter may be unheard before it is removed: longer
+	// voterRemovalDelay is how long a voter may not respond before it is removed: longer
 	// than restarts, network cuts and power losses that pass. rejoinDelay is how long a
 	// member goes without a leader before it requests to join, as it may have been
 	// removed.
@@ -46,8 +46,8 @@
 	// joinTimeout bounds a join, which ends once the new member has received the whole
 	// log.
 	joinTimeout = 3 * time.Second
-	// entryTimeout is how long an entry may be unheard; it polls at least every half
-	// second.
+	// entryTimeout is how long an entry may go without polling; it polls at least every
+	// half second.
 	entryTimeout = 1500 * time.Millisecond
 	// retryDelay is the delay between attempts to commit a command or read an index while
 	// there is no leader.
@@ -85,10 +85,10 @@
 	// Tolerance is how many instances, including their disks, may be lost at the same
 	// time.
 	Tolerance int
-	// EndpointTimeout is how long an endpoint may be unheard before its state becomes
-	// SILENT; three heartbeats and some slack.
+	// EndpointTimeout is how long an endpoint may go without a heartbeat before its state
+	// becomes SILENT; three heartbeats and some slack.
 	EndpointTimeout time.Duration
-	// SenderRetention is how long an entry that is no longer heard still counts among those
+	// SenderRetention is how long an entry that no longer polls still counts among those
 	// that share common budgets: the longest window of a budget.
 	SenderRetention time.Duration
 	// Uptime is the clock for the age of this member's view as reported to entries. It
@@ -99,7 +99,7 @@
 	Crashes *crashboard.Board
 	// Orders sends orders to model endpoints; if nil, none are sent.
 	Orders Orders
-	// OrderLease is how long nobody else may send orders after one holder.
+	// OrderLease is how long no other instance may send orders after one holder.
 	OrderLease time.Duration
 }
 
--- a/internal/coordinator/seen.go
+++ b/internal/coordinator/seen.go
@@ -55,7 +55,7 @@
 	return true
 }
 
-// reportSeen reports to the leader which endpoints and entries were heard here. The
+// reportSeen reports to the leader which endpoints and entries were seen here. The
 // leader's answer proves that this member is in contact; without it, entries and
 // endpoints soon turn to other members.
 func (c *Coordinator) reportSeen(ctx context.Context) {
@@ -209,8 +209,8 @@
 	return expired
 }
 
-// entryTimeoutFor returns how long an entry may be unheard until it counts as gone or, if
-// it is gone already, until its record is deleted.
+// entryTimeoutFor returns how long an entry may go without polling until it counts as gone
+// or, if it is gone already, until its record is deleted.
 func (c *Coordinator) entryTimeoutFor(e *pb.EntryRecord) time.Duration {
 	if e.Gone {
 		return max(entryTimeout, c.options.SenderRetention)
@@ -218,8 +218,8 @@
 	return entryTimeout
 }
 
-// silenceOf returns how long a record has been unheard. A record that was never heard
-// counts from the first call. It is called with c.mu held.
+// silenceOf returns the time since the endpoint or entry of a record was last seen. One that
+// was never seen counts from the first call. It is called with c.mu held.
 func (c *Coordinator) silenceOf(id string, now time.Time) time.Duration {
 	last, ok := c.lastSeen[id]
 	if !ok {
--- a/internal/coordinator/serve.go
+++ b/internal/coordinator/serve.go
@@ -121,8 +121,8 @@
 	return c.confirmedUptime
 }
 
-// QuotaServerCount returns how many control instances share the teams' quotas, or 0 while that is
-// unknown.
+// QuotaServerCount returns how many control instances share the teams' quotas, or 0 while
+// that is unknown.
 func (c *Coordinator) QuotaServerCount() int { return len(c.options.Group.Status().Members) }
 
 // Members returns the RPC addresses of the control instances, none while they are
@@ -148,10 +148,10 @@
 	return &pb.BlocksReply{Packed: c.options.Machine.Blocks(sums)}, nil
 }
 
-// recordEntry records that an entry was heard and commits changes of its record in the
+// recordEntry records that an entry was seen and commits changes of its record in the
 // background, so that its poll doesn't wait for them. Without contact to the leader
-// nothing is proposed: it could not be committed, and hundreds of entries poll again and
-// again.
+// nothing is proposed: it could not be committed, and hundreds of entries poll
+// repeatedly.
 func (c *Coordinator) recordEntry(r *pb.EntryRecord) {
 	c.recordEntrySeen(r.Id)
 	if !c.current(time.Now()) || !catalog.EntryChanges(c.options.Machine.Entry(r.Id), r) || !c.beginTask(r.Id) {
--- a/internal/dispatch/cooldown.go
+++ b/internal/dispatch/cooldown.go
@@ -57,9 +57,9 @@
 // appliesTo reports whether an incarnation of the endpoint may have requested the cooldown:
 // it had started before the entry received it.
 //
-// Failure guarded: an endpoint restarts and requests a cooldown in answer to a request that
-// was sent before the entry knew the new incarnation. Recorded for the old incarnation only,
-// the cooldown would not stop the next request to the new one.
+// Guards against this failure: an endpoint restarts and requests a cooldown in answer to a
+// request that was sent before the entry knew the new incarnation. Recorded for the old
+// incarnation only, the cooldown would not stop the next request to the new one.
 func (c requestedCooldown) appliesTo(id Incarnation) bool {
 	return id.Born > 0 && !c.receivedAt.IsZero() && c.receivedAt.UnixMilli() >= int64(id.Born)
 }
--- a/internal/endpoint/core_grant.go
+++ b/internal/endpoint/core_grant.go
@@ -159,8 +159,8 @@
 	return response{status: statusFull, retryAfter: max(after, minRetryAfter)}
 }
 
-// abandon removes a queued request whose caller is gone. If it was granted
-// meanwhile, the hold is freed.
+// abandon removes a queued request whose caller has disconnected. If it was
+// granted meanwhile, the hold is freed.
 func (c *core) abandon(now time.Time, w *queuedRequest) {
 	r, ok := c.endpoints[w.request.endpoint]
 	if !ok {
--- a/internal/endpoint/core_sweep.go
+++ b/internal/endpoint/core_sweep.go
@@ -19,7 +19,7 @@
 
 // sweep cancels orphaned holds.
 //
-// When a caller is gone and the cancel was lost or its entry was killed, the
+// When a caller disconnects and the cancel is lost, or its entry is killed, the
 // engine's memory would stay taken until the output ends. So a hold is
 // cancelled if its owner's process has left the view, if its owner has released
 // it and the endpoint still lists it, or if its owner disowns it. Each reply to
--- a/internal/endpoint/home_leave.go
+++ b/internal/endpoint/home_leave.go
@@ -11,14 +11,14 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// leaveRecipientsPerZone is how many instances in each zone are told of a
-// leave: the home and those that would be home after it.
+// leaveRecipientsPerZone is how many instances in each zone receive a leave:
+// the home and those that would be home after it.
 const leaveRecipientsPerZone = 2
 
 // spreadLeave records a leave here and forwards it to the endpoint's possible
-// homes. A leave doesn't name the zone, so the first instances of each zone are
-// told, one of which is the home. It reports whether the home has confirmed; if
-// not, the endpoint tells another entry.
+// homes. A leave doesn't name the zone, so the first instances of each zone
+// receive it, one of which is the home. It reports whether the home has
+// confirmed; if not, the endpoint reports the leave to another entry.
 func (h *Home) spreadLeave(ctx context.Context, l engineapi.Leave) bool {
 	var confirmed atomic.Bool
 	h.step(func(c *core, _ time.Time) { confirmed.Store(c.leave(l.ID, l.Incarnation)) })
--- a/internal/endpoint/limits.go
+++ b/internal/endpoint/limits.go
@@ -17,7 +17,7 @@
 // its leave, to the last moment at which any entry may start work on it.
 //
 // The bound holds for every entry, also one that is cut off: work starts only
-// on a grant, and only the home gives grants. It gives none later than
+// on a grant, and only the home issues grants. It issues none later than
 // EndpointLease (1.5 s) after the last heartbeat that reached it, and none at
 // all after a leave. A grant states until when work may start on it, and that
 // is never later than NewWorkBound after that heartbeat, less clockRateMargin
--- a/internal/endpoint/ratelimit.go
+++ b/internal/endpoint/ratelimit.go
@@ -11,7 +11,7 @@
 const maxRateLimitWait = time.Minute
 
 // rateLimit enforces the limit that an endpoint sends in its heartbeats. Only
-// the home gives grants, and each grant is for one request, so this limits the
+// the home issues grants, and each grant is for one request, so this limits the
 // requests of all entries together. A new home starts without saved permits.
 // The zero value has no limit.
 type rateLimit struct {
--- a/internal/endpointlimit/client_test.go
+++ b/internal/endpointlimit/client_test.go
@@ -46,9 +46,9 @@
 var someEndpoint = Endpoint{ID: "e1"}
 
 // receive passes a signal to a client now, from the answer to a request that was sent just before.
-func receive(c *Client, w Signal) {
+func receive(c *Client, signal Signal) {
 	time.Sleep(time.Millisecond)
-	c.RecordSignal(time.Now(), time.Now().Add(-time.Microsecond), someEndpoint, w)
+	c.RecordSignal(time.Now(), time.Now().Add(-time.Microsecond), someEndpoint, signal)
 }
 
 func named(perSecond float64) Signal { return Signal{Kind: KindLimit, PerSecond: perSecond} }
--- a/internal/endpointlimit/known_limit.go
+++ b/internal/endpointlimit/known_limit.go
@@ -18,12 +18,12 @@
 
 // update records the signal of an answer to a request that was sent at sent, and reports
 // whether the limit changed.
-func (l *KnownLimit) update(now, sent time.Time, w Signal) bool {
+func (l *KnownLimit) update(now, sent time.Time, signal Signal) bool {
 	before := *l
 	switch {
-	case w.Kind == KindLimit:
-		*l = KnownLimit{Limited: true, PerSecond: w.PerSecond, AsOf: now}
-	case w.Kind == KindNone && l.Limited && sent.After(l.AsOf):
+	case signal.Kind == KindLimit:
+		*l = KnownLimit{Limited: true, PerSecond: signal.PerSecond, AsOf: now}
+	case signal.Kind == KindNone && l.Limited && sent.After(l.AsOf):
 		*l = KnownLimit{AsOf: sent}
 	}
 	return l.Limited != before.Limited || l.PerSecond != before.PerSecond
--- a/internal/endpointlimit/limit_view.go
+++ b/internal/endpointlimit/limit_view.go
@@ -26,18 +26,18 @@
 
 // RecordSignal records the signal of an endpoint's answer to a request that was sent at sent. It
 // returns the latest known limit, and whether that changed.
-func (v *LimitView) RecordSignal(now, sent time.Time, e Endpoint, w Signal) (limit KnownLimit, changed bool) {
+func (v *LimitView) RecordSignal(now, sent time.Time, e Endpoint, signal Signal) (limit KnownLimit, changed bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	tracked := v.limits[e]
 	if tracked == nil {
-		if w.Kind != KindLimit {
+		if signal.Kind != KindLimit {
 			return KnownLimit{}, false
 		}
 		tracked = &trackedLimit{lastListed: now}
 		v.limits[e] = tracked
 	}
-	changed = tracked.update(now, sent, w)
+	changed = tracked.update(now, sent, signal)
 	return tracked.KnownLimit, changed
 }
 
--- a/internal/endpointlimit/signal.go
+++ b/internal/endpointlimit/signal.go
@@ -64,12 +64,12 @@
 }
 
 // combine returns the signal of two values together.
-func (w Signal) combine(other Signal) Signal {
+func (s Signal) combine(other Signal) Signal {
 	switch {
-	case w.Kind != KindLimit:
+	case s.Kind != KindLimit:
 		return other
 	case other.Kind != KindLimit:
-		return w
+		return s
 	}
-	return Signal{Kind: KindLimit, PerSecond: min(w.PerSecond, other.PerSecond)}
+	return Signal{Kind: KindLimit, PerSecond: min(s.PerSecond, other.PerSecond)}
 }
--- a/internal/relay/allocate.go
+++ b/internal/relay/allocate.go
@@ -9,29 +9,33 @@
 	"github.com/hyssopsail/hyssopsail/internal/dispatch"
 )
 
-// Allocator assigns places for the whole fleet. An error means that no home could be
-// asked.
+// Allocator requests reservations from the homes of services, which make them for the whole
+// fleet. An error means that no home could be reached.
 type Allocator interface {
+	// Allot requests a reservation, and waits for at most wait if there is no capacity. The
+	// result has no Endpoint if there was none in that time.
 	Allot(ctx context.Context, service string, request allocation.ReservationRequest, wait time.Duration) (allocation.Reservation, error)
+	// Settle releases a reservation and reports how its use ended.
 	Settle(ctx context.Context, r allocation.Reservation, o allocation.Outcome) error
-	// Read reports that a prefill took a different time than was promised.
+	// Read reports that the prefill endpoint of a reservation failed or was late. prefillTime
+	// is the expected duration of the prefill without its wait.
 	Read(ctx context.Context, r allocation.Reservation, o allocation.Outcome, prefillTime, took time.Duration) error
 }
 
-// maxAllocationWait limits one request for a place; an exchange that waits longer asks
-// again. Only this limit reveals an unreachable home, which costs this much of a target.
+// maxAllocationWait limits one request for a reservation; an exchange that waits longer sends
+// another one. Only this limit reveals an unreachable home, which costs this much of a target.
 const maxAllocationWait = 100 * time.Millisecond
 
 // allocationRetryInterval is the pause before the home is asked again: an endpoint that
 // it named has refused, or its queue is full.
 const allocationRetryInterval = 5 * time.Millisecond
 
-// allocate asks the service's home for a place, and the endpoint that it names for
-// memory. asked is false when there is no home to ask.
+// allocate requests a reservation from the service's home, and memory from the endpoint that
+// it names. asked is false when no home could be asked.
 //
 // Load pattern: hundreds of entries share a hundred endpoints, so that each entry uses an
 // endpoint once in minutes, and a burst fills nearly all of them. Entries that ask
-// endpoints by themselves pick full ones, since they know nothing about them.
+// endpoints by themselves pick full ones, since they know nothing about their load.
 func (ex *activeExchange) allocate(ctx context.Context, left time.Duration) (at *placement, asked bool) {
 	options := ex.router.options
 	candidates := ex.router.candidates(ex.service, dispatch.StageDecode, ex.model(), ex.tried)
@@ -101,7 +105,7 @@
 	return request
 }
 
-// settleAllocation returns a place to its home in the background.
+// settleAllocation releases a reservation at its home in the background.
 func (ex *activeExchange) settleAllocation(assigned allocation.Reservation, o allocation.Outcome) {
 	ex.releaseAsync(func(ctx context.Context) {
 		if err := ex.router.options.Allocator.Settle(ctx, assigned, o); err != nil {
@@ -110,7 +114,7 @@
 	})
 }
 
-// settleActiveAllocation returns the place in use if a home assigned it.
+// settleActiveAllocation releases the reservation in use if a home made it.
 func (ex *activeExchange) settleActiveAllocation(o dispatch.Outcome) {
 	if ex.allocated == nil {
 		return
--- a/internal/relay/budget_test.go
+++ b/internal/relay/budget_test.go
@@ -21,7 +21,7 @@
 }
 
 // Guards against reservations that are never returned: the budget would shrink with each
-// prompt that a prefill endpoint reads.
+// prompt that a prefill endpoint accepts.
 func TestAcceptedPrefillIsFree(t *testing.T) {
 	fx := newFixture(routetable.KindStream, returns(func() *Reply { return ok("{}") }), returns(func() *Reply { return ok("data: 1\n\n") })).withModel()
 	before := fx.budget.Remaining(time.Now(), "s")
@@ -61,7 +61,7 @@
 }
 
 // Load pattern: prefill endpoints reject prompts while the budget is spent. One that did so
-// lately isn't asked, and the decode endpoint reads the prompt; no request is refused
+// lately isn't asked, and the decode endpoint prefills the prompt; no request is refused
 // because of the prefill endpoint.
 func TestRejectingPrefillEndpointIsNotAskedWithoutBudget(t *testing.T) {
 	fx := newFixture(routetable.KindStream, returns(func() *Reply { return ok("data: 1\n\n") })).withModel()
--- a/internal/relay/burst_test.go
+++ b/internal/relay/burst_test.go
@@ -22,7 +22,7 @@
 	"github.com/hyssopsail/hyssopsail/internal/staging"
 )
 
-// engines simulates a service of model endpoints in virtual time. Prefill endpoints read
+// engines simulates a service of model endpoints in virtual time. Prefill endpoints prefill
 // one prompt after the other; a decode endpoint has memory for some ten requests, keeps
 // reservations, and rejects requests for which it has no memory.
 type engines struct {
@@ -32,7 +32,7 @@
 	idleAt       map[string]time.Time      // when a prefill endpoint is done with its queue
 	lastID       int
 	noMemory     int // refused reservations
-	wasted       int // tokens that were read and not used
+	wasted       int // tokens that were prefilled and not used
 	memory       int // of each endpoint, tokens
 }
 
@@ -44,11 +44,11 @@
 
 // Figures of an engine, as the users' model servers have them.
 const (
-	engineMemory   = 39_418
-	readPerSecond  = 33_333
-	ownReadSeconds = 2.0 / readPerSecond
-	eventPause     = 45 * time.Millisecond
-	tokensPerEvent = 16
+	engineMemory                = 39_418
+	prefillTokensPerSecond      = 33_333
+	localPrefillSecondsPerToken = 2.0 / prefillTokensPerSecond
+	eventPause                  = 45 * time.Millisecond
+	tokensPerEvent              = 16
 )
 
 func newEngines(memory int) *engines {
@@ -83,14 +83,14 @@
 
 func (e *engines) Send(ctx context.Context, c *Call) (*Reply, error) {
 	if c.Prefill {
-		return e.read(ctx, c)
+		return e.prefill(ctx, c)
 	}
 	return e.generate(c)
 }
 
-// read waits for the prompts queued before it.
-func (e *engines) read(ctx context.Context, c *Call) (*Reply, error) {
-	took := time.Duration(float64(c.Exchange.Prompt.Tokens) / readPerSecond * float64(time.Second))
+// prefill waits for the prompts queued before this one.
+func (e *engines) prefill(ctx context.Context, c *Call) (*Reply, error) {
+	took := time.Duration(float64(c.Exchange.Prompt.Tokens) / prefillTokensPerSecond * float64(time.Second))
 	e.mu.Lock()
 	began := time.Now()
 	if e.idleAt[c.Endpoint.ID].After(began) {
@@ -153,7 +153,7 @@
 
 func (g *generatedStream) Read(p []byte) (int, error) {
 	if g.reads {
-		time.Sleep(time.Duration(float64(g.prompt) * ownReadSeconds * float64(time.Second)))
+		time.Sleep(time.Duration(float64(g.prompt) * localPrefillSecondsPerToken * float64(time.Second)))
 		g.reads = false
 	}
 	if g.sent >= g.events {
@@ -354,23 +354,23 @@
 
 // Load pattern: for four seconds there are three times as many requests as usual, more than
 // the engines have memory for. With memory reserved first, prompts of requests that can't
-// be served are not read, and nearly all other requests are on time.
+// be served are not prefilled, and nearly all other requests are on time.
 func TestBurstNeedsMoreMemoryThanThereIs(t *testing.T) {
 	with, without := replay(t, burstLoad, 3, 9, true), replay(t, burstLoad, 3, 9, false)
 	t.Logf("with memory reserved: %+v; without: %+v", with, without)
-	assert.Assert(t, with.wasted*5 < without.wasted, "tokens read for nothing")
+	assert.Assert(t, with.wasted*5 < without.wasted, "tokens prefilled for nothing")
 	assert.Assert(t, with.inTarget > without.inTarget)
 	assert.Assert(t, with.inTarget*100 > 80*with.asked, "on time")
 }
 
 // Two of three prefill endpoints are lost during the same burst. Prompts that would wait
-// for the last one are read by decode endpoints; waiting would hold memory that others
+// for the last one are prefilled by decode endpoints; waiting would hold memory that others
 // need.
 func TestBurstWithPrefillEndpointsLost(t *testing.T) {
 	got := replay(t, burstLoad, 1, 9, true)
 	t.Logf("%+v", got)
 	assert.Assert(t, got.inTarget*100 > 60*got.asked, "on time")
-	assert.Assert(t, got.wasted < 100_000, "tokens read for nothing")
+	assert.Assert(t, got.wasted < 100_000, "tokens prefilled for nothing")
 }
 
 // Load pattern: more memory is needed than there is, without an end. Served in the order of
--- a/internal/relay/contract.go
+++ b/internal/relay/contract.go
@@ -43,7 +43,7 @@
 
 // outputMargin is the factor on the caller's estimate of the output by which memory is
 // reserved. Estimates are right in the median and often far off, and a request that
-// outgrows its reservation is preempted in mid-stream and its prompt is read again.
+// outgrows its reservation is preempted in mid-stream and its prompt is prefilled again.
 const outputMargin = 1.7
 
 // ReservedOutput returns the number of tokens beyond the prompt that memory is reserved
@@ -61,7 +61,7 @@
 	Team          string // of the caller; empty where callers need no key
 	Endpoint      *dispatch.Endpoint
 	TimeLeft      time.Duration // after which the endpoint may stop
-	Prefill       bool          // only read the prompt
+	Prefill       bool          // only prefill the prompt
 	Source        *Source       // where its KV cache is; nil for none
 	ReservationID string        // ID of the memory reserved for it; empty for none
 	LastEventID   string        // resume after this event; empty for that of the Exchange
--- a/internal/relay/cooldown_test.go
+++ b/internal/relay/cooldown_test.go
@@ -55,7 +55,7 @@
 	return highest
 }
 
-// overloadCooldown asks for three seconds of cooldown in the middle of the run.
+// overloadCooldown requests three seconds of cooldown in the middle of the run.
 func overloadCooldown(at time.Duration) time.Duration {
 	if at < 5*time.Second || at > 12*time.Second {
 		return 0
@@ -92,15 +92,15 @@
 	{"one of four", false, []string{"e0"}, 0, nil},
 	{"all but one", false, []string{"e0", "e1", "e2"}, 0, nil},
 	{"all", false, []string{"e0", "e1", "e2", "e3"}, 0, nil},
-	{"reads prompts", true, []string{"e0"}, 0, nil},
-	{"all that read prompts", true, []string{"e0", "e1"}, 0, nil},
-	{"generates", true, []string{"e2"}, 0, nil},
-	{"all that generate, and prompts take long", true, []string{"e2", "e3"}, 800 * time.Millisecond, nil},
+	{"prefill endpoint", true, []string{"e0"}, 0, nil},
+	{"all prefill endpoints", true, []string{"e0", "e1"}, 0, nil},
+	{"decode endpoint", true, []string{"e2"}, 0, nil},
+	{"all decode endpoints, with slow prefill", true, []string{"e2", "e3"}, 800 * time.Millisecond, nil},
 	{"a home names it", true, []string{"e2"}, 0, fixedHome{endpoint: "e2", prefillEndpoint: "e0"}},
-	{"a home names it to read", true, []string{"e0"}, 0, fixedHome{endpoint: "e2", prefillEndpoint: "e0"}},
+	{"a home names it for prefill", true, []string{"e0"}, 0, fixedHome{endpoint: "e2", prefillEndpoint: "e0"}},
 }
 
-// testUnavailable runs each case. setUp makes an endpoint want nothing, and check verifies what
+// testUnavailable runs each case. setUp makes an endpoint unavailable, and check verifies what
 // it got.
 func testUnavailable(t *testing.T, setUp func(*limitedEndpoint), check func(t *testing.T, id string, e *limitedEndpoint)) {
 	for _, test := range unavailableCases {
--- a/internal/relay/identity_test.go
+++ b/internal/relay/identity_test.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// A team's model request has its prompt read first, is retried, and continues elsewhere:
+// A team's model request has its prompt prefilled first, is retried, and continues elsewhere:
 // each call has the team's name.
 func TestEachCallBearsTheTeam(t *testing.T) {
 	fx := newFixture(stream, returns(func() *Reply { return ok("handle") }), returns(notRun),
--- a/internal/relay/limit.go
+++ b/internal/relay/limit.go
@@ -28,7 +28,7 @@
 // Constants of endpoint limits.
 const (
 	// permitTTL is how long a permit is valid, which has to cover the time in which another
-	// endpoint reads the prompt. Permits that were granted over some time may therefore be
+	// endpoint prefills the prompt. Permits that were granted over some time may therefore be
 	// used within a shorter one; the endpoints' tolerance covers that.
 	permitTTL = 1500 * time.Millisecond
 	// maxBlockedRetryAfter limits the RetryAfter of a request whose endpoints are all
@@ -64,7 +64,8 @@
 	}
 }
 
-// reportLimitEnd tells an endpoint's limit servers in the background that its limit ended.
+// reportLimitEnd reports the end of an endpoint's limit to its limit servers in the
+// background.
 func (ex *activeExchange) reportLimitEnd(e *dispatch.Endpoint) {
 	ex.releaseAsync(func(ctx context.Context) {
 		if err := ex.router.options.Limits.ReportLimit(ctx, limitKey(e)); err != nil {
@@ -77,7 +78,7 @@
 // if the endpoint has a limit. Without a permit it is blocked until there may be one.
 //
 // It is called right before each attempt: an endpoint may have been blocked since it was
-// chosen, while the request waited for memory or its prompt was read.
+// chosen, while the request waited for memory or its prompt was prefilled.
 func (ex *activeExchange) acquirePermit(ctx context.Context, e *dispatch.Endpoint) bool {
 	limits, stats := ex.router.options.Limits, ex.router.options.Stats
 	requestedAt := time.Now()
--- a/internal/relay/limit_fixture_test.go
+++ b/internal/relay/limit_fixture_test.go
@@ -41,7 +41,7 @@
 
 	mu          sync.Mutex
 	endpoints   map[string]*limitedEndpoint
-	prefillTime time.Duration // time to read a prompt at a prefill endpoint; 0 for the usual
+	prefillTime time.Duration // of a prompt at a prefill endpoint; 0 for the usual
 }
 
 // limitedEndpoint is one endpoint of a limitedService.
--- a/internal/relay/model.go
+++ b/internal/relay/model.go
@@ -30,7 +30,7 @@
 	maxReserveAttempts = 3
 )
 
-// placement is memory at an endpoint for one request.
+// placement is the endpoint chosen for one request, with the memory reserved there.
 type placement struct {
 	endpoint      *dispatch.Endpoint
 	reservationID string                  // empty where endpoints don't reserve memory
@@ -38,8 +38,8 @@
 }
 
 // prepareModel reserves memory for the whole request where it will run, and only then has
-// the prompt read. A prompt that is read and finds no memory wastes prefill capacity just
-// when it is short.
+// the prompt prefilled. A prompt that is prefilled and finds no memory wastes prefill
+// capacity just when it is short.
 func (ex *activeExchange) prepareModel(ctx context.Context) (*dispatch.Endpoint, *Call) {
 	at := ex.awaitPlacement(ctx)
 	if at == nil {
@@ -68,7 +68,7 @@
 }
 
 // awaitPlacement requests memory until it gets some or more waiting is futile. Where a home
-// says that there is no memory, endpoints are not asked as well: that would take freed
+// reports that there is no memory, endpoints are not asked as well: that would take freed
 // memory from requests that are queued at the home, and from large requests most.
 func (ex *activeExchange) awaitPlacement(ctx context.Context) *placement {
 	since, waiting := ex.waitState()
--- a/internal/relay/model_test.go
+++ b/internal/relay/model_test.go
@@ -11,7 +11,7 @@
 	"github.com/hyssopsail/hyssopsail/internal/dispatch"
 )
 
-// A prompt is read by a prefill endpoint only once memory is reserved for the whole
+// A prompt is prefilled by a prefill endpoint only once memory is reserved for the whole
 // request, and the result is sent with it.
 func TestMemoryBeforePrefill(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -28,7 +28,7 @@
 }
 
 // There is no memory for seconds: the request is refused before its caller leaves, its
-// prompt is not read, and the refusal says when to repeat it.
+// prompt is not prefilled, and the refusal says when to repeat it.
 func TestNoMemory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fx := newFixture(stream).withModel()
@@ -45,7 +45,7 @@
 }
 
 // The endpoint that should use a prefill result can't be reached: the next one gets it, and
-// the prompt is not read again.
+// the prompt is not prefilled again.
 func TestPrefillIsKeptForTheNextEndpoint(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fx := newFixture(stream, returns(func() *Reply { return ok("{}") }), fails(false), returns(func() *Reply { return ok(event("1")) })).withModel()
@@ -57,8 +57,8 @@
 	})
 }
 
-// The prefill fails: the decode endpoint reads the prompt, since a second prefill would be
-// an extra arrival.
+// The prefill fails: the decode endpoint prefills the prompt, since a second prefill would
+// be an extra arrival.
 func TestPrefillFails(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fx := newFixture(stream, fails(true), returns(func() *Reply { return ok(event("1")) })).withModel()
@@ -119,7 +119,7 @@
 }
 
 // A caller was refused once and returns with five seconds left. An answer of nine seconds
-// would be cut off in the middle: it is refused at once, without a prompt read or memory
+// would be cut off in the middle: it is refused at once, without a prefill or memory
 // reserved. One of two seconds is served.
 func TestAnswerThatCannotEndInTimeIsNotBegun(t *testing.T) {
 	for _, test := range []struct {
--- a/internal/relay/options.go
+++ b/internal/relay/options.go
@@ -22,8 +22,8 @@
 	// timeoutMargin is how long before the route's timeout an exchange ends, so
 	// that its final answer reaches the caller by then.
 	timeoutMargin = 20 * time.Millisecond
-	// networkMargin is subtracted from the time that an endpoint is told it has, for the
-	// way there and back.
+	// networkMargin is subtracted from the time left that is sent to an endpoint, for the
+	// network round trip.
 	networkMargin = 10 * time.Millisecond
 )
 
--- a/internal/relay/outdated.go
+++ b/internal/relay/outdated.go
@@ -4,7 +4,7 @@
 
 // outdatedShare is the share of Options.ApplyWithin for which an entry keeps serving with a
 // configuration that it knows to be replaced. The rest is for the time that passed before
-// it was told, and for requests that are on their way to an endpoint.
+// it learned of the newer one, and for requests that are on their way to an endpoint.
 const outdatedShare = 0.8
 
 // refuseOutdated refuses an exchange if the entry's configuration should no longer be in
--- a/internal/relay/prefill.go
+++ b/internal/relay/prefill.go
@@ -14,7 +14,7 @@
 const (
 	// minPrefillTimeout and prefillTimeoutFactor limit a prefill, which takes about the
 	// estimated time at a working endpoint. The minimum is shorter than reservationTTL, so
-	// that the decode endpoint can still read the prompt itself.
+	// that the decode endpoint can still prefill the prompt itself (local prefill).
 	minPrefillTimeout    = 1200 * time.Millisecond
 	prefillTimeoutFactor = 4
 )
@@ -25,8 +25,8 @@
 	handle   string
 }
 
-// runPrefill has the prompt read by a prefill endpoint. It returns nil where that failed,
-// and the decode endpoint reads the prompt itself.
+// runPrefill has a prefill endpoint prefill the prompt. It returns nil if none did; the
+// decode endpoint then prefills the prompt itself.
 func (ex *activeExchange) runPrefill(ctx context.Context) *prefilledPrompt {
 	if ex.skipsPrefill() {
 		return nil
@@ -60,8 +60,9 @@
 // asked already, or the caller resumes a stream.
 //
 // Load pattern: entries or endpoints fail under load, and all callers whose streams broke
-// return at once with prompts that must be read again. Their answers are late in any case,
-// while new requests that queue behind them at the prefill endpoints miss their targets.
+// return at once with prompts that must be prefilled again. Their answers are late in any
+// case, while new requests that queue behind them at the prefill endpoints miss their
+// targets.
 func (ex *activeExchange) skipsPrefill() bool {
 	return ex.exchange.Prompt == nil || ex.prefillAttempted || ex.isResumption() && ex.router.options.Policy.Has(dispatch.LocalPrefillOnResume)
 }
@@ -70,7 +71,7 @@
 func (ex *activeExchange) isResumption() bool { return ex.exchange.LastEventID != "" }
 
 // permittedPrefillEndpoint returns prefillEndpoint's choice, within the retry budget and
-// the endpoint's limit. Without one of these the decode endpoint reads the prompt.
+// the endpoint's limit. Without one of these the decode endpoint prefills the prompt.
 func (ex *activeExchange) permittedPrefillEndpoint(ctx context.Context) (dispatch.Choice, dispatch.PrefillMode, *retrybudget.Reservation) {
 	choice, mode := ex.prefillEndpoint()
 	if mode != dispatch.PrefillRemote {
@@ -101,7 +102,7 @@
 }
 
 // choosePrefillEndpoint chooses the prefill endpoint with the least work queued, and
-// returns where the prompt of this exchange is read.
+// returns where the prompt of this exchange is prefilled.
 func (ex *activeExchange) choosePrefillEndpoint() (dispatch.Choice, dispatch.PrefillMode) {
 	stats, tokens := ex.router.options.Stats, ex.exchange.Prompt.Tokens
 	choice, ok := ex.chooseEndpoint(dispatch.StagePrefill, nil, byPromptTokens(tokens))
@@ -165,7 +166,8 @@
 	return dispatch.OutcomeLost
 }
 
-// canPrefillSoon reports whether the prompt would be read soon after memory is reserved.
+// canPrefillSoon reports whether the prompt would be prefilled soon after memory is
+// reserved.
 func (ex *activeExchange) canPrefillSoon() bool {
 	if ex.skipsPrefill() {
 		return true
@@ -175,7 +177,7 @@
 }
 
 // byPromptTokens measures a prefill endpoint by the prompts queued before this one, in
-// units of this one: each delays it by its own reading time.
+// units of this one: each delays it by its own prefill time.
 func byPromptTokens(tokens int) dispatch.LoadFunc {
 	return func(_ *dispatch.Endpoint, _ int, prompt, _ int, others float64) float64 {
 		return float64(prompt)/float64(max(1, tokens)) + others
--- a/internal/relay/priority.go
+++ b/internal/relay/priority.go
@@ -20,7 +20,7 @@
 // noPriority leaves the priority to the engine.
 const noPriority = -1
 
-// priority returns the priority that engines are told.
+// priority returns the priority that is sent to engines.
 func (ex *activeExchange) priority() int {
 	if !ex.router.options.Policy.Has(dispatch.EnginePriorities) {
 		return noPriority
--- a/internal/relay/quota.go
+++ b/internal/relay/quota.go
@@ -25,8 +25,8 @@
 	// maxControlSilence is the time without contact to the control instances after which
 	// a request no longer waits for them: this entry is cut off, and another one isn't.
 	maxControlSilence = 1500 * time.Millisecond
-	// quotaRetryShare is the share of a target within which a caller is told to return
-	// whose team has spent its quota; the rest is for the start of the answer.
+	// quotaRetryShare is the share of a target within which a caller whose team has spent its
+	// quota is to return; the rest is for the start of the answer.
 	quotaRetryShare = 0.65
 	// otherEntryRetryAfter is the RetryAfter of a request that other entries can serve at
 	// once.
@@ -89,9 +89,9 @@
 // Load pattern: a team sends several times its quota for seconds. A caller that returns
 // after its target spends quota on a late answer, which another request could have used
 // for one in time.
-func quotaRetryAfter(again, target time.Duration, point float64) time.Duration {
+func quotaRetryAfter(earliest, target time.Duration, point float64) time.Duration {
 	latest := time.Duration(quotaRetryShare * float64(target))
-	return again + time.Duration(point*float64(max(0, latest-again)))
+	return earliest + time.Duration(point*float64(max(0, latest-earliest)))
 }
 
 // cost returns what the exchange costs in units of the quota.
--- a/internal/relay/quota_test.go
+++ b/internal/relay/quota_test.go
@@ -59,7 +59,7 @@
 func TestQuotaRetryAfter(t *testing.T) {
 	const target = 900 * time.Millisecond
 	for _, test := range []struct {
-		again       time.Duration
+		earliest    time.Duration
 		point       float64
 		first, last time.Duration
 	}{
@@ -68,7 +68,7 @@
 		{10 * time.Millisecond, 0.999, 500 * time.Millisecond, 650 * time.Millisecond},
 		{3 * time.Second, 0.999, 3 * time.Second, 3 * time.Second},
 	} {
-		got := quotaRetryAfter(test.again, target, test.point)
+		got := quotaRetryAfter(test.earliest, target, test.point)
 		assert.Assert(t, got >= test.first && got <= test.last, "%v: %v", test, got)
 	}
 }
--- a/internal/relay/release.go
+++ b/internal/relay/release.go
@@ -20,8 +20,8 @@
 
 // releaser frees memory at engines in the background.
 //
-// Guards against this failure: a caller leaves after its prompt was read and before its
-// request runs. The KV cache and the reserved memory stay until they expire, up to two
+// Guards against this failure: a caller leaves after its prompt was prefilled and before
+// its request runs. The KV cache and the reserved memory stay until they expire, up to two
 // seconds, and others are refused for lack of memory. The caller's final answer doesn't
 // wait for the release.
 type releaser struct {
@@ -46,7 +46,8 @@
 	return true
 }
 
-// releasePlacement releases the place that was assigned to the exchange and its memory.
+// releasePlacement releases a placement: the home's reservation, if one is in use, and the
+// memory reserved at the endpoint.
 func (ex *activeExchange) releasePlacement(at *placement) {
 	ex.settleActiveAllocation(dispatch.OutcomeCanceled)
 	ex.releaseReservation(at)
--- a/internal/relay/release_test.go
+++ b/internal/relay/release_test.go
@@ -10,13 +10,13 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against memory that stays in use at engines: a prompt has been read and memory is
+// Guards against memory that stays in use at engines: a prompt was prefilled and memory is
 // reserved, and then the caller leaves, or no endpoint takes the request. Both would stay
 // until they expire, half a second and nearly two, and others would be refused meanwhile.
 func TestMemoryOfAnExchangeThatEndsUnservedIsFreed(t *testing.T) {
-	read := returns(func() *Reply { return ok("{}") })
+	prefilled := returns(func() *Reply { return ok("{}") })
 	for name, test := range map[string]struct {
-		leaves  bool // the caller, while the prompt is read
+		leaves  bool // the caller, during the prefill
 		decode  []answer
 		dropped int
 	}{
@@ -29,7 +29,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				fx := newFixture(stream, append([]answer{read}, test.decode...)...).withModel()
+				fx := newFixture(stream, append([]answer{prefilled}, test.decode...)...).withModel()
 				ctx, leave := context.WithCancel(t.Context())
 				defer leave()
 				if test.leaves {
--- a/internal/relay/resumption_test.go
+++ b/internal/relay/resumption_test.go
@@ -70,7 +70,7 @@
 }
 
 // Load pattern: all entries lose power. A moment later callers whose streams broke return
-// together, each with a prompt that has to be read again. New requests that queue behind
+// together, each with a prompt to be prefilled again. New requests that queue behind
 // them at the prefill endpoints would miss their targets, and the resumed answers are late
 // in any case.
 func TestNewRequestsBesideResumptions(t *testing.T) {
--- a/internal/relay/signals.go
+++ b/internal/relay/signals.go
@@ -10,12 +10,12 @@
 // Signals are the signals of an answer about which requests its endpoint accepts.
 type Signals struct {
 	Limit    endpointlimit.Signal // how much it accepts from all entries
-	Cooldown time.Duration        // cooldown in which it wants nothing from this entry; 0 for none
+	Cooldown time.Duration        // for which it accepts nothing from this entry; 0 for none
 	Leaving  bool                 // it accepts no new work
 }
 
 // receiveSignals processes the signals of an answer to a request that was sent at sent. If
-// another incarnation answered, they say nothing about the one that was meant.
+// another incarnation answered, they don't apply to the one that the request was sent to.
 func (ex *activeExchange) receiveSignals(e *dispatch.Endpoint, sent time.Time, reply *Reply) {
 	if reply.WrongIncarnation {
 		return
@@ -24,7 +24,8 @@
 	ex.receiveAvailability(e, reply.Signals)
 }
 
-// receiveAvailability processes that an endpoint asks for a cooldown, or leaves.
+// receiveAvailability processes the signals by which an endpoint requests a cooldown or
+// announces that it is leaving.
 func (ex *activeExchange) receiveAvailability(e *dispatch.Endpoint, signals Signals) {
 	now, stats := time.Now(), ex.router.options.Stats
 	if signals.Cooldown > 0 {
--- a/internal/route/attemptfailure.go
+++ b/internal/route/attemptfailure.go
@@ -39,7 +39,7 @@
 	code       engineapi.Code
 	retryAfter time.Duration
 	failure    *Failure // if cause is causeFinal
-	cooldown   bool     // the endpoint asked for a cooldown
+	cooldown   bool     // the endpoint requested a cooldown
 	homeMoving bool     // with causeNoSlot: another home may grant a slot soon
 }
 
--- a/internal/route/cooldown.go
+++ b/internal/route/cooldown.go
@@ -12,13 +12,13 @@
 	"github.com/hyssopsail/hyssopsail/internal/fleet"
 )
 
-// errCooldown is the gate's error for an endpoint that asked this entry for a cooldown.
+// errCooldown is the gate's error for an endpoint that requested a cooldown from this entry.
 var errCooldown = errors.New("the endpoint has asked this entry for a cooldown")
 
 // maxCooldowns limits the number of cooldowns that are remembered.
 const maxCooldowns = 4096
 
-// cooldowns records which endpoints asked this entry for a cooldown. It applies to this
+// cooldowns records which endpoints requested a cooldown from this entry. It applies to this
 // entry only: an endpoint's home continues to grant slots to others. No other lock is
 // taken while mu is held.
 type cooldowns struct {
@@ -35,35 +35,35 @@
 func newCooldowns() *cooldowns { return &cooldowns{until: make(map[processKey]time.Time)} }
 
 // add records a cooldown of d from now on. An earlier one that ends later stays.
-func (r *cooldowns) add(now time.Time, t engine.Target, d time.Duration) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for key, until := range r.until {
+func (c *cooldowns) add(now time.Time, t engine.Target, d time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for key, until := range c.until {
 		if !now.Before(until) {
-			delete(r.until, key)
+			delete(c.until, key)
 		}
 	}
 	key := processKey{t.ID, t.Incarnation}
-	if until := now.Add(d); until.After(r.until[key]) && len(r.until) < maxCooldowns {
-		r.until[key] = until
+	if until := now.Add(d); until.After(c.until[key]) && len(c.until) < maxCooldowns {
+		c.until[key] = until
 	}
 }
 
 // remaining returns the time until the endpoint's cooldown ends; 0: there is none.
-func (r *cooldowns) remaining(now time.Time, id fleet.EndpointID, incarnation fleet.Incarnation) time.Duration {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return max(0, r.until[processKey{id, incarnation}].Sub(now))
+func (c *cooldowns) remaining(now time.Time, id fleet.EndpointID, incarnation fleet.Incarnation) time.Duration {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return max(0, c.until[processKey{id, incarnation}].Sub(now))
 }
 
 // filter returns the candidates that are in no cooldown, and the time until the first
 // cooldown of the others ends; 0: no candidate is in one.
-func (r *cooldowns) filter(now time.Time, candidates []endpoint.Candidate) (available []endpoint.Candidate, firstEnd time.Duration) {
+func (c *cooldowns) filter(now time.Time, candidates []endpoint.Candidate) (available []endpoint.Candidate, firstEnd time.Duration) {
 	available = make([]endpoint.Candidate, 0, len(candidates))
-	for _, c := range candidates {
-		left := r.remaining(now, c.ID, c.Incarnation)
+	for _, candidate := range candidates {
+		left := c.remaining(now, candidate.ID, candidate.Incarnation)
 		if left == 0 {
-			available = append(available, c)
+			available = append(available, candidate)
 			continue
 		}
 		if firstEnd == 0 || left < firstEnd {
@@ -79,7 +79,7 @@
 	return r.cooldowns.filter(time.Now(), r.candidates(ctx, q, deadline))
 }
 
-// recordCooldown records a cooldown of d that an endpoint's answer asked for; 0: none.
+// recordCooldown records a cooldown of d that an endpoint's answer requested; 0: none.
 func (r *Router) recordCooldown(t engine.Target, d time.Duration) {
 	if d <= 0 {
 		return
@@ -89,7 +89,7 @@
 	r.opts.Logger.Info("Endpoint asked for a cooldown.", "endpoint", t.ID, "rest_ms", d.Milliseconds())
 }
 
-// recordCooldownFromError records the cooldown that a failed call's answer asked for.
+// recordCooldownFromError records the cooldown that a failed call's answer requested.
 func (r *Router) recordCooldownFromError(err error) {
 	var e *engine.Error
 	if errors.As(err, &e) {
@@ -107,8 +107,8 @@
 	return ""
 }
 
-// checkCooldown refuses the first send under a grant to an endpoint that has asked for
-// a cooldown since the grant was given.
+// checkCooldown refuses the first send under a grant to an endpoint that has requested a
+// cooldown since the grant was issued.
 func (r *Router) checkCooldown(h *heldGrant, t engine.Target) error {
 	if h.maybeSent || r.cooldowns.remaining(time.Now(), t.ID, t.Incarnation) == 0 {
 		return nil
@@ -117,7 +117,7 @@
 	return errCooldown
 }
 
-// requestedCooldown returns the cooldown that a response to a plain call asks for.
+// requestedCooldown returns the cooldown that a response to a plain call requests.
 func requestedCooldown(answer *CallResponse) time.Duration {
 	return dispatch.CooldownFromAnswer(answer.StatusCode, answer.Header)
 }
