--- a/internal/coordinator/replaced_test.go
+++ b/internal/coordinator/replaced_test.go
@@ -50,7 +50,7 @@
 		responsive, silent, tolerance int
 		want                          bool
 	}{
-		{"nobody silent", 5, 0, 1, false},
+		{"none silent", 5, 0, 1, false},
 		{"one of five down", 4, 1, 1, false},
 		{"one of three down", 2, 1, 1, false},
 		{"one replaced, of six", 6, 1, 2, false},
--- a/internal/endpoint/core.go
+++ b/internal/endpoint/core.go
@@ -246,7 +246,7 @@
 
 // leave stops all grants of an endpoint incarnation; later incarnations aren't
 // affected. It reports whether this instance is the home, so that no more
-// grants are given. Other instances remember the leave in case they become the
+// grants are issued. Other instances remember the leave in case they become the
 // home: a leaving endpoint still sends heartbeats, which don't mention the
 // leave.
 func (c *core) leave(id fleet.EndpointID, incarnation fleet.Incarnation) (confirmed bool) {
--- a/internal/endpoint/core_release.go
+++ b/internal/endpoint/core_release.go
@@ -136,7 +136,7 @@
 	r.failedFingerprints = make(map[fleet.Fingerprint]time.Time)
 	r.crashReportAt = time.Time{}
 	// If the endpoint is alive after all, grants that were dropped here must
-	// expire before new ones are given.
+	// expire before new ones are issued.
 	r.hasHeldList = false
 	r.knowsAllGrants = false
 	r.noGrantsBefore = later(r.noGrantsBefore, now.Add(c.limits.GrantLife))
--- a/internal/endpoint/crash_test.go
+++ b/internal/endpoint/crash_test.go
@@ -129,7 +129,7 @@
 }
 
 // An engine that was treated as crashed sends heartbeats again under the same
-// incarnation. Its earlier grants must have expired before new ones are given.
+// incarnation. Its earlier grants must have expired before new ones are issued.
 func TestRevivedEndpointWaitsOutForgottenGrants(t *testing.T) {
 	c := homeRunningTwo(t, testFaults{})
 	assert.Equal(t, len(crashReports(c, 0)), 1)
--- a/internal/endpoint/ratelimit_test.go
+++ b/internal/endpoint/ratelimit_test.go
@@ -17,7 +17,7 @@
 }
 
 // An endpoint that needs fewer requests must not get as many as it has slots:
-// its home gives no more grants than the limit allows, over any home changes.
+// its home issues no more grants than the limit allows, over any home changes.
 func TestGrantsStayWithinTheRateLimit(t *testing.T) {
 	const window, bound = 4 * time.Second, 1.5*2*4 + 5
 	c := homeOfOne(t, 20, testFaults{})
--- a/internal/endpoint/sweep_test.go
+++ b/internal/endpoint/sweep_test.go
@@ -45,7 +45,7 @@
 	return 0, false
 }
 
-// An engine's memory stays taken by a request whose caller is gone: the entry
+// An engine's memory stays taken by a request whose caller has disconnected: the entry
 // that ran it was killed, or the cancel to the engine was lost, or the entry
 // has forgotten the request without a release.
 func TestOrphansAreFreed(t *testing.T) {
--- a/internal/relay/allocate.go
+++ b/internal/relay/allocate.go
@@ -109,7 +109,7 @@
 func (ex *activeExchange) settleAllocation(assigned allocation.Reservation, o allocation.Outcome) {
 	ex.releaseAsync(func(ctx context.Context) {
 		if err := ex.router.options.Allocator.Settle(ctx, assigned, o); err != nil {
-			ex.router.options.Part.Debug("Could not return a place to its home.", "request", assigned.Exchange, "home", assigned.Home, "err", err)
+			ex.router.options.Part.Debug("Could not release a reservation at its home.", "request", assigned.Exchange, "home", assigned.Home, "err", err)
 		}
 	})
 }
--- a/internal/relay/allocate_test.go
+++ b/internal/relay/allocate_test.go
@@ -87,7 +87,7 @@
 // Load pattern: two hundred entries share a hundred endpoints, so that each uses an
 // endpoint once in minutes and knows nothing about it. In a burst they would ask one full
 // endpoint after the other, and large prompts would be refused although there is memory
-// for them. The home of the service knows where it is.
+// for them. The home of the service knows which endpoints have it.
 func TestHomePlacesBetterThanManyEntries(t *testing.T) {
 	alone, placed := replayLargeFleet(t, 0, nil), replayLargeFleet(t, 3, nil)
 	t.Logf("alone: %+v; with homes: %+v", alone, placed)
@@ -151,7 +151,7 @@
 	})
 }
 
-// homeWithUnknownEndpoint is a home that names an endpoint which nobody else knows.
+// homeWithUnknownEndpoint is a home that names an endpoint that is unknown elsewhere.
 type homeWithUnknownEndpoint struct {
 	mu       sync.Mutex
 	requests []allocation.ReservationRequest
--- a/internal/relay/contract.go
+++ b/internal/relay/contract.go
@@ -122,7 +122,7 @@
 	Reserve(ctx context.Context, e *dispatch.Endpoint, tokens int, ttl time.Duration) (Reservation, error)
 	// ReleaseReservation releases what Reserve has reserved.
 	ReleaseReservation(ctx context.Context, e *dispatch.Endpoint, reservationID string)
-	// ReleasePrefill frees the result of a prefill that nobody will use.
+	// ReleasePrefill frees the result of a prefill that no endpoint will use.
 	ReleasePrefill(ctx context.Context, e *dispatch.Endpoint, handle string)
 	// HasConnectionOpenedBefore reports whether a connection to the endpoint that was opened
 	// before the given time is still open, which shows that its process has not ended since.
--- a/internal/relay/release_test.go
+++ b/internal/relay/release_test.go
@@ -21,7 +21,7 @@
 		dropped int
 	}{
 		"caller leaves":       {leaves: true, dropped: 1},
-		"nobody reachable":    {decode: []answer{fails(false), fails(false)}},
+		"none reachable":      {decode: []answer{fails(false), fails(false)}},
 		"full after all":      {decode: []answer{returns(notRun), returns(notRun)}},
 		"run was lost":        {decode: []answer{fails(true)}},
 		"other incarnations":  {decode: []answer{returns(misfit), returns(misfit)}},
--- a/internal/relay/stream_test.go
+++ b/internal/relay/stream_test.go
@@ -36,7 +36,7 @@
 			returns(func() *Reply { return reply(200, errCut, event("1")+event("2")) }),
 			returns(func() *Reply { return ok(event("2"), event("3")) }),
 		}},
-		"nobody goes on": {true, []answer{
+		"no endpoint resumes": {true, []answer{
 			returns(func() *Reply { return reply(200, errCut, event("1")) }), returns(failure), returns(notRun), returns(notRun),
 		}},
 	} {
--- a/internal/route/abort.go
+++ b/internal/route/abort.go
@@ -39,7 +39,7 @@
 // known here.
 func followerFailure(ctx context.Context) *Failure {
 	if !isAborted(ctx) {
-		return callerGoneFailure()
+		return callerDisconnectedFailure()
 	}
 	f := abortedFailure()
 	f.Outcome = callerapi.OutcomeUnknown
--- a/internal/route/failure.go
+++ b/internal/route/failure.go
@@ -36,7 +36,7 @@
 	return notRun(code, message, retryAfter)
 }
 
-// callerGoneFailure returns the failure of a request whose caller has disconnected.
-func callerGoneFailure() *Failure {
+// callerDisconnectedFailure returns the failure of a request whose caller has disconnected.
+func callerDisconnectedFailure() *Failure {
 	return &Failure{Code: callerapi.CodeDeadline, Message: "the caller is gone", Outcome: callerapi.OutcomeFailed}
 }
--- a/internal/route/grantexpired_test.go
+++ b/internal/route/grantexpired_test.go
@@ -23,7 +23,7 @@
 }
 
 // An entry gets a grant, is frozen, and continues after the grant has expired, when the
-// home has given the slot to another request. It must not send under that grant, which
+// home has granted the slot to another request. It must not send under that grant, which
 // would put two requests into one slot, but get a new one and serve the request, even
 // with only one endpoint.
 func TestGrantExpiredBeforeSend(t *testing.T) {
--- a/internal/route/grantgate.go
+++ b/internal/route/grantgate.go
@@ -14,7 +14,7 @@
 // endpoint's cooldown and the validity of the grant.
 //
 // An entry may be frozen between grant and send for longer than the grant lives,
-// and the home may give the slot to another request meanwhile. A late send would
+// and the home may grant the slot to another request meanwhile. A late send would
 // put two requests into one slot, or run an attempt again that the home has already
 // swept. The follower counts a grant's life from before it requested the grant, so
 // never longer than the home does, and only the write follows the gate.
--- a/internal/route/keyed.go
+++ b/internal/route/keyed.go
@@ -211,7 +211,7 @@
 		b := s.out.read(reader)
 		for _, chunk := range b.chunks {
 			if err := sink.WriteChunk(chunk); err != nil {
-				return ModelResult{Failure: callerGoneFailure()}
+				return ModelResult{Failure: callerDisconnectedFailure()}
 			}
 		}
 		if b.answer != nil && len(b.chunks) == 0 {
--- a/internal/route/modelparams.go
+++ b/internal/route/modelparams.go
@@ -122,7 +122,9 @@
 	return false
 }
 
-func patience(kind settings.CallerKind, asked time.Duration, b Bounds) time.Duration {
-	p := durationOrDefault(asked, durationOrDefault(kind.Patience, b.DefaultPatience))
+// patience returns how long the caller waits: as it requested, by its kind or by default, at
+// most b.MaxPatience.
+func patience(kind settings.CallerKind, requested time.Duration, b Bounds) time.Duration {
+	p := durationOrDefault(requested, durationOrDefault(kind.Patience, b.DefaultPatience))
 	return min(p, b.MaxPatience)
 }
--- a/internal/route/request.go
+++ b/internal/route/request.go
@@ -17,7 +17,7 @@
 	Prompt     string
 	MaxTokens  int // 0: Bounds.DefaultOutputTokens
 	CallerKind string
-	Patience   time.Duration // requested by the caller; 0: the default of CallerKind
+	Patience   time.Duration // how long the caller waits for the first token; 0: the default of CallerKind
 	Arrived    time.Time
 }
 
@@ -34,7 +34,7 @@
 	Body       []byte
 	AtMostOnce bool // the caller states that it must not be repeated
 	CallerKind string
-	Patience   time.Duration
+	Patience   time.Duration // maximum wait for a slot at an endpoint; 0: the default of CallerKind
 	Arrived    time.Time
 }
 
--- a/internal/route/retry.go
+++ b/internal/route/retry.go
@@ -65,7 +65,7 @@
 	after := durationOrDefault(failed.retryAfter, DefaultRetryAfter)
 	switch failed.cause {
 	case causeCallerDisconnected:
-		f := callerGoneFailure()
+		f := callerDisconnectedFailure()
 		f.Outcome = callerapi.OutcomeNotRun
 		return f
 	case causeDeadline:
--- a/internal/schedule/choice_test.go
+++ b/internal/schedule/choice_test.go
@@ -46,7 +46,7 @@
 		{"a cached prefix is worth a short queue", fleet.RolePrefill, NameLeastWait, "", []endpoint.Candidate{idle, warm, busy}, "warm"},
 		{"a cached prefix is not worth a long queue", fleet.RolePrefill, NameLeastWait, "", []endpoint.Candidate{swamped, idle}, "idle"},
 		{"the near zone wins", fleet.RolePrefill, NameLeastWait, "", []endpoint.Candidate{far, idle}, "idle"},
-		{"one that just failed is passed over", fleet.RolePrefill, NameLeastWait, "warm", []endpoint.Candidate{warm, busy}, "busy"},
+		{"one that just failed is avoided", fleet.RolePrefill, NameLeastWait, "warm", []endpoint.Candidate{warm, busy}, "busy"},
 		{"a sample takes the least wait of its own", fleet.RolePrefill, NameSampledWait, "", []endpoint.Candidate{idle, warm, busy}, "warm"},
 		{"a sample isn't filled by those to avoid", fleet.RolePrefill, NameSampledWait, "busy", []endpoint.Candidate{busy, busy, busy, busy, idle}, "idle"},
 		{"two choices take the free one", fleet.RoleDecode, NameTwoChoices, "", []endpoint.Candidate{busy, idle}, "idle"},
