--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -34,14 +34,16 @@
 	// refusalLog limits the log lines about refused heartbeats.
 	refusalLog *rate.Limiter
 
-	mu              sync.Mutex
-	endpointsSeen   map[string]bool      // endpoints seen since the last report to the leader
-	entriesSeen     map[string]bool      // entries seen since then
-	lastSeen        map[string]time.Time // as leader: when each endpoint and entry was last seen
-	leadingSince    time.Time            // zero when not leading
-	lastLeaderRun   time.Time            // as leader: when runLeaderTasks last looked for expired records
-	contactUntil    time.Time
-	confirmedUptime time.Duration // by Options.Uptime: documents confirmed until then are known here; 0 before the leader's first reply
+	mu            sync.Mutex
+	endpointsSeen map[string]bool      // endpoints seen since the last report to the leader
+	entriesSeen   map[string]bool      // entries seen since then
+	lastSeen      map[string]time.Time // as leader: when each endpoint and entry was last seen
+	leadingSince  time.Time            // zero when not leading
+	lastLeaderRun time.Time            // as leader: when runLeaderTasks last looked for expired records
+	contactUntil  time.Time
+	// confirmedUptime is until when, by Options.Uptime, confirmed documents are known here; 0
+	// before the leader's first reply.
+	confirmedUptime time.Duration
 	started         time.Time
 	isReady         bool            // ready is closed
 	inContact       bool            // as last logged
--- a/internal/dispatch/endpoint_stats.go
+++ b/internal/dispatch/endpoint_stats.go
@@ -12,11 +12,12 @@
 	zone   string
 	policy Policy
 
-	mu               sync.Mutex
-	random           *rand.Rand
-	states           map[Incarnation]*endpointState
-	prefillSpeeds    map[string]*prefillSpeed // by service
-	tokenDurationsNs map[string]float64       // average generation time per estimated token, ns, by service
+	mu            sync.Mutex
+	random        *rand.Rand
+	states        map[Incarnation]*endpointState
+	prefillSpeeds map[string]*prefillSpeed // by service
+	// tokenDurationsNs is the average generation time per estimated token, by service.
+	tokenDurationsNs map[string]float64
 	// blockedUntil is the latest blockedUntil of all endpoints.
 	blockedUntil time.Time
 	cooldowns    map[string]requestedCooldown // latest of each endpoint, by endpoint ID
--- a/internal/endpoint/followedendpoint.go
+++ b/internal/endpoint/followedendpoint.go
@@ -65,34 +65,34 @@
 // update applies the dynamic data of a digest, unless the digest is of another
 // incarnation or not newer in its home's order. The prefixes stay if the digest
 // has no newer ones.
-func (r *followedEndpoint) update(requestedAt time.Time, d *pb.EndpointDigest, incarnation fleet.Incarnation) {
-	if incarnation != r.static.Incarnation {
+func (e *followedEndpoint) update(requestedAt time.Time, d *pb.EndpointDigest, incarnation fleet.Incarnation) {
+	if incarnation != e.static.Incarnation {
 		return
 	}
 	fresh := newDynamicState(requestedAt, d)
 	for {
-		old := r.dynamic.Load()
+		old := e.dynamic.Load()
 		if old != nil && old.sequence >= d.GetSequence() {
 			return
 		}
 		if old != nil && d.GetCacheSequence() <= old.cacheVersion {
 			fresh.cached, fresh.cacheVersion = old.cached, old.cacheVersion
 		}
-		if r.dynamic.CompareAndSwap(old, fresh) {
+		if e.dynamic.CompareAndSwap(old, fresh) {
 			return
 		}
 	}
 }
 
 // markStale makes the endpoint unusable until a newer digest arrives.
-func (r *followedEndpoint) markStale() {
-	old := r.dynamic.Load()
+func (e *followedEndpoint) markStale() {
+	old := e.dynamic.Load()
 	if old == nil {
 		return
 	}
 	stale := *old
 	stale.requestedAt = time.Time{}
-	r.dynamic.CompareAndSwap(old, &stale)
+	e.dynamic.CompareAndSwap(old, &stale)
 }
 
 func newDynamicState(requestedAt time.Time, d *pb.EndpointDigest) *dynamicState {
@@ -118,13 +118,13 @@
 
 // fill writes the candidate as of now; ok is false if the endpoint must not be
 // used.
-func (r *followedEndpoint) fill(now time.Time, into *Candidate) (ok bool) {
-	f := r.dynamic.Load()
+func (e *followedEndpoint) fill(now time.Time, into *Candidate) (ok bool) {
+	f := e.dynamic.Load()
 	if f == nil || f.leaving || now.Sub(f.requestedAt) > maxDigestAge {
 		return false
 	}
-	*into = r.static
-	into.Granted = max(f.granted+int(r.inFlight.Load()), 0)
+	*into = e.static
+	into.Granted = max(f.granted+int(e.inFlight.Load()), 0)
 	into.Queued = f.queued
 	into.SlotWait = f.nextFree
 	into.QueuedWork = f.queuedWork
--- a/internal/endpoint/followedhomes.go
+++ b/internal/endpoint/followedhomes.go
@@ -36,8 +36,8 @@
 }
 
 // versions returns the versions to send in the next request to a home.
-func (p *followedHomes) versions(owner fleet.Owner) (staticVersion, cacheVersion uint64) {
-	h, ok := p.homes[owner.Instance]
+func (f *followedHomes) versions(owner fleet.Owner) (staticVersion, cacheVersion uint64) {
+	h, ok := f.homes[owner.Instance]
 	if !ok || h.owner != owner {
 		return 0, 0
 	}
@@ -45,18 +45,18 @@
 }
 
 // mergeReply merges a reply; changed reports whether the index must be rebuilt.
-func (p *followedHomes) mergeReply(requestedAt time.Time, polled fleet.Owner, reply *pb.DigestReply) (changed bool) {
+func (f *followedHomes) mergeReply(requestedAt time.Time, polled fleet.Owner, reply *pb.DigestReply) (changed bool) {
 	owner := fleet.OwnerFromProto(reply.GetHome())
 	if owner != polled {
 		return false
 	}
-	h, ok := p.homes[owner.Instance]
+	h, ok := f.homes[owner.Instance]
 	if ok && (owner.Incarnation < h.owner.Incarnation || (owner == h.owner && reply.GetSequence() <= h.sequence)) {
 		return false
 	}
 	if !ok || h.owner != owner {
 		h = &followedHome{owner: owner}
-		p.homes[owner.Instance] = h
+		f.homes[owner.Instance] = h
 		changed = true
 	}
 	return h.merge(requestedAt, reply) || changed
@@ -117,10 +117,10 @@
 
 // retain drops homes that are no longer followed and reports whether there were
 // any.
-func (p *followedHomes) retain(followed map[fleet.InstanceID]fleet.Owner) (dropped bool) {
-	for id, h := range p.homes {
+func (f *followedHomes) retain(followed map[fleet.InstanceID]fleet.Owner) (dropped bool) {
+	for id, h := range f.homes {
 		if owner, ok := followed[id]; !ok || owner != h.owner {
-			delete(p.homes, id)
+			delete(f.homes, id)
 			dropped = true
 		}
 	}
@@ -129,10 +129,10 @@
 
 // endpoints merges all homes. An endpoint that two of them list while it moves
 // is taken from the one with the later incarnation, or the one updated last.
-func (p *followedHomes) endpoints() map[fleet.EndpointID]*followedEndpoint {
+func (f *followedHomes) endpoints() map[fleet.EndpointID]*followedEndpoint {
 	all := make(map[fleet.EndpointID]*followedEndpoint)
 	updatedAt := make(map[fleet.EndpointID]time.Time)
-	for _, h := range p.homes {
+	for _, h := range f.homes {
 		for id, r := range h.endpoints {
 			old, ok := all[id]
 			if ok && old.static.Incarnation > r.static.Incarnation {
--- a/internal/endpoint/follower.go
+++ b/internal/endpoint/follower.go
@@ -65,13 +65,13 @@
 var _ Follower = (*HomeClient)(nil)
 
 // Candidates implements Follower.
-func (f *HomeClient) Candidates(q Query) []Candidate {
-	return f.index.Load().candidates(time.Now(), q)
+func (c *HomeClient) Candidates(q Query) []Candidate {
+	return c.index.Load().candidates(time.Now(), q)
 }
 
 // FirstPollTime implements Follower.
-func (f *HomeClient) FirstPollTime() (time.Time, bool) {
-	at := f.firstPollEnd.Load()
+func (c *HomeClient) FirstPollTime() (time.Time, bool) {
+	at := c.firstPollEnd.Load()
 	if at == nil {
 		return time.Time{}, false
 	}
@@ -79,22 +79,22 @@
 }
 
 // Run polls homes, renews grants and sends releases until ctx ends.
-func (f *HomeClient) Run(ctx context.Context) error {
+func (c *HomeClient) Run(ctx context.Context) error {
 	var workers sync.WaitGroup
 	for range releaseWorkers {
-		workers.Go(func() { f.releaseLoop(ctx) })
+		workers.Go(func() { c.releaseLoop(ctx) })
 	}
-	workers.Go(func() { f.renewLoop(ctx) })
-	f.pollLoop(ctx)
+	workers.Go(func() { c.renewLoop(ctx) })
+	c.pollLoop(ctx)
 	workers.Wait()
 	return nil
 }
 
-func (f *HomeClient) pollLoop(ctx context.Context) {
+func (c *HomeClient) pollLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		view := f.options.Source.State().View.Number
-		f.pollAll(ctx)
-		f.awaitPoll(ctx, view)
+		view := c.options.Source.State().View.Number
+		c.pollAll(ctx)
+		c.awaitPoll(ctx, view)
 	}
 }
 
@@ -104,12 +104,12 @@
 // A change of settings wakes all followers but must not cause a poll, since
 // nothing in a digest depends on settings. When it did, ten changes a second in
 // a fleet of nine daemons made five times the polls.
-func (f *HomeClient) awaitPoll(ctx context.Context, polledView uint64) {
-	timer := time.NewTimer(f.pollInterval())
+func (c *HomeClient) awaitPoll(ctx context.Context, polledView uint64) {
+	timer := time.NewTimer(c.pollInterval())
 	defer timer.Stop()
 	for {
-		changed := f.options.Source.Changed()
-		if f.options.Source.State().View.Number != polledView {
+		changed := c.options.Source.Changed()
+		if c.options.Source.State().View.Number != polledView {
 			return
 		}
 		select {
@@ -124,16 +124,16 @@
 
 // pollInterval keeps polls at ten a second or fewer and digests younger than
 // maxDigestAge.
-func (f *HomeClient) pollInterval() time.Duration {
-	entries := len(f.options.Source.State().View.Instances)
-	homes := min(entries, f.options.MaxHomes)
+func (c *HomeClient) pollInterval() time.Duration {
+	entries := len(c.options.Source.State().View.Instances)
+	homes := min(entries, c.options.MaxHomes)
 	return min(max(time.Duration(homes)*pollIntervalPerHome, minPollInterval), maxPollInterval)
 }
 
 // pollAll polls the followed homes once, pollWorkers at a time.
-func (f *HomeClient) pollAll(ctx context.Context) {
-	homes := homesToFollow(f.options.Source.Self(), f.options.Source.State().View, f.options.MaxHomes)
-	f.dropUnfollowed(homes)
+func (c *HomeClient) pollAll(ctx context.Context) {
+	homes := homesToFollow(c.options.Source.Self(), c.options.Source.State().View, c.options.MaxHomes)
+	c.dropUnfollowed(homes)
 	limit := make(chan struct{}, pollWorkers)
 	var calls sync.WaitGroup
 	for _, home := range homes {
@@ -144,64 +144,64 @@
 			return
 		}
 		calls.Go(func() {
-			f.poll(ctx, home)
+			c.poll(ctx, home)
 			<-limit
 		})
 	}
 	calls.Wait()
-	f.recordFirstPoll(homes)
+	c.recordFirstPoll(homes)
 }
 
 // recordFirstPoll records when the first poll of any home ended. A home that
 // did not answer counts as polled: it may have failed.
-func (f *HomeClient) recordFirstPoll(homes []fleet.Instance) {
-	if len(homes) == 0 || f.firstPollEnd.Load() != nil {
+func (c *HomeClient) recordFirstPoll(homes []fleet.Instance) {
+	if len(homes) == 0 || c.firstPollEnd.Load() != nil {
 		return
 	}
 	now := time.Now()
-	f.firstPollEnd.Store(&now)
+	c.firstPollEnd.Store(&now)
 }
 
-func (f *HomeClient) dropUnfollowed(homes []fleet.Instance) {
+func (c *HomeClient) dropUnfollowed(homes []fleet.Instance) {
 	owners := make(map[fleet.InstanceID]fleet.Owner, len(homes))
 	for _, h := range homes {
 		owners[h.ID] = h.Owner()
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.homes.retain(owners) {
-		f.index.Store(newIndex(f.homes.endpoints()))
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.homes.retain(owners) {
+		c.index.Store(newIndex(c.homes.endpoints()))
 	}
 }
 
-func (f *HomeClient) poll(ctx context.Context, home fleet.Instance) {
+func (c *HomeClient) poll(ctx context.Context, home fleet.Instance) {
 	ctx, cancel := context.WithTimeout(ctx, minPollInterval)
 	defer cancel()
-	f.mu.Lock()
-	staticVersion, cacheVersion := f.homes.versions(home.Owner())
-	f.mu.Unlock()
+	c.mu.Lock()
+	staticVersion, cacheVersion := c.homes.versions(home.Owner())
+	c.mu.Unlock()
 	request := &pb.DigestRequest{
-		Owner:         f.options.Source.Self().Owner().Proto(),
+		Owner:         c.options.Source.Self().Owner().Proto(),
 		StaticVersion: staticVersion,
 		CacheVersion:  cacheVersion,
 	}
 	sentAt := time.Now()
-	reply, err := f.requestDigest(ctx, home, request)
+	reply, err := c.requestDigest(ctx, home, request)
 	if err != nil {
-		f.metrics.failedPolls.Inc()
+		c.metrics.failedPolls.Inc()
 		return
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	// The age counts from the request: the reply may have been in transit for
 	// as long as the call took.
-	if f.homes.mergeReply(sentAt, home.Owner(), reply) {
-		f.index.Store(newIndex(f.homes.endpoints()))
+	if c.homes.mergeReply(sentAt, home.Owner(), reply) {
+		c.index.Store(newIndex(c.homes.endpoints()))
 	}
 }
 
-func (f *HomeClient) requestDigest(ctx context.Context, home fleet.Instance, request *pb.DigestRequest) (*pb.DigestReply, error) {
-	client, err := f.client(ctx, home.RPCAddress)
+func (c *HomeClient) requestDigest(ctx context.Context, home fleet.Instance, request *pb.DigestRequest) (*pb.DigestReply, error) {
+	client, err := c.client(ctx, home.RPCAddress)
 	if err != nil {
 		return nil, err
 	}
@@ -216,11 +216,11 @@
 	Digest(ctx context.Context, in *pb.DigestRequest) (*pb.DigestReply, error)
 }
 
-func (f *HomeClient) client(ctx context.Context, address string) (homeCaller, error) {
-	if f.options.Home != nil && address == f.options.Source.Self().RPCAddress {
-		return f.options.Home, nil
+func (c *HomeClient) client(ctx context.Context, address string) (homeCaller, error) {
+	if c.options.Home != nil && address == c.options.Source.Self().RPCAddress {
+		return c.options.Home, nil
 	}
-	conn, err := f.options.Dialer.Conn(ctx, address)
+	conn, err := c.options.Dialer.Conn(ctx, address)
 	if err != nil {
 		return nil, err
 	}
@@ -229,8 +229,8 @@
 
 // applyPiggybacked applies the digests attached to another reply, for endpoints
 // that are already known.
-func (f *HomeClient) applyPiggybacked(requestedAt time.Time, digests []*pb.EndpointDigest) {
-	x := f.index.Load()
+func (c *HomeClient) applyPiggybacked(requestedAt time.Time, digests []*pb.EndpointDigest) {
+	x := c.index.Load()
 	for _, d := range digests {
 		if r, ok := x.byID[fleet.EndpointID(d.GetId())]; ok {
 			r.update(requestedAt, d, fleet.Incarnation(d.GetIncarnation()))
--- a/internal/endpoint/follower_release.go
+++ b/internal/endpoint/follower_release.go
@@ -25,32 +25,32 @@
 )
 
 // Release implements Follower.
-func (f *HomeClient) Release(r Release) {
+func (c *HomeClient) Release(r Release) {
 	key := slotKey{r.Grant.Endpoint, holdKey{r.Grant.Attempt, r.Grant.Kind}}
-	t := f.untrack(key)
+	t := c.untrack(key)
 	if t == nil {
 		return // already released
 	}
-	limits := limitsFrom(f.options.Source.State().Tree)
+	limits := limitsFrom(c.options.Source.State().Tree)
 	g := pendingRelease{
-		request:  f.releaseMessage(r, t),
+		request:  c.releaseMessage(r, t),
 		address:  t.address,
 		deadline: time.Now().Add(releaseRetryGrantLives * limits.GrantLife),
-		endpoint: f.index.Load().byID[r.Grant.Endpoint],
+		endpoint: c.index.Load().byID[r.Grant.Endpoint],
 	}
 	if g.endpoint != nil {
 		g.endpoint.inFlight.Add(-1)
 	}
 	select {
-	case f.releases <- g:
+	case c.releases <- g:
 	default:
 		// The home frees the slot when the endpoint no longer lists it.
 		g.endCorrection()
-		f.metrics.droppedReleases.Inc()
+		c.metrics.droppedReleases.Inc()
 	}
 }
 
-func (f *HomeClient) releaseMessage(r Release, t *trackedSlot) *pb.ReleaseRequest {
+func (c *HomeClient) releaseMessage(r Release, t *trackedSlot) *pb.ReleaseRequest {
 	return &pb.ReleaseRequest{
 		EndpointId:   string(r.Grant.Endpoint),
 		AttemptId:    string(r.Grant.Attempt),
@@ -70,14 +70,14 @@
 	}
 }
 
-func (f *HomeClient) releaseLoop(ctx context.Context) {
+func (c *HomeClient) releaseLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
-			f.releaseRemaining()
+			c.releaseRemaining()
 			return
-		case g := <-f.releases:
-			f.releaseUntilConfirmed(ctx, g)
+		case g := <-c.releases:
+			c.releaseUntilConfirmed(ctx, g)
 		}
 	}
 }
@@ -85,13 +85,13 @@
 // releaseRemaining sends each remaining release once when the daemon stops. Its
 // calls don't end with the loop's context, but all of them together within
 // releaseTimeout.
-func (f *HomeClient) releaseRemaining() {
+func (c *HomeClient) releaseRemaining() {
 	ctx, cancel := context.WithTimeout(context.Background(), slotCallTimeout)
 	defer cancel()
 	for {
 		select {
-		case g := <-f.releases:
-			f.releaseOnce(ctx, &g)
+		case g := <-c.releases:
+			c.releaseOnce(ctx, &g)
 			g.endCorrection()
 		default:
 			return
@@ -99,11 +99,11 @@
 	}
 }
 
-func (f *HomeClient) releaseUntilConfirmed(ctx context.Context, g pendingRelease) {
+func (c *HomeClient) releaseUntilConfirmed(ctx context.Context, g pendingRelease) {
 	defer g.endCorrection()
 	pause := minReleasePause
 	for time.Now().Before(g.deadline) {
-		if f.releaseOnce(ctx, &g) {
+		if c.releaseOnce(ctx, &g) {
 			return
 		}
 		if ctx.Err() != nil {
@@ -112,24 +112,24 @@
 		sleep.For(ctx, pause)
 		pause = min(2*pause, maxReleasePause)
 	}
-	f.metrics.droppedReleases.Inc()
+	c.metrics.droppedReleases.Inc()
 }
 
 // releaseOnce reports whether the home has freed the slot or doesn't have it.
-func (f *HomeClient) releaseOnce(ctx context.Context, g *pendingRelease) bool {
+func (c *HomeClient) releaseOnce(ctx context.Context, g *pendingRelease) bool {
 	ctx, cancel := context.WithTimeout(ctx, slotCallTimeout)
 	defer cancel()
 	sentAt := time.Now()
-	client, err := f.client(ctx, g.address)
+	client, err := c.client(ctx, g.address)
 	if err != nil {
 		return false
 	}
 	reply, err := client.Release(ctx, g.request)
 	if err != nil {
-		g.address = f.currentHomeAddress(g)
+		g.address = c.currentHomeAddress(g)
 		return false
 	}
-	f.applyPiggybacked(sentAt, reply.GetDigests())
+	c.applyPiggybacked(sentAt, reply.GetDigests())
 	if reply.GetStatus() == pb.GrantStatus_GRANT_STATUS_NOT_HOME && reply.GetHomeAddress() != "" {
 		g.address = reply.GetHomeAddress()
 		return false
@@ -139,11 +139,11 @@
 
 // currentHomeAddress returns the address to try next: an unreachable home may
 // have been replaced.
-func (f *HomeClient) currentHomeAddress(g *pendingRelease) string {
+func (c *HomeClient) currentHomeAddress(g *pendingRelease) string {
 	if g.endpoint == nil {
 		return g.address
 	}
-	home, ok := fleet.HomeOf(g.endpoint.static.ID, g.endpoint.static.Zone, f.options.Source.State().View)
+	home, ok := fleet.HomeOf(g.endpoint.static.ID, g.endpoint.static.Zone, c.options.Source.State().View)
 	if !ok {
 		return g.address
 	}
@@ -152,7 +152,7 @@
 
 // renewLoop renews grants that the endpoint has not listed yet, such as a
 // decode slot that waits for a long prefill.
-func (f *HomeClient) renewLoop(ctx context.Context) {
+func (c *HomeClient) renewLoop(ctx context.Context) {
 	limit := make(chan struct{}, maxRenewWorkers)
 	ticker := time.NewTicker(renewInterval)
 	defer ticker.Stop()
@@ -162,11 +162,11 @@
 			return
 		case <-ticker.C:
 		}
-		for key, t := range f.dueRenewals(time.Now()) {
+		for key, t := range c.dueRenewals(time.Now()) {
 			select {
 			case limit <- struct{}{}:
 				go func() {
-					f.renew(ctx, key, t)
+					c.renew(ctx, key, t)
 					<-limit
 				}()
 			case <-ctx.Done():
@@ -176,12 +176,12 @@
 	}
 }
 
-func (f *HomeClient) dueRenewals(now time.Time) map[slotKey]*trackedSlot {
-	life := limitsFrom(f.options.Source.State().Tree).GrantLife
+func (c *HomeClient) dueRenewals(now time.Time) map[slotKey]*trackedSlot {
+	life := limitsFrom(c.options.Source.State().Tree).GrantLife
 	due := make(map[slotKey]*trackedSlot)
-	f.slotsMu.Lock()
-	defer f.slotsMu.Unlock()
-	for key, t := range f.slots {
+	c.slotsMu.Lock()
+	defer c.slotsMu.Unlock()
+	for key, t := range c.slots {
 		if t.renewedAt.IsZero() || t.confirmed || t.refused {
 			continue
 		}
@@ -193,25 +193,25 @@
 	return due
 }
 
-func (f *HomeClient) renew(ctx context.Context, key slotKey, t *trackedSlot) {
+func (c *HomeClient) renew(ctx context.Context, key slotKey, t *trackedSlot) {
 	ctx, cancel := context.WithTimeout(ctx, slotCallTimeout)
 	defer cancel()
-	f.metrics.renewals.Inc()
+	c.metrics.renewals.Inc()
 	sentAt := time.Now()
-	reply, err := f.requestGrant(ctx, t)
+	reply, err := c.requestGrant(ctx, t)
 	if err != nil {
-		f.options.Part.Debug("Renewing a grant failed.", "endpoint", key.endpoint, "err", err)
+		c.options.Part.Debug("Renewing a grant failed.", "endpoint", key.endpoint, "err", err)
 		return
 	}
 	if reply.GetStatus() == pb.GrantStatus_GRANT_STATUS_NOT_HOME && reply.GetHomeAddress() != "" {
-		f.setAddress(t, reply.GetHomeAddress())
+		c.setAddress(t, reply.GetHomeAddress())
 		return
 	}
 	if reply.GetStatus() == statusGranted {
-		f.storeGrant(t, sentAt, reply)
+		c.storeGrant(t, sentAt, reply)
 		return
 	}
-	f.slotsMu.Lock()
-	defer f.slotsMu.Unlock()
+	c.slotsMu.Lock()
+	defer c.slotsMu.Unlock()
 	t.refused = true
 }
--- a/internal/endpoint/home_announce.go
+++ b/internal/endpoint/home_announce.go
@@ -25,25 +25,25 @@
 	zone fleet.AvailabilityZone
 }
 
-func (m *announceReplyCache) get(state *membership.State, key replyKey) (engineapi.AnnounceReply, bool) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if m.state != state {
+func (a *announceReplyCache) get(state *membership.State, key replyKey) (engineapi.AnnounceReply, bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.state != state {
 		return engineapi.AnnounceReply{}, false
 	}
-	reply, ok := m.replies[key]
+	reply, ok := a.replies[key]
 	return reply, ok
 }
 
-func (m *announceReplyCache) put(state *membership.State, key replyKey, reply engineapi.AnnounceReply) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if m.state != state {
-		m.state = state
-		m.replies = make(map[replyKey]engineapi.AnnounceReply)
+func (a *announceReplyCache) put(state *membership.State, key replyKey, reply engineapi.AnnounceReply) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.state != state {
+		a.state = state
+		a.replies = make(map[replyKey]engineapi.AnnounceReply)
 	}
-	if len(m.replies) < maxEndpoints {
-		m.replies[key] = reply
+	if len(a.replies) < maxEndpoints {
+		a.replies[key] = reply
 	}
 }
 
--- a/internal/endpoint/record.go
+++ b/internal/endpoint/record.go
@@ -123,16 +123,16 @@
 
 const releaseIntervalGain = 0.2
 
-func (d *releaseRate) released(now time.Time) {
-	if !d.lastRelease.IsZero() {
-		interval := float64(now.Sub(d.lastRelease)) / float64(time.Millisecond)
-		if d.intervalMs == 0 {
-			d.intervalMs = interval
+func (r *releaseRate) released(now time.Time) {
+	if !r.lastRelease.IsZero() {
+		interval := float64(now.Sub(r.lastRelease)) / float64(time.Millisecond)
+		if r.intervalMs == 0 {
+			r.intervalMs = interval
 		}
-		d.intervalMs += releaseIntervalGain * (interval - d.intervalMs)
+		r.intervalMs += releaseIntervalGain * (interval - r.intervalMs)
 	}
-	d.lastRelease = now
+	r.lastRelease = now
 }
 
 // timeFor returns the time in which n slots are released; 0: unknown.
-func (d *releaseRate) timeFor(n int) time.Duration { return millis(d.intervalMs * float64(n)) }
+func (r *releaseRate) timeFor(n int) time.Duration { return millis(r.intervalMs * float64(n)) }
--- a/internal/endpoint/slotrequest.go
+++ b/internal/endpoint/slotrequest.go
@@ -93,10 +93,10 @@
 	return min(max(share, minShare), maxShare)
 }
 
-func (a *slotRequest) key() holdKey { return holdKey{attempt: a.attempt, kind: a.kind} }
+func (r *slotRequest) key() holdKey { return holdKey{attempt: r.attempt, kind: r.kind} }
 
-func (a *slotRequest) finished() FinishedWork {
-	return FinishedWork{Team: a.team, Model: a.model, Kind: a.kind}
+func (r *slotRequest) finished() FinishedWork {
+	return FinishedWork{Team: r.team, Model: r.model, Kind: r.kind}
 }
 
 // response is the core's answer to a slotRequest or a slotRelease.
--- a/internal/endpoint/trackedslot.go
+++ b/internal/endpoint/trackedslot.go
@@ -24,44 +24,44 @@
 	refused   bool // a renewal was refused
 }
 
-func (f *HomeClient) track(key slotKey, t *trackedSlot) {
-	f.slotsMu.Lock()
-	defer f.slotsMu.Unlock()
-	if _, there := f.slots[key]; !there {
-		f.slotsByAttempt[key.hold.attempt]++
+func (c *HomeClient) track(key slotKey, t *trackedSlot) {
+	c.slotsMu.Lock()
+	defer c.slotsMu.Unlock()
+	if _, there := c.slots[key]; !there {
+		c.slotsByAttempt[key.hold.attempt]++
 	}
-	f.slots[key] = t
+	c.slots[key] = t
 }
 
-func (f *HomeClient) untrack(key slotKey) *trackedSlot {
-	f.slotsMu.Lock()
-	defer f.slotsMu.Unlock()
-	t, there := f.slots[key]
+func (c *HomeClient) untrack(key slotKey) *trackedSlot {
+	c.slotsMu.Lock()
+	defer c.slotsMu.Unlock()
+	t, there := c.slots[key]
 	if !there {
 		return nil
 	}
-	delete(f.slots, key)
-	f.slotsByAttempt[key.hold.attempt]--
-	if f.slotsByAttempt[key.hold.attempt] <= 0 {
-		delete(f.slotsByAttempt, key.hold.attempt)
+	delete(c.slots, key)
+	c.slotsByAttempt[key.hold.attempt]--
+	if c.slotsByAttempt[key.hold.attempt] <= 0 {
+		delete(c.slotsByAttempt, key.hold.attempt)
 	}
 	return t
 }
 
 // Running implements Follower. An attempt runs from the start of Acquire until
 // Release.
-func (f *HomeClient) Running(attempt fleet.AttemptID) bool {
-	f.slotsMu.Lock()
-	defer f.slotsMu.Unlock()
-	return f.slotsByAttempt[attempt] > 0
+func (c *HomeClient) Running(attempt fleet.AttemptID) bool {
+	c.slotsMu.Lock()
+	defer c.slotsMu.Unlock()
+	return c.slotsByAttempt[attempt] > 0
 }
 
 // Valid implements Follower. The slot of an expired grant may already be
 // granted to another attempt.
-func (f *HomeClient) Valid(now time.Time, g Grant) bool {
-	f.slotsMu.Lock()
-	defer f.slotsMu.Unlock()
-	t, there := f.slots[slotKey{g.Endpoint, holdKey{g.Attempt, g.Kind}}]
+func (c *HomeClient) Valid(now time.Time, g Grant) bool {
+	c.slotsMu.Lock()
+	defer c.slotsMu.Unlock()
+	t, there := c.slots[slotKey{g.Endpoint, holdKey{g.Attempt, g.Kind}}]
 	if !there || t.refused {
 		return false
 	}
--- a/internal/endpoint/waitbound.go
+++ b/internal/endpoint/waitbound.go
@@ -33,17 +33,17 @@
 
 // add counts one refusal. A full map is cleared first, so an attempt may be
 // refused more often than maxStaleRefusals.
-func (d refusalCounts) add(key holdKey) {
-	if len(d) >= maxRefusalCounts {
-		clear(d)
+func (c refusalCounts) add(key holdKey) {
+	if len(c) >= maxRefusalCounts {
+		clear(c)
 	}
-	d[key]++
+	c[key]++
 }
 
 // maxPredictedWait returns the wait bound of an acquisition: the smaller of the
 // caller's bound and that of the last digest. 0 means no bound.
-func (f *HomeClient) maxPredictedWait(now time.Time, x *index, target *followedEndpoint, r GrantRequest) time.Duration {
-	fromDigest := f.digestWaitBound(now, x, target, r)
+func (c *HomeClient) maxPredictedWait(now time.Time, x *index, target *followedEndpoint, r GrantRequest) time.Duration {
+	fromDigest := c.digestWaitBound(now, x, target, r)
 	if fromDigest == 0 || (r.MaxPredictedWait > 0 && r.MaxPredictedWait < fromDigest) {
 		return r.MaxPredictedWait
 	}
@@ -52,14 +52,14 @@
 
 // digestWaitBound returns the bound by the endpoint's last digest, or 0 for
 // none.
-func (f *HomeClient) digestWaitBound(now time.Time, x *index, target *followedEndpoint, r GrantRequest) time.Duration {
+func (c *HomeClient) digestWaitBound(now time.Time, x *index, target *followedEndpoint, r GrantRequest) time.Duration {
 	if r.Kind == fleet.RolePlain || r.Alone {
 		return 0
 	}
-	f.slotsMu.Lock()
-	refused := f.refusalCounts[holdKey{r.Attempt, r.Kind}]
-	f.slotsMu.Unlock()
-	if refused >= maxStaleRefusals || x.countMatching(r, f.permittedZones(r.Team)) < maxStaleRefusals+minSpareEndpoints {
+	c.slotsMu.Lock()
+	refused := c.refusalCounts[holdKey{r.Attempt, r.Kind}]
+	c.slotsMu.Unlock()
+	if refused >= maxStaleRefusals || x.countMatching(r, c.permittedZones(r.Team)) < maxStaleRefusals+minSpareEndpoints {
 		return 0
 	}
 	var candidate Candidate
@@ -69,8 +69,8 @@
 	return candidate.SlotWait + candidate.QueuedWork + predictedWaitSlack
 }
 
-func (f *HomeClient) permittedZones(team fleet.Team) fleet.ZoneSet {
-	tree := f.options.Source.State().Tree
+func (c *HomeClient) permittedZones(team fleet.Team) fleet.ZoneSet {
+	tree := c.options.Source.State().Tree
 	if tree == nil {
 		return fleet.ZoneSet{}
 	}
@@ -94,12 +94,12 @@
 
 // recordOutcome counts a refusal of an attempt. After any other outcome it
 // forgets the attempt's refusals.
-func (f *HomeClient) recordOutcome(key holdKey, refused bool) {
-	f.slotsMu.Lock()
-	defer f.slotsMu.Unlock()
+func (c *HomeClient) recordOutcome(key holdKey, refused bool) {
+	c.slotsMu.Lock()
+	defer c.slotsMu.Unlock()
 	if refused {
-		f.refusalCounts.add(key)
+		c.refusalCounts.add(key)
 		return
 	}
-	delete(f.refusalCounts, key)
+	delete(c.refusalCounts, key)
 }
--- a/internal/route/relaypeer_test.go
+++ b/internal/route/relaypeer_test.go
@@ -87,17 +87,17 @@
 
 func (b *batches) one() *batch { return b.all[b.taken.Add(1)%uint64(len(b.all))] }
 
-func (s *batch) step() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	close(s.next)
-	s.next = make(chan struct{})
+func (b *batch) step() {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	close(b.next)
+	b.next = make(chan struct{})
 }
 
-func (s *batch) wait() {
-	s.mu.Lock()
-	next := s.next
-	s.mu.Unlock()
+func (b *batch) wait() {
+	b.mu.Lock()
+	next := b.next
+	b.mu.Unlock()
 	<-next
 }
 
--- a/internal/route/request.go
+++ b/internal/route/request.go
@@ -17,8 +17,9 @@
 	Prompt     string
 	MaxTokens  int // 0: Bounds.DefaultOutputTokens
 	CallerKind string
-	Patience   time.Duration // how long the caller waits for the first token; 0: the default of CallerKind
-	Arrived    time.Time
+	// Patience is how long the caller waits for the first token; 0: the default of CallerKind.
+	Patience time.Duration
+	Arrived  time.Time
 }
 
 // CallRequest is a call of a plain service.
--- a/internal/route/targets.go
+++ b/internal/route/targets.go
@@ -26,9 +26,9 @@
 
 // compare returns the targets that the timing meets; a target of 0 is always met. The
 // token gap is the mean over the answer and includes the pauses of resumptions. Pure.
-func (p answerTiming) compare(t settings.Targets) targetsMet {
-	first := t.FirstToken <= 0 || p.firstToken <= t.FirstToken
-	gap := t.TokenGap <= 0 || p.laterTokens <= 0 || p.decodeTime <= time.Duration(p.laterTokens)*t.TokenGap
+func (a answerTiming) compare(t settings.Targets) targetsMet {
+	first := t.FirstToken <= 0 || a.firstToken <= t.FirstToken
+	gap := t.TokenGap <= 0 || a.laterTokens <= 0 || a.decodeTime <= time.Duration(a.laterTokens)*t.TokenGap
 	switch {
 	case first && gap:
 		return metBoth
--- a/internal/schedule/leastwait.go
+++ b/internal/schedule/leastwait.go
@@ -43,16 +43,16 @@
 
 // Choose implements ChoicePolicy. It scans the candidates from a random position and
 // probes a cache only where a full cache hit could beat the best so far.
-func (p leastWait) Choose(r Request, candidates []endpoint.Candidate, random *rand.Rand) (endpoint.Candidate, bool) {
+func (l leastWait) Choose(r Request, candidates []endpoint.Candidate, random *rand.Rand) (endpoint.Candidate, bool) {
 	if len(candidates) == 0 {
 		return endpoint.Candidate{}, false
 	}
-	fullPrefill := p.prefillTime(r.PromptTokens)
+	fullPrefill := l.prefillTime(r.PromptTokens)
 	s := search{best: -1, bestScore: math.MaxInt64 - tieThreshold, random: random.Uint64() | 1}
-	links := zoneCosts{from: r.EntryZone, bytes: r.KVBytes, links: p.links}
+	links := zoneCosts{from: r.EntryZone, bytes: r.KVBytes, links: l.links}
 	start := random.IntN(len(candidates))
 	for n := range len(candidates) {
-		if s.considered >= p.maxScan {
+		if s.considered >= l.maxScan {
 			break
 		}
 		at := start + n
@@ -72,7 +72,7 @@
 		if wait > s.bestScore+tieThreshold {
 			continue
 		}
-		s.consider(at, wait+fullPrefill-p.saving(&r, c, fullPrefill, &s))
+		s.consider(at, wait+fullPrefill-l.saving(&r, c, fullPrefill, &s))
 	}
 	if s.best < 0 {
 		return endpoint.Candidate{}, false
@@ -80,15 +80,15 @@
 	return candidates[s.best], true
 }
 
-func (p leastWait) prefillTime(tokens int) time.Duration {
-	if p.kind != fleet.RolePrefill {
+func (l leastWait) prefillTime(tokens int) time.Duration {
+	if l.kind != fleet.RolePrefill {
 		return 0
 	}
-	return p.prefill.Predict(tokens)
+	return l.prefill.Predict(tokens)
 }
 
 // saving returns the prefill time that the candidate's prefix cache would save.
-func (p leastWait) saving(r *Request, c *endpoint.Candidate, fullPrefill time.Duration, s *search) time.Duration {
+func (l leastWait) saving(r *Request, c *endpoint.Candidate, fullPrefill time.Duration, s *search) time.Duration {
 	if fullPrefill == 0 || len(r.Prefixes) == 0 || len(c.CachedPrefixes) == 0 || s.probes >= maxCacheProbes {
 		return 0
 	}
@@ -98,7 +98,7 @@
 		return 0
 	}
 	s.blocks = blocks
-	return fullPrefill - p.prefill.Predict(max(0, r.PromptTokens-blocks*PrefixBlockTokens))
+	return fullPrefill - l.prefill.Predict(max(0, r.PromptTokens-blocks*PrefixBlockTokens))
 }
 
 // search is the state of one scan over the candidates.
--- a/internal/schedule/twochoices.go
+++ b/internal/schedule/twochoices.go
@@ -21,17 +21,17 @@
 }
 
 // Choose implements ChoicePolicy.
-func (p twoChoices) Choose(r Request, candidates []endpoint.Candidate, random *rand.Rand) (endpoint.Candidate, bool) {
+func (t twoChoices) Choose(r Request, candidates []endpoint.Candidate, random *rand.Rand) (endpoint.Candidate, bool) {
 	var best *endpoint.Candidate
 	for range maxDrawRounds {
 		a := draw(&r, candidates, nil, random)
 		if a == nil {
 			return endpoint.Candidate{}, false
 		}
-		if b := draw(&r, candidates, a, random); b != nil && p.better(r, b, a) {
+		if b := draw(&r, candidates, a, random); b != nil && t.better(r, b, a) {
 			a = b
 		}
-		if best == nil || p.better(r, a, best) {
+		if best == nil || t.better(r, a, best) {
 			best = a
 		}
 		if freeSlots(best) > 0 {
@@ -57,13 +57,13 @@
 	return nil
 }
 
-func (p twoChoices) better(r Request, a, b *endpoint.Candidate) bool {
+func (t twoChoices) better(r Request, a, b *endpoint.Candidate) bool {
 	freeA, freeB := freeSlots(a), freeSlots(b)
 	if (freeA > 0) != (freeB > 0) {
 		return freeA > 0
 	}
-	waitA := a.SlotWait + a.QueuedWork + p.links.Cost(r.EntryZone, a.Zone, r.KVBytes)
-	waitB := b.SlotWait + b.QueuedWork + p.links.Cost(r.EntryZone, b.Zone, r.KVBytes)
+	waitA := a.SlotWait + a.QueuedWork + t.links.Cost(r.EntryZone, a.Zone, r.KVBytes)
+	waitB := b.SlotWait + b.QueuedWork + t.links.Cost(r.EntryZone, b.Zone, r.KVBytes)
 	if difference := waitA - waitB; difference > tieThreshold || difference < -tieThreshold {
 		return difference < 0
 	}
