--- a/internal/relay/limit_test.go
+++ b/internal/relay/limit_test.go
@@ -36,10 +36,10 @@
 		{"falls", 7, 33, false, false, []func(time.Duration) (float64, bool){falling, nil, nil}},
 		{"rises", 7, 33, false, false, []func(time.Duration) (float64, bool){rising, nil, nil}},
 		{"ends and begins again", 7, 33, false, false, []func(time.Duration) (float64, bool){paused, nil, nil}},
-		{"turns requests away", 7, 33, false, true, []func(time.Duration) (float64, bool){steady(1.9), nil, nil, nil}},
-		{"reads prompts", 7, 20, true, false, []func(time.Duration) (float64, bool){steady(1.9), none, none, none}},
-		{"all that read prompts", 7, 20, true, false, []func(time.Duration) (float64, bool){steady(1.9), steady(1.1), none, none}},
-		{"generates", 7, 20, true, false, []func(time.Duration) (float64, bool){none, none, steady(1.9), none}},
+		{"rejects requests", 7, 33, false, true, []func(time.Duration) (float64, bool){steady(1.9), nil, nil, nil}},
+		{"prefill endpoint", 7, 20, true, false, []func(time.Duration) (float64, bool){steady(1.9), none, none, none}},
+		{"all prefill endpoints", 7, 20, true, false, []func(time.Duration) (float64, bool){steady(1.9), steady(1.1), none, none}},
+		{"decode endpoint", 7, 20, true, false, []func(time.Duration) (float64, bool){none, none, steady(1.9), none}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
