--- a/internal/coordinator/commands.go
+++ b/internal/coordinator/commands.go
@@ -54,7 +54,7 @@
 }
 
 // ReportEndpoint processes an endpoint's heartbeat. Only a heartbeat that changes the
-// endpoint's record goes through the log. Others are counted as heard, but only while
+// endpoint's record goes through the log. Others count as seen, but only while
 // this member is in contact with the leader: otherwise the leader would not learn of
 // them, and the endpoint must turn to another member.
 func (c *Coordinator) ReportEndpoint(ctx context.Context, r *pb.EndpointRecord) error {
@@ -77,7 +77,7 @@
 		return trace.Wrap(ErrUnavailable, "this member is out of touch")
 	}
 	if known.GetState() != pb.EndpointState_ENDPOINT_STATE_GONE && known.GetBorn() == r.Born {
-		c.recordEndpointHeard(r.Id)
+		c.recordEndpointSeen(r.Id)
 	}
 	return nil
 }
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -34,14 +34,16 @@
 	// refusalLog limits the log lines about refused heartbeats.
 	refusalLog *rate.Limiter
 
-	mu              sync.Mutex
-	endpointsHeard  map[string]bool      // endpoints heard since the last report to the leader
-	entriesHeard    map[string]bool      // entries heard since then
-	lastHeard       map[string]time.Time // as leader: when each endpoint and entry was last heard
-	leadingSince    time.Time            // zero when not leading
-	lastLeaderRun   time.Time            // as leader: when runLeaderTasks last looked for expired records
-	contactUntil    time.Time
-	confirmedUptime time.Duration // by Options.Uptime: documents confirmed until then are known here; 0 before the leader's first reply
+	mu            sync.Mutex
+	endpointsSeen map[string]bool      // endpoints seen since the last report to the leader
+	entriesSeen   map[string]bool      // entries seen since then
+	lastSeen      map[string]time.Time // as leader: when each endpoint and entry was last seen
+	leadingSince  time.Time            // zero when not leading
+	lastLeaderRun time.Time            // as leader: when runLeaderTasks last looked for expired records
+	contactUntil  time.Time
+	// confirmedUptime is until when, by Options.Uptime, confirmed documents are known here; 0
+	// before the leader's first reply.
+	confirmedUptime time.Duration
 	started         time.Time
 	isReady         bool            // ready is closed
 	inContact       bool            // as last logged
@@ -56,9 +58,9 @@
 		versions:        newEntryVersions(),
 		ready:           make(chan struct{}),
 		refusalLog:      rate.NewLimiter(refusalLogsPerSecond, refusalLogBurst),
-		endpointsHeard:  map[string]bool{},
-		entriesHeard:    map[string]bool{},
-		lastHeard:       map[string]time.Time{},
+		endpointsSeen:   map[string]bool{},
+		entriesSeen:     map[string]bool{},
+		lastSeen:        map[string]time.Time{},
 		inProgress:      map[string]bool{},
 		contactRegained: make(chan struct{}),
 	}
@@ -68,7 +70,8 @@
 	return c
 }
 
-// entriesBehind returns the number of entries behind, for the metrics.
+// entriesBehind returns the number of entries with an outdated configuration, for the
+// metrics.
 func (c *Coordinator) entriesBehind() float64 {
 	return float64(c.versions.behind(c.options.Machine.CurrentDocument().Version(), time.Now()))
 }
@@ -132,7 +135,7 @@
 	return c.options.Group.Status().Leader.GetRpcAddress()
 }
 
-// pause waits for d; it returns ErrUnavailable if ctx ends first.
+// waitFor waits for d; it returns ErrUnavailable if ctx ends first.
 func waitFor(ctx context.Context, d time.Duration) error {
 	if !sleep.For(ctx, d) {
 		return trace.Wrap(ErrUnavailable, "%v", ctx.Err())
--- a/internal/coordinator/seen.go
+++ b/internal/coordinator/seen.go
@@ -13,16 +13,16 @@
 	"github.com/hyssopsail/hyssopsail/internal/sleep"
 )
 
-func (c *Coordinator) recordEndpointHeard(endpoint string) {
+func (c *Coordinator) recordEndpointSeen(endpoint string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.endpointsHeard[endpoint] = true
+	c.endpointsSeen[endpoint] = true
 }
 
-func (c *Coordinator) recordEntryHeard(entry string) {
+func (c *Coordinator) recordEntrySeen(entry string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.entriesHeard[entry] = true
+	c.entriesSeen[entry] = true
 }
 
 // runSeenReports reports to the leader every seenReportInterval until ctx ends, and at
@@ -55,7 +55,7 @@
 	return true
 }
 
-// reportSeen reports to the leader which endpoints and entries were heard here. The
+// reportSeen reports to the leader which endpoints and entries were seen here. The
 // leader's answer proves that this member is in contact; without it, entries and
 // endpoints soon turn to other members.
 func (c *Coordinator) reportSeen(ctx context.Context) {
@@ -112,10 +112,10 @@
 	defer c.mu.Unlock()
 	request := &pb.SeenRequest{
 		Member:    c.options.Self.DiskId,
-		Endpoints: slices.Collect(maps.Keys(c.endpointsHeard)), Entries: slices.Collect(maps.Keys(c.entriesHeard)),
+		Endpoints: slices.Collect(maps.Keys(c.endpointsSeen)), Entries: slices.Collect(maps.Keys(c.entriesSeen)),
 	}
-	clear(c.endpointsHeard)
-	clear(c.entriesHeard)
+	clear(c.endpointsSeen)
+	clear(c.entriesSeen)
 	return request
 }
 
@@ -123,10 +123,10 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, id := range request.Endpoints {
-		c.endpointsHeard[id] = true
+		c.endpointsSeen[id] = true
 	}
 	for _, id := range request.Entries {
-		c.entriesHeard[id] = true
+		c.entriesSeen[id] = true
 	}
 }
 
@@ -153,10 +153,10 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, id := range request.Endpoints {
-		c.lastHeard[id] = now
+		c.lastSeen[id] = now
 	}
 	for _, id := range request.Entries {
-		c.lastHeard[id] = now
+		c.lastSeen[id] = now
 	}
 	return &pb.SeenReply{Index: index}, nil
 }
@@ -189,7 +189,7 @@
 	defer c.mu.Unlock()
 	if c.leadingSince.IsZero() || now.Sub(c.lastLeaderRun) > 2*leaderRunInterval+callTimeout {
 		c.leadingSince = now
-		clear(c.lastHeard)
+		clear(c.lastSeen)
 	}
 	c.lastLeaderRun = now
 	expired := &pb.Expire{}
@@ -209,8 +209,8 @@
 	return expired
 }
 
-// entryTimeoutFor returns how long an entry may be unheard until it counts as gone or, if
-// it is gone already, until its record is deleted.
+// entryTimeoutFor returns how long an entry may go without polling until it counts as gone
+// or, if it is gone already, until its record is deleted.
 func (c *Coordinator) entryTimeoutFor(e *pb.EntryRecord) time.Duration {
 	if e.Gone {
 		return max(entryTimeout, c.options.SenderRetention)
@@ -218,12 +218,12 @@
 	return entryTimeout
 }
 
-// silenceOf returns how long a record has been unheard. A record that was never heard
-// counts from the first call. It is called with c.mu held.
+// silenceOf returns the time since the endpoint or entry of a record was last seen. One that
+// was never seen counts from the first call. It is called with c.mu held.
 func (c *Coordinator) silenceOf(id string, now time.Time) time.Duration {
-	last, ok := c.lastHeard[id]
+	last, ok := c.lastSeen[id]
 	if !ok {
-		c.lastHeard[id] = now
+		c.lastSeen[id] = now
 		return 0
 	}
 	return now.Sub(last)
--- a/internal/relay/allocate_test.go
+++ b/internal/relay/allocate_test.go
@@ -87,7 +87,7 @@
 // Load pattern: two hundred entries share a hundred endpoints, so that each uses an
 // endpoint once in minutes and knows nothing about it. In a burst they would ask one full
 // endpoint after the other, and large prompts would be refused although there is memory
-// for them. The home of the service knows where it is.
+// for them. The home of the service knows which endpoints have it.
 func TestHomePlacesBetterThanManyEntries(t *testing.T) {
 	alone, placed := replayLargeFleet(t, 0, nil), replayLargeFleet(t, 3, nil)
 	t.Logf("alone: %+v; with homes: %+v", alone, placed)
@@ -145,24 +145,24 @@
 		fx.router.options.Allocator = h
 		fx.serve(t, newModelExchange())
 		synctest.Wait()
-		assert.Assert(t, len(h.asks) > 1)
-		assert.DeepEqual(t, h.asks[1].Excluded, []string{"new"})
+		assert.Assert(t, len(h.requests) > 1)
+		assert.DeepEqual(t, h.requests[1].Excluded, []string{"new"})
 		assert.DeepEqual(t, h.settled, []allocation.Outcome{allocation.OutcomeDone})
 	})
 }
 
-// homeWithUnknownEndpoint is a home that names an endpoint which nobody else knows.
+// homeWithUnknownEndpoint is a home that names an endpoint that is unknown elsewhere.
 type homeWithUnknownEndpoint struct {
-	mu      sync.Mutex
-	asks    []allocation.ReservationRequest
-	settled []allocation.Outcome
+	mu       sync.Mutex
+	requests []allocation.ReservationRequest
+	settled  []allocation.Outcome
 }
 
-func (h *homeWithUnknownEndpoint) Allot(_ context.Context, _ string, ask allocation.ReservationRequest, _ time.Duration) (allocation.Reservation, error) {
+func (h *homeWithUnknownEndpoint) Allot(_ context.Context, _ string, request allocation.ReservationRequest, _ time.Duration) (allocation.Reservation, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.asks = append(h.asks, ask)
-	if len(h.asks) > 1 {
+	h.requests = append(h.requests, request)
+	if len(h.requests) > 1 {
 		return allocation.Reservation{}, allocation.ErrNoHome
 	}
 	return allocation.Reservation{Placement: allocation.Placement{Endpoint: "new"}}, nil
--- a/internal/relay/contract.go
+++ b/internal/relay/contract.go
@@ -43,7 +43,7 @@
 
 // outputMargin is the factor on the caller's estimate of the output by which memory is
 // reserved. Estimates are right in the median and often far off, and a request that
-// outgrows its reservation is preempted in mid-stream and its prompt is read again.
+// outgrows its reservation is preempted in mid-stream and its prompt is prefilled again.
 const outputMargin = 1.7
 
 // ReservedOutput returns the number of tokens beyond the prompt that memory is reserved
@@ -61,7 +61,7 @@
 	Team          string // of the caller; empty where callers need no key
 	Endpoint      *dispatch.Endpoint
 	TimeLeft      time.Duration // after which the endpoint may stop
-	Prefill       bool          // only read the prompt
+	Prefill       bool          // only prefill the prompt
 	Source        *Source       // where its KV cache is; nil for none
 	ReservationID string        // ID of the memory reserved for it; empty for none
 	LastEventID   string        // resume after this event; empty for that of the Exchange
@@ -117,15 +117,15 @@
 	// ReadPrefillResult reads the answer to a prefill.
 	ReadPrefillResult(r *Reply) (PrefillResult, error)
 	// Reserve reserves a slot and memory at an endpoint for the time ttl. It returns
-	// ErrNoRoom if the endpoint is full. The signals of the answer are returned with an
+	// ErrNoMemory if the endpoint is full. The signals of the answer are returned with an
 	// error too.
 	Reserve(ctx context.Context, e *dispatch.Endpoint, tokens int, ttl time.Duration) (Reservation, error)
 	// ReleaseReservation releases what Reserve has reserved.
 	ReleaseReservation(ctx context.Context, e *dispatch.Endpoint, reservationID string)
-	// ReleasePrefill frees the result of a prefill that nobody will use.
+	// ReleasePrefill frees the result of a prefill that no endpoint will use.
 	ReleasePrefill(ctx context.Context, e *dispatch.Endpoint, handle string)
-	// HasConnectionOpenedBefore reports whether a connection to the endpoint that was opened before the given
-	// time is still open, which shows that its process has not ended since.
+	// HasConnectionOpenedBefore reports whether a connection to the endpoint that was opened
+	// before the given time is still open, which shows that its process has not ended since.
 	HasConnectionOpenedBefore(e *dispatch.Endpoint, before time.Time) bool
 }
 
--- a/internal/relay/resumption_test.go
+++ b/internal/relay/resumption_test.go
@@ -70,12 +70,12 @@
 }
 
 // Load pattern: all entries lose power. A moment later callers whose streams broke return
-// together, each with a prompt that has to be read again. New requests that queue behind
+// together, each with a prompt to be prefilled again. New requests that queue behind
 // them at the prefill endpoints would miss their targets, and the resumed answers are late
 // in any case.
 func TestNewRequestsBesideResumptions(t *testing.T) {
 	with, without := runResumptions(t), runResumptions(t, dispatch.LocalPrefillOnResume)
-	t.Logf("read where they go on: %+v; by readers: %+v", with, without)
+	t.Logf("local prefill on resume: %+v; off: %+v", with, without)
 	assert.Assert(t, with.freshInTarget > without.freshInTarget)
 	assert.Assert(t, with.returnedServed >= without.returnedServed)
 }
--- a/internal/route/request.go
+++ b/internal/route/request.go
@@ -17,8 +17,9 @@
 	Prompt     string
 	MaxTokens  int // 0: Bounds.DefaultOutputTokens
 	CallerKind string
-	Patience   time.Duration // requested by the caller; 0: the default of CallerKind
-	Arrived    time.Time
+	// Patience is how long the caller waits for the first token; 0: the default of CallerKind.
+	Patience time.Duration
+	Arrived  time.Time
 }
 
 // CallRequest is a call of a plain service.
@@ -34,7 +35,7 @@
 	Body       []byte
 	AtMostOnce bool // the caller states that it must not be repeated
 	CallerKind string
-	Patience   time.Duration
+	Patience   time.Duration // maximum wait for a slot at an endpoint; 0: the default of CallerKind
 	Arrived    time.Time
 }
 
--- a/internal/route/retry.go
+++ b/internal/route/retry.go
@@ -64,8 +64,8 @@
 func failureForCause(failed *attemptFailure) *Failure {
 	after := durationOrDefault(failed.retryAfter, DefaultRetryAfter)
 	switch failed.cause {
-	case causeCallerGone:
-		f := callerGoneFailure()
+	case causeCallerDisconnected:
+		f := callerDisconnectedFailure()
 		f.Outcome = callerapi.OutcomeNotRun
 		return f
 	case causeDeadline:
