--- a/cmd/hyssopsail/ask.go
+++ b/cmd/hyssopsail/ask.go
@@ -59,7 +59,7 @@
 	}
 	ctx, cancel := context.WithTimeout(c.app.ctx, c.timeout)
 	defer cancel()
-	secure, err := rpc.TrustingTLS(c.trusted)
+	secure, err := rpc.ClientTLS(c.trusted)
 	if err != nil {
 		return trace.Wrap(err)
 	}
@@ -73,7 +73,7 @@
 func (c *askCommand) header() http.Header {
 	header := http.Header{}
 	if c.key != "" {
-		header.Set(callerapi.HeaderKey, c.key)
+		header.Set(callerapi.HeaderIdempotencyKey, c.key)
 	}
 	return header
 }
--- a/cmd/hyssopsail/settings_send.go
+++ b/cmd/hyssopsail/settings_send.go
@@ -55,7 +55,7 @@
 // be refused for ever: the repeated refusal shows that nothing was changed
 // under the first ID, so a fresh one can't apply the change twice.
 func (a *app) sendOnce(client *operator.Client, change *pb.ChangeSubtree, wait time.Duration) (*pb.ChangeReply, error) {
-	request := &pb.ChangeRequest{Change: change, WaitInForceMs: uint64(min(wait, operator.MaxWait).Milliseconds())}
+	request := &pb.ChangeRequest{Change: change, WaitInForceMs: uint64(min(wait, operator.MaxWaitInForce).Milliseconds())}
 	if change.ChangeId != "" {
 		return client.Change(a.ctx, request)
 	}
--- a/internal/allocation/client.go
+++ b/internal/allocation/client.go
@@ -70,11 +70,11 @@
 	reply, err := c.call(callCtx, home, c.wireRequest(service, request, wait))
 	if err != nil {
 		if ctx.Err() == nil {
-			c.homeBackoff.Failed(home, time.Now())
+			c.homeBackoff.RecordFailure(home, time.Now())
 		}
 		return Reservation{}, trace.Wrap(ErrNoHome, "%s: %v", home, err)
 	}
-	c.homeBackoff.Answered(home)
+	c.homeBackoff.RecordSuccess(home)
 	placement := Placement{Endpoint: reply.Endpoint, PrefillEndpoint: reply.Reader, PrefillBacklog: time.Duration(reply.BacklogMs) * time.Millisecond}
 	free := FreeCapacity{Candidates: int(reply.Among), MaxFreeTokens: int(reply.MostFree)}
 	return Reservation{Placement: placement, FreeCapacity: free, Home: home, Service: service, Exchange: request.Exchange}, nil
@@ -103,7 +103,7 @@
 	best, bestWeight := "", uint64(0)
 	for _, m := range c.members() {
 		weight := xxhash.Sum64String(service + "\x00" + m)
-		if c.homeBackoff.Open(m, now) && (best == "" || weight > bestWeight) {
+		if c.homeBackoff.Available(m, now) && (best == "" || weight > bestWeight) {
 			best, bestWeight = m, weight
 		}
 	}
--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -28,22 +28,22 @@
 	return &Peers{initialPause: initialPause, maxPause: maxPause, failures: map[string]failure{}}
 }
 
-// Open reports whether a peer may be called now.
-func (p *Peers) Open(peer string, now time.Time) bool {
+// Available reports whether a peer may be called now.
+func (p *Peers) Available(peer string, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return !now.Before(p.failures[peer].retryAt)
 }
 
-// Answered records that a peer answered, which ends its pause.
-func (p *Peers) Answered(peer string) {
+// RecordSuccess records that a peer answered, which ends its pause.
+func (p *Peers) RecordSuccess(peer string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.failures, peer)
 }
 
-// Failed records that a peer didn't answer.
-func (p *Peers) Failed(peer string, now time.Time) {
+// RecordFailure records that a peer didn't answer.
+func (p *Peers) RecordFailure(peer string, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	pause := max(p.initialPause, min(2*p.failures[peer].pause, p.maxPause))
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -13,13 +13,13 @@
 	p := New(time.Second, 4*time.Second)
 	now := time.Now()
 	for _, pause := range []time.Duration{1, 2, 4, 4} {
-		assert.Assert(t, p.Open("a", now))
-		p.Failed("a", now)
-		assert.Assert(t, !p.Open("a", now.Add(pause*time.Second-1)))
-		assert.Assert(t, p.Open("b", now))
+		assert.Assert(t, p.Available("a", now))
+		p.RecordFailure("a", now)
+		assert.Assert(t, !p.Available("a", now.Add(pause*time.Second-1)))
+		assert.Assert(t, p.Available("b", now))
 		now = now.Add(pause * time.Second)
 	}
-	p.Answered("a")
-	p.Failed("a", now)
-	assert.Assert(t, p.Open("a", now.Add(time.Second)))
+	p.RecordSuccess("a")
+	p.RecordFailure("a", now)
+	assert.Assert(t, p.Available("a", now.Add(time.Second)))
 }
--- a/internal/caller/client.go
+++ b/internal/caller/client.go
@@ -122,6 +122,6 @@
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	request.Header.Set(callerapi.HeaderAuthorise, "Bearer "+c.key)
+	request.Header.Set(callerapi.HeaderAuthorization, "Bearer "+c.key)
 	return request, nil
 }
--- a/internal/callerapi/error.go
+++ b/internal/callerapi/error.go
@@ -5,26 +5,26 @@
 
 // The error codes.
 const (
-	CodeUnauthorised  Code = "unauthorised"
-	CodeBadRequest    Code = "bad-request"
-	CodeTooLarge      Code = "too-large"
-	CodeNoModel       Code = "no-model"
-	CodeNoService     Code = "no-service"
-	CodeNoZone        Code = "no-permitted-zone" // all zones that the team may use are down
-	CodeOverloaded    Code = "overloaded"
-	CodeLimit         Code = "limit"       // the team's limit is reached
-	CodeQuarantined   Code = "quarantined" // the request crashed each endpoint that ran it; final
-	CodeInFlight      Code = "in-flight"
-	CodeRecorded      Code = "recorded" // the request has already run; its answer isn't stored
-	CodeUnknown       Code = "unknown"
-	CodeNotCurrent    Code = "not-current" // the entry can't confirm its settings
-	CodeDraining      Code = "draining"
-	CodeEngineFailed  Code = "engine-failed"
-	CodeDeadline      Code = "deadline"
-	CodeInternal      Code = "internal"
-	CodeKeyReused     Code = "key-reused" // same idempotency key with another body
-	CodeNotFound      Code = "not-found"
-	CodeMethodRefused Code = "method-refused"
+	CodeUnauthorised    Code = "unauthorised"
+	CodeBadRequest      Code = "bad-request"
+	CodeTooLarge        Code = "too-large"
+	CodeNoModel         Code = "no-model"
+	CodeNoService       Code = "no-service"
+	CodeNoPermittedZone Code = "no-permitted-zone" // all zones that the team may use are down
+	CodeOverloaded      Code = "overloaded"
+	CodeLimit           Code = "limit"       // the team's limit is reached
+	CodeQuarantined     Code = "quarantined" // the request crashed each endpoint that ran it; final
+	CodeInFlight        Code = "in-flight"
+	CodeRecorded        Code = "recorded" // the request has already run; its answer isn't stored
+	CodeUnknown         Code = "unknown"
+	CodeNotCurrent      Code = "not-current" // the entry can't confirm its settings
+	CodeDraining        Code = "draining"
+	CodeEngineFailed    Code = "engine-failed"
+	CodeDeadline        Code = "deadline"
+	CodeInternal        Code = "internal"
+	CodeKeyReused       Code = "key-reused" // same idempotency key with another body
+	CodeNotFound        Code = "not-found"
+	CodeMethodRefused   Code = "method-refused"
 )
 
 // ErrorBody is the body of every error answer, and the data of the last event of a stream
--- a/internal/callerapi/outcome.go
+++ b/internal/callerapi/outcome.go
@@ -15,13 +15,13 @@
 
 // The names of the HTTP headers.
 const (
-	HeaderOutcome     = "Hyssopsail-Outcome"
-	HeaderRequestID   = "Hyssopsail-Request-Id"
-	HeaderKey         = "Idempotency-Key"
-	HeaderDeadline    = "Hyssopsail-Deadline-Ms" // how long the caller waits for the answer, ms
-	HeaderIdempotent  = "Hyssopsail-Idempotent"  // "false": the request must not be retried
-	HeaderCallerKind  = "Hyssopsail-Caller-Kind" // class of callers with the same patience, e.g. "sorter"
-	HeaderRetryAfter  = "Retry-After"            // seconds, rounded up
-	HeaderAuthorise   = "Authorization"          // "Bearer <team key>"
-	HeaderStreamState = "Hyssopsail-Stream"
+	HeaderOutcome        = "Hyssopsail-Outcome"
+	HeaderRequestID      = "Hyssopsail-Request-Id"
+	HeaderIdempotencyKey = "Idempotency-Key"
+	HeaderDeadline       = "Hyssopsail-Deadline-Ms" // how long the caller waits for the answer, ms
+	HeaderIdempotent     = "Hyssopsail-Idempotent"  // "false": the request must not be retried
+	HeaderCallerKind     = "Hyssopsail-Caller-Kind" // class of callers with the same patience, e.g. "sorter"
+	HeaderRetryAfter     = "Retry-After"            // seconds, rounded up
+	HeaderAuthorization  = "Authorization"          // "Bearer <team key>"
+	HeaderStreamState    = "Hyssopsail-Stream"
 )
--- a/internal/capacity/calls.go
+++ b/internal/capacity/calls.go
@@ -185,10 +185,10 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	request.Header.Set(callerapi.HeaderAuthorise, "Bearer "+teamKey(0))
+	request.Header.Set(callerapi.HeaderAuthorization, "Bearer "+teamKey(0))
 	request.Header.Set("Content-Type", "application/json")
 	if k.keyed {
-		request.Header.Set(callerapi.HeaderKey, k.name+" "+name)
+		request.Header.Set(callerapi.HeaderIdempotencyKey, k.name+" "+name)
 	}
 	response, err := client.Do(request)
 	if err != nil {
--- a/internal/capacity/propagation.go
+++ b/internal/capacity/propagation.go
@@ -88,7 +88,7 @@
 func (f *testFleet) appliedSince(ctx context.Context, since time.Time) ([][]indexTime, error) {
 	keys := filepath.Join(f.folder, "keys")
 	own := filepath.Join(keys, f.instances[0].ID)
-	secure, err := rpc.LoadTLS(rpc.Files{
+	secure, err := rpc.LoadTLS(rpc.TLSFiles{
 		Authority:   filepath.Join(keys, certs.AuthorityFile),
 		Certificate: own + certs.CertificateSuffix,
 		Key:         own + certs.KeySuffix,
--- a/internal/certs/certs_test.go
+++ b/internal/certs/certs_test.go
@@ -23,8 +23,8 @@
 	return err
 }
 
-func filesOf(folder, id string) rpc.Files {
-	return rpc.Files{
+func filesOf(folder, id string) rpc.TLSFiles {
+	return rpc.TLSFiles{
 		Authority:   filepath.Join(folder, AuthorityFile),
 		Certificate: filepath.Join(folder, id+CertificateSuffix),
 		Key:         filepath.Join(folder, id+KeySuffix),
@@ -32,7 +32,7 @@
 }
 
 // handshake performs a mutual TLS handshake and returns the error of either side.
-func handshake(t *testing.T, server, client rpc.Files) error {
+func handshake(t *testing.T, server, client rpc.TLSFiles) error {
 	t.Helper()
 	serverTLS, err := rpc.LoadTLS(server)
 	assert.NilError(t, err)
--- a/internal/certs/write.go
+++ b/internal/certs/write.go
@@ -24,8 +24,8 @@
 	KeySuffix         = "-key.pem"
 )
 
-// DefaultLife is how long certificates are valid.
-const DefaultLife = 5 * 365 * 24 * time.Hour
+// DefaultValidity is how long certificates are valid.
+const DefaultValidity = 5 * 365 * 24 * time.Hour
 
 const (
 	fileMode   = 0o600
@@ -36,7 +36,7 @@
 type Options struct {
 	Folder    string
 	Instances []fleet.InstanceID // at least one
-	Life      time.Duration      // 0: DefaultLife
+	Validity  time.Duration      // 0: DefaultLife
 	Now       time.Time
 }
 
@@ -45,8 +45,8 @@
 // Write fails before it writes anything if a file of an instance exists or the authority's
 // files are incomplete.
 func Write(o Options) (written []string, err error) {
-	if o.Life == 0 {
-		o.Life = DefaultLife
+	if o.Validity == 0 {
+		o.Validity = DefaultValidity
 	}
 	if err := o.validate(); err != nil {
 		return nil, trace.Wrap(err)
@@ -103,7 +103,7 @@
 		return nil, trace.Wrap(err)
 	}
 	for _, id := range o.Instances {
-		certificate, key, err := signer.issue(string(id), o.Now, o.Life)
+		certificate, key, err := signer.issue(string(id), o.Now, o.Validity)
 		if err != nil {
 			return nil, trace.Wrap(err)
 		}
@@ -124,7 +124,7 @@
 	}
 	switch present {
 	case 0:
-		return newFleetFiles(o.Now, o.Life)
+		return newFleetFiles(o.Now, o.Validity)
 	case len(names):
 		loaded, err := loadAuthority(filepath.Join(o.Folder, AuthorityFile), filepath.Join(o.Folder, AuthorityKeyFile))
 		return loaded, nil, trace.Wrap(err)
--- a/internal/config/daemon.go
+++ b/internal/config/daemon.go
@@ -117,8 +117,8 @@
 }
 
 // RPCFiles returns the TLS files in the form that package rpc uses.
-func (d Daemon) RPCFiles() rpc.Files {
-	return rpc.Files{Authority: d.TLS.Authority, Certificate: d.TLS.Certificate, Key: d.TLS.Key}
+func (d Daemon) RPCFiles() rpc.TLSFiles {
+	return rpc.TLSFiles{Authority: d.TLS.Authority, Certificate: d.TLS.Certificate, Key: d.TLS.Key}
 }
 
 // Instance returns the daemon's entry for the view, at an incarnation.
--- a/internal/control/bytes_test.go
+++ b/internal/control/bytes_test.go
@@ -19,14 +19,14 @@
 			}
 			time.Sleep(5 * time.Second)
 			const span = time.Minute
-			before := h.cluster.net.Bytes()
+			before := h.cluster.net.BytesCarried()
 			end := time.Now().Add(span)
 			for n := range changes {
 				h.apply("teams/sorters", uint64(n+1), teamYAML("sorters", "howrah"))
 				time.Sleep(span / time.Duration(changes))
 			}
 			time.Sleep(time.Until(end))
-			after := h.cluster.net.Bytes()
+			after := h.cluster.net.BytesCarried()
 			perDaemon = float64(after-before) / span.Seconds() / float64(daemons)
 		})
 		return perDaemon
--- a/internal/coordinator/growth_test.go
+++ b/internal/coordinator/growth_test.go
@@ -63,7 +63,7 @@
 
 // startEntry starts an entry that runs until the test ends.
 func (f *fleet) startEntry(address string) entry {
-	f.net.SetRate(address, entryLinkRate)
+	f.net.SetLinkRate(address, entryLinkRate)
 	e := entry{follower.New(follower.Options{
 		Dialer: f.net.Dialer(address), Seeds: initialSeeds, Decode: decodeRoutes, Uptime: uptime,
 		Self: func() *pb.EntryRecord { return &pb.EntryRecord{Id: address, Name: address} },
--- a/internal/daemon/base.go
+++ b/internal/daemon/base.go
@@ -62,12 +62,12 @@
 	b.timelineRing = timeline.NewRing(timeline.DefaultRingSize, clock, b.self.Owner())
 	b.pool = rpc.NewPool(tlsConfig, clock)
 	metrics := rpc.NewMetrics(b.registry)
-	b.pool.Measure(metrics)
+	b.pool.SetMetrics(metrics)
 	if address, ok := opened.rpc.Addr().(*net.TCPAddr); ok {
-		b.pool.DialFrom(address.IP)
+		b.pool.SetLocalIP(address.IP)
 	}
 	b.rpc = rpc.NewServer(tlsConfig, clock, newPart(logger, "rpc"))
-	b.rpc.Measure(metrics)
+	b.rpc.SetMetrics(metrics)
 	if err := pb.DRPCRegisterTimeline(b.rpc.Mux, timeline.NewService(b.timelineRing)); err != nil {
 		return nil, trace.Wrap(err)
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -118,4 +118,4 @@
 // partName is the log prefix of this package.
 const partName = "daemon"
 
-func newPart(logger log.Logger, name string) logging.Part { return logging.For(logger, name) }
+func newPart(logger log.Logger, name string) logging.Part { return logging.NewPart(logger, name) }
--- a/internal/daemon/entryrole.go
+++ b/internal/daemon/entryrole.go
@@ -36,7 +36,7 @@
 
 func newEntryRole(b *base) (*entryRole, error) {
 	e := &entryRole{}
-	tlsConfig, err := rpc.TrustingTLS(b.config.EndpointAuthority)
+	tlsConfig, err := rpc.ClientTLS(b.config.EndpointAuthority)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
@@ -116,11 +116,11 @@
 	e.ledger = outcome.NewService(outcome.Options{
 		Source: b.agent,
 		Dialer: b.pool,
-		Ready: func(ctx context.Context, ready *pb.LedgerReady) error {
+		ReportReady: func(ctx context.Context, ready *pb.LedgerReady) error {
 			_, err := b.client.Ready(ctx, ready)
 			return err
 		},
-		Runs:       e.quarantine,
+		RunGuard:   e.quarantine,
 		Seed:       uint64(b.self.Incarnation),
 		Part:       newPart(b.logger, "ledger"),
 		Recorder:   b.timelineRing,
--- a/internal/daemon/servers.go
+++ b/internal/daemon/servers.go
@@ -34,7 +34,7 @@
 	if e == nil {
 		return s, nil
 	}
-	callers := entry.NewCallers(entry.CallersOptions{
+	callers := entry.NewHandler(entry.Options{
 		Router:     e.router,
 		Source:     b.agent,
 		Recorder:   b.timelineRing,
@@ -68,7 +68,7 @@
 }
 
 func callerBounds(b config.Bounds) entry.Bounds {
-	return entry.Bounds{BodyBytes: int64(b.BodyBytes)}
+	return entry.Bounds{MaxBodyBytes: int64(b.BodyBytes)}
 }
 
 func newOperatorHandler(b *base, e *entryRole, c *controlRole) http.Handler {
--- a/internal/daemon/timelinereader.go
+++ b/internal/daemon/timelinereader.go
@@ -24,7 +24,7 @@
 	}
 	merged := r.collect(ctx, instances, q)
 	reply := operator.TimelineReply{Events: merged.Events, Dropped: merged.Dropped}
-	for _, unreachable := range merged.Silent {
+	for _, unreachable := range merged.FailedQueries {
 		reply.Unreachable = append(reply.Unreachable, string(unreachable.Instance))
 	}
 	return reply, nil
--- a/internal/daemon/tls_test.go
+++ b/internal/daemon/tls_test.go
@@ -20,7 +20,7 @@
 // keys and bodies would then be sent unencrypted.
 func TestListenerWithACertificateAnswersOnlyHTTPS(t *testing.T) {
 	folder := t.TempDir()
-	_, err := certs.Write(certs.Options{Folder: folder, Instances: []fleet.InstanceID{"one"}, Now: time.Now(), Life: time.Hour})
+	_, err := certs.Write(certs.Options{Folder: folder, Instances: []fleet.InstanceID{"one"}, Now: time.Now(), Validity: time.Hour})
 	assert.NilError(t, err)
 	settings := config.Listener{
 		Listen:      "127.0.0.1:0",
@@ -39,7 +39,7 @@
 		assert.NilError(t, <-ended)
 	})
 
-	trusted, err := rpc.TrustingTLS(filepath.Join(folder, "authority.pem"))
+	trusted, err := rpc.ClientTLS(filepath.Join(folder, "authority.pem"))
 	assert.NilError(t, err)
 	trustedWithName := trusted.Clone()
 	trustedWithName.ServerName = rpc.ServerName
@@ -72,7 +72,7 @@
 	tlsConfig, err := listenerTLS(config.Listener{Listen: "127.0.0.1:0"})
 	assert.NilError(t, err)
 	assert.Assert(t, tlsConfig == nil)
-	tlsConfig, err = rpc.TrustingTLS("")
+	tlsConfig, err = rpc.ClientTLS("")
 	assert.NilError(t, err)
 	assert.Assert(t, tlsConfig == nil)
 }
--- a/internal/e2e/caller_test.go
+++ b/internal/e2e/caller_test.go
@@ -57,9 +57,9 @@
 	if key == "" {
 		key = teamKey
 	}
-	sent.Header.Set(callerapi.HeaderAuthorise, "Bearer "+key)
+	sent.Header.Set(callerapi.HeaderAuthorization, "Bearer "+key)
 	if r.key != "" {
-		sent.Header.Set(callerapi.HeaderKey, r.key)
+		sent.Header.Set(callerapi.HeaderIdempotencyKey, r.key)
 	}
 	if r.patience != "" {
 		sent.Header.Set(callerapi.HeaderDeadline, r.patience)
--- a/internal/e2e/provision_frozen_test.go
+++ b/internal/e2e/provision_frozen_test.go
@@ -70,7 +70,7 @@
 func (e *engines) addBehind(t *testing.T, r *slowRoad, id string, checks bool) *emulated {
 	t.Helper()
 	m := e.add(t, id, "a", fleet.RoleDecode, func(o *standin.Options) {
-		o.ChecksTokens = checks
+		o.ChecksFencingTokens = checks
 		o.Advertise = r.address()
 	})
 	r.mu.Lock()
--- a/internal/e2e/provision_test.go
+++ b/internal/e2e/provision_test.go
@@ -35,8 +35,8 @@
 
 func withoutModel(o *standin.Options) {
 	o.Models = nil
-	o.ChecksTokens = true
-	o.Timing.LoadTime = 500 * time.Millisecond
+	o.ChecksFencingTokens = true
+	o.Timing.ModelLoadTime = 500 * time.Millisecond
 }
 
 // A model has no endpoint and callers begin to ask for it. They are refused
--- a/internal/e2e/repeat_test.go
+++ b/internal/e2e/repeat_test.go
@@ -16,8 +16,8 @@
 )
 
 // decodes gives when decodes of a marker began and ended, over all engines.
-func (e *engines) decodes(marker string) []standin.Fact {
-	var all []standin.Fact
+func (e *engines) decodes(marker string) []standin.AttemptRecord {
+	var all []standin.AttemptRecord
 	for _, m := range e.all {
 		for _, fact := range m.Audit().Attempts {
 			if fact.Marker == marker && fact.Decodes > 0 {
@@ -29,7 +29,7 @@
 }
 
 // sideBySide tells whether two of the decodes ran at the same time.
-func sideBySide(all []standin.Fact) bool {
+func sideBySide(all []standin.AttemptRecord) bool {
 	for n, a := range all {
 		for _, b := range all[n+1:] {
 			if a.StartedMs < b.EndedMs && b.StartedMs < a.EndedMs {
--- a/internal/e2e/soak_faults_test.go
+++ b/internal/e2e/soak_faults_test.go
@@ -146,14 +146,14 @@
 	switches := []standin.Faults{
 		{StallTransfers: true},
 		{IgnoreCancels: 10},
-		{Slow: 8},
+		{StepSlowdown: 8},
 		{Freeze: true},
-		{CacheGaps: 10},
-		{ChunkFault: standin.ChunkCrossed},
-		{ChunkFault: standin.ChunkStale},
-		{ChunkFault: standin.ChunkGap},
-		{ChunkFault: standin.ChunkRepeat},
-		{ChunkFault: standin.ChunkCut},
+		{DropCacheEventBatches: 10},
+		{ChunkFault: standin.ChunkWrongAttempt},
+		{ChunkFault: standin.ChunkEarlierIncarnation},
+		{ChunkFault: standin.ChunkMissingTokens},
+		{ChunkFault: standin.ChunkRepeatedToken},
+		{ChunkFault: standin.ChunkTruncated},
 	}
 	return s.switched(g, switches[s.random.IntN(len(switches))])
 }
@@ -162,7 +162,7 @@
 	g := s.someEngine(true)
 	switches := []standin.Faults{
 		{FailCalls: true},
-		{CutCalls: true},
+		{AbortCalls: true},
 		{HangCalls: true},
 		{CallDelayMs: 800},
 		{Freeze: true},
--- a/internal/e2e/stream_test.go
+++ b/internal/e2e/stream_test.go
@@ -72,7 +72,7 @@
 func TestPrefillEngineKilled(t *testing.T) {
 	f, e := models(t, 3)
 	for _, m := range e.all[:2] {
-		m.faults(t, standin.Faults{Slow: 20}) // the prefill takes long enough to be met
+		m.faults(t, standin.Faults{StepSlowdown: 20}) // the prefill takes long enough to be met
 	}
 	r := request{prompt: strings.Repeat("bale photographs ", 250), maxTokens: 20, stream: true}
 	got := askBeside(t, f.instances[1], r)
--- a/internal/endpoint/core_digest.go
+++ b/internal/endpoint/core_digest.go
@@ -87,7 +87,7 @@
 	d.Role = string(a.Role)
 	d.Service = a.Service
 	d.Slots = uint32(a.Slots)
-	d.ChecksTokens = a.ChecksTokens
+	d.ChecksTokens = a.ChecksFencingTokens
 	for _, m := range a.Models {
 		d.Models = append(d.Models, m.String())
 	}
--- a/internal/endpoint/home_http.go
+++ b/internal/endpoint/home_http.go
@@ -59,7 +59,7 @@
 		if c.isHomeFor(a) {
 			var known *record
 			known, ok = c.announce(now, a)
-			reply.CacheAfter = known.cacheAfter()
+			reply.LastCacheSequence = known.cacheAfter()
 		}
 	})
 	h.answerAnnounce(w, reply, found, ok)
@@ -79,7 +79,7 @@
 	h.step(func(c *core, now time.Time) {
 		if c.isHomeFor(b.Announcement) {
 			reply.Cancel, ok = c.heartbeat(now, b)
-			reply.CacheAfter = c.endpoints[b.Announcement.ID].cacheAfter()
+			reply.LastCacheSequence = c.endpoints[b.Announcement.ID].cacheAfter()
 		} else {
 			c.misdirectedHeartbeat(now, b)
 		}
@@ -125,7 +125,7 @@
 		writeError(w, http.StatusBadRequest, engineapi.CodeBadRequest, "id is missing or too long")
 		return
 	}
-	writeJSON(w, http.StatusOK, engineapi.LeaveReply{Spread: h.spreadLeave(r.Context(), l)})
+	writeJSON(w, http.StatusOK, engineapi.LeaveReply{HomeConfirmed: h.spreadLeave(r.Context(), l)})
 }
 
 func (h *Home) serveCacheEvents(w http.ResponseWriter, r *http.Request) {
--- a/internal/endpoint/leaving_test.go
+++ b/internal/endpoint/leaving_test.go
@@ -79,11 +79,11 @@
 		net.setCut(home.rpcAddress(), true)
 		var reply engineapi.LeaveReply
 		other.post("/v1/endpoints/leave", engineapi.Leave{ID: "e1", Incarnation: 1}, &reply)
-		assert.Assert(t, !reply.Spread, "an entry that can't reach the home must not confirm")
+		assert.Assert(t, !reply.HomeConfirmed, "an entry that can't reach the home must not confirm")
 		other.stop()
 		assert.Assert(t, home.usable(t, "y"))
 		assert.Equal(t, home.post("/v1/endpoints/leave", engineapi.Leave{ID: "e1", Incarnation: 1}, &reply), 200)
-		assert.Assert(t, reply.Spread)
+		assert.Assert(t, reply.HomeConfirmed)
 		last := lastUsable(t, grant, sendHeartbeat, home)
 		t.Logf("last usable %v after the leave", last)
 		assert.Assert(t, last <= NewWorkBound)
@@ -95,7 +95,7 @@
 	withPair(t, 4, func(t *testing.T, _ *fakeNet, home, other *daemon) {
 		var reply engineapi.LeaveReply
 		other.post("/v1/endpoints/leave", engineapi.Leave{ID: "e1", Incarnation: 1}, &reply)
-		assert.Assert(t, reply.Spread)
+		assert.Assert(t, reply.HomeConfirmed)
 		_, refusal, err := other.client.Acquire(t.Context(), grantRequest("e1", "x", 0))
 		assert.NilError(t, err)
 		assert.Equal(t, refusal.Status, pb.GrantStatus_GRANT_STATUS_LEAVING)
--- a/internal/endpoint/prefillqueue.go
+++ b/internal/endpoint/prefillqueue.go
@@ -37,7 +37,7 @@
 	if !ok || s.Weight() < minPrefillSamples {
 		return defaultPrefillTime
 	}
-	line, ok := s.Line()
+	line, ok := s.Fit()
 	if !ok {
 		return millis(s.Mean())
 	}
--- a/internal/endpointlimit/client.go
+++ b/internal/endpointlimit/client.go
@@ -102,7 +102,7 @@
 // ok is false if there is no answer.
 func (c *Client) requestPermit(ctx context.Context, server string, e Endpoint) (reply *pb.TakePermitReply, ok bool) {
 	sentAt := time.Now()
-	if ctx.Err() != nil || !c.serverBackoff.Open(server, sentAt) {
+	if ctx.Err() != nil || !c.serverBackoff.Available(server, sentAt) {
 		return nil, false
 	}
 	callCtx, cancel := context.WithTimeout(ctx, permitTimeout)
@@ -110,11 +110,11 @@
 	reply, err := c.call(callCtx, server, &pb.TakePermitRequest{Endpoint: e.ID, Born: e.Born, Heard: toWire(sentAt, c.Limit(e))})
 	if err != nil {
 		if ctx.Err() == nil {
-			c.serverBackoff.Failed(server, time.Now())
+			c.serverBackoff.RecordFailure(server, time.Now())
 		}
 		return nil, false
 	}
-	c.serverBackoff.Answered(server)
+	c.serverBackoff.RecordSuccess(server)
 	c.merge(e, fromWire(sentAt, reply.Heard))
 	return reply, true
 }
--- a/internal/endpointlimit/client_test.go
+++ b/internal/endpointlimit/client_test.go
@@ -38,7 +38,7 @@
 func (g *controlGroup) calls() int {
 	total := 0
 	for _, m := range g.members {
-		total += g.net.Calls(m)
+		total += g.net.CallCount(m)
 	}
 	return total
 }
--- a/internal/engine/bench_test.go
+++ b/internal/engine/bench_test.go
@@ -14,7 +14,7 @@
 // connection, one write for each chunk, both sides in this process.
 func BenchmarkStream(b *testing.B) {
 	target := benchTarget(b, func(w http.ResponseWriter, _ *http.Request) {
-		w.Header().Set("Content-Type", engineapi.MediaEvents)
+		w.Header().Set("Content-Type", engineapi.EventStreamMediaType)
 		control := http.NewResponseController(w)
 		for n := range b.N {
 			finish := engineapi.FinishNone
--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -25,7 +25,7 @@
 		return nil, c.countResult(opCall, &Error{Target: t, Op: opCall, Err: err})
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
-	idleTimer := time.AfterFunc(c.options.CallHeaderTimeout, func() { cancel(ErrIdle) })
+	idleTimer := time.AfterFunc(c.options.CallHeaderTimeout, func() { cancel(ErrIdleTimeout) })
 	response, _, failure := c.roundTrip(ctx, t, gate, opCall, request)
 	if failure != nil {
 		idleTimer.Stop()
@@ -59,7 +59,7 @@
 // newCallRequest returns the request to the endpoint for the caller's request r.
 func (c *HTTPClient) newCallRequest(t Target, attempt fleet.AttemptID, r *http.Request) (*http.Request, error) {
 	if !isAllowedMethod(r.Method) {
-		return nil, fmt.Errorf("%w: method %q", ErrAddress, r.Method)
+		return nil, fmt.Errorf("%w: method %q", ErrNotAllowed, r.Method)
 	}
 	target, err := c.callURL(t, r.URL)
 	if err != nil {
--- a/internal/engine/call_test.go
+++ b/internal/engine/call_test.go
@@ -30,7 +30,7 @@
 			}
 			request.URL = parsed
 			_, err = NewClient(Options{}).Call(t.Context(), target, allowAll, testAttempt, request)
-			assert.ErrorIs(t, err, ErrAddress)
+			assert.ErrorIs(t, err, ErrNotAllowed)
 			assert.Equal(t, received.count(), 0)
 		})
 	}
@@ -68,7 +68,7 @@
 func TestInvalidAddressesAreRefused(t *testing.T) {
 	for _, address := range []string{"", "host", "host:0", "host:99999", "a@b:80", "a/b:80", "a?b:80", "a b:80", ":80", "a#b:80"} {
 		_, err := NewClient(Options{}).Held(t.Context(), targetAt(address))
-		assert.ErrorIs(t, err, ErrAddress, address)
+		assert.ErrorIs(t, err, ErrNotAllowed, address)
 	}
 }
 
@@ -77,7 +77,7 @@
 		request := callerRequest(t, "POST", "/x", "x")
 		request.Method = method
 		_, err := NewClient(Options{}).Call(t.Context(), targetAt("127.0.0.1:1"), allowAll, testAttempt, request)
-		assert.ErrorIs(t, err, ErrAddress, method)
+		assert.ErrorIs(t, err, ErrNotAllowed, method)
 	}
 }
 
--- a/internal/engine/callpath.go
+++ b/internal/engine/callpath.go
@@ -25,7 +25,7 @@
 		path = "/" + path
 	}
 	if isTraversal(path) {
-		return nil, fmt.Errorf("%w: path", ErrAddress)
+		return nil, fmt.Errorf("%w: path", ErrNotAllowed)
 	}
 	target, err := c.targetURL(t, "")
 	if err != nil {
@@ -33,7 +33,7 @@
 	}
 	target.Path, err = url.PathUnescape(callPrefix + path)
 	if err != nil {
-		return nil, fmt.Errorf("%w: path", ErrAddress)
+		return nil, fmt.Errorf("%w: path", ErrNotAllowed)
 	}
 	target.RawPath = callPrefix + path
 	target.RawQuery = from.RawQuery
--- a/internal/engine/check.go
+++ b/internal/engine/check.go
@@ -16,7 +16,7 @@
 // answer can't match both.
 func checkAnswer(t Target, op string, want, got fleet.AttemptID, incarnation fleet.Incarnation) error {
 	if want != got {
-		return &Error{Target: t, Op: op, Sent: true, Err: ErrAttempt}
+		return &Error{Target: t, Op: op, Sent: true, Err: ErrWrongAttempt}
 	}
 	return checkIncarnation(t, op, incarnation)
 }
@@ -25,9 +25,9 @@
 	if got == t.Incarnation {
 		return nil
 	}
-	cause := ErrIncarnation
+	cause := ErrWrongIncarnation
 	if got < t.Incarnation {
-		cause = ErrEarlier
+		cause = ErrEarlierIncarnation
 	}
 	err := fmt.Errorf("%w: %d, not %d", cause, got, t.Incarnation)
 	return &Error{Target: t, Op: op, Sent: true, Err: err}
@@ -35,7 +35,7 @@
 
 func checkState(t Target, op string, a engineapi.Announcement) error {
 	if a.ID != t.ID {
-		return &Error{Target: t, Op: op, Sent: true, Err: fmt.Errorf("%w: endpoint %q", ErrIncarnation, a.ID)}
+		return &Error{Target: t, Op: op, Sent: true, Err: fmt.Errorf("%w: endpoint %q", ErrWrongIncarnation, a.ID)}
 	}
 	if t.Incarnation == 0 {
 		return nil
@@ -65,10 +65,10 @@
 
 func (p *streamPosition) checkOrder(chunk engineapi.Chunk) error {
 	if chunk.Offset > p.nextOffset {
-		return fmt.Errorf("%w: offset %d, not %d", ErrGap, chunk.Offset, p.nextOffset)
+		return fmt.Errorf("%w: offset %d, not %d", ErrMissingTokens, chunk.Offset, p.nextOffset)
 	}
 	if chunk.Offset < p.nextOffset {
-		return fmt.Errorf("%w: offset %d, not %d", ErrRepeat, chunk.Offset, p.nextOffset)
+		return fmt.Errorf("%w: offset %d, not %d", ErrRepeatedTokens, chunk.Offset, p.nextOffset)
 	}
 	if chunk.Tokens < 0 || (chunk.Tokens == 0 && chunk.Text != "") {
 		return fmt.Errorf("%w: %d tokens", ErrMalformed, chunk.Tokens)
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -48,7 +48,7 @@
 		TLSHandshakeTimeout:    o.DialTimeout,
 		DisableCompression:     true,
 		MaxIdleConns:           0,
-		MaxIdleConnsPerHost:    o.MaxIdle,
+		MaxIdleConnsPerHost:    o.MaxIdleConnsPerEndpoint,
 		IdleConnTimeout:        o.IdleConnTimeout,
 		MaxResponseHeaderBytes: maxHeaderBytes,
 	}
--- a/internal/engine/contract.go
+++ b/internal/engine/contract.go
@@ -49,12 +49,12 @@
 
 // Error describes how a call to an endpoint failed.
 type Error struct {
-	Target Target
-	Op     string
-	Code   engineapi.Code // empty when the endpoint gave no answer
-	Sent   bool           // false: no byte of the request has been sent
-	Rest   time.Duration  // cooldown that the endpoint asked this daemon for; 0: none
-	Err    error
+	Target   Target
+	Op       string
+	Code     engineapi.Code // empty when the endpoint gave no answer
+	Sent     bool           // false: no byte of the request has been sent
+	Cooldown time.Duration  // cooldown that the endpoint asked this daemon for; 0: none
+	Err      error
 }
 
 // Error implements error.
--- a/internal/engine/events.go
+++ b/internal/engine/events.go
@@ -80,7 +80,7 @@
 	if errors.Is(err, io.EOF) {
 		err = io.ErrUnexpectedEOF
 	}
-	return fmt.Errorf("%w: %w", ErrBroken, err)
+	return fmt.Errorf("%w: %w", ErrTruncated, err)
 }
 
 func (r *chunkReader) readLongLine(head []byte) ([]byte, error) {
--- a/internal/engine/exchange.go
+++ b/internal/engine/exchange.go
@@ -136,8 +136,8 @@
 
 // targetURL returns the URL of path at t, whose address must be host:port.
 func (c *HTTPClient) targetURL(t Target, path string) (*url.URL, error) {
-	if !engineapi.AddressOK(t.Address) {
-		return nil, fmt.Errorf("%w: %q", ErrAddress, t.Address)
+	if !engineapi.IsValidAddress(t.Address) {
+		return nil, fmt.Errorf("%w: %q", ErrNotAllowed, t.Address)
 	}
 	return &url.URL{Scheme: c.scheme, Host: t.Address, Path: path}, nil
 }
@@ -164,7 +164,7 @@
 func readBounded(r io.Reader, limit int64) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(r, limit+1))
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrBroken, err)
+		return nil, fmt.Errorf("%w: %w", ErrTruncated, err)
 	}
 	if int64(len(body)) > limit {
 		return nil, fmt.Errorf("%w: answer over %d bytes", ErrOversized, limit)
@@ -181,7 +181,7 @@
 	defer response.Body.Close()
 	failure := &Error{
 		Target: t, Op: op, Sent: true, Err: fmt.Errorf("status %d", response.StatusCode),
-		Rest: dispatch.CooldownFromAnswer(response.StatusCode, response.Header),
+		Cooldown: dispatch.CooldownFromAnswer(response.StatusCode, response.Header),
 	}
 	body, err := readBounded(response.Body, maxErrorBytes)
 	if err != nil {
--- a/internal/engine/once_test.go
+++ b/internal/engine/once_test.go
@@ -145,11 +145,11 @@
 	})
 	client := NewClient(Options{DecodeHeaderTimeout: 1, ReadTimeout: 1, CallHeaderTimeout: 1})
 	_, err := client.Decode(t.Context(), target, allowAll, decodeRequest())
-	assert.ErrorIs(t, err, ErrIdle)
+	assert.ErrorIs(t, err, ErrIdleTimeout)
 	_, err = client.Held(t.Context(), target)
 	assert.ErrorIs(t, err, context.DeadlineExceeded)
 	_, err = client.Call(t.Context(), target, allowAll, testAttempt, callerRequest(t, "POST", "/x", "x"))
-	assert.ErrorIs(t, err, ErrIdle)
+	assert.ErrorIs(t, err, ErrIdleTimeout)
 }
 
 // Over TLS the transport's connection wraps the guarded one. The gate must still
--- a/internal/engine/options.go
+++ b/internal/engine/options.go
@@ -23,9 +23,9 @@
 	// Dial opens connections to endpoints; nil: TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-	DialTimeout     time.Duration
-	IdleConnTimeout time.Duration // an idle connection is closed after this time
-	MaxIdle         int           // idle connections kept for each endpoint
+	DialTimeout             time.Duration
+	IdleConnTimeout         time.Duration // an idle connection is closed after this time
+	MaxIdleConnsPerEndpoint int           // idle connections kept for each endpoint
 
 	PrefillTimeout      time.Duration // whole call, queue at the engine included
 	ImportTimeout       time.Duration // whole call
@@ -52,27 +52,27 @@
 // DefaultOptions returns the values used for zero fields.
 func DefaultOptions() Options {
 	return Options{
-		DialTimeout:          time.Second,
-		IdleConnTimeout:      15 * time.Second,
-		MaxIdle:              32,
-		PrefillTimeout:       60 * time.Second,
-		ImportTimeout:        10 * time.Second,
-		ReadTimeout:          3 * time.Second,
-		OrderTimeout:         5 * time.Minute,
-		DecodeHeaderTimeout:  5 * time.Second,
-		CallHeaderTimeout:    60 * time.Second,
-		FirstChunkTimeout:    10 * time.Second,
-		StreamIdleTimeout:    3 * time.Second,
-		CallIdleTimeout:      30 * time.Second,
-		CancelTimeout:        10 * time.Second,
-		CancelRequestTimeout: 500 * time.Millisecond,
-		MaxCancelWorkers:     16,
-		MaxPendingCancels:    16384,
-		MaxReplyBytes:        1 << 20,
-		MaxCacheBytes:        16 << 20,
-		MaxLineBytes:         64 << 10,
-		MaxCallRequestBytes:  64 << 20,
-		MaxCallResponseBytes: 256 << 20,
+		DialTimeout:             time.Second,
+		IdleConnTimeout:         15 * time.Second,
+		MaxIdleConnsPerEndpoint: 32,
+		PrefillTimeout:          60 * time.Second,
+		ImportTimeout:           10 * time.Second,
+		ReadTimeout:             3 * time.Second,
+		OrderTimeout:            5 * time.Minute,
+		DecodeHeaderTimeout:     5 * time.Second,
+		CallHeaderTimeout:       60 * time.Second,
+		FirstChunkTimeout:       10 * time.Second,
+		StreamIdleTimeout:       3 * time.Second,
+		CallIdleTimeout:         30 * time.Second,
+		CancelTimeout:           10 * time.Second,
+		CancelRequestTimeout:    500 * time.Millisecond,
+		MaxCancelWorkers:        16,
+		MaxPendingCancels:       16384,
+		MaxReplyBytes:           1 << 20,
+		MaxCacheBytes:           16 << 20,
+		MaxLineBytes:            64 << 10,
+		MaxCallRequestBytes:     64 << 20,
+		MaxCallResponseBytes:    256 << 20,
 	}
 }
 
@@ -80,7 +80,7 @@
 	d := DefaultOptions()
 	orDefault(&o.DialTimeout, d.DialTimeout)
 	orDefault(&o.IdleConnTimeout, d.IdleConnTimeout)
-	orDefault(&o.MaxIdle, d.MaxIdle)
+	orDefault(&o.MaxIdleConnsPerEndpoint, d.MaxIdleConnsPerEndpoint)
 	orDefault(&o.PrefillTimeout, d.PrefillTimeout)
 	orDefault(&o.ImportTimeout, d.ImportTimeout)
 	orDefault(&o.ReadTimeout, d.ReadTimeout)
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -24,7 +24,7 @@
 	callerCtx := ctx
 	ctx, cancel := context.WithCancelCause(context.WithoutCancel(ctx))
 	stopFollowing := context.AfterFunc(callerCtx, func() { cancel(context.Cause(callerCtx)) })
-	idleTimer := NewWatch(c.options.DecodeHeaderTimeout, func() { cancel(ErrIdle) })
+	idleTimer := NewIdleTimer(c.options.DecodeHeaderTimeout, func() { cancel(ErrIdleTimeout) })
 	x := operation{op: opDecode, method: http.MethodPost, path: "/v1/decode"}
 	response, failure := c.openStream(ctx, t, gate, x, body)
 	if failure != nil {
@@ -57,7 +57,7 @@
 		return nil, failure
 	}
 	media, _, err := mime.ParseMediaType(response.Header.Get("Content-Type"))
-	if err != nil || media != engineapi.MediaEvents {
+	if err != nil || media != engineapi.EventStreamMediaType {
 		response.Body.Close()
 		return nil, &Error{Target: t, Op: x.op, Sent: true, Err: ErrMalformed}
 	}
@@ -78,7 +78,7 @@
 	ctx            context.Context // of the HTTP request
 	cancel         context.CancelCauseFunc
 	stopFollowing  func() bool // detaches ctx from the caller's context
-	idleTimer      *Watch      // cancels ctx when no chunk arrives in time
+	idleTimer      *IdleTimer  // cancels ctx when no chunk arrives in time
 	body           io.ReadCloser
 	chunks         *chunkReader
 	position       streamPosition
@@ -93,7 +93,7 @@
 		return engineapi.Chunk{}, s.err
 	}
 	if s.firstChunkRead {
-		s.idleTimer.Begin()
+		s.idleTimer.BeginWait()
 	}
 	chunk, err := s.chunks.next()
 	if err == nil {
@@ -122,7 +122,7 @@
 		s.firstChunkRead = true
 		s.idleTimer.SetLimit(s.client.options.StreamIdleTimeout)
 	}
-	s.idleTimer.End()
+	s.idleTimer.EndWait()
 }
 
 // fail keeps the first error; nothing received after it is passed on.
--- a/internal/engine/stream_test.go
+++ b/internal/engine/stream_test.go
@@ -34,7 +34,7 @@
 func streamOf(t *testing.T, body string) Target {
 	t.Helper()
 	return serve(t, func(w http.ResponseWriter, _ *http.Request) {
-		w.Header().Set("Content-Type", engineapi.MediaEvents)
+		w.Header().Set("Content-Type", engineapi.EventStreamMediaType)
 		_, _ = io.WriteString(w, body)
 	})
 }
@@ -67,20 +67,20 @@
 		name, body string
 		want       error
 	}{
-		{"crossed", event(crossed) + end, ErrAttempt},
-		{"earlier incarnation", event(stale) + end, ErrIncarnation},
-		{"missing", event(chunk(3, 1, "")) + end, ErrGap},
-		{"repeated", event(chunk(1, 1, "")) + end, ErrRepeat},
-		{"negative offset", event(chunk(-1, 1, "")) + end, ErrRepeat},
+		{"crossed", event(crossed) + end, ErrWrongAttempt},
+		{"earlier incarnation", event(stale) + end, ErrWrongIncarnation},
+		{"missing", event(chunk(3, 1, "")) + end, ErrMissingTokens},
+		{"repeated", event(chunk(1, 1, "")) + end, ErrRepeatedTokens},
+		{"negative offset", event(chunk(-1, 1, "")) + end, ErrRepeatedTokens},
 		{"negative tokens", strings.Replace(event(chunk(2, 1, "")), `"tokens":1`, `"tokens":-1`, 1) + end, ErrMalformed},
 		{"no tokens", event(empty) + end, ErrMalformed},
 		{"text without tokens", event(textOnly) + end, ErrMalformed},
 		{"unknown finish", event(unknown) + end, ErrMalformed},
 		{"more than asked for", event(chunk(2, 9, "")) + end, ErrOversized},
 		{"overflowing count", event(engineapi.Chunk{Attempt: testAttempt, Incarnation: testIncarnation, Offset: 2, Tokens: 1 << 62}) + end, ErrOversized},
-		{"end without last chunk", "", ErrBroken},
-		{"cut inside a chunk", `data: {"attempt_id":"0a`, ErrBroken},
-		{"cut before the line's end", strings.TrimRight(event(chunk(2, 1, engineapi.FinishStop)), "\n"), ErrBroken},
+		{"end without last chunk", "", ErrTruncated},
+		{"cut inside a chunk", `data: {"attempt_id":"0a`, ErrTruncated},
+		{"cut before the line's end", strings.TrimRight(event(chunk(2, 1, engineapi.FinishStop)), "\n"), ErrTruncated},
 		{"not JSON", "data: [DONE]\n\n" + end, ErrMalformed},
 		{"not an event", "<html>\n" + end, ErrMalformed},
 		{"line too long", "data: " + strings.Repeat(" ", 9000) + "\n" + end, ErrOversized},
@@ -129,7 +129,7 @@
 	last := make(chan struct{})
 	target := serve(t, func(w http.ResponseWriter, r *http.Request) {
 		addresses.add(r.RemoteAddr)
-		w.Header().Set("Content-Type", engineapi.MediaEvents)
+		w.Header().Set("Content-Type", engineapi.EventStreamMediaType)
 		_, _ = io.WriteString(w, event(chunk(0, 1, engineapi.FinishStop)))
 		_ = http.NewResponseController(w).Flush()
 		<-last // the body ends after the last chunk has been read
@@ -176,7 +176,7 @@
 // comments. The caller must not wait for ever.
 func TestIdleStreamTimesOut(t *testing.T) {
 	target := serve(t, func(w http.ResponseWriter, r *http.Request) {
-		w.Header().Set("Content-Type", engineapi.MediaEvents)
+		w.Header().Set("Content-Type", engineapi.EventStreamMediaType)
 		_, _ = io.WriteString(w, event(chunk(0, 1, "")))
 		control := http.NewResponseController(w)
 		for r.Context().Err() == nil {
@@ -189,13 +189,13 @@
 	stream, err := client.Decode(t.Context(), target, allowAll, decodeRequest())
 	assert.NilError(t, err)
 	text, err := readAll(stream)
-	assert.ErrorIs(t, err, ErrIdle)
+	assert.ErrorIs(t, err, ErrIdleTimeout)
 	assert.Equal(t, text, "a")
 }
 
 func TestStreamEndsWithItsContext(t *testing.T) {
 	target := serve(t, func(w http.ResponseWriter, r *http.Request) {
-		w.Header().Set("Content-Type", engineapi.MediaEvents)
+		w.Header().Set("Content-Type", engineapi.EventStreamMediaType)
 		_, _ = io.WriteString(w, event(chunk(0, 1, "")))
 		_ = http.NewResponseController(w).Flush()
 		<-r.Context().Done()
@@ -215,8 +215,8 @@
 		body string
 		want error
 	}{
-		"attempt":     {`{"attempt_id":"0bad","incarnation":4}`, ErrAttempt},
-		"incarnation": {`{"attempt_id":"0af1","incarnation":3}`, ErrIncarnation},
+		"attempt":     {`{"attempt_id":"0bad","incarnation":4}`, ErrWrongAttempt},
+		"incarnation": {`{"attempt_id":"0af1","incarnation":3}`, ErrWrongIncarnation},
 		"malformed":   {`{"attempt_id":`, ErrMalformed},
 		"oversized":   {fmt.Sprintf(`{"handle":%q}`, strings.Repeat("x", 5000)), ErrOversized},
 	} {
@@ -241,7 +241,7 @@
 		for {
 			c, err := reader.next()
 			if err != nil {
-				assert.Assert(t, errors.Is(err, ErrMalformed) || errors.Is(err, ErrBroken) || errors.Is(err, ErrOversized))
+				assert.Assert(t, errors.Is(err, ErrMalformed) || errors.Is(err, ErrTruncated) || errors.Is(err, ErrOversized))
 				return
 			}
 			before := p.nextOffset
--- a/internal/engine/watch.go
+++ b/internal/engine/watch.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Watch is an idle timer: it calls a function when one wait has exceeded the
+// IdleTimer is an idle timer: it calls a function when one wait has exceeded the
 // limit. Begin and End cost one atomic store each, where stopping and resetting
 // a timer for each token would cost a lock and often wake another thread. The
 // timer keeps running instead and, when it fires, checks how long the present
 // wait has lasted.
 //
 // Begin, End and SetLimit are for one goroutine; another one may call Close.
-type Watch struct {
+type IdleTimer struct {
 	epoch     time.Time
 	onTimeout func()
 	limit     atomic.Int64 // ns
@@ -24,37 +24,37 @@
 
 const notWaiting = -1
 
-// NewWatch returns a watch whose first wait has begun. onTimeout is called in a
+// NewIdleTimer returns a watch whose first wait has begun. onTimeout is called in a
 // goroutine of its own, at most once, when a wait has lasted for limit.
-func NewWatch(limit time.Duration, onTimeout func()) *Watch {
-	w := &Watch{epoch: time.Now(), onTimeout: onTimeout}
+func NewIdleTimer(limit time.Duration, onTimeout func()) *IdleTimer {
+	w := &IdleTimer{epoch: time.Now(), onTimeout: onTimeout}
 	w.limit.Store(int64(limit))
 	w.timer = time.AfterFunc(math.MaxInt64, w.check)
 	w.timer.Reset(limit)
 	return w
 }
 
-// Begin starts a wait.
-func (w *Watch) Begin() { w.waitStart.Store(int64(time.Since(w.epoch))) }
+// BeginWait starts a wait.
+func (w *IdleTimer) BeginWait() { w.waitStart.Store(int64(time.Since(w.epoch))) }
 
-// End ends the wait; the time until the next Begin doesn't count.
-func (w *Watch) End() { w.waitStart.Store(notWaiting) }
+// EndWait ends the wait; the time until the next Begin doesn't count.
+func (w *IdleTimer) EndWait() { w.waitStart.Store(notWaiting) }
 
 // SetLimit sets the limit and starts a wait.
-func (w *Watch) SetLimit(limit time.Duration) {
+func (w *IdleTimer) SetLimit(limit time.Duration) {
 	w.limit.Store(int64(limit))
-	w.Begin()
+	w.BeginWait()
 	w.setTimer(limit)
 }
 
 // Close stops the watch for good.
-func (w *Watch) Close() {
+func (w *IdleTimer) Close() {
 	w.closed.Store(true)
 	w.timer.Stop()
 }
 
 // check is called when the timer fires.
-func (w *Watch) check() {
+func (w *IdleTimer) check() {
 	limit := time.Duration(w.limit.Load())
 	since := w.waitStart.Load()
 	if since == notWaiting {
@@ -72,7 +72,7 @@
 }
 
 // setTimer resets the timer, unless the watch has been closed meanwhile.
-func (w *Watch) setTimer(in time.Duration) {
+func (w *IdleTimer) setTimer(in time.Duration) {
 	w.timer.Reset(in)
 	if w.closed.Load() {
 		w.timer.Stop()
--- a/internal/engine/watch_test.go
+++ b/internal/engine/watch_test.go
@@ -20,12 +20,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
 		var after time.Duration
-		w := NewWatch(10*time.Second, func() { after = time.Since(began) })
+		w := NewIdleTimer(10*time.Second, func() { after = time.Since(began) })
 		for range 20 {
 			time.Sleep(9 * time.Second)
-			w.End()
+			w.EndWait()
 			time.Sleep(30 * time.Second) // nobody waits
-			w.Begin()
+			w.BeginWait()
 		}
 		assert.Equal(t, after, time.Duration(0))
 		began = time.Now()
@@ -39,10 +39,10 @@
 
 func TestClosedWatchDoesNotFire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := NewWatch(time.Second, func() { t.Error("called") })
-		w.End()
+		w := NewIdleTimer(time.Second, func() { t.Error("called") })
+		w.EndWait()
 		time.Sleep(1500 * time.Millisecond)
-		w.Begin()
+		w.BeginWait()
 		w.Close()
 		time.Sleep(time.Minute)
 	})
@@ -78,7 +78,7 @@
 		return
 	}
 	for _, part := range []string{
-		"HTTP/1.1 200 OK\r\nContent-Type: " + engineapi.MediaEvents + "\r\nConnection: close\r\n\r\n",
+		"HTTP/1.1 200 OK\r\nContent-Type: " + engineapi.EventStreamMediaType + "\r\nConnection: close\r\n\r\n",
 		event(chunk(0, 1, "")), event(chunk(1, 1, "")), event(chunk(2, 1, engineapi.FinishStop)),
 	} {
 		_, _ = io.WriteString(conn, part) // blocks until it is read
--- a/internal/engineapi/announce.go
+++ b/internal/engineapi/announce.go
@@ -4,17 +4,17 @@
 
 // Announcement is an endpoint's description of itself.
 type Announcement struct {
-	ID           fleet.EndpointID       `json:"id"`
-	Incarnation  fleet.Incarnation      `json:"incarnation"`
-	Zone         fleet.AvailabilityZone `json:"availability_zone"`
-	Address      string                 `json:"address"` // host:port
-	Role         fleet.EndpointRole     `json:"role"`
-	Models       []ModelRef             `json:"models,omitempty"`
-	Service      string                 `json:"service,omitempty"` // plain only
-	Slots        int                    `json:"slots"`             // concurrent requests held in memory
-	KVBytes      int64                  `json:"kv_bytes"`          // memory for KV caches, bytes; 0: bounded by slots alone
-	ChecksTokens bool                   `json:"checks_tokens"`     // refuses orders with an old fencing token
-	LastToken    uint64                 `json:"last_token"`        // highest fencing token accepted
+	ID                  fleet.EndpointID       `json:"id"`
+	Incarnation         fleet.Incarnation      `json:"incarnation"`
+	Zone                fleet.AvailabilityZone `json:"availability_zone"`
+	Address             string                 `json:"address"` // host:port
+	Role                fleet.EndpointRole     `json:"role"`
+	Models              []ModelRef             `json:"models,omitempty"`
+	Service             string                 `json:"service,omitempty"` // plain only
+	Slots               int                    `json:"slots"`             // concurrent requests held in memory
+	KVBytes             int64                  `json:"kv_bytes"`          // memory for KV caches, bytes; 0: bounded by slots alone
+	ChecksFencingTokens bool                   `json:"checks_tokens"`     // refuses orders with an old fencing token
+	LastFencingToken    uint64                 `json:"last_token"`        // highest fencing token accepted
 }
 
 // ModelRef identifies a model version, with an adapter if any, that an engine has loaded.
@@ -77,12 +77,12 @@
 
 // AnnounceReply tells an endpoint its home and the heartbeat interval.
 type AnnounceReply struct {
-	Home        string            `json:"home"` // host:port of the home's endpoint listener
-	HeartbeatMs int64             `json:"heartbeat_ms"`
-	LeaseMs     int64             `json:"lease_ms"`
-	Addresses   []string          `json:"addresses"` // host:port of other entries, for when the home is unreachable
-	Cancel      []fleet.AttemptID `json:"cancel,omitempty"`
-	CacheAfter  uint64            `json:"cache_after"` // sequence of the last cache event received
+	Home              string            `json:"home"` // host:port of the home's endpoint listener
+	HeartbeatMs       int64             `json:"heartbeat_ms"`
+	LeaseMs           int64             `json:"lease_ms"`
+	Addresses         []string          `json:"addresses"` // host:port of other entries, for when the home is unreachable
+	Cancel            []fleet.AttemptID `json:"cancel,omitempty"`
+	LastCacheSequence uint64            `json:"cache_after"` // sequence of the last cache event received
 }
 
 // Leave announces that an endpoint accepts no new work.
@@ -93,7 +93,7 @@
 
 // LeaveReply confirms that the endpoint gets no new grants from now on.
 type LeaveReply struct {
-	Spread bool `json:"spread"` // the home itself has confirmed
+	HomeConfirmed bool `json:"spread"` // the home itself has confirmed
 }
 
 // CacheEvents reports changes of an engine's prefix cache.
--- a/internal/engineapi/check.go
+++ b/internal/engineapi/check.go
@@ -97,5 +97,5 @@
 	return true
 }
 
-// AddressOK reports whether address is a valid host:port.
-func AddressOK(address string) bool { return checkAddress(address) == nil }
+// IsValidAddress reports whether address is a valid host:port.
+func IsValidAddress(address string) bool { return checkAddress(address) == nil }
--- a/internal/engineapi/known.go
+++ b/internal/engineapi/known.go
@@ -1,7 +1,7 @@
 package engineapi
 
-// MediaEvents is the media type of decode streams.
-const MediaEvents = "text/event-stream"
+// EventStreamMediaType is the media type of decode streams.
+const EventStreamMediaType = "text/event-stream"
 
 // Known reports whether c is one of the error codes of endpoints.
 func (c Code) Known() bool {
--- a/internal/engineapi/work.go
+++ b/internal/engineapi/work.go
@@ -124,17 +124,17 @@
 // is a fencing token; engines that check it refuse one that is lower than the
 // highest that they have accepted.
 type Order struct {
-	ID    string             `json:"id"`
-	Token uint64             `json:"token"`
-	Kind  OrderKind          `json:"kind"`
-	Model ModelRef           `json:"model"`
-	Role  fleet.EndpointRole `json:"role,omitempty"`
+	ID           string             `json:"id"`
+	FencingToken uint64             `json:"token"`
+	Kind         OrderKind          `json:"kind"`
+	Model        ModelRef           `json:"model"`
+	Role         fleet.EndpointRole `json:"role,omitempty"`
 }
 
 // OrderReply reports the engine's state after the order.
 type OrderReply struct {
-	Done      bool   `json:"done"`
-	LastToken uint64 `json:"last_token"`
+	Done             bool   `json:"done"`
+	LastFencingToken uint64 `json:"last_token"`
 }
 
 // Code is the machine-readable cause in an ErrorReply.
--- a/internal/entry/addresses.go
+++ b/internal/entry/addresses.go
@@ -36,7 +36,7 @@
 	}
 	if len(reply.Addresses) == 0 {
 		return &route.Failure{
-			Code: callerapi.CodeNoZone, Message: "no entry is up in the team's permitted availability zones",
+			Code: callerapi.CodeNoPermittedZone, Message: "no entry is up in the team's permitted availability zones",
 			Outcome: callerapi.OutcomeNotRun, RetryAfter: route.DefaultRetryAfter,
 		}
 	}
--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -13,8 +13,8 @@
 	"github.com/hyssopsail/hyssopsail/internal/timeline"
 )
 
-// CallersOptions configures the handler of the callers' API.
-type CallersOptions struct {
+// Options configures the handler of the callers' API.
+type Options struct {
 	Router   *route.Router
 	Source   membership.Source
 	Recorder timeline.Recorder
@@ -28,14 +28,14 @@
 
 // callerHandler serves the callers' API.
 type callerHandler struct {
-	opts    CallersOptions
+	opts    Options
 	bounds  Bounds
 	metrics *metrics
 	startup *startupWait
 }
 
-// NewCallers returns the handler of the callers' API.
-func NewCallers(o CallersOptions) http.Handler {
+// NewHandler returns the handler of the callers' API.
+func NewHandler(o Options) http.Handler {
 	c := &callerHandler{opts: o, bounds: o.Bounds.withDefaults(), metrics: newMetrics(o.Registerer)}
 	c.startup = &startupWait{source: o.Source, timeout: c.bounds.StartupTimeout}
 	mux := chi.NewRouter()
--- a/internal/entry/completions.go
+++ b/internal/entry/completions.go
@@ -125,14 +125,14 @@
 		return answer.Failure
 	}
 	x.w.Header().Set(callerapi.HeaderOutcome, string(callerapi.OutcomeCompleted))
-	_ = x.control.SetWriteDeadline(time.Now().Add(c.bounds.WriteTime))
+	_ = x.control.SetWriteDeadline(time.Now().Add(c.bounds.WriteTimeout))
 	return x.writeJSON(head.completionReply(sink.text.String(), answer))
 }
 
 // serveStream answers with server-sent events. The last one is StreamDone or
 // an ErrorBody; a stream that ends with neither was truncated in transit.
 func (c *callerHandler) serveStream(x *exchange, request route.ModelRequest, head replyFields) *route.Failure {
-	sink := newStreamSink(x, head, c.bounds.WriteTime)
+	sink := newStreamSink(x, head, c.bounds.WriteTimeout)
 	answer := c.opts.Router.Complete(x.r.Context(), request, sink)
 	if answer.Failure == nil {
 		sink.finish(answer)
--- a/internal/entry/exchange.go
+++ b/internal/entry/exchange.go
@@ -54,13 +54,13 @@
 // identify sets x.team from the caller's credentials and x.key from the
 // idempotency key.
 func (c *callerHandler) identify(x *exchange) *route.Failure {
-	secret, ok := strings.CutPrefix(x.r.Header.Get(callerapi.HeaderAuthorise), bearer)
+	secret, ok := strings.CutPrefix(x.r.Header.Get(callerapi.HeaderAuthorization), bearer)
 	if !ok {
 		return unauthorised()
 	}
-	x.key = x.r.Header.Get(callerapi.HeaderKey)
-	if len(x.key) > c.bounds.KeyBytes {
-		return badRequest("the " + callerapi.HeaderKey + " header is too long")
+	x.key = x.r.Header.Get(callerapi.HeaderIdempotencyKey)
+	if len(x.key) > c.bounds.MaxKeyBytes {
+		return badRequest("the " + callerapi.HeaderIdempotencyKey + " header is too long")
 	}
 	team, ok := c.opts.TeamByKey(c.opts.Source.State().Tree, secret)
 	if !ok {
@@ -120,7 +120,7 @@
 	if failure := c.opts.Router.EarlyRefusal(x.team.Name, x.key); failure != nil {
 		return nil, failure
 	}
-	limit := c.bounds.BodyBytes
+	limit := c.bounds.MaxBodyBytes
 	if own := int64(x.team.Limits.BodyBytes); own > 0 {
 		limit = own
 	}
@@ -128,7 +128,7 @@
 		return nil, tooLarge()
 	}
 	// Response recorders in tests don't support deadlines.
-	_ = x.control.SetReadDeadline(time.Now().Add(c.bounds.BodyTime))
+	_ = x.control.SetReadDeadline(time.Now().Add(c.bounds.BodyReadTimeout))
 	body, err := io.ReadAll(http.MaxBytesReader(x.w, x.r.Body, limit))
 	_ = x.control.SetReadDeadline(time.Time{})
 	if err == nil {
--- a/internal/entry/fail.go
+++ b/internal/entry/fail.go
@@ -45,7 +45,7 @@
 // this one refused with code.
 func servableByOtherEntry(code callerapi.Code) bool {
 	switch code {
-	case callerapi.CodeNotCurrent, callerapi.CodeDraining, callerapi.CodeNoZone, callerapi.CodeOverloaded:
+	case callerapi.CodeNotCurrent, callerapi.CodeDraining, callerapi.CodeNoPermittedZone, callerapi.CodeOverloaded:
 		return true
 	}
 	return false
--- a/internal/entry/outcome.go
+++ b/internal/entry/outcome.go
@@ -12,7 +12,7 @@
 // outcome answers GET /v1/requests/{key}.
 func (c *callerHandler) outcome(x *exchange) *route.Failure {
 	key, err := url.PathUnescape(chi.URLParam(x.r, "key"))
-	if err != nil || key == "" || len(key) > c.bounds.KeyBytes {
+	if err != nil || key == "" || len(key) > c.bounds.MaxKeyBytes {
 		return badRequest("the key is malformed")
 	}
 	known, failure := c.opts.Router.LookupKey(x.r.Context(), x.team.Name, key)
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -23,7 +23,7 @@
 var droppedHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
-	callerapi.HeaderAuthorise, callerapi.HeaderKey,
+	callerapi.HeaderAuthorization, callerapi.HeaderIdempotencyKey,
 }
 
 // service forwards a call to a plain service.
@@ -40,7 +40,7 @@
 	copyHeader(x.w.Header(), answer.Header)
 	x.w.Header().Set(callerapi.HeaderRequestID, string(x.id))
 	x.w.Header().Set(callerapi.HeaderOutcome, string(callerapi.OutcomeCompleted))
-	_ = x.control.SetWriteDeadline(time.Now().Add(c.bounds.WriteTime))
+	_ = x.control.SetWriteDeadline(time.Now().Add(c.bounds.WriteTimeout))
 	x.w.WriteHeader(answer.StatusCode)
 	_, _ = x.w.Write(answer.Body) // the caller may have disconnected
 	return nil
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -49,7 +49,7 @@
 		"r2": "refused (not-run): version 3 was replaced 2100 ms before, and the newer one had not come",
 		"s1": "answered by i-3 (served) in 6000 ms, its first part after 1200 ms; it went on there after 3471 ms, and began elsewhere",
 	} {
-		s, ok := Of(lines, request)
+		s, ok := NewRequestReport(lines, request)
 		assert.Assert(t, ok)
 		assert.Equal(t, s.Summary, want)
 	}
@@ -60,7 +60,7 @@
 	lines, others, err := Read("stdin", strings.NewReader(sample))
 	assert.NilError(t, err)
 	assert.Equal(t, others, 1)
-	s, ok := Of(lines, request)
+	s, ok := NewRequestReport(lines, request)
 	assert.Assert(t, ok)
 	var b strings.Builder
 	assert.NilError(t, s.Write(&b))
@@ -99,7 +99,7 @@
 func TestUnknownRequest(t *testing.T) {
 	lines, _, err := Read("stdin", strings.NewReader(sample))
 	assert.NilError(t, err)
-	_, ok := Of(lines, "zz")
+	_, ok := NewRequestReport(lines, "zz")
 	assert.Assert(t, !ok)
 	_, _, err = Read("stdin", strings.NewReader(strings.Repeat("x", maxLineBytes+1)))
 	assert.Assert(t, err != nil)
@@ -114,7 +114,7 @@
 			return
 		}
 		for _, l := range lines {
-			if s, ok := Of(lines, l.Get(keyRequest)); ok {
+			if s, ok := NewRequestReport(lines, l.Get(keyRequest)); ok {
 				assert.NilError(t, s.Write(&strings.Builder{}))
 			}
 		}
--- a/internal/explain/requestreport.go
+++ b/internal/explain/requestreport.go
@@ -38,8 +38,8 @@
 	text  string // of First; lines with an equal text are counted here
 }
 
-// Of returns the report of a request; ok is false when no line names it.
-func Of(lines []Line, request string) (s RequestReport, ok bool) {
+// NewRequestReport returns the report of a request; ok is false when no line names it.
+func NewRequestReport(lines []Line, request string) (s RequestReport, ok bool) {
 	s.Request = request
 	for _, l := range lines {
 		if l.Get(keyRequest) == request {
--- a/internal/follower/fetch.go
+++ b/internal/follower/fetch.go
@@ -84,7 +84,7 @@
 	}
 	f.metrics.failedBlocks.Add(float64(len(requested)))
 	f.options.Part.Info("Fetching blocks failed.", "from", member, "blocks", len(requested),
-		"took_ms", transfer.Took().Milliseconds(), "received_bytes", transfer.Received(), "err", err)
+		"took_ms", transfer.Elapsed().Milliseconds(), "received_bytes", transfer.ReceivedBytes(), "err", err)
 	return false
 }
 
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -166,7 +166,7 @@
 			return nil
 		}
 		f.options.Part.Info("Poll failed; switching to another control instance.", "from", member,
-			"took_ms", transfer.Took().Milliseconds(), "received_bytes", transfer.Received(), "err", err)
+			"took_ms", transfer.Elapsed().Milliseconds(), "received_bytes", transfer.ReceivedBytes(), "err", err)
 		return err
 	}
 	f.recordConfirmation(sentAt, request, reply)
--- a/internal/follower/follower_test.go
+++ b/internal/follower/follower_test.go
@@ -342,7 +342,7 @@
 	const endpoints = 4000
 	for _, cut := range []bool{false, true} {
 		run(t, func(t *testing.T, f *fleet) {
-			f.net.SetRate("entry", 200_000)
+			f.net.SetLinkRate("entry", 200_000)
 			size := 0
 			for n := range endpoints {
 				e := endpoint(fmt.Sprintf("endpoint-%040d", n), 1, pb.EndpointState_ENDPOINT_STATE_READY)
@@ -359,7 +359,7 @@
 				time.Sleep(10 * time.Millisecond)
 			}
 			assert.Equal(t, f.endpoints(), endpoints)
-			assert.Assert(t, f.net.Bytes() < size*3/2, "%d bytes for %d", f.net.Bytes(), size)
+			assert.Assert(t, f.net.BytesCarried() < size*3/2, "%d bytes for %d", f.net.BytesCarried(), size)
 		})
 	}
 }
--- a/internal/httpconn/httpconn_test.go
+++ b/internal/httpconn/httpconn_test.go
@@ -71,7 +71,7 @@
 
 func newTestPool(t *testing.T) *Pool {
 	p := NewPool(time.Second)
-	t.Cleanup(func() { p.Sweep(time.Now().Add(time.Hour)) })
+	t.Cleanup(func() { p.CloseExpired(time.Now().Add(time.Hour)) })
 	return p
 }
 
@@ -104,7 +104,7 @@
 	opened := 0
 	s := serve(t, echo)
 	p := newTestPool(t)
-	p.Opened = func() { opened++ }
+	p.OnDial = func() { opened++ }
 	for n := range 5 {
 		body, err := sendAndRead(t, p, s, fmt.Sprint(n))
 		assert.NilError(t, err)
@@ -313,7 +313,7 @@
 	opened := 0
 	s := serve(t, echo)
 	p := newTestPool(t)
-	p.Opened = func() { opened++ }
+	p.OnDial = func() { opened++ }
 	for range 2 {
 		_, err := sendAndRead(t, p, s, "a")
 		assert.NilError(t, err)
--- a/internal/httpconn/open_test.go
+++ b/internal/httpconn/open_test.go
@@ -36,7 +36,7 @@
 		failed <- err
 	}()
 	<-s.requests
-	p.Sweep(time.Now().Add(time.Hour))
+	p.CloseExpired(time.Now().Add(time.Hour))
 	assert.Assert(t, p.HasOpen(s.address(), time.Now()), "a connection in use")
 	close(ends)
 	assert.Assert(t, <-failed != nil)
--- a/internal/httpconn/pool.go
+++ b/internal/httpconn/pool.go
@@ -33,8 +33,8 @@
 	// away; when a packet is dropped, another endpoint is tried sooner than TCP
 	// would retransmit.
 	DialTimeout time.Duration
-	// Opened, if set, is called for each connection that was opened.
-	Opened func()
+	// OnDial, if set, is called for each connection that was opened.
+	OnDial func()
 
 	mu   sync.Mutex // guards the fields below
 	idle map[string][]*conn
@@ -123,9 +123,9 @@
 	}
 }
 
-// Sweep closes idle connections whose idle timeout has passed, and removes
+// CloseExpired closes idle connections whose idle timeout has passed, and removes
 // addresses without idle connections.
-func (p *Pool) Sweep(now time.Time) {
+func (p *Pool) CloseExpired(now time.Time) {
 	var expired []*conn
 	p.mu.Lock()
 	for address, list := range p.idle {
@@ -160,8 +160,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if p.Opened != nil {
-		p.Opened()
+	if p.OnDial != nil {
+		p.OnDial()
 	}
 	c := newConn(raw, address)
 	p.register(c)
--- a/internal/leastsquares/sums.go
+++ b/internal/leastsquares/sums.go
@@ -33,10 +33,10 @@
 // Mean returns the weighted mean of y, or 0 before the first observation.
 func (s *Sums) Mean() float64 { return s.y / max(1, s.n) }
 
-// Line returns the line with the least squared error. ok is false when it is undetermined,
+// Fit returns the line with the least squared error. ok is false when it is undetermined,
 // as when all x are nearly the same, when its slope is not positive, or when its base is
 // negative.
-func (s *Sums) Line() (l Line, ok bool) {
+func (s *Sums) Fit() (l Line, ok bool) {
 	determinant := s.n*s.xx - s.x*s.x
 	if determinant <= minRelativeVariance*s.n*s.xx {
 		return Line{}, false
--- a/internal/load/addresscache.go
+++ b/internal/load/addresscache.go
@@ -104,7 +104,7 @@
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	request.Header.Set(callerapi.HeaderAuthorise, "Bearer "+key)
+	request.Header.Set(callerapi.HeaderAuthorization, "Bearer "+key)
 	response, err := c.client.Do(request)
 	if err != nil {
 		return nil, trace.Wrap(err)
--- a/internal/load/directmodel_test.go
+++ b/internal/load/directmodel_test.go
@@ -17,7 +17,7 @@
 	s, err := standin.New(standin.Options{
 		ID: fleet.EndpointID(role), Role: role, Zone: "howrah", Listen: "127.0.0.1:0", Slots: 200,
 		Models: []engineapi.ModelRef{{Model: "fibre", Version: "1"}},
-		Timing: standin.Timing{PrefillBase: ms, PrefillToken: time.Microsecond, StepBase: ms, StepPerRequest: time.Microsecond},
+		Timing: standin.Timing{PrefillBase: ms, PrefillPerToken: time.Microsecond, StepBase: ms, StepPerRequest: time.Microsecond},
 	})
 	assert.NilError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -193,7 +193,7 @@
 	e := parseExperiment(t, notes)
 	var tries atomic.Int64
 	serve(t, &e, func(w http.ResponseWriter, r *http.Request) {
-		assert.Check(t, r.Header.Get(callerapi.HeaderKey) != "")
+		assert.Check(t, r.Header.Get(callerapi.HeaderIdempotencyKey) != "")
 		if tries.Add(1)%2 == 1 {
 			panic(http.ErrAbortHandler)
 		}
--- a/internal/load/sender.go
+++ b/internal/load/sender.go
@@ -86,7 +86,7 @@
 }
 
 func setHeaders(h http.Header, j *job) {
-	h.Set(callerapi.HeaderAuthorise, "Bearer "+j.stream.Key)
+	h.Set(callerapi.HeaderAuthorization, "Bearer "+j.stream.Key)
 	h.Set("Content-Type", "application/json")
 	left := time.Until(j.intended.Add(j.stream.Patience))
 	h.Set(callerapi.HeaderDeadline, strconv.FormatInt(max(1, left.Milliseconds()), 10))
@@ -94,7 +94,7 @@
 		h.Set(callerapi.HeaderCallerKind, j.stream.CallerKind)
 	}
 	if j.key != "" {
-		h.Set(callerapi.HeaderKey, j.key)
+		h.Set(callerapi.HeaderIdempotencyKey, j.key)
 	}
 	if j.stream.NotIdempotent {
 		h.Set(callerapi.HeaderIdempotent, "false")
--- a/internal/logging/bounded.go
+++ b/internal/logging/bounded.go
@@ -18,11 +18,11 @@
 	maxBytesPerSecond = 128 << 10
 )
 
-// Bounded is an io.Writer that buffers lines and writes them to another writer in the
+// BoundedWriter is an io.Writer that buffers lines and writes them to another writer in the
 // background, so that Write never blocks: a log whose reader has stopped would otherwise
 // block the process. Lines that exceed the buffer or the volume per second are dropped
 // and counted, and a later line states the number. Safe for concurrent use.
-type Bounded struct {
+type BoundedWriter struct {
 	out io.Writer
 
 	mu            sync.Mutex // guards the fields below
@@ -33,21 +33,21 @@
 	wake          chan struct{}
 }
 
-// NewBounded returns a writer to out and starts its background goroutine, which runs
+// NewBoundedWriter returns a writer to out and starts its background goroutine, which runs
 // until the process ends.
-func NewBounded(out io.Writer) *Bounded {
+func NewBoundedWriter(out io.Writer) *BoundedWriter {
 	b := newBounded(out)
 	b.start()
 	return b
 }
 
-func newBounded(out io.Writer) *Bounded {
-	return &Bounded{out: out, wake: make(chan struct{}, 1)}
+func newBounded(out io.Writer) *BoundedWriter {
+	return &BoundedWriter{out: out, wake: make(chan struct{}, 1)}
 }
 
 // start starts the background goroutine. The returned channel is closed when the
 // goroutine ends, which it does once wake is closed.
-func (b *Bounded) start() <-chan struct{} {
+func (b *BoundedWriter) start() <-chan struct{} {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -57,7 +57,7 @@
 }
 
 // Write implements io.Writer. Each call passes one line; it never fails.
-func (b *Bounded) Write(line []byte) (int, error) {
+func (b *BoundedWriter) Write(line []byte) (int, error) {
 	b.mu.Lock()
 	b.add(time.Now().Unix(), line)
 	b.mu.Unlock()
@@ -69,7 +69,7 @@
 }
 
 // add buffers a line or counts it as dropped. The caller holds b.mu.
-func (b *Bounded) add(second int64, line []byte) {
+func (b *BoundedWriter) add(second int64, line []byte) {
 	if second != b.currentSecond {
 		b.currentSecond, b.acceptedBytes = second, 0
 	}
@@ -82,13 +82,13 @@
 }
 
 // Flush writes the buffered lines. Call it before the process exits.
-func (b *Bounded) Flush() {
+func (b *BoundedWriter) Flush() {
 	if buffered := b.takeBuffer(); len(buffered) > 0 {
 		_, _ = b.out.Write(buffered) // a failed log write can't be reported
 	}
 }
 
-func (b *Bounded) takeBuffer() []byte {
+func (b *BoundedWriter) takeBuffer() []byte {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	buffered := b.buffer
@@ -100,7 +100,7 @@
 	return buffered
 }
 
-func (b *Bounded) flushLoop() {
+func (b *BoundedWriter) flushLoop() {
 	for range b.wake {
 		time.Sleep(flushInterval)
 		b.Flush()
--- a/internal/logging/part.go
+++ b/internal/logging/part.go
@@ -53,8 +53,8 @@
 	prefix string
 }
 
-// For returns the Part named name, whose messages start with "name: ".
-func For(logger log.Logger, name string) Part {
+// NewPart returns the Part named name, whose messages start with "name: ".
+func NewPart(logger log.Logger, name string) Part {
 	return Part{logger: logger, prefix: name + ": "}
 }
 
--- a/internal/operator/handler.go
+++ b/internal/operator/handler.go
@@ -17,8 +17,8 @@
 const (
 	maxConcurrent = 64               // concurrent requests; more are refused with 429
 	callTimeout   = 15 * time.Second // of one request, excluding the wait for a change to be in force
-	// MaxWait is the longest time that a request may wait for a change to be in force.
-	MaxWait = time.Minute
+	// MaxWaitInForce is the longest time that a request may wait for a change to be in force.
+	MaxWaitInForce = time.Minute
 )
 
 // errNotCurrent is returned before a request is executed, so the client may repeat it.
@@ -39,7 +39,7 @@
 		r.Get("/status", h.authenticated(h.status, callTimeout))
 		r.Get("/disk", h.authenticated(h.disk, callTimeout))
 		r.Get("/settings", h.authenticated(h.getSettings, callTimeout))
-		r.Post("/settings", h.authenticated(h.requireCurrent(h.change), callTimeout+MaxWait))
+		r.Post("/settings", h.authenticated(h.requireCurrent(h.change), callTimeout+MaxWaitInForce))
 		r.Post("/members", h.authenticated(h.requireCurrent(h.changeMember), callTimeout))
 		r.Post("/drain", h.authenticated(h.requireCurrent(h.drain), callTimeout))
 		if options.Endpoints != nil {
--- a/internal/operator/settings_actions.go
+++ b/internal/operator/settings_actions.go
@@ -25,8 +25,8 @@
 	if err := sender.checkChange(change.GetName(), change.GetExpectedVersion()); err != nil {
 		return err
 	}
-	if request.WaitInForceMs > uint64(MaxWait/time.Millisecond) {
-		return trace.BadParameter("wait_in_force_ms is over %v", MaxWait)
+	if request.WaitInForceMs > uint64(MaxWaitInForce/time.Millisecond) {
+		return trace.BadParameter("wait_in_force_ms is over %v", MaxWaitInForce)
 	}
 	// The author comes from the key; whatever the client sent is overwritten.
 	change.Author = sender.operator.Name
--- a/internal/operator/tls.go
+++ b/internal/operator/tls.go
@@ -13,7 +13,7 @@
 // ServerTLS returns the configuration of the operators' listener, which serves HTTPS
 // with the daemon's own certificate. Operators authenticate by key, so no client
 // certificate is requested.
-func ServerTLS(files rpc.Files) (*tls.Config, error) {
+func ServerTLS(files rpc.TLSFiles) (*tls.Config, error) {
 	pair, err := tls.LoadX509KeyPair(files.Certificate, files.Key)
 	if err != nil {
 		return nil, trace.Wrap(err, "certificate %s with key %s", files.Certificate, files.Key)
--- a/internal/operator/tls_test.go
+++ b/internal/operator/tls_test.go
@@ -16,7 +16,7 @@
 // Guards against sending an operator's key to a server of another fleet: the client must
 // only trust daemons of its own fleet.
 func TestClientTrustsItsOwnFleetOnly(t *testing.T) {
-	own, other := testkit.Keys(t, t.TempDir(), "a"), testkit.Keys(t, t.TempDir(), "a")
+	own, other := testkit.WriteKeys(t, t.TempDir(), "a"), testkit.WriteKeys(t, t.TempDir(), "a")
 	server := httptest.NewUnstartedServer(newHandlerFor(&stubControl{}, bootstrapped()))
 	tlsConfig, err := ServerTLS(own)
 	assert.NilError(t, err)
@@ -24,7 +24,7 @@
 	server.StartTLS()
 	defer server.Close()
 
-	status := func(fleet rpc.Files) error {
+	status := func(fleet rpc.TLSFiles) error {
 		trusted, err := ClientTLS(fleet.Authority)
 		assert.NilError(t, err)
 		address := strings.TrimPrefix(server.URL, "https://")
--- a/internal/orders/issuer.go
+++ b/internal/orders/issuer.go
@@ -180,7 +180,7 @@
 	bounds := BoundsOf(i.source.State().Tree)
 	ctx, cancel := context.WithTimeout(ctx, bounds.MaxDuration)
 	defer cancel()
-	order := engineapi.Order{ID: p.OrderID(), Token: p.Token(), Kind: spec.Kind, Model: spec.Model, Role: spec.Role}
+	order := engineapi.Order{ID: p.OrderID(), FencingToken: p.Token(), Kind: spec.Kind, Model: spec.Model, Role: spec.Role}
 	if now := i.now(); !p.MaySend(now) || !i.source.Current(now) {
 		p.NotSent(now)
 		return
--- a/internal/orders/issuer_test.go
+++ b/internal/orders/issuer_test.go
@@ -39,7 +39,7 @@
 func newWorld(checks bool) *world {
 	w := &world{
 		machine: control.NewMachine(control.MachineOptions{Check: settings.CheckChange, Build: settings.Build}),
-		state:   engineapi.Announcement{ID: "x", Role: fleet.RolePrefill, ChecksTokens: checks},
+		state:   engineapi.Announcement{ID: "x", Role: fleet.RolePrefill, ChecksFencingTokens: checks},
 	}
 	for _, id := range []string{"a", "b"} {
 		w.apply(&pb.Command{Body: &pb.Command_JoinInstance{JoinInstance: &pb.JoinInstance{
@@ -121,17 +121,17 @@
 		e.answersToLose--
 		return engineapi.OrderReply{}, &engine.Error{Target: t, Err: errors.New("connection reset")}
 	}
-	return engineapi.OrderReply{Done: true, LastToken: e.state.LastToken}, nil
+	return engineapi.OrderReply{Done: true, LastFencingToken: e.state.LastFencingToken}, nil
 }
 
 func (e endpoint) take(t engine.Target, o engineapi.Order) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.state.ChecksTokens && o.Token < e.state.LastToken {
+	if e.state.ChecksFencingTokens && o.FencingToken < e.state.LastFencingToken {
 		return &engine.Error{Target: t, Code: engineapi.CodeOldToken}
 	}
 	e.taken = append(e.taken, o.ID)
-	e.state.LastToken = o.Token
+	e.state.LastFencingToken = o.FencingToken
 	e.state.Role = o.Role
 	return nil
 }
@@ -203,7 +203,7 @@
 		close(frozen)
 		assert.Equal(t, <-old, OutcomeSuperseded)
 		assert.Equal(t, w.state.Role, fleet.RoleDecode)
-		assert.Equal(t, len(w.taken) == 1, w.state.ChecksTokens)
+		assert.Equal(t, len(w.taken) == 1, w.state.ChecksFencingTokens)
 	})
 }
 
--- a/internal/orders/process.go
+++ b/internal/orders/process.go
@@ -106,7 +106,7 @@
 		return
 	}
 	p.failedCalls = 0
-	p.checksTokens = a.ChecksTokens
+	p.checksTokens = a.ChecksFencingTokens
 	switch {
 	case !p.sent:
 		p.setNext(StepConfirm, now)
--- a/internal/orders/watch_test.go
+++ b/internal/orders/watch_test.go
@@ -48,7 +48,7 @@
 		close(frozen)
 		assert.Equal(t, <-old, OutcomeSuperseded)
 		time.Sleep(time.Minute)
-		assert.Equal(t, w.executed("old"), !w.state.ChecksTokens)
+		assert.Equal(t, w.executed("old"), !w.state.ChecksFencingTokens)
 		assert.Equal(t, w.currentRole(), fleet.RoleDecode)
 	})
 }
@@ -115,7 +115,7 @@
 func (l *loadCounter) State(_ context.Context, t engine.Target) (engineapi.Announcement, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	a := engineapi.Announcement{ID: t.ID, ChecksTokens: true}
+	a := engineapi.Announcement{ID: t.ID, ChecksFencingTokens: true}
 	if m, ok := l.done[t.ID]; ok {
 		a.Models = []engineapi.ModelRef{m}
 	}
@@ -132,7 +132,7 @@
 	defer l.mu.Unlock()
 	l.loads--
 	l.done[t.ID] = o.Model
-	return engineapi.OrderReply{Done: true, LastToken: o.Token}, nil
+	return engineapi.OrderReply{Done: true, LastFencingToken: o.FencingToken}, nil
 }
 
 // testLoadDuration is slightly less than the time that the log reserves for 16 GB of
--- a/internal/outcome/bench_test.go
+++ b/internal/outcome/bench_test.go
@@ -53,7 +53,7 @@
 	state := &membership.State{View: view, LedgerGroups: group, Tree: settingsTree(testZones), FormerZoneClasses: map[fleet.Team][]string{testTeam: former}}
 	direct := directDialer{}
 	var dialer rpc.Dialer = direct
-	config, err := rpc.LoadTLS(testkit.Keys(b, b.TempDir(), "entry-0"))
+	config, err := rpc.LoadTLS(testkit.WriteKeys(b, b.TempDir(), "entry-0"))
 	assert.NilError(b, err)
 	clock := timeline.NewClock(time.Now)
 	if overNetwork {
--- a/internal/outcome/contract.go
+++ b/internal/outcome/contract.go
@@ -15,12 +15,12 @@
 // settings permit the team now; a claim under other zones fails. Fresh means that the
 // key was made for this call alone, so that no earlier record of it can exist.
 type Claim struct {
-	Key       Key
-	Team      fleet.Team
-	Fresh     bool
-	Permitted fleet.ZoneSet
-	Attempt   fleet.AttemptID
-	Endpoint  fleet.EndpointID
+	Key            Key
+	Team           fleet.Team
+	UniqueKey      bool
+	PermittedZones fleet.ZoneSet
+	Attempt        fleet.AttemptID
+	Endpoint       fleet.EndpointID
 }
 
 // Verdict is the ledger's answer about a key.
--- a/internal/outcome/decide.go
+++ b/internal/outcome/decide.go
@@ -17,15 +17,15 @@
 	if !zonesMatch(state, c) {
 		return VerdictUnset, Record{}, false, errZonesChanged(c)
 	}
-	if !c.Fresh {
-		for _, shard := range formerShards(c.Key, c.Permitted, state.FormerZoneClasses[c.Team]) {
+	if !c.UniqueKey {
+		for _, shard := range formerShards(c.Key, c.PermittedZones, state.FormerZoneClasses[c.Team]) {
 			v, r, err = s.decideAtFormerShard(ctx, purpose, c, shard)
 			if err != nil || !allowsNextShard(v) {
 				return v, r, false, err
 			}
 		}
 	}
-	d := s.newDriver(purpose, c, ShardOf(c.Key, c.Permitted))
+	d := s.newDriver(purpose, c, ShardOf(c.Key, c.PermittedZones))
 	d.requireCurrentZones = true
 	v, r, err = d.run(ctx)
 	if v == VerdictMoved {
--- a/internal/outcome/failure_test.go
+++ b/internal/outcome/failure_test.go
@@ -253,10 +253,10 @@
 		moved.Zone = "yongkang-hall"
 		s.View.Instances["c"] = moved
 	})
-	before := f.net.Calls("c")
+	before := f.net.CallCount("c")
 	c := newClaim("slip", "attempt-1")
 	f.assertClaim(t, "d", c, VerdictRun)
 	assert.NilError(t, f.service("d").Finish(t.Context(), c, pb.OutcomeKind_OUTCOME_KIND_COMPLETED, 200))
 	f.assertLookup(t, "e", c, VerdictRecorded)
-	assert.Equal(t, f.net.Calls("c"), before)
+	assert.Equal(t, f.net.CallCount("c"), before)
 }
--- a/internal/outcome/finish.go
+++ b/internal/outcome/finish.go
@@ -15,7 +15,7 @@
 
 // recordOutcome records an outcome at a majority, retrying until ctx ends.
 func (s *Service) recordOutcome(ctx context.Context, c Claim, end StoredRecord) error {
-	shard := ShardOf(c.Key, c.Permitted)
+	shard := ShardOf(c.Key, c.PermittedZones)
 	for {
 		state := s.options.Source.State()
 		group, ok := state.LedgerGroups[shard]
--- a/internal/outcome/fleet_test.go
+++ b/internal/outcome/fleet_test.go
@@ -107,7 +107,7 @@
 	n := &testNode{Static: membership.Static{FixedState: f.state, Instance: self}, changed: make(chan struct{})}
 	ctx, cancel := context.WithCancel(t.Context())
 	n.stop = cancel
-	o.Source, o.Dialer, o.Ready = n, f.net.Dialer(self.RPCAddress), f.ready
+	o.Source, o.Dialer, o.ReportReady = n, f.net.Dialer(self.RPCAddress), f.ready
 	n.service = NewService(o)
 	f.net.Serve(self.RPCAddress, n.service.Server(), pb.DRPCLedgerDescription{})
 	f.mu.Lock()
--- a/internal/outcome/former_zones.go
+++ b/internal/outcome/former_zones.go
@@ -76,9 +76,9 @@
 		return false
 	}
 	team, ok := state.Tree.Teams[c.Team]
-	return ok && team.Permitted().Class() == c.Permitted.Class()
+	return ok && team.Permitted().Class() == c.PermittedZones.Class()
 }
 
 func errZonesChanged(c Claim) error {
-	return trace.CompareFailed("the permitted zones of team %s are no longer %s", c.Team, c.Permitted.Class())
+	return trace.CompareFailed("the permitted zones of team %s are no longer %s", c.Team, c.PermittedZones.Class())
 }
--- a/internal/outcome/model_world_test.go
+++ b/internal/outcome/model_world_test.go
@@ -190,9 +190,9 @@
 	purpose := []Purpose{PurposeClaim, PurposeClaim, PurposeClaim, PurposeForbid, PurposeResolve}[w.random.IntN(5)]
 	key := Key{15: byte(w.random.IntN(2))}
 	w.lastAttempt++
-	c := Claim{Key: key, Permitted: modelZones[n.state.class], Attempt: fleet.AttemptID(fmt.Sprint("attempt-", w.lastAttempt)), Endpoint: "bank-1"}
+	c := Claim{Key: key, PermittedZones: modelZones[n.state.class], Attempt: fleet.AttemptID(fmt.Sprint("attempt-", w.lastAttempt)), Endpoint: "bank-1"}
 	m := &modelProposer{node: n, purpose: purpose, claim: c, class: n.state.class, answersAtStart: w.audit.answersOn(key)}
-	for _, s := range formerShards(key, c.Permitted, n.state.former) {
+	for _, s := range formerShards(key, c.PermittedZones, n.state.former) {
 		if w.fault != faultSkipFormer {
 			m.formerClasses = append(m.formerClasses, modelClass(s))
 		}
--- a/internal/outcome/options.go
+++ b/internal/outcome/options.go
@@ -24,9 +24,9 @@
 type Options struct {
 	Source membership.Source
 	Dialer rpc.Dialer
-	// Ready reports to the control group which shards this process has copied.
-	Ready func(ctx context.Context, ready *pb.LedgerReady) error
-	Runs  RunGuard // nil: the calls are refused
+	// ReportReady reports to the control group which shards this process has copied.
+	ReportReady func(ctx context.Context, ready *pb.LedgerReady) error
+	RunGuard    RunGuard // nil: the calls are refused
 	// Seed is the seed of the random delays between rounds.
 	Seed            uint64
 	Limits          Limits
--- a/internal/outcome/run.go
+++ b/internal/outcome/run.go
@@ -95,7 +95,7 @@
 	s.mu.Lock()
 	complete := s.replica.CompleteGroups()
 	s.mu.Unlock()
-	if len(complete) == 0 || s.options.Ready == nil {
+	if len(complete) == 0 || s.options.ReportReady == nil {
 		return
 	}
 	ready := &pb.LedgerReady{
@@ -109,7 +109,7 @@
 			Epoch:     g.Epoch,
 		})
 	}
-	if err := s.options.Ready(ctx, ready); err != nil {
+	if err := s.options.ReportReady(ctx, ready); err != nil {
 		s.options.Part.Debug("Reporting shards as ready failed.", "shards", len(complete), "err", err)
 	}
 }
--- a/internal/outcome/server.go
+++ b/internal/outcome/server.go
@@ -119,16 +119,16 @@
 
 // BeginRun implements pb.DRPCLedgerServer.
 func (s *Server) BeginRun(ctx context.Context, q *pb.BeginRunRequest) (*pb.BeginRunReply, error) {
-	if s.service.options.Runs == nil {
+	if s.service.options.RunGuard == nil {
 		return nil, trace.NotImplemented("no guard of fingerprints here")
 	}
-	return s.service.options.Runs.BeginRun(ctx, q)
+	return s.service.options.RunGuard.BeginRun(ctx, q)
 }
 
 // EndRun implements pb.DRPCLedgerServer.
 func (s *Server) EndRun(ctx context.Context, q *pb.EndRunRequest) (*pb.EndRunReply, error) {
-	if s.service.options.Runs == nil {
+	if s.service.options.RunGuard == nil {
 		return nil, trace.NotImplemented("no guard of fingerprints here")
 	}
-	return s.service.options.Runs.EndRun(ctx, q)
+	return s.service.options.RunGuard.EndRun(ctx, q)
 }
--- a/internal/outcome/service.go
+++ b/internal/outcome/service.go
@@ -94,7 +94,7 @@
 
 // Lookup implements Ledger.
 func (s *Service) Lookup(ctx context.Context, team fleet.Team, key Key, permitted fleet.ZoneSet) (Verdict, Record, error) {
-	verdict, record, _, err := s.decide(ctx, PurposeResolve, Claim{Key: key, Team: team, Permitted: permitted})
+	verdict, record, _, err := s.decide(ctx, PurposeResolve, Claim{Key: key, Team: team, PermittedZones: permitted})
 	return verdict, record, err
 }
 
@@ -151,7 +151,7 @@
 // former shards decided stays.
 func (s *Service) settleAbandoned(c Claim) {
 	s.runInBackground(func(ctx context.Context) {
-		verdict, record, err := s.newDriver(PurposeForbid, c, ShardOf(c.Key, c.Permitted)).run(ctx)
+		verdict, record, err := s.newDriver(PurposeForbid, c, ShardOf(c.Key, c.PermittedZones)).run(ctx)
 		if err != nil || verdict != VerdictInFlight || record.Attempt != c.Attempt {
 			return
 		}
--- a/internal/outcome/service_test.go
+++ b/internal/outcome/service_test.go
@@ -14,11 +14,11 @@
 
 func newClaim(key, attempt string) Claim {
 	return Claim{
-		Key:       KeyFor([]byte("secret"), testTeam, key),
-		Team:      testTeam,
-		Permitted: testZones,
-		Attempt:   fleet.AttemptID(attempt),
-		Endpoint:  "bank-1",
+		Key:            KeyFor([]byte("secret"), testTeam, key),
+		Team:           testTeam,
+		PermittedZones: testZones,
+		Attempt:        fleet.AttemptID(attempt),
+		Endpoint:       "bank-1",
 	}
 }
 
@@ -48,7 +48,7 @@
 // assertLookup checks the verdict of a lookup of the claim's key.
 func (f *testFleet) assertLookup(t *testing.T, entry fleet.InstanceID, c Claim, want Verdict) {
 	t.Helper()
-	verdict, _, err := f.service(entry).Lookup(t.Context(), c.Team, c.Key, c.Permitted)
+	verdict, _, err := f.service(entry).Lookup(t.Context(), c.Team, c.Key, c.PermittedZones)
 	assert.NilError(t, err)
 	assert.Equal(t, verdict, want)
 }
--- a/internal/outcome/zonechange_test.go
+++ b/internal/outcome/zonechange_test.go
@@ -20,7 +20,7 @@
 )
 
 func withZones(zones fleet.ZoneSet, c Claim) Claim {
-	c.Permitted = zones
+	c.PermittedZones = zones
 	return c
 }
 
@@ -93,9 +93,9 @@
 	f.assertClaim(t, "a", first, VerdictRun)
 	// A majority, a and one of b and c, answers the claim. The last call to the other
 	// may still be in progress and would be counted below.
-	f.await(t, "the first claim's last call", func() bool { return f.net.Calls("b") == f.net.Calls("c") })
+	f.await(t, "the first claim's last call", func() bool { return f.net.CallCount("b") == f.net.CallCount("c") })
 	f.setZones(oneZone, "b", "e")
-	before := f.net.Calls("a") + f.net.Calls("c") + f.net.Calls("d")
+	before := f.net.CallCount("a") + f.net.CallCount("c") + f.net.CallCount("d")
 	for _, key := range []string{"slip", "new slip"} {
 		c := withZones(oneZone, newClaim(key, "attempt-"+key))
 		record := f.assertClaim(t, "b", c, VerdictUnknown)
@@ -104,13 +104,13 @@
 		f.assertForbid(t, "e", c, VerdictUnknown)
 	}
 	fresh := withZones(oneZone, newClaim("own key", "attempt-own"))
-	fresh.Fresh = true
+	fresh.UniqueKey = true
 	f.assertClaim(t, "b", fresh, VerdictRun)
 	// The outcome of the first call must not be sent outside the zones either.
 	short, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 	defer cancel()
 	assert.Assert(t, f.service("b").Finish(short, first, pb.OutcomeKind_OUTCOME_KIND_COMPLETED, 200) != nil)
-	assert.Equal(t, f.net.Calls("a")+f.net.Calls("c")+f.net.Calls("d"), before)
+	assert.Equal(t, f.net.CallCount("a")+f.net.CallCount("c")+f.net.CallCount("d"), before)
 }
 
 // A group of former zones that never had an entry has no records, so a team whose zones
@@ -133,7 +133,7 @@
 	f.setZones(otherZone)
 	waiting := make(chan error, 1)
 	slip := withZones(otherZone, newClaim("slip", "attempt-1"))
-	slip.Fresh = true // its own key: earlier records don't matter
+	slip.UniqueKey = true // its own key: earlier records don't matter
 	go func() {
 		_, _, err := f.service("d").Claim(t.Context(), slip)
 		waiting <- err
--- a/internal/quarantine/service_test.go
+++ b/internal/quarantine/service_test.go
@@ -93,7 +93,7 @@
 	assert.Equal(t, other.begin(t, "2"), verdictAlone)
 	other.FixedState.Suspects[testPrint] = fleet.Suspect{Fingerprint: testPrint, Crashes: 2, Quarantined: true, Updated: time.Now()}
 	assert.Equal(t, other.begin(t, "3"), verdictQuarantined)
-	assert.Equal(t, guard.net.Calls("a"), 0)
+	assert.Equal(t, guard.net.CallCount("a"), 0)
 }
 
 // The control group has no leader for longer than a quarantine lasts, so the shared state keeps
@@ -124,7 +124,7 @@
 	assert.Equal(t, other.begin(t, "1"), verdictGo)
 	other.service.End(testPrint, testZones, "1", true, false)
 	other.drain(t)
-	assert.Equal(t, guard.net.Calls("a"), 0)
+	assert.Equal(t, guard.net.CallCount("a"), 0)
 }
 
 // FuzzRuns calls the RPC handlers with fields from another process.
--- a/internal/quarantine/sim_test.go
+++ b/internal/quarantine/sim_test.go
@@ -196,6 +196,6 @@
 
 func (s *sim) reported(report *pb.ReportCrash) {
 	changed := suspect.Apply(s.controlSuspects, report, s.now, suspect.DefaultLimits)
-	testkit.PutSuspects(s.controlSuspects, changed)
-	s.pendingEvents = append(s.pendingEvents, simEvent{at: s.randomTime(100), do: func() { testkit.PutSuspects(s.guardSuspects, changed) }})
+	testkit.ApplySuspects(s.controlSuspects, changed)
+	s.pendingEvents = append(s.pendingEvents, simEvent{at: s.randomTime(100), do: func() { testkit.ApplySuspects(s.guardSuspects, changed) }})
 }
--- a/internal/quota/client.go
+++ b/internal/quota/client.go
@@ -111,7 +111,7 @@
 func (c *Client) takeFrom(ctx context.Context, server, team string, limit Limit, cost float64) (Grant, takeOutcome) {
 	now := time.Now()
 	switch {
-	case !c.peers.Open(server, now):
+	case !c.peers.Available(server, now):
 		return Grant{}, outcomeSkipped
 	case c.isExhausted(team, server, now):
 		return Grant{}, outcomeExhausted
@@ -119,11 +119,11 @@
 	reply, err := c.callTake(ctx, server, team, limit, cost)
 	if err != nil {
 		if ctx.Err() == nil {
-			c.peers.Failed(server, time.Now())
+			c.peers.RecordFailure(server, time.Now())
 		}
 		return Grant{}, outcomeFailed
 	}
-	c.peers.Answered(server)
+	c.peers.RecordSuccess(server)
 	if reply.Grant == 0 {
 		c.markExhausted(team, server, time.Now(), time.Duration(reply.AgainMs)*time.Millisecond)
 		return Grant{}, outcomeExhausted
--- a/internal/quota/client_test.go
+++ b/internal/quota/client_test.go
@@ -42,7 +42,7 @@
 func (g *group) calls() int {
 	total := 0
 	for _, m := range g.members {
-		total += g.net.Calls(m)
+		total += g.net.CallCount(m)
 	}
 	return total
 }
--- a/internal/relay/explain_test.go
+++ b/internal/relay/explain_test.go
@@ -57,7 +57,7 @@
 				logger, err := logging.New(&lines, logging.LevelInfo)
 				assert.NilError(t, err)
 				fx := test.fixture()
-				fx.router.options.Part = logging.For(logger, "relay")
+				fx.router.options.Part = logging.NewPart(logger, "relay")
 				x := newExchange()
 				if fx.view.Table.Service("s").Engine != nil {
 					x = newModelExchange()
@@ -83,7 +83,7 @@
 	logger, err := logging.New(&lines, logging.LevelInfo)
 	assert.NilError(t, err)
 	fx := newFixture(idempotent, returns(func() *Reply { return ok("good") }))
-	fx.router.options.Part = logging.For(logger, "relay")
+	fx.router.options.Part = logging.NewPart(logger, "relay")
 	fx.serve(t, newExchange())
 	assert.Equal(t, strings.Count(lines.String(), "\n"), 1)
 }
--- a/internal/relay/identity_test.go
+++ b/internal/relay/identity_test.go
@@ -152,7 +152,7 @@
 	logger, err := logging.New(&lines, logging.LevelInfo)
 	assert.NilError(t, err)
 	fx := newFixture(idempotent).withTeams()
-	fx.router.options.Part = logging.For(logger, "relay")
+	fx.router.options.Part = logging.NewPart(logger, "relay")
 	fx.serve(t, exchangeWithKey("unknown-key"))
 	fx.router.options.Quotas = &fakeQuotas{take: func() error { return &quota.ExhaustedError{RetryAfter: time.Second} }}
 	fx.view.Table.TeamOf(keyhash.Of("a1")).Quota = routetable.Quota{PerSecond: 1}
--- a/internal/replica/loopback_test.go
+++ b/internal/replica/loopback_test.go
@@ -66,7 +66,7 @@
 }
 
 func startProcesses(t testing.TB, count int) (*tls.Config, []*process) {
-	config, err := rpc.LoadTLS(testkit.Keys(t, t.TempDir(), "all"))
+	config, err := rpc.LoadTLS(testkit.WriteKeys(t, t.TempDir(), "all"))
 	assert.NilError(t, err)
 	var all []*process
 	var members []*pb.Member
--- a/internal/replica/process_test.go
+++ b/internal/replica/process_test.go
@@ -30,7 +30,7 @@
 // childConfig is the configuration of a child process.
 type childConfig struct {
 	Dir, Address string
-	Keys         rpc.Files
+	Keys         rpc.TLSFiles
 }
 
 func TestMain(m *testing.M) {
@@ -141,7 +141,7 @@
 
 func startChildren(t *testing.T) []*child {
 	base := t.TempDir()
-	keys := testkit.Keys(t, base, "all")
+	keys := testkit.WriteKeys(t, base, "all")
 	var children []*child
 	var members []*pb.Member
 	for _, name := range []string{"a", "b", "c"} {
--- a/internal/route/attemptfailure.go
+++ b/internal/route/attemptfailure.go
@@ -78,7 +78,7 @@
 	failed := &attemptFailure{cause: causeConnectionBroken}
 	var e *engine.Error
 	if errors.As(err, &e) {
-		failed.endpoint, failed.code, failed.cooldown = e.Target.ID, e.Code, e.Rest > 0
+		failed.endpoint, failed.code, failed.cooldown = e.Target.ID, e.Code, e.Cooldown > 0
 	}
 	switch {
 	case parent.Err() != nil:
@@ -87,9 +87,9 @@
 		failed.cause = causeStalled
 	case failed.code != "":
 		failed.cause = causeFromCode(failed.code)
-	case e != nil && !e.Sent, errors.Is(err, engine.ErrAttempt), isUnusable(err):
+	case e != nil && !e.Sent, errors.Is(err, engine.ErrWrongAttempt), isUnusable(err):
 		failed.cause = causeRefused
-	case errors.Is(err, engine.ErrIdle):
+	case errors.Is(err, engine.ErrIdleTimeout):
 		failed.cause = causeStalled
 	}
 	return failed
@@ -97,7 +97,7 @@
 
 // isUnusable reports whether the endpoint is alive but sent an unusable answer.
 func isUnusable(err error) bool {
-	for _, bad := range []error{engine.ErrEarlier, engine.ErrGap, engine.ErrRepeat, engine.ErrMalformed, engine.ErrOversized} {
+	for _, bad := range []error{engine.ErrEarlierIncarnation, engine.ErrMissingTokens, engine.ErrRepeatedTokens, engine.ErrMalformed, engine.ErrOversized} {
 		if errors.Is(err, bad) {
 			return true
 		}
--- a/internal/route/callers_test.go
+++ b/internal/route/callers_test.go
@@ -32,12 +32,12 @@
 
 func serveRouter(t testing.TB, w *fakeFleet, r *route.Router) *httptest.Server {
 	t.Helper()
-	return serveBounded(t, w, r, entry.Bounds{BodyBytes: 4096, KeyBytes: 32})
+	return serveBounded(t, w, r, entry.Bounds{MaxBodyBytes: 4096, MaxKeyBytes: 32})
 }
 
 func serveBounded(t testing.TB, w *fakeFleet, r *route.Router, bounds entry.Bounds) *httptest.Server {
 	t.Helper()
-	handler := entry.NewCallers(entry.CallersOptions{
+	handler := entry.NewHandler(entry.Options{
 		Router: r, Source: w, Recorder: w,
 		TeamByKey: func(tree *settings.Tree, key string) (settings.Team, bool) {
 			return tree.Teams["sutokatha"], key == teamKey
@@ -290,14 +290,14 @@
 	response := post(t.Context(), t, server, "/v1/completions", unread)
 	var refusal callerapi.ErrorBody
 	assert.NilError(t, json.NewDecoder(response.Body).Decode(&refusal))
-	assert.Equal(t, refusal.Error.Code, callerapi.CodeNoZone)
+	assert.Equal(t, refusal.Error.Code, callerapi.CodeNoPermittedZone)
 	assert.DeepEqual(t, refusal.Error.Addresses, []string{"127.0.0.1:2"})
 }
 
 // A caller begins a body and never ends it. The connection must not be kept open for it.
 func TestBodyNeverEnds(t *testing.T) {
 	w := newFakeFleet()
-	server := serveBounded(t, w, w.router(route.Bounds{}), entry.Bounds{BodyTime: 20 * time.Millisecond})
+	server := serveBounded(t, w, w.router(route.Bounds{}), entry.Bounds{BodyReadTimeout: 20 * time.Millisecond})
 	unread, body := io.Pipe()
 	defer func() { _ = body.Close() }()
 	go func() { _, _ = body.Write([]byte(`{"model":`)) }()
@@ -310,7 +310,7 @@
 func TestCallerStopsReading(t *testing.T) {
 	w := newFakeFleet()
 	r := w.routerWith(fastEngine{engines{w}, strings.Repeat("cotton ", 600)}, route.Bounds{DefaultOutputTokens: 4000})
-	server := serveBounded(t, w, r, entry.Bounds{WriteTime: 50 * time.Millisecond})
+	server := serveBounded(t, w, r, entry.Bounds{WriteTimeout: 50 * time.Millisecond})
 	conn, err := net.Dial("tcp", server.Listener.Addr().String())
 	assert.NilError(t, err)
 	defer func() { _ = conn.Close() }()
--- a/internal/route/claim.go
+++ b/internal/route/claim.go
@@ -122,10 +122,10 @@
 	mayHaveRun := false
 	for generation := range r.bounds.MaxKeyGenerations {
 		claim := outcome.Claim{
-			Key:       r.hash.recordKey(req.Team, req.Key, generation),
-			Team:      req.Team,
-			Permitted: params.permitted,
-			Attempt:   newClaimAttempt(f),
+			Key:            r.hash.recordKey(req.Team, req.Key, generation),
+			Team:           req.Team,
+			PermittedZones: params.permitted,
+			Attempt:        newClaimAttempt(f),
 		}
 		decision := r.claimGeneration(ctx, req, params, f, claim)
 		if decision.run {
--- a/internal/route/cooldown.go
+++ b/internal/route/cooldown.go
@@ -93,7 +93,7 @@
 func (r *Router) recordCooldownFromError(err error) {
 	var e *engine.Error
 	if errors.As(err, &e) {
-		r.recordCooldown(e.Target, e.Rest)
+		r.recordCooldown(e.Target, e.Cooldown)
 	}
 }
 
--- a/internal/route/decide_test.go
+++ b/internal/route/decide_test.go
@@ -48,16 +48,16 @@
 		want    cause
 		crashed bool
 	}{
-		"broken":      {&engine.Error{Target: target, Sent: true, Err: engine.ErrBroken}, causeConnectionBroken, true},
+		"broken":      {&engine.Error{Target: target, Sent: true, Err: engine.ErrTruncated}, causeConnectionBroken, true},
 		"reset":       {&engine.Error{Target: target, Sent: true, Err: io.ErrUnexpectedEOF}, causeConnectionBroken, true},
 		"never sent":  {&engine.Error{Target: target, Err: io.EOF}, causeRefused, false},
-		"crossed":     {&engine.Error{Target: target, Sent: true, Err: engine.ErrAttempt}, causeRefused, false},
-		"gap":         {&engine.Error{Target: target, Sent: true, Err: engine.ErrGap}, causeRefused, false},
+		"crossed":     {&engine.Error{Target: target, Sent: true, Err: engine.ErrWrongAttempt}, causeRefused, false},
+		"gap":         {&engine.Error{Target: target, Sent: true, Err: engine.ErrMissingTokens}, causeRefused, false},
 		"oversized":   {&engine.Error{Target: target, Sent: true, Err: engine.ErrOversized}, causeRefused, false},
 		"malformed":   {&engine.Error{Target: target, Sent: true, Err: engine.ErrMalformed}, causeRefused, false},
-		"restarted":   {&engine.Error{Target: target, Sent: true, Err: engine.ErrIncarnation}, causeConnectionBroken, true},
-		"old chunk":   {&engine.Error{Target: target, Sent: true, Err: engine.ErrEarlier}, causeRefused, false},
-		"silent":      {&engine.Error{Target: target, Sent: true, Err: engine.ErrIdle}, causeStalled, false},
+		"restarted":   {&engine.Error{Target: target, Sent: true, Err: engine.ErrWrongIncarnation}, causeConnectionBroken, true},
+		"old chunk":   {&engine.Error{Target: target, Sent: true, Err: engine.ErrEarlierIncarnation}, causeRefused, false},
+		"silent":      {&engine.Error{Target: target, Sent: true, Err: engine.ErrIdleTimeout}, causeStalled, false},
 		"stale":       {&engine.Error{Target: target, Sent: true, Code: engineapi.CodeStale}, causeRefused, false},
 		"full":        {&engine.Error{Target: target, Sent: true, Code: engineapi.CodeFull}, causeNoSlot, false},
 		"gone":        {&engine.Error{Target: target, Sent: true, Code: engineapi.CodeGone}, causeKVExpired, false},
@@ -91,7 +91,7 @@
 		"out of patience":  {func(in *retryInput) { in.deadline = now }, false, callerapi.CodeEngineFailed, callerapi.OutcomeNotRun},
 		"full":             {func(in *retryInput) { in.attemptFailure = &attemptFailure{cause: causeNoSlot} }, false, callerapi.CodeOverloaded, callerapi.OutcomeNotRun},
 		"full, wasted":     {func(in *retryInput) { in.attemptFailure, in.maybeSent = &attemptFailure{cause: causeNoSlot}, true }, false, callerapi.CodeOverloaded, callerapi.OutcomeFailed},
-		"no endpoint":      {func(in *retryInput) { in.attemptFailure = &attemptFailure{cause: causeNoEndpoint} }, false, callerapi.CodeNoZone, callerapi.OutcomeNotRun},
+		"no endpoint":      {func(in *retryInput) { in.attemptFailure = &attemptFailure{cause: causeNoEndpoint} }, false, callerapi.CodeNoPermittedZone, callerapi.OutcomeNotRun},
 		"caller gone":      {func(in *retryInput) { in.attemptFailure = &attemptFailure{cause: causeCallerDisconnected} }, false, callerapi.CodeDeadline, callerapi.OutcomeNotRun},
 		"forbidden, again": {func(in *retryInput) { in.attemptFailure = &attemptFailure{cause: causeForbidden} }, true, "", ""},
 		"quarantined": {func(in *retryInput) {
--- a/internal/route/decode.go
+++ b/internal/route/decode.go
@@ -19,7 +19,7 @@
 	m := a.request
 	local, cancel := context.WithCancel(ctx)
 	defer cancel()
-	watch := engine.NewWatch(m.remaining(), cancel)
+	watch := engine.NewIdleTimer(m.remaining(), cancel)
 	defer watch.Close()
 	a.recordDecodeStart()
 	stream, err := m.router.opts.Engine.Decode(local, a.decode.target, m.router.grantGate(a.decode, m.gate), a.decodeRequest())
@@ -53,14 +53,14 @@
 }
 
 // relayChunks passes chunks to the sink until the last one.
-func (a *attempt) relayChunks(ctx, local context.Context, stream engine.Stream, watch *engine.Watch) *attemptFailure {
+func (a *attempt) relayChunks(ctx, local context.Context, stream engine.Stream, watch *engine.IdleTimer) *attemptFailure {
 	for first := true; ; first = false {
 		c, err := stream.Next()
 		if err != nil {
 			return a.decodeFailed(ctx, local, err)
 		}
 		// The time that the caller takes to read isn't counted against the engine.
-		watch.End()
+		watch.EndWait()
 		if failed := a.checkDecodeZone(); failed != nil {
 			return failed
 		}
@@ -71,7 +71,7 @@
 		if first {
 			watch.SetLimit(maxTokenGap)
 		}
-		watch.Begin()
+		watch.BeginWait()
 	}
 }
 
--- a/internal/route/engines_test.go
+++ b/internal/route/engines_test.go
@@ -145,7 +145,7 @@
 		if op == "call" {
 			w.setHeld(t.ID, a, "")
 		}
-		return f, &engine.Error{Target: t, Op: op, Sent: true, Code: f.code, Rest: f.cooldown}
+		return f, &engine.Error{Target: t, Op: op, Sent: true, Code: f.code, Cooldown: f.cooldown}
 	}
 	return f, nil
 }
--- a/internal/route/forbid.go
+++ b/internal/route/forbid.go
@@ -35,10 +35,10 @@
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), r.bounds.LedgerTimeout)
 	defer cancel()
 	verdict, record, err := r.opts.Ledger.Forbid(ctx, outcome.Claim{
-		Key:       r.hash.recordKey(in.team, in.key, 0),
-		Team:      in.team,
-		Permitted: in.permitted,
-		Attempt:   newClaimAttempt(in.fingerprint),
+		Key:            r.hash.recordKey(in.team, in.key, 0),
+		Team:           in.team,
+		PermittedZones: in.permitted,
+		Attempt:        newClaimAttempt(in.fingerprint),
 	})
 	if err != nil {
 		return callerapi.OutcomeUnknown
--- a/internal/route/lastseen_test.go
+++ b/internal/route/lastseen_test.go
@@ -45,7 +45,7 @@
 		time.Sleep(2 * time.Second)
 		began := time.Now()
 		failure := failed(t, w.router(route.Bounds{}), modelRequest())
-		assert.Equal(t, failure.Code, callerapi.CodeNoZone)
+		assert.Equal(t, failure.Code, callerapi.CodeNoPermittedZone)
 		assert.Equal(t, time.Since(began), time.Duration(0))
 	})
 }
--- a/internal/route/model_test.go
+++ b/internal/route/model_test.go
@@ -176,7 +176,7 @@
 		after   time.Duration
 	}{
 		"not current": {func(w *fakeFleet) { w.setStale(true) }, callerapi.CodeNotCurrent, route.DefaultRetryAfter},
-		"entry zone":  {func(w *fakeFleet) { w.permit("barasat") }, callerapi.CodeNoZone, 0},
+		"entry zone":  {func(w *fakeFleet) { w.permit("barasat") }, callerapi.CodeNoPermittedZone, 0},
 		"overload": {func(w *fakeFleet) {
 			w.denied = &admission.Decision{Code: callerapi.CodeOverloaded, RetryAfter: 1300 * time.Millisecond}
 		}, callerapi.CodeOverloaded, 1300 * time.Millisecond},
--- a/internal/route/once.go
+++ b/internal/route/once.go
@@ -66,12 +66,12 @@
 		key = string(newAttemptID())
 	}
 	claim := outcome.Claim{
-		Key:       c.router.hash.recordKey(c.req.Team, key, 0),
-		Team:      c.req.Team,
-		Fresh:     c.req.Key == "",
-		Permitted: c.params.permitted,
-		Attempt:   id,
-		Endpoint:  h.target.ID,
+		Key:            c.router.hash.recordKey(c.req.Team, key, 0),
+		Team:           c.req.Team,
+		UniqueKey:      c.req.Key == "",
+		PermittedZones: c.params.permitted,
+		Attempt:        id,
+		Endpoint:       h.target.ID,
 	}
 	local, cancel := context.WithTimeout(ctx, c.router.bounds.LedgerTimeout)
 	defer cancel()
--- a/internal/route/relaycost_test.go
+++ b/internal/route/relaycost_test.go
@@ -133,13 +133,13 @@
 	f := &relayFleet{fakeFleet: fakeFleet{records: map[outcome.Key]*ledgerRecord{}}, engine: engineAddress}
 	f.state.Store(newFakeFleet().state)
 	router := route.New(route.Options{
-		Source: f, Follower: f, Engine: engine.NewClient(engine.Options{MaxIdle: 1024}), Ledger: f, Guard: f, Admission: f, Recorder: f, Budget: testBudget(1000),
+		Source: f, Follower: f, Engine: engine.NewClient(engine.Options{MaxIdleConnsPerEndpoint: 1024}), Ledger: f, Guard: f, Admission: f, Recorder: f, Budget: testBudget(1000),
 		Policies: func(settings.Decisions) (route.Policies, error) {
 			return route.Policies{Prefill: firstChoice{}, Decode: firstChoice{}, Plain: firstChoice{}, Start: f}, nil
 		},
 		Secret: []byte("secret"),
 	})
-	return entry.NewCallers(entry.CallersOptions{
+	return entry.NewHandler(entry.Options{
 		Router: router, Source: f, Recorder: f,
 		TeamByKey: func(tree *settings.Tree, key string) (settings.Team, bool) {
 			return tree.Teams["sutokatha"], key == teamKey
--- a/internal/route/relaypeer_test.go
+++ b/internal/route/relaypeer_test.go
@@ -123,7 +123,7 @@
 func decodeSteps(s *batch, w http.ResponseWriter, r *http.Request) {
 	var in engineapi.DecodeRequest
 	_ = json.NewDecoder(r.Body).Decode(&in)
-	w.Header().Set("Content-Type", engineapi.MediaEvents)
+	w.Header().Set("Content-Type", engineapi.EventStreamMediaType)
 	control := http.NewResponseController(w)
 	_ = control.Flush()
 	c := engineapi.Chunk{Attempt: in.Attempt, Incarnation: relayIncarnation, Tokens: 1}
--- a/internal/route/retry.go
+++ b/internal/route/retry.go
@@ -73,7 +73,7 @@
 		f.TimedOut = true
 		return f
 	case causeNoEndpoint:
-		return notRun(callerapi.CodeNoZone, "no endpoint in the permitted availability zones can take it", after)
+		return notRun(callerapi.CodeNoPermittedZone, "no endpoint in the permitted availability zones can take it", after)
 	case causeExhausted:
 		return notRun(callerapi.CodeEngineFailed, "each endpoint that could take it has failed it", after)
 	case causeNoSlot:
@@ -85,7 +85,7 @@
 	case causeGrantExpired:
 		return notRun(callerapi.CodeOverloaded, "its slots ran out before they could be used", after)
 	case causeForbidden:
-		return notRun(callerapi.CodeNoZone, "the settings no longer permit the chosen place", after)
+		return notRun(callerapi.CodeNoPermittedZone, "the settings no longer permit the chosen place", after)
 	}
 	return notRun(callerapi.CodeEngineFailed, "the endpoints that tried could not finish it", after)
 }
--- a/internal/route/router.go
+++ b/internal/route/router.go
@@ -82,7 +82,7 @@
 		return refused(callerapi.CodeNotCurrent, "this entry has no settings yet", 0)
 	}
 	if refusal != nil {
-		return notRun(callerapi.CodeNoZone, "this entry's availability zone is not permitted for the team", 0)
+		return notRun(callerapi.CodeNoPermittedZone, "this entry's availability zone is not permitted for the team", 0)
 	}
 	return nil
 }
--- a/internal/route/sent.go
+++ b/internal/route/sent.go
@@ -8,7 +8,7 @@
 )
 
 // isOtherProcess reports whether the endpoint has been restarted since it was chosen.
-func isOtherProcess(err error) bool { return errors.Is(err, engine.ErrIncarnation) }
+func isOtherProcess(err error) bool { return errors.Is(err, engine.ErrWrongIncarnation) }
 
 // provesNotSent reports whether err proves that no byte was sent to the endpoint.
 // Errors of unknown types prove nothing.
--- a/internal/route/zones_test.go
+++ b/internal/route/zones_test.go
@@ -46,7 +46,7 @@
 		}
 		began := time.Now()
 		failure := failed(t, w.router(route.Bounds{}), modelRequest())
-		assert.Equal(t, failure.Code, callerapi.CodeNoZone)
+		assert.Equal(t, failure.Code, callerapi.CodeNoPermittedZone)
 		assert.Equal(t, failure.Outcome, callerapi.OutcomeNotRun)
 		assert.Assert(t, failure.RetryAfter > 0)
 		assert.Equal(t, time.Since(began), time.Duration(0))
--- a/internal/rpc/contract.go
+++ b/internal/rpc/contract.go
@@ -12,5 +12,5 @@
 	Conn(ctx context.Context, address string) (drpc.Conn, error)
 }
 
-// MaxMessage is the maximum size of one message between processes, bytes.
-const MaxMessage = 8 << 20
+// MaxMessageBytes is the maximum size of one message between processes, bytes.
+const MaxMessageBytes = 8 << 20
--- a/internal/rpc/countedconn.go
+++ b/internal/rpc/countedconn.go
@@ -21,7 +21,7 @@
 func (c *countedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.received.Add(uint64(n))
-	c.transfer.Load().Arrived(n)
+	c.transfer.Load().RecordReceived(n)
 	return n, err
 }
 
@@ -38,7 +38,7 @@
 		b = b[n:]
 		written += n
 		c.sent.Add(uint64(n))
-		c.transfer.Load().Sent(n)
+		c.transfer.Load().RecordSent(n)
 	}
 	return written, err
 }
@@ -61,7 +61,7 @@
 // Invoke implements drpc.Conn.
 func (c measuredConn) Invoke(ctx context.Context, rpc string, encoding drpc.Encoding, in, out drpc.Message) error {
 	defer c.metrics.recordCall(sideClient, rpc, c.counted)
-	c.counted.transfer.Store(TransferOf(ctx))
+	c.counted.transfer.Store(TransferFromContext(ctx))
 	return c.Conn.Invoke(ctx, rpc, encoding, in, out)
 }
 
--- a/internal/rpc/metrics_test.go
+++ b/internal/rpc/metrics_test.go
@@ -53,7 +53,7 @@
 	registry := prometheus.NewRegistry()
 	metrics := rpc.NewMetrics(registry)
 	server := rpc.NewServer(config, nil, logging.Part{})
-	server.Measure(metrics)
+	server.SetMetrics(metrics)
 	ring := timeline.NewRing(8, timeline.NewClock(time.Now), fleet.Owner{Instance: "server", Incarnation: 1})
 	assert.NilError(t, pb.DRPCRegisterTimeline(server.Mux, timeline.NewService(ring)))
 	ctx, cancel := context.WithCancel(context.Background())
@@ -61,7 +61,7 @@
 	go func() { done <- server.Serve(ctx, listener) }()
 
 	pool := rpc.NewPool(config, nil)
-	pool.Measure(metrics)
+	pool.SetMetrics(metrics)
 	conn, err := pool.Conn(ctx, listener.Addr().String())
 	assert.NilError(t, err)
 	for range calls {
--- a/internal/rpc/pool.go
+++ b/internal/rpc/pool.go
@@ -51,18 +51,18 @@
 	}
 }
 
-// DialFrom sets the local IP address of outgoing connections to the one that the
+// SetLocalIP sets the local IP address of outgoing connections to the one that the
 // daemon listens on, so that peers and packet filters see one address for a
 // daemon. It must be called before the first Conn. An unspecified IP is ignored.
-func (p *Pool) DialFrom(ip net.IP) {
+func (p *Pool) SetLocalIP(ip net.IP) {
 	if !ip.IsUnspecified() {
 		p.localIP = ip
 	}
 }
 
-// Measure makes the pool count its calls in metrics. It must be called before the
+// SetMetrics makes the pool count its calls in metrics. It must be called before the
 // first Conn.
-func (p *Pool) Measure(metrics *Metrics) { p.metrics = metrics }
+func (p *Pool) SetMetrics(metrics *Metrics) { p.metrics = metrics }
 
 // Conn implements Dialer. The connection is dialled by its first call.
 func (p *Pool) Conn(ctx context.Context, address string) (drpc.Conn, error) {
@@ -105,6 +105,6 @@
 // managerOptions returns the drpc options that clients and servers share.
 func managerOptions() drpcmanager.Options {
 	return drpcmanager.Options{
-		Reader: drpcwire.ReaderOptions{MaximumBufferSize: MaxMessage},
+		Reader: drpcwire.ReaderOptions{MaximumBufferSize: MaxMessageBytes},
 	}
 }
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -29,9 +29,9 @@
 	return &Server{Mux: drpcmux.New(), tls: config, clock: clock, part: part}
 }
 
-// Measure makes the server count its calls in metrics. It must be called before
+// SetMetrics makes the server count its calls in metrics. It must be called before
 // Serve.
-func (s *Server) Measure(metrics *Metrics) { s.metrics = metrics }
+func (s *Server) SetMetrics(metrics *Metrics) { s.metrics = metrics }
 
 // Serve serves connections of listener until ctx ends; it then returns nil.
 func (s *Server) Serve(ctx context.Context, listener net.Listener) error {
--- a/internal/rpc/tls.go
+++ b/internal/rpc/tls.go
@@ -12,8 +12,8 @@
 // by IP address, so the name means "a daemon of this fleet".
 const ServerName = "hyssopsaild"
 
-// Files names the PEM files of one daemon.
-type Files struct {
+// TLSFiles names the PEM files of one daemon.
+type TLSFiles struct {
 	Authority   string // the fleet's certificate authority
 	Certificate string
 	Key         string
@@ -21,7 +21,7 @@
 
 // LoadTLS reads the files and returns a configuration in which both sides must
 // present a certificate issued by the fleet's authority.
-func LoadTLS(f Files) (*tls.Config, error) {
+func LoadTLS(f TLSFiles) (*tls.Config, error) {
 	pair, err := tls.LoadX509KeyPair(f.Certificate, f.Key)
 	if err != nil {
 		return nil, trace.Wrap(err, "certificate %s with key %s", f.Certificate, f.Key)
@@ -46,10 +46,10 @@
 	return pool, nil
 }
 
-// TrustingTLS returns a client configuration that trusts the authority in the file
+// ClientTLS returns a client configuration that trusts the authority in the file
 // at path, and checks that a server's certificate names the host dialled. For an
 // empty path it returns nil, which means plain HTTP.
-func TrustingTLS(path string) (*tls.Config, error) {
+func ClientTLS(path string) (*tls.Config, error) {
 	if path == "" {
 		return nil, nil
 	}
--- a/internal/rpc/transfer.go
+++ b/internal/rpc/transfer.go
@@ -43,31 +43,31 @@
 	return context.WithValue(ctx, transferKey{}, t), t
 }
 
-// TransferOf returns the Transfer of a call's context; nil if there is none.
-func TransferOf(ctx context.Context) *Transfer {
+// TransferFromContext returns the Transfer of a call's context; nil if there is none.
+func TransferFromContext(ctx context.Context) *Transfer {
 	t, _ := ctx.Value(transferKey{}).(*Transfer)
 	return t
 }
 
-// Arrived records that n bytes of the response were received. Connections call it;
+// RecordReceived records that n bytes of the response were received. Connections call it;
 // t may be nil.
-func (t *Transfer) Arrived(n int) {
+func (t *Transfer) RecordReceived(n int) {
 	if t == nil || n == 0 {
 		return
 	}
 	t.received.Add(int64(n))
-	t.lastProgress.Store(int64(t.Took()))
+	t.lastProgress.Store(int64(t.Elapsed()))
 }
 
-// Sent records that n bytes of the call were sent. Connections call it; t may be nil.
-func (t *Transfer) Sent(n int) {
+// RecordSent records that n bytes of the call were sent. Connections call it; t may be nil.
+func (t *Transfer) RecordSent(n int) {
 	if t != nil && n > 0 {
-		t.lastProgress.Store(int64(t.Took()))
+		t.lastProgress.Store(int64(t.Elapsed()))
 	}
 }
 
 func (t *Transfer) checkProgress() {
-	idle := t.Took() - time.Duration(t.lastProgress.Load())
+	idle := t.Elapsed() - time.Duration(t.lastProgress.Load())
 	if idle >= t.idleTimeout {
 		t.cancel(ErrNoProgress)
 		return
@@ -75,11 +75,11 @@
 	t.timer.Reset(t.idleTimeout - idle)
 }
 
-// Received returns the number of bytes received so far, framing included.
-func (t *Transfer) Received() int64 { return t.received.Load() }
+// ReceivedBytes returns the number of bytes received so far, framing included.
+func (t *Transfer) ReceivedBytes() int64 { return t.received.Load() }
 
-// Took returns the time since the call began.
-func (t *Transfer) Took() time.Duration { return time.Since(t.began) }
+// Elapsed returns the time since the call began.
+func (t *Transfer) Elapsed() time.Duration { return time.Since(t.began) }
 
 // End stops the timer and releases the context. It returns err, which may be nil, or
 // an error that wraps ErrNoProgress if that ended the call.
--- a/internal/rpc/transfer_test.go
+++ b/internal/rpc/transfer_test.go
@@ -20,12 +20,12 @@
 		ctx, transfer := WithTransfer(context.Background(), idleLimit)
 		for range 100 {
 			time.Sleep(idleLimit * 9 / 10)
-			TransferOf(ctx).Arrived(1)
+			TransferFromContext(ctx).RecordReceived(1)
 		}
 		assert.NilError(t, ctx.Err())
 		assert.NilError(t, transfer.End(ctx, nil))
-		assert.Equal(t, transfer.Received(), int64(100))
-		TransferOf(context.Background()).Arrived(5) // a context without a Transfer
+		assert.Equal(t, transfer.ReceivedBytes(), int64(100))
+		TransferFromContext(context.Background()).RecordReceived(5) // a context without a Transfer
 	})
 }
 
@@ -33,9 +33,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, transfer := WithTransfer(context.Background(), idleLimit)
 		time.Sleep(idleLimit / 2)
-		transfer.Arrived(1)
+		transfer.RecordReceived(1)
 		<-ctx.Done()
-		assert.Equal(t, transfer.Took(), idleLimit*3/2)
+		assert.Equal(t, transfer.Elapsed(), idleLimit*3/2)
 		assert.ErrorIs(t, transfer.End(ctx, ctx.Err()), ErrNoProgress)
 	})
 }
--- a/internal/schedule/prefillpredictor.go
+++ b/internal/schedule/prefillpredictor.go
@@ -79,7 +79,7 @@
 // fit returns the fitted line. If all prompts have nearly the same length the
 // slope isn't determined, and the line goes through the origin and the mean.
 func (p *PrefillPredictor) fit() *prefillLine {
-	line, ok := p.sums.Line()
+	line, ok := p.sums.Fit()
 	if !ok {
 		line = p.sums.ThroughOrigin()
 	}
--- a/internal/standin/announce.go
+++ b/internal/standin/announce.go
@@ -46,17 +46,17 @@
 		return strings.Compare(a.String(), b.String())
 	})
 	return engineapi.Announcement{
-		ID:           s.options.ID,
-		Incarnation:  s.options.Incarnation,
-		Zone:         s.options.Zone,
-		Address:      s.address,
-		Role:         s.role,
-		Models:       models,
-		Service:      s.options.Service,
-		Slots:        s.options.Slots,
-		KVBytes:      s.options.KVBytes,
-		ChecksTokens: s.options.ChecksTokens,
-		LastToken:    s.lastToken,
+		ID:                  s.options.ID,
+		Incarnation:         s.options.Incarnation,
+		Zone:                s.options.Zone,
+		Address:             s.address,
+		Role:                s.role,
+		Models:              models,
+		Service:             s.options.Service,
+		Slots:               s.options.Slots,
+		KVBytes:             s.options.KVBytes,
+		ChecksFencingTokens: s.options.ChecksFencingTokens,
+		LastFencingToken:    s.lastToken,
 	}
 }
 
@@ -174,7 +174,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	lag := s.timing.LoadLag
+	lag := s.timing.LoadReportDelay
 	if s.faults.LoadLagMs > 0 {
 		lag = time.Duration(s.faults.LoadLagMs) * time.Millisecond
 	}
--- a/internal/standin/announce_test.go
+++ b/internal/standin/announce_test.go
@@ -57,7 +57,7 @@
 		var leave engineapi.Leave
 		_ = decoder.Decode(&leave)
 		d.leaves = append(d.leaves, leave)
-		answer = engineapi.LeaveReply{Spread: true}
+		answer = engineapi.LeaveReply{HomeConfirmed: true}
 	case "/v1/endpoints/cache-events":
 		var events engineapi.CacheEvents
 		_ = decoder.Decode(&events)
@@ -116,7 +116,7 @@
 func TestHomeCancelsHeldRequests(t *testing.T) {
 	home := newDaemon(t)
 	timing := fastTiming()
-	timing.KVLife = time.Hour
+	timing.KVLifetime = time.Hour
 	s := start(t, standin.Options{Entries: []string{home.address()}, Timing: timing})
 	f := newFlow(s, s, "orphan")
 	assert.NilError(t, f.runPrefill(t.Context()))
@@ -160,10 +160,10 @@
 	home := newDaemon(t)
 	s := start(t, standin.Options{Entries: []string{home.address()}})
 	eventually(t, "home", func() bool { return s.HomeAddress() != "" })
-	s.SetFaults(standin.Faults{CacheGaps: 1})
+	s.SetFaults(standin.Faults{DropCacheEventBatches: 1})
 	f := newFlow(s, s, strings.Repeat("a", 2*engineapi.PrefixBlockBytes))
 	assert.NilError(t, f.runPrefill(t.Context()))
-	eventually(t, "batch lost", func() bool { return s.Faults().CacheGaps == 0 })
+	eventually(t, "batch lost", func() bool { return s.Faults().DropCacheEventBatches == 0 })
 	g := newFlow(s, s, strings.Repeat("b", engineapi.PrefixBlockBytes))
 	assert.NilError(t, g.runPrefill(t.Context()))
 	eventually(t, "event came", home.locked(func() bool { return len(home.events) > 0 }))
@@ -191,16 +191,16 @@
 func TestOrdersCheckFencingTokensIfConfigured(t *testing.T) {
 	for name, checks := range map[string]bool{"checking": true, "ignoring": false} {
 		t.Run(name, func(t *testing.T) {
-			s := start(t, standin.Options{Role: fleet.RolePrefill, ChecksTokens: checks})
+			s := start(t, standin.Options{Role: fleet.RolePrefill, ChecksFencingTokens: checks})
 			client := engine.NewClient(engine.Options{})
 			other := engineapi.ModelRef{Model: "fibre", Version: "2"}
-			_, err := client.Order(t.Context(), target(s), engineapi.Order{ID: "b", Token: 5, Kind: engineapi.OrderLoad, Model: other})
+			_, err := client.Order(t.Context(), target(s), engineapi.Order{ID: "b", FencingToken: 5, Kind: engineapi.OrderLoad, Model: other})
 			assert.NilError(t, err)
-			_, err = client.Order(t.Context(), target(s), engineapi.Order{ID: "a", Token: 4, Kind: engineapi.OrderChangeRole, Role: fleet.RoleDecode})
+			_, err = client.Order(t.Context(), target(s), engineapi.Order{ID: "a", FencingToken: 4, Kind: engineapi.OrderChangeRole, Role: fleet.RoleDecode})
 			state, stateErr := client.State(t.Context(), target(s))
 			assert.NilError(t, stateErr)
 			assert.Equal(t, len(state.Models), 2)
-			assert.Equal(t, state.LastToken, uint64(5))
+			assert.Equal(t, state.LastFencingToken, uint64(5))
 			if checks {
 				assert.Equal(t, codeOf(err), engineapi.CodeOldToken)
 				assert.Equal(t, state.Role, fleet.RolePrefill)
--- a/internal/standin/audit.go
+++ b/internal/standin/audit.go
@@ -32,17 +32,17 @@
 	MaxHeld     int     `json:"most_held"`
 	HeldSeconds float64 `json:"held_seconds"` // sum over the held requests
 
-	Leaving        bool  `json:"leaving"`
-	LastStartAfter int64 `json:"last_start_after_leave_ms"` // ms from the leave to the last work started after it; 0: none
+	Leaving               bool  `json:"leaving"`
+	LastStartAfterLeaveMs int64 `json:"last_start_after_leave_ms"` // ms from the leave to the last work started after it; 0: none
 
-	Attempts  []Fact    `json:"attempts"`
-	CallRuns  []CallRun `json:"call_runs"`
-	Repeated  []string  `json:"repeated"`  // markers of plain calls that ran more than once
-	Forgotten int       `json:"forgotten"` // attempts and runs not recorded because of the limit
+	Attempts   []AttemptRecord `json:"attempts"`
+	CallRuns   []CallRun       `json:"call_runs"`
+	Repeated   []string        `json:"repeated"`  // markers of plain calls that ran more than once
+	Unrecorded int             `json:"forgotten"` // attempts and runs not recorded because of the limit
 }
 
-// Fact records what happened to one attempt at this endpoint.
-type Fact struct {
+// AttemptRecord records what happened to one attempt at this endpoint.
+type AttemptRecord struct {
 	Attempt     fleet.AttemptID        `json:"attempt_id"`
 	Owner       fleet.Owner            `json:"owner"`
 	Zone        fleet.AvailabilityZone `json:"availability_zone"` // of this endpoint
@@ -67,25 +67,25 @@
 type auditRecorder struct {
 	audit         Audit
 	maxRecords    int
-	byAttempt     map[fleet.AttemptID]*Fact
-	records       []*Fact
+	byAttempt     map[fleet.AttemptID]*AttemptRecord
+	records       []*AttemptRecord
 	runsByMarker  map[string]int
 	heldChangedAt time.Time
 }
 
 func newAuditRecorder(most int) *auditRecorder {
-	return &auditRecorder{maxRecords: most, byAttempt: map[fleet.AttemptID]*Fact{}, runsByMarker: map[string]int{}}
+	return &auditRecorder{maxRecords: most, byAttempt: map[fleet.AttemptID]*AttemptRecord{}, runsByMarker: map[string]int{}}
 }
 
 // record returns the record of an attempt. Past the limit a new record isn't kept.
-func (r *auditRecorder) record(zone fleet.AvailabilityZone, w engineapi.Work, marker string, now time.Time) *Fact {
+func (r *auditRecorder) record(zone fleet.AvailabilityZone, w engineapi.Work, marker string, now time.Time) *AttemptRecord {
 	if f, ok := r.byAttempt[w.Attempt]; ok {
 		f.EndedMs = 0
 		return f
 	}
-	f := &Fact{Attempt: w.Attempt, Owner: w.Owner, Zone: zone, Marker: marker, StartedMs: now.UnixMilli()}
+	f := &AttemptRecord{Attempt: w.Attempt, Owner: w.Owner, Zone: zone, Marker: marker, StartedMs: now.UnixMilli()}
 	if len(r.records) >= r.maxRecords {
-		r.audit.Forgotten++
+		r.audit.Unrecorded++
 		return f
 	}
 	r.byAttempt[w.Attempt] = f
@@ -121,12 +121,12 @@
 }
 
 func (r *auditRecorder) startedWhileLeaving(after time.Duration) {
-	r.audit.LastStartAfter = max(r.audit.LastStartAfter, after.Milliseconds(), 1)
+	r.audit.LastStartAfterLeaveMs = max(r.audit.LastStartAfterLeaveMs, after.Milliseconds(), 1)
 }
 
 func (r *auditRecorder) addCall(run CallRun) {
 	if len(r.audit.CallRuns) >= r.maxRecords {
-		r.audit.Forgotten++
+		r.audit.Unrecorded++
 		return
 	}
 	r.audit.CallRuns = append(r.audit.CallRuns, run)
@@ -150,7 +150,7 @@
 	a.Endpoint, a.Incarnation, a.Zone = s.options.ID, s.options.Incarnation, s.options.Zone
 	a.Role = s.role
 	a.Leaving = s.leaving
-	a.Attempts = make([]Fact, len(s.recorder.records))
+	a.Attempts = make([]AttemptRecord, len(s.recorder.records))
 	for n, f := range s.recorder.records {
 		a.Attempts[n] = *f
 	}
--- a/internal/standin/batch.go
+++ b/internal/standin/batch.go
@@ -66,8 +66,8 @@
 		plan.prefillWork = min(plan.prefill.workLeft, s.timing.PrefillSlice)
 		plan.duration += plan.prefillWork
 	}
-	if s.faults.Slow > 0 {
-		plan.duration = time.Duration(float64(plan.duration) * s.faults.Slow)
+	if s.faults.StepSlowdown > 0 {
+		plan.duration = time.Duration(float64(plan.duration) * s.faults.StepSlowdown)
 	}
 	return plan
 }
@@ -102,7 +102,7 @@
 	h.produced++
 	h.record.Tokens++
 	s.recorder.audit.Tokens++
-	s.growKV(h, s.timing.KVToken)
+	s.growKV(h, s.timing.KVBytesPerToken)
 	if h.produced >= h.totalTokens {
 		h.record.Finish = h.finishReason()
 		s.free(h, nil)
--- a/internal/standin/cacheevents.go
+++ b/internal/standin/cacheevents.go
@@ -35,7 +35,7 @@
 // runEvents sends cache events every Timing.CacheLag until ctx ends. A message that
 // fails is not sent again: the home detects the gap.
 func (s *Standin) runEvents(ctx context.Context) {
-	for sleep.For(ctx, s.timing.CacheLag) {
+	for sleep.For(ctx, s.timing.CacheEventInterval) {
 		s.waitWhileFrozen(ctx.Done())
 		home, batch := s.nextEventBatch()
 		if len(batch) == 0 {
@@ -56,8 +56,8 @@
 		return "", nil
 	}
 	batch = s.cacheEvents.take()
-	if len(batch) > 0 && s.faults.CacheGaps > 0 {
-		s.faults.CacheGaps--
+	if len(batch) > 0 && s.faults.DropCacheEventBatches > 0 {
+		s.faults.DropCacheEventBatches--
 		return "", nil
 	}
 	return s.home, batch
--- a/internal/standin/cancel_test.go
+++ b/internal/standin/cancel_test.go
@@ -66,7 +66,7 @@
 
 func cancelAt(t *testing.T, stage engineapi.Stage, reach stageFunc, timing standin.Timing) {
 	slowTransfer := fastTiming()
-	slowTransfer.TransferBound = time.Hour
+	slowTransfer.TransferTimeout = time.Hour
 	p := start(t, standin.Options{ID: "prefill", Role: fleet.RolePrefill, Timing: timing})
 	d := start(t, standin.Options{ID: "decode", Role: fleet.RoleDecode, Timing: slowTransfer})
 	f := newFlow(p, d, "[[tokens=100000]]"+strings.Repeat("x", 4000))
--- a/internal/standin/crash.go
+++ b/internal/standin/crash.go
@@ -29,14 +29,14 @@
 
 // writeAudit writes the audit file atomically. mu is held.
 func (s *Standin) writeAudit() error {
-	if s.options.AuditFolder == "" {
+	if s.options.AuditDir == "" {
 		return nil
 	}
 	body, err := json.Marshal(s.auditLocked())
 	if err != nil {
 		return err
 	}
-	name := filepath.Join(s.options.AuditFolder, fmt.Sprintf("%s-%d.json", s.options.ID, s.options.Incarnation))
+	name := filepath.Join(s.options.AuditDir, fmt.Sprintf("%s-%d.json", s.options.ID, s.options.Incarnation))
 	if err := os.WriteFile(name+".partial", body, auditFileMode); err != nil {
 		return err
 	}
--- a/internal/standin/crash_test.go
+++ b/internal/standin/crash_test.go
@@ -24,7 +24,7 @@
 	timing := fastTiming()
 	timing.PrefillBase = time.Hour
 	p := start(t, standin.Options{
-		ID: "prefill", Incarnation: 5, Role: fleet.RolePrefill, Timing: timing, AuditFolder: folder,
+		ID: "prefill", Incarnation: 5, Role: fleet.RolePrefill, Timing: timing, AuditDir: folder,
 		Exit: func(code int) { codes <- code },
 	})
 	f := newFlow(p, p, "[[id=one]] text")
--- a/internal/standin/decode.go
+++ b/internal/standin/decode.go
@@ -55,7 +55,7 @@
 	h.record.Offset = r.Offset
 	h.record.Marker = Marker(r.Prompt)
 	s.recorder.audit.Runs++
-	s.growKV(h, int64(r.Offset)*s.timing.KVToken)
+	s.growKV(h, int64(r.Offset)*s.timing.KVBytesPerToken)
 	s.wakeBatch()
 	return h, nil
 }
@@ -110,7 +110,7 @@
 const writeTimeout = 30 * time.Second
 
 func (c *chunkWriter) sendHeader() bool {
-	c.writer.Header().Set("Content-Type", engineapi.MediaEvents)
+	c.writer.Header().Set("Content-Type", engineapi.EventStreamMediaType)
 	c.writer.WriteHeader(http.StatusOK)
 	return c.control.Flush() == nil
 }
@@ -128,7 +128,7 @@
 	if c.chunkCount <= chunksBeforeFault {
 		return c.send(chunk)
 	}
-	if c.fault == ChunkGap {
+	if c.fault == ChunkMissingTokens {
 		c.fault = ""
 		return true // the chunk is dropped
 	}
@@ -139,16 +139,16 @@
 // incarnation gets the text of another answer.
 func (c *chunkWriter) corrupt(chunk engineapi.Chunk, seed uint64) engineapi.Chunk {
 	switch c.fault {
-	case ChunkCrossed:
+	case ChunkWrongAttempt:
 		chunk.Attempt = "ffffffffffffffffffffffffffffffff"
 		chunk.Text = textOf(seed+1, chunk.Offset, chunk.Offset+chunk.Tokens)
-	case ChunkStale:
+	case ChunkEarlierIncarnation:
 		chunk.Incarnation--
 		chunk.Text = textOf(seed+1, chunk.Offset, chunk.Offset+chunk.Tokens)
-	case ChunkRepeat:
+	case ChunkRepeatedToken:
 		chunk.Offset--
 		chunk.Text = textOf(seed, chunk.Offset, chunk.Offset+chunk.Tokens)
-	case ChunkCut:
+	case ChunkTruncated:
 		_, _ = c.writer.Write([]byte(`data: {"attempt_id":"`))
 		_ = c.control.Flush()
 		panic(http.ErrAbortHandler)
--- a/internal/standin/export.go
+++ b/internal/standin/export.go
@@ -27,7 +27,7 @@
 	ctx, stop := context.WithCancel(r.Context())
 	defer stop()
 	defer context.AfterFunc(h.ctx, stop)()
-	complete := s.sendKV(ctx, w, int64(h.promptTokens)*s.timing.KVToken)
+	complete := s.sendKV(ctx, w, int64(h.promptTokens)*s.timing.KVBytesPerToken)
 	s.endExport(h, complete)
 	if !complete {
 		panic(http.ErrAbortHandler) // the reader must not take it for complete
@@ -84,7 +84,7 @@
 
 // wireBytes returns the number of bytes sent for the first kv bytes of a KV cache.
 func (s *Standin) wireBytes(kv int64) int64 {
-	return (kv + s.timing.WireScale - 1) / s.timing.WireScale
+	return (kv + s.timing.KVBytesPerWireByte - 1) / s.timing.KVBytesPerWireByte
 }
 
 func (s *Standin) waitWhileStalled(ctx context.Context) bool {
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -12,27 +12,27 @@
 
 // The kinds of wrong chunks.
 const (
-	ChunkCrossed ChunkFault = "crossed" // another attempt's ID
-	ChunkStale   ChunkFault = "stale"   // an earlier incarnation
-	ChunkGap     ChunkFault = "gap"     // a chunk left out
-	ChunkRepeat  ChunkFault = "repeat"  // one token sent twice
-	ChunkCut     ChunkFault = "cut"     // connection closed inside a chunk
+	ChunkWrongAttempt       ChunkFault = "crossed" // another attempt's ID
+	ChunkEarlierIncarnation ChunkFault = "stale"   // an earlier incarnation
+	ChunkMissingTokens      ChunkFault = "gap"     // a chunk left out
+	ChunkRepeatedToken      ChunkFault = "repeat"  // one token sent twice
+	ChunkTruncated          ChunkFault = "cut"     // connection closed inside a chunk
 )
 
 // Faults are the faults to inject into an endpoint; the zero value injects none.
 type Faults struct {
-	StallTransfers bool       `json:"stall_transfers"` // KV transfers stop
-	Slow           float64    `json:"slow"`            // factor on the duration of each step; 0: 1
-	Freeze         bool       `json:"freeze"`          // all processing stops, connections stay open
-	IgnoreCancels  int        `json:"ignore_cancels"`  // number of next cancels to lose
-	CacheGaps      int        `json:"cache_gaps"`      // number of next batches of cache events to lose
-	LoadLagMs      int64      `json:"load_lag_ms"`     // 0: Timing.LoadLag
-	ChunkFault     ChunkFault `json:"chunk_fault"`     // in the next stream
-	FailCalls      bool       `json:"fail_calls"`      // plain calls run, then get status 500
-	CutCalls       bool       `json:"cut_calls"`       // plain calls run, then the connection is closed
-	HangCalls      bool       `json:"hang_calls"`      // plain calls run, but never get an answer
-	CallDelayMs    int64      `json:"call_delay_ms"`   // added to each plain call
-	Crash          bool       `json:"crash"`           // the process writes its audit and exits at once
+	StallTransfers        bool       `json:"stall_transfers"` // KV transfers stop
+	StepSlowdown          float64    `json:"slow"`            // factor on the duration of each step; 0: 1
+	Freeze                bool       `json:"freeze"`          // all processing stops, connections stay open
+	IgnoreCancels         int        `json:"ignore_cancels"`  // number of next cancels to lose
+	DropCacheEventBatches int        `json:"cache_gaps"`      // number of next batches of cache events to lose
+	LoadLagMs             int64      `json:"load_lag_ms"`     // 0: Timing.LoadLag
+	ChunkFault            ChunkFault `json:"chunk_fault"`     // in the next stream
+	FailCalls             bool       `json:"fail_calls"`      // plain calls run, then get status 500
+	AbortCalls            bool       `json:"cut_calls"`       // plain calls run, then the connection is closed
+	HangCalls             bool       `json:"hang_calls"`      // plain calls run, but never get an answer
+	CallDelayMs           int64      `json:"call_delay_ms"`   // added to each plain call
+	Crash                 bool       `json:"crash"`           // the process writes its audit and exits at once
 }
 
 // SetFaults replaces all faults.
--- a/internal/standin/harness_test.go
+++ b/internal/standin/harness_test.go
@@ -28,19 +28,19 @@
 // fastTiming returns a timing some ten times faster than that of a real engine.
 func fastTiming() standin.Timing {
 	return standin.Timing{
-		StepBase:       time.Millisecond,
-		StepPerRequest: 100 * time.Microsecond,
-		PrefillBase:    5 * time.Millisecond,
-		PrefillToken:   10 * time.Microsecond,
-		PrefillSlice:   time.Millisecond,
-		KVToken:        1 << 10,
-		LinkRate:       100 << 20,
-		WireScale:      16,
-		CallTime:       time.Millisecond,
-		LeaveGrace:     time.Millisecond,
-		LoadTime:       time.Millisecond,
-		CacheLag:       5 * time.Millisecond,
-		LoadLag:        time.Millisecond,
+		StepBase:           time.Millisecond,
+		StepPerRequest:     100 * time.Microsecond,
+		PrefillBase:        5 * time.Millisecond,
+		PrefillPerToken:    10 * time.Microsecond,
+		PrefillSlice:       time.Millisecond,
+		KVBytesPerToken:    1 << 10,
+		LinkBytesPerSecond: 100 << 20,
+		KVBytesPerWireByte: 16,
+		CallDuration:       time.Millisecond,
+		LeaveGrace:         time.Millisecond,
+		ModelLoadTime:      time.Millisecond,
+		CacheEventInterval: 5 * time.Millisecond,
+		LoadReportDelay:    time.Millisecond,
 	}
 }
 
--- a/internal/standin/heldrequest.go
+++ b/internal/standin/heldrequest.go
@@ -23,7 +23,7 @@
 	startedAt time.Time
 	arrival   uint64
 	kvBytes   int64
-	record    *Fact
+	record    *AttemptRecord
 
 	ctx    context.Context // ends when the request is freed
 	cancel context.CancelCauseFunc
--- a/internal/standin/importkv.go
+++ b/internal/standin/importkv.go
@@ -101,7 +101,7 @@
 	if r.Source == s.Address() {
 		return nil
 	}
-	ctx, stop := context.WithTimeout(client, s.timing.TransferBound)
+	ctx, stop := context.WithTimeout(client, s.timing.TransferTimeout)
 	defer stop()
 	defer context.AfterFunc(h.ctx, stop)()
 	err := s.download(ctx, r)
@@ -131,7 +131,7 @@
 	part := make([]byte, max(1, s.wireBytes(s.ingress.pieceBytes())))
 	for {
 		n, err := body.Read(part)
-		if n > 0 && !s.ingress.transfer(ctx, int64(n)*s.timing.WireScale) {
+		if n > 0 && !s.ingress.transfer(ctx, int64(n)*s.timing.KVBytesPerWireByte) {
 			return ctx.Err()
 		}
 		if errors.Is(err, io.EOF) {
--- a/internal/standin/mixed_test.go
+++ b/internal/standin/mixed_test.go
@@ -18,7 +18,7 @@
 
 // randomFaults returns random faults that don't end the process.
 func randomFaults(random *rand.Rand) standin.Faults {
-	chunks := []standin.ChunkFault{"", standin.ChunkCrossed, standin.ChunkStale, standin.ChunkGap, standin.ChunkRepeat, standin.ChunkCut}
+	chunks := []standin.ChunkFault{"", standin.ChunkWrongAttempt, standin.ChunkEarlierIncarnation, standin.ChunkMissingTokens, standin.ChunkRepeatedToken, standin.ChunkTruncated}
 	return standin.Faults{
 		ChunkFault:     chunks[random.IntN(len(chunks))],
 		IgnoreCancels:  random.IntN(3),
--- a/internal/standin/options.go
+++ b/internal/standin/options.go
@@ -30,14 +30,14 @@
 	Entries     []string // endpoint listeners of daemons; empty: no announcement
 	EndpointKey string   // the fleet's key, sent with messages to daemons
 
-	ChecksTokens     bool            // refuses orders with an old fencing token
-	FreeOnDisconnect bool            // frees a request when its connection ends
-	RefuseLeaving    bool            // refuses new work once Leave was called
-	CrashMarker      string          // a prompt or body that contains it ends the process; empty: none
-	CrashAt          engineapi.Stage // StagePrefill, StageDecode or StageCall
-	Faults           Faults          // at the start
-	MostFacts        int             // limit of the attempts, and of the plain calls, in the audit; 0: 200000
-	AuditFolder      string          // where a process that Faults.Crash ends writes its audit; empty: none
+	ChecksFencingTokens bool            // refuses orders with an old fencing token
+	FreeOnDisconnect    bool            // frees a request when its connection ends
+	RefuseLeaving       bool            // refuses new work once Leave was called
+	CrashMarker         string          // a prompt or body that contains it ends the process; empty: none
+	CrashStage          engineapi.Stage // StagePrefill, StageDecode or StageCall
+	Faults              Faults          // at the start
+	MaxAttemptRecords   int             // limit of the attempts, and of the plain calls, in the audit; 0: 200000
+	AuditDir            string          // where a process that Faults.Crash ends writes its audit; empty: none
 
 	Part logging.Part
 	// Exit ends the process; nil: os.Exit.
@@ -57,7 +57,7 @@
 	o.Incarnation = cmp.Or(o.Incarnation, fleet.Incarnation(time.Now().UnixMicro()))
 	o.Role = cmp.Or(o.Role, fleet.RoleBoth)
 	o.Slots = cmp.Or(o.Slots, defaultSlots)
-	o.MostFacts = cmp.Or(o.MostFacts, defaultMaxRecords)
+	o.MaxAttemptRecords = cmp.Or(o.MaxAttemptRecords, defaultMaxRecords)
 	if o.Exit == nil {
 		o.Exit = os.Exit
 	}
--- a/internal/standin/orders.go
+++ b/internal/standin/orders.go
@@ -20,7 +20,7 @@
 		refuse(w, *refused)
 		return
 	}
-	if !s.isDone(order.ID) && takesTime(order.Kind) && !sleep.For(r.Context(), s.timing.LoadTime) {
+	if !s.isDone(order.ID) && takesTime(order.Kind) && !sleep.For(r.Context(), s.timing.ModelLoadTime) {
 		return
 	}
 	reply(w, s.apply(order))
@@ -36,10 +36,10 @@
 	default:
 		return &refusal{engineapi.CodeBadRequest, "unknown order"}
 	}
-	if s.options.ChecksTokens && o.Token < s.lastToken {
+	if s.options.ChecksFencingTokens && o.FencingToken < s.lastToken {
 		return &refusal{engineapi.CodeOldToken, "fencing token is too low"}
 	}
-	s.lastToken = max(s.lastToken, o.Token)
+	s.lastToken = max(s.lastToken, o.FencingToken)
 	return nil
 }
 
@@ -64,7 +64,7 @@
 		clear(s.doneOrders)
 	}
 	s.doneOrders[o.ID] = struct{}{}
-	return engineapi.OrderReply{Done: true, LastToken: s.lastToken}
+	return engineapi.OrderReply{Done: true, LastFencingToken: s.lastToken}
 }
 
 func (s *Standin) applyChange(o engineapi.Order) {
--- a/internal/standin/plain.go
+++ b/internal/standin/plain.go
@@ -100,12 +100,12 @@
 		<-ctx.Done()
 		return false
 	}
-	return sleep.For(ctx, s.timing.CallTime+time.Duration(f.CallDelayMs)*time.Millisecond)
+	return sleep.For(ctx, s.timing.CallDuration+time.Duration(f.CallDelayMs)*time.Millisecond)
 }
 
 func (s *Standin) answerCall(w http.ResponseWriter, answer CallAnswer) {
 	f := s.Faults()
-	if f.CutCalls {
+	if f.AbortCalls {
 		panic(http.ErrAbortHandler)
 	}
 	if f.FailCalls {
--- a/internal/standin/plain_test.go
+++ b/internal/standin/plain_test.go
@@ -70,7 +70,7 @@
 	assert.NilError(t, err)
 	response.Body.Close()
 	assert.Equal(t, response.StatusCode, http.StatusInternalServerError)
-	s.SetFaults(standin.Faults{CutCalls: true})
+	s.SetFaults(standin.Faults{AbortCalls: true})
 	_, err = call(t, s, newAttempt(), "y")
 	failure, ok := err.(*engine.Error)
 	assert.Assert(t, ok)
--- a/internal/standin/prefill.go
+++ b/internal/standin/prefill.go
@@ -37,9 +37,9 @@
 		Handle:       h.handle,
 		PromptTokens: h.promptTokens,
 		CachedTokens: h.cachedTokens,
-		KVBytes:      int64(h.promptTokens) * s.timing.KVToken,
+		KVBytes:      int64(h.promptTokens) * s.timing.KVBytesPerToken,
 		WorkMs:       milliseconds(h.work),
-		ExpiresMs:    s.timing.KVLife.Milliseconds(),
+		ExpiresMs:    s.timing.KVLifetime.Milliseconds(),
 	})
 }
 
@@ -53,7 +53,7 @@
 		return nil, refused
 	}
 	tokens := PromptTokens(r.Prompt)
-	h, refused := s.admit(r.Work, engineapi.StagePrefill, int64(tokens)*s.timing.KVToken, Marker(r.Prompt))
+	h, refused := s.admit(r.Work, engineapi.StagePrefill, int64(tokens)*s.timing.KVBytesPerToken, Marker(r.Prompt))
 	if refused != nil {
 		return nil, refused
 	}
@@ -108,11 +108,11 @@
 // finishPrefill keeps the KV cache for export until it expires. mu is held.
 func (s *Standin) finishPrefill(h *heldRequest, now time.Time) {
 	h.stage = engineapi.StageExported
-	h.expires = now.Add(s.timing.KVLife)
+	h.expires = now.Add(s.timing.KVLifetime)
 	s.cacheEvents.add(s.prefixCache.store(h.record.prefixes))
 	h.record.prefixes = nil
 	close(h.ready)
-	time.AfterFunc(s.timing.KVLife, func() { s.expire(h) })
+	time.AfterFunc(s.timing.KVLifetime, func() { s.expire(h) })
 }
 
 // expire frees an exported KV cache unless a transfer is reading it.
--- a/internal/standin/prefixcache.go
+++ b/internal/standin/prefixcache.go
@@ -15,7 +15,7 @@
 }
 
 func cacheBlocks(t Timing) int {
-	return int(t.CacheBytes / (t.KVToken * engineapi.PrefixBlockBytes / bytesPerToken))
+	return int(t.PrefixCacheBytes / (t.KVBytesPerToken * engineapi.PrefixBlockBytes / bytesPerToken))
 }
 
 func newPrefixCache(most int) *prefixCache {
--- a/internal/standin/request_test.go
+++ b/internal/standin/request_test.go
@@ -67,7 +67,7 @@
 // CodeGone, the memory must be freed, and the work must count as discarded.
 func TestExportedKVExpires(t *testing.T) {
 	timing := fastTiming()
-	timing.KVLife = 5 * time.Millisecond
+	timing.KVLifetime = 5 * time.Millisecond
 	p := start(t, standin.Options{ID: "prefill", Role: fleet.RolePrefill, Timing: timing})
 	d := start(t, standin.Options{ID: "decode", Role: fleet.RoleDecode})
 	f := newFlow(p, d, "late")
@@ -115,7 +115,7 @@
 	_, err := f.open(t.Context(), 0)
 	assert.Equal(t, codeOf(err), engineapi.CodeStale)
 	_, err = f.client.Held(t.Context(), f.decode)
-	assert.ErrorIs(t, err, engine.ErrIncarnation)
+	assert.ErrorIs(t, err, engine.ErrWrongIncarnation)
 	_, err = f.client.Held(t.Context(), target(fresh))
 	assert.NilError(t, err)
 }
@@ -124,11 +124,11 @@
 // correct prefix of its answer and then an error.
 func TestWrongChunksEndTheStream(t *testing.T) {
 	for fault, want := range map[standin.ChunkFault]error{
-		standin.ChunkCrossed: engine.ErrAttempt,
-		standin.ChunkStale:   engine.ErrIncarnation,
-		standin.ChunkGap:     engine.ErrGap,
-		standin.ChunkRepeat:  engine.ErrRepeat,
-		standin.ChunkCut:     engine.ErrBroken,
+		standin.ChunkWrongAttempt:       engine.ErrWrongAttempt,
+		standin.ChunkEarlierIncarnation: engine.ErrWrongIncarnation,
+		standin.ChunkMissingTokens:      engine.ErrMissingTokens,
+		standin.ChunkRepeatedToken:      engine.ErrRepeatedTokens,
+		standin.ChunkTruncated:          engine.ErrTruncated,
 	} {
 		t.Run(string(fault), func(t *testing.T) {
 			p, d := pair(t)
@@ -163,7 +163,7 @@
 func TestCrashMarkerEndsTheProcess(t *testing.T) {
 	codes := make(chan int, 1)
 	p := start(t, standin.Options{
-		ID: "prefill", Role: fleet.RolePrefill, CrashMarker: "poison", CrashAt: engineapi.StagePrefill,
+		ID: "prefill", Role: fleet.RolePrefill, CrashMarker: "poison", CrashStage: engineapi.StagePrefill,
 		Exit: func(code int) { codes <- code },
 	})
 	f := newFlow(p, p, "some poison")
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -58,8 +58,8 @@
 		options:           o,
 		timing:            o.Timing,
 		client:            &http.Client{Transport: o.Transport, CheckRedirect: noRedirect},
-		egress:            newLink(o.Timing.LinkRate),
-		ingress:           newLink(o.Timing.LinkRate),
+		egress:            newLink(o.Timing.LinkBytesPerSecond),
+		ingress:           newLink(o.Timing.LinkBytesPerSecond),
 		ready:             make(chan struct{}),
 		address:           o.Advertise,
 		role:              o.Role,
@@ -70,7 +70,7 @@
 		heldRequests:      map[fleet.AttemptID]*heldRequest{},
 		cancelled:         newCancelledSet(maxCancelledAttempts),
 		prefixCache:       newPrefixCache(cacheBlocks(o.Timing)),
-		recorder:          newAuditRecorder(o.MostFacts),
+		recorder:          newAuditRecorder(o.MaxAttemptRecords),
 		heartbeatInterval: defaultHeartbeatInterval,
 	}
 	for _, m := range o.Models {
@@ -173,7 +173,7 @@
 // returns, as in tests, the request is aborted.
 func (s *Standin) crashOnMarker(stage engineapi.Stage, text string) {
 	marker := s.options.CrashMarker
-	if marker == "" || s.options.CrashAt != stage || !contains(text, marker) {
+	if marker == "" || s.options.CrashStage != stage || !contains(text, marker) {
 		return
 	}
 	s.options.Part.Error("exiting on a request with the crash marker", "stage", stage)
--- a/internal/standin/timing.go
+++ b/internal/standin/timing.go
@@ -8,44 +8,44 @@
 // Timing configures durations, rates and sizes of an emulated engine. A zero field
 // takes DefaultTiming's value.
 type Timing struct {
-	StepBase       time.Duration // fixed part of one batch step
-	StepPerRequest time.Duration // added for each request in the batch
-	PrefillBase    time.Duration // fixed part of one prefill
-	PrefillToken   time.Duration // added for each prompt token not cached
-	PrefillSlice   time.Duration // most prefill work in one step
-	KVLife         time.Duration // until an exported KV cache expires
-	KVToken        int64         // bytes of KV cache for each token
-	LinkRate       int64         // KV bytes a second in each direction, shared by all transfers
-	WireScale      int64         // KV bytes that one sent byte stands for
-	TransferBound  time.Duration // an import that takes longer fails
-	LoadTime       time.Duration // to load a model or change role
-	LoadLag        time.Duration // age of reported load
-	CacheLag       time.Duration // wait before cache events are sent
-	CacheBytes     int64         // capacity of the prefix cache
-	CallTime       time.Duration // one plain call
-	LeaveGrace     time.Duration // from a daemon's confirmation of a leave until Leave may return
+	StepBase           time.Duration // fixed part of one batch step
+	StepPerRequest     time.Duration // added for each request in the batch
+	PrefillBase        time.Duration // fixed part of one prefill
+	PrefillPerToken    time.Duration // added for each prompt token not cached
+	PrefillSlice       time.Duration // most prefill work in one step
+	KVLifetime         time.Duration // until an exported KV cache expires
+	KVBytesPerToken    int64         // bytes of KV cache for each token
+	LinkBytesPerSecond int64         // KV bytes a second in each direction, shared by all transfers
+	KVBytesPerWireByte int64         // KV bytes that one sent byte stands for
+	TransferTimeout    time.Duration // an import that takes longer fails
+	ModelLoadTime      time.Duration // to load a model or change role
+	LoadReportDelay    time.Duration // age of reported load
+	CacheEventInterval time.Duration // wait before cache events are sent
+	PrefixCacheBytes   int64         // capacity of the prefix cache
+	CallDuration       time.Duration // one plain call
+	LeaveGrace         time.Duration // from a daemon's confirmation of a leave until Leave may return
 }
 
 // DefaultTiming returns a timing with 30 ms between tokens at 20 requests and a
 // prefill of 500 ms for 2000 tokens.
 func DefaultTiming() Timing {
 	return Timing{
-		StepBase:       10 * time.Millisecond,
-		StepPerRequest: time.Millisecond,
-		PrefillBase:    100 * time.Millisecond,
-		PrefillToken:   200 * time.Microsecond,
-		PrefillSlice:   10 * time.Millisecond,
-		KVLife:         800 * time.Millisecond,
-		KVToken:        128 << 10,
-		LinkRate:       1250 << 20,
-		WireScale:      1024,
-		TransferBound:  5 * time.Second,
-		LoadTime:       2 * time.Second,
-		LoadLag:        time.Second,
-		CacheLag:       200 * time.Millisecond,
-		CacheBytes:     8 << 30,
-		CallTime:       5 * time.Millisecond,
-		LeaveGrace:     3 * time.Second,
+		StepBase:           10 * time.Millisecond,
+		StepPerRequest:     time.Millisecond,
+		PrefillBase:        100 * time.Millisecond,
+		PrefillPerToken:    200 * time.Microsecond,
+		PrefillSlice:       10 * time.Millisecond,
+		KVLifetime:         800 * time.Millisecond,
+		KVBytesPerToken:    128 << 10,
+		LinkBytesPerSecond: 1250 << 20,
+		KVBytesPerWireByte: 1024,
+		TransferTimeout:    5 * time.Second,
+		ModelLoadTime:      2 * time.Second,
+		LoadReportDelay:    time.Second,
+		CacheEventInterval: 200 * time.Millisecond,
+		PrefixCacheBytes:   8 << 30,
+		CallDuration:       5 * time.Millisecond,
+		LeaveGrace:         3 * time.Second,
 	}
 }
 
@@ -54,18 +54,18 @@
 	t.StepBase = cmp.Or(t.StepBase, d.StepBase)
 	t.StepPerRequest = cmp.Or(t.StepPerRequest, d.StepPerRequest)
 	t.PrefillBase = cmp.Or(t.PrefillBase, d.PrefillBase)
-	t.PrefillToken = cmp.Or(t.PrefillToken, d.PrefillToken)
+	t.PrefillPerToken = cmp.Or(t.PrefillPerToken, d.PrefillPerToken)
 	t.PrefillSlice = cmp.Or(t.PrefillSlice, d.PrefillSlice)
-	t.KVLife = cmp.Or(t.KVLife, d.KVLife)
-	t.KVToken = cmp.Or(t.KVToken, d.KVToken)
-	t.LinkRate = cmp.Or(t.LinkRate, d.LinkRate)
-	t.WireScale = cmp.Or(t.WireScale, d.WireScale)
-	t.TransferBound = cmp.Or(t.TransferBound, d.TransferBound)
-	t.LoadTime = cmp.Or(t.LoadTime, d.LoadTime)
-	t.LoadLag = cmp.Or(t.LoadLag, d.LoadLag)
-	t.CacheLag = cmp.Or(t.CacheLag, d.CacheLag)
-	t.CacheBytes = cmp.Or(t.CacheBytes, d.CacheBytes)
-	t.CallTime = cmp.Or(t.CallTime, d.CallTime)
+	t.KVLifetime = cmp.Or(t.KVLifetime, d.KVLifetime)
+	t.KVBytesPerToken = cmp.Or(t.KVBytesPerToken, d.KVBytesPerToken)
+	t.LinkBytesPerSecond = cmp.Or(t.LinkBytesPerSecond, d.LinkBytesPerSecond)
+	t.KVBytesPerWireByte = cmp.Or(t.KVBytesPerWireByte, d.KVBytesPerWireByte)
+	t.TransferTimeout = cmp.Or(t.TransferTimeout, d.TransferTimeout)
+	t.ModelLoadTime = cmp.Or(t.ModelLoadTime, d.ModelLoadTime)
+	t.LoadReportDelay = cmp.Or(t.LoadReportDelay, d.LoadReportDelay)
+	t.CacheEventInterval = cmp.Or(t.CacheEventInterval, d.CacheEventInterval)
+	t.PrefixCacheBytes = cmp.Or(t.PrefixCacheBytes, d.PrefixCacheBytes)
+	t.CallDuration = cmp.Or(t.CallDuration, d.CallDuration)
 	t.LeaveGrace = cmp.Or(t.LeaveGrace, d.LeaveGrace)
 	return t
 }
@@ -77,5 +77,5 @@
 
 // prefill returns the engine time to compute the given number of tokens.
 func (t Timing) prefill(tokens int) time.Duration {
-	return t.PrefillBase + time.Duration(tokens)*t.PrefillToken
+	return t.PrefillBase + time.Duration(tokens)*t.PrefillPerToken
 }
--- a/internal/standin/timing_test.go
+++ b/internal/standin/timing_test.go
@@ -72,7 +72,7 @@
 
 func TestSlowFaultLengthensSteps(t *testing.T) {
 	withEngine(t, Timing{}, func(s *Standin) {
-		s.SetFaults(Faults{Slow: 3})
+		s.SetFaults(Faults{StepSlowdown: 3})
 		synctest.Wait()
 		started := time.Now()
 		<-startTestDecode(t, s, "a").ctx.Done()
--- a/internal/suspect/apply_test.go
+++ b/internal/suspect/apply_test.go
@@ -51,7 +51,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			before := make(map[fleet.Fingerprint]fleet.Suspect)
-			testkit.PutSuspects(before, c.before)
+			testkit.ApplySuspects(before, c.before)
 			assert.DeepEqual(t, Apply(before, reportOf(c.ran...), now, DefaultLimits), c.want)
 		})
 	}
@@ -64,10 +64,10 @@
 	limits.MaxTracked = 10
 	now := time.Unix(1_000_000, 0)
 	suspects := make(map[fleet.Fingerprint]fleet.Suspect)
-	testkit.PutSuspects(suspects, []fleet.Suspect{{Fingerprint: fleet.Fingerprint{255}, Crashes: 2, Quarantined: true, Updated: now}})
+	testkit.ApplySuspects(suspects, []fleet.Suspect{{Fingerprint: fleet.Fingerprint{255}, Crashes: 2, Quarantined: true, Updated: now}})
 	for n := range byte(50) {
 		now = now.Add(time.Second)
-		testkit.PutSuspects(suspects, Apply(suspects, reportOf(3*n, 3*n+1, 3*n+2), now, limits))
+		testkit.ApplySuspects(suspects, Apply(suspects, reportOf(3*n, 3*n+1, 3*n+2), now, limits))
 		assert.Assert(t, len(suspects) <= limits.MaxTracked)
 	}
 	assert.Assert(t, suspects[fleet.Fingerprint{255}].Quarantined)
--- a/internal/testkit/link.go
+++ b/internal/testkit/link.go
@@ -31,9 +31,9 @@
 			return err
 		}
 		size -= chunk
-		rpc.TransferOf(ctx).Arrived(chunk)
+		rpc.TransferFromContext(ctx).RecordReceived(chunk)
 	}
-	rpc.TransferOf(ctx).Arrived(size)
+	rpc.TransferFromContext(ctx).RecordReceived(size)
 	return ctx.Err()
 }
 
--- a/internal/testkit/network.go
+++ b/internal/testkit/network.go
@@ -66,9 +66,9 @@
 	}
 }
 
-// SetRate limits the replies to the process at an address to bytesPerSecond, shared by all
+// SetLinkRate limits the replies to the process at an address to bytesPerSecond, shared by all
 // replies in transfer to it. It applies to calls that begin later.
-func (n *Network) SetRate(to string, bytesPerSecond int) {
+func (n *Network) SetLinkRate(to string, bytesPerSecond int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.links == nil {
@@ -89,15 +89,15 @@
 	}
 }
 
-// Calls returns the number of calls sent to an address while it had a server.
-func (n *Network) Calls(to string) int {
+// CallCount returns the number of calls sent to an address while it had a server.
+func (n *Network) CallCount(to string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.calls[to]
 }
 
-// Bytes returns the total encoded size of the requests and replies carried.
-func (n *Network) Bytes() int {
+// BytesCarried returns the total encoded size of the requests and replies carried.
+func (n *Network) BytesCarried() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.bytes
--- a/internal/testkit/suspects.go
+++ b/internal/testkit/suspects.go
@@ -2,9 +2,9 @@
 
 import "github.com/hyssopsail/hyssopsail/internal/fleet"
 
-// PutSuspects applies changes to suspects as the shared state does: a suspect without a
+// ApplySuspects applies changes to suspects as the shared state does: a suspect without a
 // crash is deleted.
-func PutSuspects(suspects map[fleet.Fingerprint]fleet.Suspect, changed []fleet.Suspect) {
+func ApplySuspects(suspects map[fleet.Fingerprint]fleet.Suspect, changed []fleet.Suspect) {
 	for _, c := range changed {
 		if c.Crashes == 0 {
 			delete(suspects, c.Fingerprint)
--- a/internal/timeline/chart.go
+++ b/internal/timeline/chart.go
@@ -34,7 +34,7 @@
 	if err := table.Flush(); err != nil {
 		return err
 	}
-	for _, s := range merged.Silent {
+	for _, s := range merged.FailedQueries {
 		if _, err := fmt.Fprintf(w, "no answer from %s: %s\n", s.Instance, s.Cause); err != nil {
 			return err
 		}
--- a/internal/timeline/collect.go
+++ b/internal/timeline/collect.go
@@ -15,8 +15,8 @@
 
 // Merged holds the events of all daemons that answered, in hybrid logical order.
 type Merged struct {
-	Events []*pb.TimelineEvent `json:"events"`
-	Silent []Silent            `json:"silent"` // daemons that did not answer
+	Events        []*pb.TimelineEvent `json:"events"`
+	FailedQueries []FailedQuery       `json:"silent"` // daemons that did not answer
 	// Dropped is how many events those daemons have overwritten.
 	Dropped uint64 `json:"dropped"`
 	// Sequences holds, for each daemon that answered, the last sequence seen;
@@ -24,8 +24,8 @@
 	Sequences map[fleet.InstanceID]uint64 `json:"sequences"`
 }
 
-// Silent is a daemon that did not answer, and why.
-type Silent struct {
+// FailedQuery is a daemon that did not answer, and why.
+type FailedQuery struct {
 	Instance fleet.InstanceID `json:"instance"`
 	Cause    string           `json:"cause"`
 }
@@ -88,7 +88,7 @@
 	merged := Merged{Sequences: make(map[fleet.InstanceID]uint64)}
 	for a := range answers {
 		if a.err != nil {
-			merged.Silent = append(merged.Silent, Silent{Instance: a.instance, Cause: a.err.Error()})
+			merged.FailedQueries = append(merged.FailedQueries, FailedQuery{Instance: a.instance, Cause: a.err.Error()})
 			continue
 		}
 		merged.Events = append(merged.Events, a.page.GetEvents()...)
@@ -96,7 +96,7 @@
 		merged.Sequences[a.instance] = a.page.GetLastSequence()
 	}
 	Sort(merged.Events)
-	sort.Slice(merged.Silent, func(a, b int) bool { return merged.Silent[a].Instance < merged.Silent[b].Instance })
+	sort.Slice(merged.FailedQueries, func(a, b int) bool { return merged.FailedQueries[a].Instance < merged.FailedQueries[b].Instance })
 	return merged
 }
 
--- a/internal/timeline/timeline_test.go
+++ b/internal/timeline/timeline_test.go
@@ -101,8 +101,8 @@
 	ring.Record(timeline.Event{Kind: timeline.KindCompleted, Request: "r"})
 	var out strings.Builder
 	err := timeline.WriteChart(&out, timeline.Merged{
-		Events: ring.Query(&pb.TimelineQuery{}).GetEvents(),
-		Silent: []timeline.Silent{{Instance: "b", Cause: "refused"}},
+		Events:        ring.Query(&pb.TimelineQuery{}).GetEvents(),
+		FailedQueries: []timeline.FailedQuery{{Instance: "b", Cause: "refused"}},
 	})
 	assert.NilError(t, err)
 	assert.Assert(t, strings.Contains(out.String(), "request.received"))
