--- a/cmd/hyssopsail/app.go
+++ b/cmd/hyssopsail/app.go
@@ -17,7 +17,7 @@
 
 The tool asks the daemons' operators' listeners, named by --address. Your key says who you are and which subtrees you may change.`
 
-// app is one run of the tool.
+// app is one run of the tool: its output, clock and global flags.
 type app struct {
 	ctx        context.Context
 	out        io.Writer
@@ -28,9 +28,9 @@
 	terminated *int // set when help, version or completion was printed
 }
 
-// commandGroups add the commands, one small file each. A package with a
-// command of its own is plugged in by adding its function here.
-var commandGroups = []func(*app, *kingpin.Application){
+// commandRegistrations register the commands with the parser, one file each. A
+// package that implements a command of its own is added here.
+var commandRegistrations = []func(*app, *kingpin.Application){
 	addAsk,
 	addCerts,
 	addInit,
@@ -48,7 +48,7 @@
 	addVersion,
 }
 
-// run parses arguments and runs the command that they name.
+// run parses args and runs the command that they name.
 func run(ctx context.Context, args []string, out, errOut io.Writer) exitCode {
 	a := &app{ctx: ctx, out: out, errors: errOut, now: time.Now}
 	parser := a.parser()
@@ -59,9 +59,9 @@
 	if err == nil {
 		return exitOK
 	}
-	if isCommands(err) {
+	if isCommandError(err) {
 		a.report(err)
-		return codeOf(err)
+		return exitCodeOf(err)
 	}
 	_, _ = fmt.Fprintf(errOut, "hyssopsail: %v; see hyssopsail --help\n", err)
 	return exitUsage
@@ -79,7 +79,7 @@
 	parser.HelpFlag.Short('h')
 	parser.Flag("output", "Form of the answer.").Short('o').Default(formatTable).EnumVar(&a.format, formatTable, formatJSON, formatYAML)
 	a.connection.addFlags(parser)
-	for _, add := range commandGroups {
+	for _, add := range commandRegistrations {
 		add(a, parser)
 	}
 	return parser
@@ -88,9 +88,9 @@
 // errTerminated ends a run after help, version or completion was printed.
 var errTerminated = errors.New("terminated")
 
-// stopAfterHelp keeps commands from running after "--help": kingpin goes on to
-// the command's action when it may not end the process, and "drain X --help"
-// would drain.
+// stopAfterHelp keeps commands from running after "--help". The terminate hook
+// doesn't end the process, so kingpin would go on to the command's action, and
+// "drain X --help" would drain.
 func (a *app) stopAfterHelp(*kingpin.Application) error {
 	if a.terminated != nil {
 		return errTerminated
@@ -98,25 +98,26 @@
 	return nil
 }
 
-// commandError tells a command's own error from one of usage.
+// commandError marks an error that a command returned, as opposed to a usage
+// error of the parser.
 type commandError struct{ err error }
 
 // Error implements error.
 func (e *commandError) Error() string { return e.err.Error() }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *commandError) Unwrap() error { return e.err }
 
-// isCommands tells whether err came from a command. Commands of other packages
-// give traced errors, the parser never does.
-func isCommands(err error) bool {
+// isCommandError reports whether err came from a command. Commands of other
+// packages return traced errors; the parser never does.
+func isCommandError(err error) bool {
 	var own *commandError
 	var traced trace.Error
 	return errors.As(err, &own) || errors.As(err, &traced)
 }
 
-// do makes a kingpin action of a command.
-func (a *app) do(command func() error) kingpin.Action {
+// commandAction returns the kingpin action that runs command.
+func (a *app) commandAction(command func() error) kingpin.Action {
 	return func(*kingpin.ParseContext) error {
 		if err := command(); err != nil {
 			return &commandError{err}
@@ -125,7 +126,7 @@
 	}
 }
 
-// report writes an error in one line, faults of settings in one line each.
+// report writes err on one line, or one line for each fault of settings.
 func (a *app) report(err error) {
 	var faults strictyaml.Faults
 	if errors.As(err, &faults) {
--- a/cmd/hyssopsail/ask.go
+++ b/cmd/hyssopsail/ask.go
@@ -17,21 +17,21 @@
 	"github.com/hyssopsail/hyssopsail/internal/rpc"
 )
 
-// askCommand sends one request as a caller would, to try a fleet out.
+// askCommand sends one request as a caller would, to test a fleet.
 type askCommand struct {
-	app     *app
-	entries []string
-	keyFile string
-	trusted string
-	model   string
-	tokens  int
-	whole   bool
-	service string
-	method  string
-	path    string
-	key     string
-	timeout time.Duration
-	content string
+	app            *app
+	entries        []string
+	keyFile        string
+	authorityFile  string
+	model          string
+	maxTokens      int
+	whole          bool
+	service        string
+	method         string
+	path           string
+	idempotencyKey string
+	timeout        time.Duration
+	content        string
 }
 
 func addAsk(a *app, parser *kingpin.Application) {
@@ -39,17 +39,17 @@
 	command := parser.Command("ask", "Send one request as a caller: ask an entry which addresses to use, connect to the first and print the answer. The request's ID goes to standard error.")
 	command.Flag("entry", "Callers' listener of an entry, ip:port. Repeatable.").Required().StringsVar(&c.entries)
 	command.Flag("team-key-file", "File with the team's key.").Required().StringVar(&c.keyFile)
-	command.Flag("entry-authority", "File with the certificate authority of the entries: ask by HTTPS.").StringVar(&c.trusted)
+	command.Flag("entry-authority", "File with the certificate authority of the entries: ask by HTTPS.").StringVar(&c.authorityFile)
 	command.Flag("model", "Model to ask.").StringVar(&c.model)
-	command.Flag("max-tokens", "Longest answer, tokens.").Default("64").IntVar(&c.tokens)
+	command.Flag("max-tokens", "Longest answer, tokens.").Default("64").IntVar(&c.maxTokens)
 	command.Flag("whole", "Ask for one JSON answer instead of a stream.").BoolVar(&c.whole)
 	command.Flag("service", "Call this plain service instead of a model.").StringVar(&c.service)
 	command.Flag("method", "Method of a service call.").Default(http.MethodGet).StringVar(&c.method)
 	command.Flag("path", "Path of a service call.").Default("/").StringVar(&c.path)
-	command.Flag("request-key", "Idempotency key of the request.").StringVar(&c.key)
+	command.Flag("request-key", "Idempotency key of the request.").StringVar(&c.idempotencyKey)
 	command.Flag("timeout", "Longest wait for the answer.").Default("30s").DurationVar(&c.timeout)
 	command.Arg("content", "The message, or the body of a service call.").StringVar(&c.content)
-	command.Action(a.do(c.run))
+	command.Action(a.commandAction(c.run))
 }
 
 func (c *askCommand) run() error {
@@ -59,21 +59,21 @@
 	}
 	ctx, cancel := context.WithTimeout(c.app.ctx, c.timeout)
 	defer cancel()
-	secure, err := rpc.TrustingTLS(c.trusted)
+	secure, err := rpc.TrustingTLS(c.authorityFile)
 	if err != nil {
 		return trace.Wrap(err)
 	}
 	client := caller.New(c.entries, strings.TrimSpace(string(key)), secure)
 	if c.service != "" {
-		return c.call(ctx, client)
+		return c.callService(ctx, client)
 	}
 	return c.chat(ctx, client)
 }
 
 func (c *askCommand) header() http.Header {
 	header := http.Header{}
-	if c.key != "" {
-		header.Set(callerapi.HeaderKey, c.key)
+	if c.idempotencyKey != "" {
+		header.Set(callerapi.HeaderKey, c.idempotencyKey)
 	}
 	return header
 }
@@ -82,25 +82,25 @@
 	answer, err := client.Chat(ctx, callerapi.ChatRequest{
 		Model:     c.model,
 		Messages:  []callerapi.Message{{Role: "user", Content: c.content}},
-		MaxTokens: c.tokens,
+		MaxTokens: c.maxTokens,
 		Stream:    !c.whole,
 	}, c.header(), c.app.out)
 	if err == nil && c.whole {
 		_, err = fmt.Fprint(c.app.out, answer.Text)
 	}
 	_, _ = fmt.Fprintln(c.app.out)
-	c.tell(answer.RequestID)
+	c.printRequestID(answer.RequestID)
 	return trace.Wrap(err)
 }
 
-func (c *askCommand) call(ctx context.Context, client *caller.Client) error {
+func (c *askCommand) callService(ctx context.Context, client *caller.Client) error {
 	path := "/v1/services/" + c.service + c.path
 	response, err := client.Do(ctx, c.method, path, c.header(), strings.NewReader(c.content))
 	if err != nil {
 		return trace.Wrap(err)
 	}
 	defer func() { _ = response.Body.Close() }()
-	c.tell(response.Header.Get(callerapi.HeaderRequestID))
+	c.printRequestID(response.Header.Get(callerapi.HeaderRequestID))
 	if _, err := io.Copy(c.app.out, response.Body); err != nil {
 		return trace.Wrap(err)
 	}
@@ -111,9 +111,9 @@
 	return nil
 }
 
-// tell names the request for "timeline --request"; none was made when no entry
-// could be asked.
-func (c *askCommand) tell(requestID string) {
+// printRequestID prints the ID to give to "timeline --request". The ID is empty
+// when no entry could be reached.
+func (c *askCommand) printRequestID(requestID string) {
 	if requestID == "" {
 		return
 	}
--- a/cmd/hyssopsail/certs.go
+++ b/cmd/hyssopsail/certs.go
@@ -10,12 +10,12 @@
 	"github.com/hyssopsail/hyssopsail/internal/fleet"
 )
 
-// certsCommand writes the keys of a new fleet.
+// certsCommand writes the certificates and keys of a new fleet.
 type certsCommand struct {
 	app       *app
 	folder    string
 	instances []string
-	life      time.Duration
+	validity  time.Duration
 }
 
 func addCerts(a *app, parser *kingpin.Application) {
@@ -23,9 +23,9 @@
 	command := parser.Command("certs", "Write a working set of keys for a new fleet: authority, a certificate and key for each instance, the fleet's secret. "+
 		"Run again in the same folder with more instances, it adds theirs. It never overwrites a file.")
 	command.Flag("folder", "Where to write.").Required().StringVar(&c.folder)
-	command.Flag("life", "How long the certificates are valid.").Default(certs.DefaultLife.String()).DurationVar(&c.life)
+	command.Flag("life", "How long the certificates are valid.").Default(certs.DefaultLife.String()).DurationVar(&c.validity)
 	command.Arg("instance", "Instance IDs.").Required().StringsVar(&c.instances)
-	command.Action(a.do(c.run))
+	command.Action(a.commandAction(c.run))
 }
 
 func (c *certsCommand) run() error {
@@ -33,7 +33,7 @@
 	for n, id := range c.instances {
 		ids[n] = fleet.InstanceID(id)
 	}
-	written, err := certs.Write(certs.Options{Folder: c.folder, Instances: ids, Life: c.life, Now: c.app.now()})
+	written, err := certs.Write(certs.Options{Folder: c.folder, Instances: ids, Life: c.validity, Now: c.app.now()})
 	if err != nil {
 		return trace.Wrap(err)
 	}
--- a/cmd/hyssopsail/connection.go
+++ b/cmd/hyssopsail/connection.go
@@ -10,8 +10,9 @@
 	"github.com/hyssopsail/hyssopsail/internal/operator"
 )
 
-// connection says which daemons to ask, and as whom. Keys come from files or
-// the environment, never from arguments that other users could list.
+// connection holds the daemons' addresses and the credentials to use. Keys come
+// from files or the environment, never from arguments: other users of the
+// machine can list those.
 type connection struct {
 	addresses  []string
 	keyFile    string
@@ -32,7 +33,8 @@
 		Envar("HYSSOPSAIL_AUTHORITY").PlaceHolder("FILE").StringVar(&c.authority)
 }
 
-// client asks as the operator; without an operator's key, by the fleet's secret.
+// client returns a client that authenticates with the operator's key or, without
+// one, with the fleet's secret.
 func (c *connection) client() (*operator.Client, error) {
 	key, err := c.operatorKey()
 	if err != nil {
@@ -44,10 +46,10 @@
 	return c.clientFor(key)
 }
 
-// bootstrapClient asks by the fleet's secret.
+// bootstrapClient returns a client that authenticates with the fleet's secret.
 func (c *connection) bootstrapClient() (*operator.Client, error) {
 	if c.secretFile == "" {
-		return nil, fail(exitUsage, trace.BadParameter("no key: give --key-file, %s, or --secret-file for a new fleet", keyVariable))
+		return nil, withExitCode(exitUsage, trace.BadParameter("no key: give --key-file, %s, or --secret-file for a new fleet", keyVariable))
 	}
 	secret, err := readKey(c.secretFile)
 	if err != nil {
@@ -58,7 +60,7 @@
 
 func (c *connection) clientFor(key string) (*operator.Client, error) {
 	if len(c.addresses) == 0 {
-		return nil, fail(exitUsage, trace.BadParameter("no daemon to ask: give --address ip:port"))
+		return nil, withExitCode(exitUsage, trace.BadParameter("no daemon to ask: give --address ip:port"))
 	}
 	options := operator.ClientOptions{Addresses: c.addresses, Key: key}
 	if c.authority != "" {
--- a/cmd/hyssopsail/control.go
+++ b/cmd/hyssopsail/control.go
@@ -7,7 +7,7 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// controlCommand changes who votes.
+// controlCommand changes the members of the control group.
 type controlCommand struct {
 	app    *app
 	member string
@@ -19,17 +19,17 @@
 	group := parser.Command("control", "Change the control group, one member at a time.")
 	add := group.Command("add", "Add a running control instance with an empty disk. It votes once it has caught up.")
 	add.Arg("member", "The instance with its rpc address, ID=IP:PORT.").Required().StringVar(&c.member)
-	add.Action(a.do(c.add))
+	add.Action(a.commandAction(c.add))
 	remove := group.Command("remove", "Remove a member, such as one whose disk is lost. Remove the old disk before you add the new one.")
 	remove.Arg("instance", "Instance ID.").Required().StringVar(&c.member)
 	remove.Flag("disk", "Disk ID, when an instance is listed with two.").StringVar(&c.disk)
-	remove.Action(a.do(c.remove))
+	remove.Action(a.commandAction(c.remove))
 }
 
 func (c *controlCommand) add() error {
 	member, err := parseMember(c.member)
 	if err != nil {
-		return fail(exitUsage, err)
+		return withExitCode(exitUsage, err)
 	}
 	return c.change(&pb.ChangeMemberRequest{Member: member})
 }
--- a/cmd/hyssopsail/drain.go
+++ b/cmd/hyssopsail/drain.go
@@ -7,7 +7,7 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// drainCommand asks an instance to finish up.
+// drainCommand drains an instance.
 type drainCommand struct {
 	app      *app
 	instance string
@@ -17,7 +17,7 @@
 	c := &drainCommand{app: a}
 	command := parser.Command("drain", "Let an instance finish its requests and take no new callers. The process keeps running until it is told to stop.")
 	command.Arg("instance", "Instance ID.").Required().StringVar(&c.instance)
-	command.Action(a.do(c.run))
+	command.Action(a.commandAction(c.run))
 }
 
 func (c *drainCommand) run() error {
--- a/cmd/hyssopsail/endpoints.go
+++ b/cmd/hyssopsail/endpoints.go
@@ -12,7 +12,7 @@
 
 func addEndpoints(a *app, parser *kingpin.Application) {
 	command := parser.Command("endpoints", "List the endpoints that announced themselves, with their load.")
-	command.Action(a.do(a.endpoints))
+	command.Action(a.commandAction(a.endpoints))
 }
 
 func (a *app) endpoints() error {
@@ -26,13 +26,13 @@
 	}
 	t := &table{header: []string{"ENDPOINT", "ZONE", "ROLE", "SERVES", "ADDRESS", "SLOTS", "QUEUED", "STATE", "TOKENS"}}
 	for _, e := range reply.Endpoints {
-		t.add(e.GetId(), e.GetAvailabilityZone(), e.GetRole(), serves(e), e.GetAddress(),
-			fmt.Sprintf("%d/%d", e.GetGranted(), e.GetSlots()), e.GetQueued(), endpointState(e), tokens(e))
+		t.add(e.GetId(), e.GetAvailabilityZone(), e.GetRole(), servedNames(e), e.GetAddress(),
+			fmt.Sprintf("%d/%d", e.GetGranted(), e.GetSlots()), e.GetQueued(), endpointState(e), tokenChecking(e))
 	}
 	return a.show(reply, t)
 }
 
-func serves(e *pb.EndpointDigest) string {
+func servedNames(e *pb.EndpointDigest) string {
 	if e.GetService() != "" {
 		return e.GetService()
 	}
@@ -46,8 +46,8 @@
 	return "live"
 }
 
-// tokens tells whether the endpoint refuses orders with an old fencing token.
-func tokens(e *pb.EndpointDigest) string {
+// tokenChecking says whether the endpoint refuses orders with an old fencing token.
+func tokenChecking(e *pb.EndpointDigest) string {
 	if e.GetChecksTokens() {
 		return "checked"
 	}
--- a/cmd/hyssopsail/exit.go
+++ b/cmd/hyssopsail/exit.go
@@ -27,23 +27,23 @@
 
 const exitHelp = `Exit codes: 0 done; 1 failed; 2 wrong usage; 3 conflict with a newer version; 4 settings refused; 5 no daemon reached; 6 accepted, but not in force everywhere in time; 7 not allowed with this key.`
 
-// failure is an error with its own exit code.
-type failure struct {
+// exitError is an error that sets the exit code.
+type exitError struct {
 	code exitCode
 	err  error
 }
 
 // Error implements error.
-func (f *failure) Error() string { return f.err.Error() }
+func (f *exitError) Error() string { return f.err.Error() }
 
-// Unwrap gives the cause.
-func (f *failure) Unwrap() error { return f.err }
+// Unwrap returns the cause.
+func (f *exitError) Unwrap() error { return f.err }
 
-func fail(code exitCode, err error) error { return &failure{code: code, err: err} }
+func withExitCode(code exitCode, err error) error { return &exitError{code: code, err: err} }
 
-// codeOf chooses the exit code for an error of a command.
-func codeOf(err error) exitCode {
-	var own *failure
+// exitCodeOf returns the exit code for an error of a command.
+func exitCodeOf(err error) exitCode {
+	var own *exitError
 	var refused *operator.ReplyError
 	var faults strictyaml.Faults
 	switch {
@@ -52,14 +52,14 @@
 	case errors.As(err, &faults):
 		return exitRefused
 	case errors.As(err, &refused):
-		return codeOfStatus(refused.Status)
+		return exitCodeOfStatus(refused.Status)
 	case trace.IsConnectionProblem(err):
 		return exitNotReached
 	}
 	return exitFailed
 }
 
-func codeOfStatus(status int) exitCode {
+func exitCodeOfStatus(status int) exitCode {
 	switch status {
 	case http.StatusUnauthorized, http.StatusForbidden:
 		return exitNotAllowed
--- a/cmd/hyssopsail/explain.go
+++ b/cmd/hyssopsail/explain.go
@@ -12,14 +12,15 @@
 	"github.com/hyssopsail/hyssopsail/internal/explain"
 )
 
-// explainCommand tells a request's story from log files; it asks no daemon.
+// explainCommand reconstructs the course of a request from log files, without
+// asking a daemon.
 type explainCommand struct {
 	app     *app
 	request string
 	paths   []string
 }
 
-// standardInput stands for itself among files.
+// standardInput is the argument that stands for standard input.
 const standardInput = "-"
 
 func addExplain(a *app, parser *kingpin.Application) {
@@ -27,7 +28,7 @@
 	command := parser.Command("explain", "Tell what became of a request, and why, from the logs of all processes. Asks no daemon.")
 	command.Flag("request", "The request's ID, as its caller gave it.").Required().StringVar(&c.request)
 	command.Arg("file", "Log files, each named after its process; - for standard input.").Default(standardInput).StringsVar(&c.paths)
-	command.Action(a.do(c.run))
+	command.Action(a.commandAction(c.run))
 }
 
 func (c *explainCommand) run() error {
@@ -62,5 +63,5 @@
 	return explain.Read(strings.TrimSuffix(filepath.Base(path), filepath.Ext(path)), f)
 }
 
-// closeLog closes a file that was only read: nothing is lost if that fails.
+// closeLog closes a file that was only read, so an error loses no data.
 func closeLog(f io.Closer) { _ = f.Close() }
--- a/cmd/hyssopsail/fake_test.go
+++ b/cmd/hyssopsail/fake_test.go
@@ -23,13 +23,13 @@
 	"github.com/hyssopsail/hyssopsail/internal/settings"
 )
 
-// fakeGroup is a control group of one: the true state machine without a log.
+// fakeGroup is a control group of one member: the real state machine without a log.
 type fakeGroup struct {
 	operator.Control // calls that a test doesn't expect panic
 	mu               sync.Mutex
 	machine          *control.Machine
 	index            uint64
-	loseReplies      int // so many changes are applied and their replies lost
+	repliesToLose    int // the number of changes still to apply without a reply
 	pending          []string
 	initialised      *pb.InitRequest
 	drained          string
@@ -52,8 +52,8 @@
 	if err := proto.Unmarshal(f.machine.Apply(f.index, command), &result); err != nil {
 		return nil, err
 	}
-	if f.loseReplies > 0 {
-		f.loseReplies--
+	if f.repliesToLose > 0 {
+		f.repliesToLose--
 		return nil, trace.ConnectionProblem(nil, "the leader is gone")
 	}
 	return &pb.ChangeReply{Result: result.Change, InForce: len(f.pending) == 0, PendingInstances: f.pending}, nil
@@ -137,7 +137,7 @@
 	return runTool(append(append([]string{}, f.args...), args...)...)
 }
 
-// ok runs the tool and wants success.
+// ok runs the tool, requires success and returns its output.
 func (f *fixture) ok(args ...string) string {
 	f.t.Helper()
 	code, out, errOut := f.run(args...)
--- a/cmd/hyssopsail/hashkey.go
+++ b/cmd/hyssopsail/hashkey.go
@@ -10,20 +10,20 @@
 	"github.com/hyssopsail/hyssopsail/internal/keyhash"
 )
 
-// hashKeyCommand prints the hash of a key, or of a new one.
+// hashKeyCommand prints the hash of a given or a newly generated key.
 type hashKeyCommand struct {
 	app  *app
 	file string
 }
 
-// keyBytes is the length of a new key.
-const keyBytes = 24
+// newKeyBytes is the length of a generated key before hex encoding.
+const newKeyBytes = 24
 
 func addHashKey(a *app, parser *kingpin.Application) {
 	c := &hashKeyCommand{app: a}
 	command := parser.Command("hash-key", "Print the hash that settings hold for the key in a file; without a file, make a new key and print both.")
 	command.Arg("file", "File with the key.").StringVar(&c.file)
-	command.Action(a.do(c.run))
+	command.Action(a.commandAction(c.run))
 }
 
 // keyPair is a key with its hash; Key is empty when it came from a file.
@@ -47,7 +47,7 @@
 		key, err := readKey(c.file)
 		return keyPair{Hash: string(keyhash.Of(key))}, trace.Wrap(err)
 	}
-	raw := make([]byte, keyBytes)
+	raw := make([]byte, newKeyBytes)
 	if _, err := rand.Read(raw); err != nil {
 		return keyPair{}, trace.Wrap(err)
 	}
--- a/cmd/hyssopsail/init.go
+++ b/cmd/hyssopsail/init.go
@@ -10,7 +10,7 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// initCommand makes a new fleet.
+// initCommand creates a new fleet.
 type initCommand struct {
 	app     *app
 	fleetID string
@@ -23,7 +23,7 @@
 	command.Flag("fleet-id", "Name of the new fleet.").Required().StringVar(&c.fleetID)
 	command.Flag("member", "A control instance with its rpc address; three or five of them.").
 		Required().PlaceHolder("ID=IP:PORT").StringsVar(&c.members)
-	command.Action(a.do(c.run))
+	command.Action(a.commandAction(c.run))
 }
 
 func (c *initCommand) run() error {
@@ -31,7 +31,7 @@
 	for _, text := range c.members {
 		member, err := parseMember(text)
 		if err != nil {
-			return fail(exitUsage, err)
+			return withExitCode(exitUsage, err)
 		}
 		request.Members = append(request.Members, member)
 	}
@@ -48,7 +48,7 @@
 	return c.app.show(reply, t)
 }
 
-// parseMember reads "id=ip:port".
+// parseMember parses "ID=IP:PORT".
 func parseMember(text string) (*pb.Member, error) {
 	id, address, ok := strings.Cut(text, "=")
 	if _, err := netip.ParseAddrPort(address); !ok || id == "" || err != nil {
--- a/cmd/hyssopsail/main.go
+++ b/cmd/hyssopsail/main.go
@@ -1,4 +1,4 @@
-// Command hyssopsail is the operators' tool: it makes a new fleet, checks and
+// Command hyssopsail is the operators' tool: it creates a fleet, checks and
 // changes settings, and shows what the fleet does. Exit codes are in exit.go
 // and in the tool's help.
 package main
--- a/cmd/hyssopsail/order.go
+++ b/cmd/hyssopsail/order.go
@@ -11,13 +11,13 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// orderCommand gives an endpoint an order.
+// orderCommand sends an order to an endpoint and waits for its end.
 type orderCommand struct {
-	app      *app
-	endpoint string
-	what     string // the model or the role
-	id       string
-	wait     time.Duration
+	app         *app
+	endpoint    string
+	modelOrRole string // which of them depends on the order kind
+	id          string
+	wait        time.Duration
 }
 
 func addOrder(a *app, parser *kingpin.Application) {
@@ -34,15 +34,16 @@
 	command := order.Command(name, help)
 	command.Arg("endpoint", "Endpoint ID.").Required().StringVar(&c.endpoint)
 	if kind == engineapi.OrderChangeRole {
-		command.Arg("role", "New role.").Required().StringVar(&c.what)
+		command.Arg("role", "New role.").Required().StringVar(&c.modelOrRole)
 	} else {
-		command.Arg("model", "model@version or model@version/adapter.").Required().StringVar(&c.what)
+		command.Arg("model", "model@version or model@version/adapter.").Required().StringVar(&c.modelOrRole)
 	}
-	command.Action(c.app.do(func() error { return c.run(kind) }))
+	command.Action(c.app.commandAction(func() error { return c.run(kind) }))
 }
 
 func (c *orderCommand) run(kind engineapi.OrderKind) error {
-	// The instance that has the order knows how it goes: ask no other.
+	// Only the instance that took the order knows its progress, so all calls
+	// go to one address.
 	connection := c.app.connection
 	if len(connection.addresses) > 1 {
 		connection.addresses = connection.addresses[:1]
@@ -56,9 +57,9 @@
 		request.OrderId = uuid.NewString()
 	}
 	if kind == engineapi.OrderChangeRole {
-		request.Role = c.what
+		request.Role = c.modelOrRole
 	} else {
-		request.Model = c.what
+		request.Model = c.modelOrRole
 	}
 	deadline := c.app.now().Add(c.wait)
 	for {
@@ -79,7 +80,7 @@
 		return err
 	}
 	if reply.GetEnded() && reply.GetOutcome() != "done" {
-		return fail(exitFailed, trace.BadParameter("the order ended as %s", reply.GetOutcome()))
+		return withExitCode(exitFailed, trace.BadParameter("the order ended as %s", reply.GetOutcome()))
 	}
 	return nil
 }
--- a/cmd/hyssopsail/output.go
+++ b/cmd/hyssopsail/output.go
@@ -13,14 +13,14 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// The forms of an answer.
+// The output formats.
 const (
 	formatTable = "table"
 	formatJSON  = "json"
 	formatYAML  = "yaml"
 )
 
-// table is an answer as rows of text.
+// table is output as rows of text.
 type table struct {
 	header []string
 	rows   [][]string
@@ -44,7 +44,7 @@
 	return trace.Wrap(tab.Flush())
 }
 
-// show writes an answer in the form asked for.
+// show writes data in the requested format: as tables, or encoded as JSON or YAML.
 func (a *app) show(data any, tables ...*table) error {
 	if a.format == formatTable {
 		return a.showTables(tables)
@@ -86,25 +86,26 @@
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	// protojson varies its spaces on purpose; scripts compare answers.
+	// protojson randomizes its whitespace; scripts need stable output to compare.
 	return json.MarshalIndent(json.RawMessage(raw), "", "  ")
 }
 
-// toYAML uses that JSON is YAML in flow style.
+// toYAML converts JSON to YAML. JSON is YAML in flow style, so it is parsed as
+// YAML and written in block style.
 func toYAML(encoded []byte) ([]byte, error) {
 	var node yaml.Node
 	if err := yaml.Unmarshal(encoded, &node); err != nil {
 		return nil, trace.Wrap(err)
 	}
-	block(&node)
+	clearFlowStyle(&node)
 	out, err := yaml.Marshal(&node)
 	return out, trace.Wrap(err)
 }
 
-func block(node *yaml.Node) {
+func clearFlowStyle(node *yaml.Node) {
 	node.Style = 0
 	for _, child := range node.Content {
-		block(child)
+		clearFlowStyle(child)
 	}
 }
 
--- a/cmd/hyssopsail/settings_applied.go
+++ b/cmd/hyssopsail/settings_applied.go
@@ -6,8 +6,8 @@
 	"github.com/gravitational/trace"
 )
 
-// applied is what became of one file or change.
-type applied struct {
+// applyResult is the result of one file or change.
+type applyResult struct {
 	Subtree  string   `json:"subtree"`
 	Result   string   `json:"result"`
 	Version  uint64   `json:"version"`
@@ -16,8 +16,9 @@
 	Pending  []string `json:"pending_instances,omitempty"`
 }
 
-// inForce says what is known: without --wait nothing was asked.
-func (a applied) inForce() string {
+// inForceText says where the change is in force. Without --wait the instances
+// weren't asked.
+func (a applyResult) inForceText() string {
 	switch {
 	case a.InForce:
 		return "yes"
@@ -27,20 +28,20 @@
 	return "not asked"
 }
 
-// Results of one file.
+// The values of applyResult.Result.
 const (
 	resultAccepted  = "accepted"
 	resultRepeated  = "accepted before"
 	resultUnchanged = "unchanged"
 )
 
-func (a *app) showApplied(results []applied) error {
+func (a *app) showApplied(results []applyResult) error {
 	if len(results) == 0 {
 		return nil
 	}
 	t := &table{header: []string{"SUBTREE", "RESULT", "VERSION", "IN FORCE", "CHANGE"}}
 	for _, r := range results {
-		t.add(r.Subtree, r.Result, r.Version, r.inForce(), orDash(r.ChangeID))
+		t.add(r.Subtree, r.Result, r.Version, r.inForceText(), orDash(r.ChangeID))
 	}
 	return trace.Wrap(a.show(results, t))
 }
--- a/cmd/hyssopsail/settings_apply.go
+++ b/cmd/hyssopsail/settings_apply.go
@@ -12,19 +12,19 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// settingsApply sends files to the fleet.
+// settingsApply sends settings files to the fleet.
 type settingsApply struct {
-	app       *app
-	path      string
-	expect    int64
-	overwrite bool
-	changeID  string
-	wait      time.Duration
-	results   []applied
+	app          *app
+	path         string
+	expectedFlag int64
+	overwrite    bool
+	changeID     string
+	wait         time.Duration
+	results      []applyResult
 }
 
-// noExpectation is the value of --expect when it isn't given.
-const noExpectation = -1
+// expectNotGiven is the default of --expect.
+const expectNotGiven = -1
 
 func addSettingsApply(a *app, group *kingpin.CmdClause) {
 	c := &settingsApply{app: a}
@@ -32,11 +32,11 @@
 		"A change names the version that it began from: the first line that \"settings get\" writes, or --expect; without either it only creates. "+
 		"When another change came first, nothing is changed and the newer version is shown.")
 	command.Arg("path", "File or folder.").Required().StringVar(&c.path)
-	command.Flag("expect", "Version that the edit began from; for one file.").Default(fmt.Sprint(noExpectation)).Int64Var(&c.expect)
+	command.Flag("expect", "Version that the edit began from; for one file.").Default(fmt.Sprint(expectNotGiven)).Int64Var(&c.expectedFlag)
 	command.Flag("overwrite", "Take whatever version the fleet has now as the one to change.").BoolVar(&c.overwrite)
 	command.Flag("change-id", "ID under which the change may be sent again; by default made of subtree, version and content.").StringVar(&c.changeID)
 	addWait(command, &c.wait)
-	command.Action(a.do(c.run))
+	command.Action(a.commandAction(c.run))
 }
 
 func (c *settingsApply) run() error {
@@ -44,8 +44,8 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	if len(files) > 1 && (c.expect != noExpectation || c.changeID != "") {
-		return fail(exitUsage, trace.BadParameter("--expect and --change-id are for one file"))
+	if len(files) > 1 && (c.expectedFlag != expectNotGiven || c.changeID != "") {
+		return withExitCode(exitUsage, trace.BadParameter("--expect and --change-id are for one file"))
 	}
 	// All files are checked before the first is sent.
 	if err := checkSettings(files); err != nil {
@@ -54,8 +54,8 @@
 	return errors.Join(c.applyAll(files), c.app.showApplied(c.results))
 }
 
-// applyAll stops at the first file that isn't accepted. One that is accepted
-// but not in force in time stops nothing: it can't be taken back.
+// applyAll stops at the first file that isn't accepted. A file that is accepted
+// but not in force in time doesn't stop the rest: it can't be undone.
 func (c *settingsApply) applyAll(files []settingsFile) error {
 	var late error
 	for _, file := range files {
@@ -69,23 +69,23 @@
 	return late
 }
 
-func (c *settingsApply) applyFile(file settingsFile) (applied, error) {
+func (c *settingsApply) applyFile(file settingsFile) (applyResult, error) {
 	client, current, err := c.app.currentSubtree(file.subtree)
 	if err != nil {
-		return applied{}, trace.Wrap(err)
+		return applyResult{}, trace.Wrap(err)
 	}
 	content := file.content()
 	if len(current.GetYaml()) > 0 && bytes.Equal(current.GetYaml(), content) {
-		return applied{Subtree: file.subtree, Result: resultUnchanged, Version: current.GetVersion()}, nil
+		return applyResult{Subtree: file.subtree, Result: resultUnchanged, Version: current.GetVersion()}, nil
 	}
-	change := &pb.ChangeSubtree{Name: file.subtree, ExpectedVersion: c.expected(file, current), Yaml: content, ChangeId: c.changeID}
-	return c.app.send(client, change, c.wait)
+	change := &pb.ChangeSubtree{Name: file.subtree, ExpectedVersion: c.expectedVersion(file, current), Yaml: content, ChangeId: c.changeID}
+	return c.app.sendChange(client, change, c.wait)
 }
 
-func (c *settingsApply) expected(file settingsFile, current *pb.SubtreeDocument) uint64 {
+func (c *settingsApply) expectedVersion(file settingsFile, current *pb.SubtreeDocument) uint64 {
 	switch {
-	case c.expect != noExpectation:
-		return uint64(c.expect)
+	case c.expectedFlag != expectNotGiven:
+		return uint64(c.expectedFlag)
 	case c.overwrite:
 		return current.GetVersion()
 	}
--- a/cmd/hyssopsail/settings_check.go
+++ b/cmd/hyssopsail/settings_check.go
@@ -5,7 +5,7 @@
 	"github.com/gravitational/trace"
 )
 
-// settingsCheck checks files without a daemon.
+// settingsCheck checks settings files without asking a daemon.
 type settingsCheck struct {
 	app   *app
 	paths []string
@@ -15,7 +15,7 @@
 	c := &settingsCheck{app: a}
 	command := group.Command("check", "Check files without asking a daemon. A folder (fleet.yaml, teams/*.yaml) is checked whole; a file by itself.")
 	command.Arg("path", "Files or folders.").Required().StringsVar(&c.paths)
-	command.Action(a.do(c.run))
+	command.Action(a.commandAction(c.run))
 }
 
 func (c *settingsCheck) run() error {
@@ -30,7 +30,7 @@
 			return trace.Wrap(err)
 		}
 		for _, file := range files {
-			one := checkedFile{file.path, file.subtree, isWhole(files)}
+			one := checkedFile{file.path, file.subtree, includesFleet(files)}
 			t.add(one.File, one.Subtree, one.text())
 			checked = append(checked, one)
 		}
@@ -42,7 +42,7 @@
 type checkedFile struct {
 	File      string `json:"file"`
 	Subtree   string `json:"subtree"`
-	WithFleet bool   `json:"with_fleet"` // checked against the fleet's file too
+	WithFleet bool   `json:"with_fleet"` // also checked against the fleet's file
 }
 
 func (c checkedFile) text() string {
--- a/cmd/hyssopsail/settings_current.go
+++ b/cmd/hyssopsail/settings_current.go
@@ -12,8 +12,8 @@
 	"github.com/hyssopsail/hyssopsail/internal/settings"
 )
 
-// currentSubtree reads a subtree and gives the client to change it with: the
-// fleet's secret when the fleet has no operators yet.
+// currentSubtree reads a subtree and returns the client to change it with. That
+// client uses the fleet's secret when the fleet has no operators yet.
 func (a *app) currentSubtree(name string) (*operator.Client, *pb.SubtreeDocument, error) {
 	client, err := a.connection.client()
 	if err != nil {
@@ -35,18 +35,19 @@
 	return bootstrap, document, trace.Wrap(err)
 }
 
-// Bounds of the wait for a first fleet subtree to reach the instance asked.
+// The wait for the first fleet subtree to be applied at the instance asked.
 const (
-	operatorsWait = 10 * time.Second
-	operatorsPoll = 50 * time.Millisecond
+	maxOperatorsWait      = 10 * time.Second
+	operatorsPollInterval = 50 * time.Millisecond
 )
 
-// awaitOperators asks until the operator's key is known: right after the first
-// fleet subtree was accepted, the instance asked may not have applied it yet.
+// awaitOperators reads a subtree again until the operator's key is accepted:
+// right after the first fleet subtree was committed, the instance asked may not
+// have applied it yet.
 func (a *app) awaitOperators(client *operator.Client, name string) (*pb.SubtreeDocument, error) {
-	deadline := time.NewTimer(operatorsWait)
+	deadline := time.NewTimer(maxOperatorsWait)
 	defer deadline.Stop()
-	poll := time.NewTicker(operatorsPoll)
+	poll := time.NewTicker(operatorsPollInterval)
 	defer poll.Stop()
 	for {
 		document, err := a.readSubtree(client, name)
@@ -68,7 +69,7 @@
 	return errors.As(err, &refused) && refused.Status == http.StatusUnauthorized
 }
 
-// readSubtree gives nil for a subtree that doesn't exist.
+// readSubtree returns nil for a subtree that doesn't exist.
 func (a *app) readSubtree(client *operator.Client, name string) (*pb.SubtreeDocument, error) {
 	reply, err := client.GetSettings(a.ctx, &pb.GetSettingsRequest{Name: name})
 	if err != nil {
--- a/cmd/hyssopsail/settings_diff.go
+++ b/cmd/hyssopsail/settings_diff.go
@@ -9,7 +9,7 @@
 	"github.com/hyssopsail/hyssopsail/internal/settings"
 )
 
-// settingsDiff compares files with what is in force.
+// settingsDiff compares settings files with the fleet's current settings.
 type settingsDiff struct {
 	app  *app
 	path string
@@ -19,11 +19,11 @@
 	c := &settingsDiff{app: a}
 	command := group.Command("diff", "Show what \"settings apply\" of a file or folder would change.")
 	command.Arg("path", "File or folder.").Required().StringVar(&c.path)
-	command.Action(a.do(c.run))
+	command.Action(a.commandAction(c.run))
 }
 
-// shownDiff is the difference of one subtree.
-type shownDiff struct {
+// subtreeDiff is the difference of one subtree.
+type subtreeDiff struct {
 	Subtree string `json:"subtree"`
 	Version uint64 `json:"version"`
 	Diff    string `json:"diff"`
@@ -34,14 +34,14 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	var diffs []shownDiff
+	var diffs []subtreeDiff
 	for _, file := range files {
 		_, current, err := c.app.currentSubtree(file.subtree)
 		if err != nil {
 			return trace.Wrap(err)
 		}
 		text := settings.Diff(file.subtree, current.GetYaml(), file.content())
-		diffs = append(diffs, shownDiff{file.subtree, current.GetVersion(), text})
+		diffs = append(diffs, subtreeDiff{file.subtree, current.GetVersion(), text})
 	}
 	if c.app.format != formatTable {
 		return trace.Wrap(c.app.show(diffs))
--- a/cmd/hyssopsail/settings_files.go
+++ b/cmd/hyssopsail/settings_files.go
@@ -20,19 +20,19 @@
 const (
 	fleetFile   = "fleet.yaml"
 	teamsFolder = "teams"
-	yamlSuffix  = "*.yaml"
+	yamlPattern = "*.yaml"
 )
 
 // settingsFile is one subtree's file.
 type settingsFile struct {
 	path    string
 	subtree string
-	yaml    []byte // without the version line
-	version uint64 // the version line's; 0 without one
+	yaml    []byte // as read, with the version line
+	version uint64 // from the version line; 0 without one
 }
 
-// versionLine is written by "settings get" as a file's first line, so that
-// "settings apply" knows which version the edit began from.
+// versionLine matches the first line that "settings get" writes, from which
+// "settings apply" knows the version that was edited.
 var versionLine = regexp.MustCompile(`^# hyssopsail version ([0-9]+)\n`)
 
 func withVersion(version uint64, yaml []byte) []byte {
@@ -46,8 +46,8 @@
 	}
 	file := settingsFile{path: path, yaml: data}
 	if match := versionLine.FindSubmatch(data); match != nil {
-		// The line stays in the YAML that is checked, or lines in faults
-		// would be off by one; it leaves before the file is sent.
+		// The version line stays in the YAML that is checked, so that line
+		// numbers in faults are right; content removes it for sending.
 		file.version, err = strconv.ParseUint(string(match[1]), 10, 64)
 		if err != nil {
 			return settingsFile{}, trace.BadParameter("%s:1: the version is not a number", path)
@@ -57,11 +57,11 @@
 	return file, nil
 }
 
-// content is what is sent: the file without its version line.
+// content returns the YAML to send: the file without its version line.
 func (f settingsFile) content() []byte { return versionLine.ReplaceAll(f.yaml, nil) }
 
-// readSettings reads one file or a folder with fleet.yaml and teams/*.yaml.
-// The fleet comes first: teams are checked against it.
+// readSettings reads one file, or a folder with fleet.yaml and teams/*.yaml.
+// fleet.yaml comes first, since teams are checked against it.
 func readSettings(path string) ([]settingsFile, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -87,7 +87,7 @@
 }
 
 func folderFiles(folder string) ([]string, error) {
-	teams, err := filepath.Glob(filepath.Join(folder, teamsFolder, yamlSuffix))
+	teams, err := filepath.Glob(filepath.Join(folder, teamsFolder, yamlPattern))
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
@@ -100,24 +100,25 @@
 	case !errors.Is(err, fs.ErrNotExist):
 		return nil, trace.ConvertSystemError(err)
 	case len(teams) == 0:
-		return nil, trace.NotFound("%s has neither %s nor %s/%s", folder, fleetFile, teamsFolder, yamlSuffix)
+		return nil, trace.NotFound("%s has neither %s nor %s/%s", folder, fleetFile, teamsFolder, yamlPattern)
 	}
 	return teams, nil
 }
 
-// checkSettings checks files by themselves and, when the fleet is among them,
-// against each other. The error holds the faults of all files.
+// checkSettings checks each file by itself and, when fleet.yaml is among them,
+// against the others. The error holds the faults of all files.
 func checkSettings(files []settingsFile) error {
 	tree := settings.EmptyTree()
-	whole := isWhole(files)
+	whole := includesFleet(files)
 	var faults strictyaml.Faults
 	for _, file := range files {
-		next, err := checkOne(tree, file, whole)
+		next, err := checkFile(tree, file, whole)
 		var own strictyaml.Faults
 		switch {
 		case errors.As(err, &own):
 			faults = append(faults, own...)
-			// Without the fleet, teams would only repeat its faults.
+			// Checked against a faulty fleet.yaml, teams would only repeat
+			// its faults.
 			whole = whole && file.subtree != settings.FleetSubtree
 		case err != nil:
 			return trace.Wrap(err)
@@ -131,12 +132,12 @@
 	return nil
 }
 
-// isWhole tells whether the fleet's file is among files; it comes first.
-func isWhole(files []settingsFile) bool {
+// includesFleet reports whether fleet.yaml is among files; it comes first.
+func includesFleet(files []settingsFile) bool {
 	return len(files) > 0 && files[0].subtree == settings.FleetSubtree
 }
 
-func checkOne(tree *settings.Tree, file settingsFile, whole bool) (*settings.Tree, error) {
+func checkFile(tree *settings.Tree, file settingsFile, whole bool) (*settings.Tree, error) {
 	if whole {
 		return settings.CheckChangeFile(tree, file.path, file.subtree, file.yaml)
 	}
--- a/cmd/hyssopsail/settings_get.go
+++ b/cmd/hyssopsail/settings_get.go
@@ -25,7 +25,7 @@
 	command.Arg("subtree", "\"fleet\" or \"teams/NAME\".").StringVar(&c.name)
 	command.Flag("version", "An older version.").Uint64Var(&c.version)
 	command.Flag("folder", "Write each subtree to FOLDER/fleet.yaml and FOLDER/teams/NAME.yaml, ready for \"settings apply\".").StringVar(&c.folder)
-	command.Action(a.do(c.run))
+	command.Action(a.commandAction(c.run))
 }
 
 func (c *settingsGet) run() error {
@@ -43,7 +43,7 @@
 	return c.app.showDocuments(documents)
 }
 
-// documents asks for settings; no document at all is an error.
+// documents requests settings. An empty reply is an error.
 func (a *app) documents(request *pb.GetSettingsRequest) ([]*pb.SubtreeDocument, error) {
 	client, err := a.connection.client()
 	if err != nil {
@@ -79,8 +79,8 @@
 	return nil
 }
 
-// shownDocument is one version of a subtree.
-type shownDocument struct {
+// documentOutput is one version of a subtree, as printed.
+type documentOutput struct {
 	Subtree  string `json:"subtree"`
 	Version  uint64 `json:"version"`
 	Author   string `json:"author"`
@@ -92,15 +92,15 @@
 
 func (a *app) showDocuments(documents []*pb.SubtreeDocument) error {
 	t := &table{header: []string{"SUBTREE", "VERSION", "AUTHOR", "ACCEPTED", "BYTES", "CHANGE"}}
-	shown := make([]shownDocument, len(documents))
+	shown := make([]documentOutput, len(documents))
 	for n, d := range documents {
 		removed := len(d.GetYaml()) == 0
-		shown[n] = shownDocument{d.GetName(), d.GetVersion(), d.GetAuthor(), moment(d.GetAcceptedUnixMs()), d.GetChangeId(), removed, string(d.GetYaml())}
+		shown[n] = documentOutput{d.GetName(), d.GetVersion(), d.GetAuthor(), formatUnixMs(d.GetAcceptedUnixMs()), d.GetChangeId(), removed, string(d.GetYaml())}
 		size := fmt.Sprint(len(d.GetYaml()))
 		if removed {
 			size = "removed"
 		}
-		t.add(d.GetName(), d.GetVersion(), orDash(d.GetAuthor()), moment(d.GetAcceptedUnixMs()), size, orDash(d.GetChangeId()))
+		t.add(d.GetName(), d.GetVersion(), orDash(d.GetAuthor()), formatUnixMs(d.GetAcceptedUnixMs()), size, orDash(d.GetChangeId()))
 	}
 	return trace.Wrap(a.show(shown, t))
 }
--- a/cmd/hyssopsail/settings_history.go
+++ b/cmd/hyssopsail/settings_history.go
@@ -17,7 +17,7 @@
 	c := &settingsHistory{app: a}
 	command := group.Command("history", "List the kept versions of a subtree: who changed it and when.")
 	command.Arg("subtree", "\"fleet\" or \"teams/NAME\".").Required().StringVar(&c.name)
-	command.Action(a.do(c.run))
+	command.Action(a.commandAction(c.run))
 }
 
 func (c *settingsHistory) run() error {
--- a/cmd/hyssopsail/settings_rollback.go
+++ b/cmd/hyssopsail/settings_rollback.go
@@ -9,7 +9,7 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// settingsRollback writes an older version anew.
+// settingsRollback writes an older version of a subtree as a new version.
 type settingsRollback struct {
 	app     *app
 	name    string
@@ -23,7 +23,7 @@
 	command.Arg("subtree", "\"fleet\" or \"teams/NAME\".").Required().StringVar(&c.name)
 	command.Arg("version", "The version to write again.").Required().Uint64Var(&c.version)
 	addWait(command, &c.wait)
-	command.Action(a.do(c.run))
+	command.Action(a.commandAction(c.run))
 }
 
 func (c *settingsRollback) run() error {
--- a/cmd/hyssopsail/status.go
+++ b/cmd/hyssopsail/status.go
@@ -11,7 +11,7 @@
 
 func addStatus(a *app, parser *kingpin.Application) {
 	command := parser.Command("status", "Show the control group and the instances of the fleet.")
-	command.Action(a.do(a.status))
+	command.Action(a.commandAction(a.status))
 }
 
 func (a *app) status() error {
@@ -42,7 +42,7 @@
 	for _, m := range reply.GetMembers() {
 		member := m.GetMember()
 		t.add(member.GetInstanceId(), member.GetRpcAddress(), orDash(member.GetDiskId()), !member.GetLearner(),
-			m.GetMatchIndex(), age(m.GetLastContactMs()))
+			m.GetMatchIndex(), formatAge(m.GetLastContactMs()))
 	}
 	return t
 }
@@ -52,7 +52,7 @@
 	for _, status := range reply.GetInstances() {
 		instance := status.GetInstance()
 		t.add(instance.GetId(), instance.GetAvailabilityZone(), rolesOf(instance), orDash(instance.GetCallerAddress()),
-			stateOf(instance), status.GetAppliedIndex(), age(status.GetLastRenewalMs()))
+			stateOf(instance), status.GetAppliedIndex(), formatAge(status.GetLastRenewalMs()))
 	}
 	return t
 }
@@ -74,8 +74,8 @@
 	return "live"
 }
 
-// age writes milliseconds since something as "1.5s ago".
-func age(ms int64) string {
+// formatAge formats milliseconds as "1.5s ago"; a negative number means never.
+func formatAge(ms int64) string {
 	if ms < 0 {
 		return "never"
 	}
--- a/cmd/hyssopsail/timeline.go
+++ b/cmd/hyssopsail/timeline.go
@@ -12,13 +12,13 @@
 	"github.com/hyssopsail/hyssopsail/internal/timeline"
 )
 
-// timelineCommand shows events merged over all instances.
+// timelineCommand shows the events of all instances, merged in order.
 type timelineCommand struct {
 	app    *app
 	query  pb.TimelineQuery
 	since  time.Duration
 	follow bool
-	seen   map[timelineKey]struct{}
+	seen   map[eventKey]struct{}
 }
 
 func addTimeline(a *app, parser *kingpin.Application) {
@@ -31,7 +31,7 @@
 	command.Flag("since", "Only events of so long ago, such as 10m; 0s for all kept.").Default("0s").DurationVar(&c.since)
 	command.Flag("limit", "At most so many events from each instance.").Default("1000").Uint32Var(&c.query.Limit)
 	command.Flag("follow", "Go on with new events until interrupted; table output only.").BoolVar(&c.follow)
-	command.Action(a.do(c.run))
+	command.Action(a.commandAction(c.run))
 }
 
 func (c *timelineCommand) run() error {
@@ -50,45 +50,45 @@
 		return trace.Wrap(err)
 	}
 	if c.query.RequestId != "" && c.app.format == formatTable {
-		c.warnOfGaps(reply)
-		return trace.Wrap(timeline.WriteChart(c.app.out, chartOf(reply)))
+		c.warnIfIncomplete(reply)
+		return trace.Wrap(timeline.WriteChart(c.app.out, chartData(reply)))
 	}
 	t := &table{header: []string{"TIME", "INSTANCE", "EVENT", "REQUEST", "ATTEMPT", "TEAM", "ENDPOINT", "CHANGE", "DETAIL"}}
 	for _, e := range reply.Events {
-		t.add(clock(e), e.GetInstanceId(), e.GetKind(), orDash(e.GetRequestId()), orDash(short(e.GetAttemptId())),
-			orDash(e.GetTeam()), orDash(e.GetEndpointId()), orDash(short(e.GetChangeId())), e.GetDetail())
+		t.add(formatEventTime(e), e.GetInstanceId(), e.GetKind(), orDash(e.GetRequestId()), orDash(shortenID(e.GetAttemptId())),
+			orDash(e.GetTeam()), orDash(e.GetEndpointId()), orDash(shortenID(e.GetChangeId())), e.GetDetail())
 	}
 	if err := c.app.show(reply, t); err != nil {
 		return trace.Wrap(err)
 	}
-	c.warnOfGaps(reply)
+	c.warnIfIncomplete(reply)
 	return nil
 }
 
-func (c *timelineCommand) warnOfGaps(reply operator.TimelineReply) {
+func (c *timelineCommand) warnIfIncomplete(reply operator.TimelineReply) {
 	if len(reply.Unreachable) > 0 || reply.Dropped > 0 {
 		c.app.warn("the time line is not whole: no answer from %v, %d older events overwritten", reply.Unreachable, reply.Dropped)
 	}
 }
 
-const clockForm = "15:04:05.000000"
+const eventTimeLayout = "15:04:05.000000"
 
-func clock(e *pb.TimelineEvent) string {
-	return time.Unix(0, int64(e.GetWallNs())).UTC().Format(clockForm)
+func formatEventTime(e *pb.TimelineEvent) string {
+	return time.Unix(0, int64(e.GetWallNs())).UTC().Format(eventTimeLayout)
 }
 
-// shortID is how much of an ID a table shows.
-const shortID = 8
+// shortIDLength is the number of bytes of an ID that a table shows.
+const shortIDLength = 8
 
-func short(id string) string {
-	if len(id) <= shortID {
+func shortenID(id string) string {
+	if len(id) <= shortIDLength {
 		return id
 	}
-	return id[:shortID]
+	return id[:shortIDLength]
 }
 
-// chartOf takes a reply for the request chart.
-func chartOf(reply operator.TimelineReply) timeline.Merged {
+// chartData converts a reply to the request chart's input.
+func chartData(reply operator.TimelineReply) timeline.Merged {
 	merged := timeline.Merged{Events: reply.Events, Dropped: reply.Dropped}
 	for _, id := range reply.Unreachable {
 		merged.Silent = append(merged.Silent, timeline.Silent{Instance: fleet.InstanceID(id), Cause: "not reached in time"})
--- a/cmd/hyssopsail/timeline_follow.go
+++ b/cmd/hyssopsail/timeline_follow.go
@@ -10,15 +10,15 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// The pace of following, and how far it looks back for events that a daemon
-// whose clock is behind has stamped late.
+// The interval between queries, and how far each looks back for events whose
+// timestamps are behind because of a daemon's slow clock.
 const (
-	followEvery = 500 * time.Millisecond
-	followBack  = 5 * time.Second
+	followInterval = 500 * time.Millisecond
+	followOverlap  = 5 * time.Second
 )
 
-// timelineKey names an event over all daemons.
-type timelineKey struct {
+// eventKey identifies an event across all daemons.
+type eventKey struct {
 	instance    string
 	incarnation uint64
 	sequence    uint64
@@ -26,8 +26,8 @@
 
 // followEvents prints new events until the tool is interrupted.
 func (c *timelineCommand) followEvents(client *operator.Client) error {
-	c.seen = make(map[timelineKey]struct{})
-	ticker := time.NewTicker(followEvery)
+	c.seen = make(map[eventKey]struct{})
+	ticker := time.NewTicker(followInterval)
 	defer ticker.Stop()
 	for {
 		reply, err := client.Timeline(c.app.ctx, &c.query)
@@ -38,7 +38,7 @@
 			return trace.Wrap(err)
 		}
 		c.printNew(reply.Events)
-		c.query.SinceNs = max(c.query.SinceNs, uint64(c.app.now().Add(-followBack).UnixNano()))
+		c.query.SinceNs = max(c.query.SinceNs, uint64(c.app.now().Add(-followOverlap).UnixNano()))
 		select {
 		case <-c.app.ctx.Done():
 			return nil
@@ -48,15 +48,15 @@
 }
 
 func (c *timelineCommand) printNew(events []*pb.TimelineEvent) {
-	shown := make(map[timelineKey]struct{}, len(events))
+	shown := make(map[eventKey]struct{}, len(events))
 	for _, e := range events {
-		key := timelineKey{instance: e.GetInstanceId(), incarnation: e.GetIncarnation(), sequence: e.GetSequence()}
+		key := eventKey{instance: e.GetInstanceId(), incarnation: e.GetIncarnation(), sequence: e.GetSequence()}
 		shown[key] = struct{}{}
 		if _, before := c.seen[key]; before {
 			continue
 		}
-		_, _ = fmt.Fprintf(c.app.out, "%s  %-12s %-20s %s %s %s %s\n", clock(e), e.GetInstanceId(), e.GetKind(),
-			orDash(e.GetRequestId()), orDash(short(e.GetAttemptId())), orDash(e.GetEndpointId()), e.GetDetail())
+		_, _ = fmt.Fprintf(c.app.out, "%s  %-12s %-20s %s %s %s %s\n", formatEventTime(e), e.GetInstanceId(), e.GetKind(),
+			orDash(e.GetRequestId()), orDash(shortenID(e.GetAttemptId())), orDash(e.GetEndpointId()), e.GetDetail())
 	}
 	c.seen = shown
 }
--- a/cmd/hyssopsail/tool_test.go
+++ b/cmd/hyssopsail/tool_test.go
@@ -13,8 +13,9 @@
 
 const example = "../../examples/sutokatha"
 
-// replaced copies an example file with a change into the fixture's folder.
-func (f *fixture) replaced(name, old, new string) string {
+// copyWithEdit copies an example file into the fixture's folder with one
+// replacement and returns its path.
+func (f *fixture) copyWithEdit(name, old, new string) string {
 	f.t.Helper()
 	data, err := os.ReadFile(filepath.Join(example, name))
 	assert.NilError(f.t, err)
@@ -34,32 +35,32 @@
 	assert.Equal(t, f.ok("settings", "diff", example), "")
 }
 
-// What a user sees: a change is sent, the leader commits it and dies before it
-// answers. Meanwhile another operator changes the subtree. The first runs the
-// command again and is told of a conflict, although the change had been
-// accepted; or it is applied a second time, over the other's.
+// Guards against a lost reply: the leader commits a change and dies before it
+// answers, and another operator changes the subtree meanwhile. When the first
+// operator runs the command again, it must neither report a conflict with the
+// accepted change nor apply it a second time, over the other operator's.
 func TestLostReply(t *testing.T) {
 	f := newFixture(t)
 	f.ok("settings", "apply", example)
-	edited := f.replaced("teams/sorting.yaml", "share: 4", "share: 5")
-	f.group.loseReplies = 1
+	edited := f.copyWithEdit("teams/sorting.yaml", "share: 4", "share: 5")
+	f.group.repliesToLose = 1
 	code, _, errOut := f.run("settings", "apply", edited, "--expect", "1")
 	assert.Equal(t, code, exitNotReached, errOut)
 	assert.Equal(t, f.group.machine.Tree().Versions["teams/sorting"], uint64(2))
 	out := f.ok("settings", "apply", edited, "--expect", "1")
 	assert.Assert(t, cmp.Contains(out, resultUnchanged))
 
-	later := f.replaced("teams/sorting.yaml", "share: 4", "share: 6")
+	later := f.copyWithEdit("teams/sorting.yaml", "share: 4", "share: 6")
 	f.ok("settings", "apply", later, "--expect", "2")
-	edited = f.replaced("teams/sorting.yaml", "share: 4", "share: 5")
+	edited = f.copyWithEdit("teams/sorting.yaml", "share: 4", "share: 5")
 	out = f.ok("settings", "apply", edited, "--expect", "1")
 	assert.Assert(t, cmp.Contains(out, resultRepeated))
 	assert.Equal(t, f.group.machine.Tree().Versions["teams/sorting"], uint64(3))
 	assert.Equal(t, f.group.machine.Tree().Teams["sorting"].Share, 6.0)
 }
 
-// What a user sees: two operators edit version 1 of one subtree. The second
-// must be told, shown the newer version, and change nothing.
+// Two operators edit version 1 of one subtree. The second must get a conflict
+// that shows the newer version, and change nothing.
 func TestConflict(t *testing.T) {
 	f := newFixture(t)
 	f.ok("settings", "apply", example)
@@ -70,7 +71,7 @@
 	assert.NilError(t, err)
 	assert.Assert(t, strings.HasPrefix(string(data), "# hyssopsail version 1\n"))
 
-	theirs := f.replaced("teams/sorting.yaml", "share: 4", "share: 6")
+	theirs := f.copyWithEdit("teams/sorting.yaml", "share: 4", "share: 6")
 	f.ok("settings", "apply", theirs, "--expect", "1")
 	assert.NilError(t, os.WriteFile(mine, []byte(strings.Replace(string(data), "share: 4", "share: 7", 1)), 0o600))
 	code, _, errOut := f.run("settings", "apply", mine)
@@ -80,23 +81,23 @@
 	assert.Equal(t, f.group.machine.Tree().Teams["sorting"].Share, 6.0)
 
 	// Without a version a file only creates.
-	code, _, _ = f.run("settings", "apply", f.replaced("teams/sorting.yaml", "share: 4", "share: 8"))
+	code, _, _ = f.run("settings", "apply", f.copyWithEdit("teams/sorting.yaml", "share: 4", "share: 8"))
 	assert.Equal(t, code, exitConflict)
 	f.ok("settings", "apply", mine, "--overwrite")
 	assert.Equal(t, f.group.machine.Tree().Teams["sorting"].Share, 7.0)
 }
 
-// What a user sees: a team's file is refused for a zone that the fleet lacks;
-// the zone is added; the same file is refused again, for ever, since the group
-// answers a repeated change ID with its first refusal.
-func TestRefusedFileIsTakenOnceItsCauseIsMended(t *testing.T) {
+// Guards against a file that stays refused: a team's file names a zone that the
+// fleet lacks, and the zone is added. The control group answers a repeated change
+// ID with its first refusal, so the file needs a new ID.
+func TestRefusedFileIsAcceptedOnceCauseIsFixed(t *testing.T) {
 	f := newFixture(t)
 	f.ok("settings", "apply", example)
-	team := f.replaced("teams/sorting.yaml", "durgapur]", "durgapur, siliguri]")
+	team := f.copyWithEdit("teams/sorting.yaml", "durgapur]", "durgapur, siliguri]")
 	code, _, errOut := f.run("settings", "apply", team, "--expect", "1")
 	assert.Equal(t, code, exitRefused)
 	assert.Assert(t, cmp.Contains(errOut, `permitted_zones[4]: availability zone "siliguri" is not declared`))
-	fleet := f.replaced("fleet.yaml", "  - {name: durgapur, region: bengal}\n", "  - {name: durgapur, region: bengal}\n  - {name: siliguri, region: bengal}\n")
+	fleet := f.copyWithEdit("fleet.yaml", "  - {name: durgapur, region: bengal}\n", "  - {name: durgapur, region: bengal}\n  - {name: siliguri, region: bengal}\n")
 	f.ok("settings", "apply", fleet, "--expect", "1")
 	f.ok("settings", "apply", team, "--expect", "1")
 }
@@ -104,11 +105,11 @@
 func TestHistoryAndRollback(t *testing.T) {
 	f := newFixture(t)
 	f.ok("settings", "apply", example)
-	f.ok("settings", "apply", f.replaced("teams/sorting.yaml", "share: 4", "share: 9"), "--expect", "1")
+	f.ok("settings", "apply", f.copyWithEdit("teams/sorting.yaml", "share: 4", "share: 9"), "--expect", "1")
 	f.ok("settings", "rollback", "teams/sorting", "1")
 	assert.Equal(t, f.group.machine.Tree().Versions["teams/sorting"], uint64(3))
 	assert.Equal(t, f.group.machine.Tree().Teams["sorting"].Share, 4.0)
-	var history []shownDocument
+	var history []documentOutput
 	assert.NilError(t, json.Unmarshal([]byte(f.ok("settings", "history", "teams/sorting", "-o", "json")), &history))
 	assert.Equal(t, len(history), 3)
 	code, _, errOut := f.run("settings", "rollback", "teams/sorting", "77")
@@ -133,9 +134,9 @@
 	f := newFixture(t)
 	f.ok("settings", "apply", example)
 	f.args = []string{"--address", f.address, "--key-file", f.file("lead.key", "example-sutokatha-volunteer-lead-key")}
-	f.ok("settings", "apply", f.replaced("teams/volunteers.yaml", "share: 2", "share: 3"), "--expect", "1")
+	f.ok("settings", "apply", f.copyWithEdit("teams/volunteers.yaml", "share: 2", "share: 3"), "--expect", "1")
 	for _, args := range [][]string{
-		{"settings", "apply", f.replaced("teams/sorting.yaml", "share: 4", "share: 3"), "--expect", "1"},
+		{"settings", "apply", f.copyWithEdit("teams/sorting.yaml", "share: 4", "share: 3"), "--expect", "1"},
 		{"settings", "get", "fleet"},
 		{"drain", "howrah-1"},
 		{"control", "remove", "howrah-1"},
@@ -173,7 +174,7 @@
 
 func TestExitCodes(t *testing.T) {
 	f := newFixture(t)
-	bad := f.replaced("fleet.yaml", "rate: 2GB/s", "rate: 2Gb")
+	bad := f.copyWithEdit("fleet.yaml", "rate: 2GB/s", "rate: 2Gb")
 	for _, row := range []struct {
 		name string
 		args []string
--- a/cmd/hyssopsail/version.go
+++ b/cmd/hyssopsail/version.go
@@ -8,7 +8,7 @@
 	"github.com/hyssopsail/hyssopsail/internal/version"
 )
 
-// buildInfo is where the program came from.
+// buildInfo is the program's version and build information.
 type buildInfo struct {
 	Version  string `json:"version"`
 	Revision string `json:"revision"`
@@ -19,7 +19,7 @@
 
 func addVersion(a *app, parser *kingpin.Application) {
 	command := parser.Command("version", "Print the version with its build information.")
-	command.Action(a.do(func() error {
+	command.Action(a.commandAction(func() error {
 		info := readBuildInfo()
 		t := &table{header: []string{"VERSION", "REVISION", "TIME", "MODIFIED", "GO"}}
 		t.add(info.Version, orDash(info.Revision), orDash(info.Time), info.Modified, info.Go)
