--- a/cmd/hyssopsaild/main.go
+++ b/cmd/hyssopsaild/main.go
@@ -1,8 +1,8 @@
 // Command hyssopsaild is the daemon: an entry that serves callers and routes
-// requests, a member of the control group, or both, as its file says.
+// requests, a member of the control group, or both, as its settings file says.
 //
-// Exit codes: 0 after a graceful stop, 1 when it failed, 2 for a wrong command
-// line, 4 for a refused file.
+// Exit codes: 0 after a graceful stop, 1 after a failure, 2 for a wrong command
+// line, 4 for an invalid settings file.
 package main
 
 import (
@@ -60,7 +60,7 @@
 	part := logging.For(logger, "daemon")
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer cancel()
-	go noteHangups(part)
+	go logHangups(part)
 	if err := serve(ctx, &settings, logger, part); err != nil {
 		part.Error("Stopped by a failure.", "err", err)
 		return exitFailed
@@ -69,16 +69,16 @@
 	return 0
 }
 
-// noteHangups writes of each SIGHUP. The daemon's own file is read at its start alone, and
-// all other settings come from the control group.
-func noteHangups(part logging.Part) {
+// logHangups logs each SIGHUP. A SIGHUP reloads nothing: the daemon reads its own
+// file only at the start, and all other settings come from the control group.
+func logHangups(part logging.Part) {
 	for range hangup.Signals {
 		part.Info("SIGHUP changes nothing: settings come from the control group.")
 	}
 }
 
-// serve runs the daemon, anew under a new incarnation each time that it has
-// lost its place in the fleet.
+// serve runs the daemon, and starts it again under a new incarnation each time it
+// has lost its membership in the fleet.
 func serve(ctx context.Context, settings *config.Daemon, logger log.Logger, part logging.Part) error {
 	for {
 		built, err := daemon.New(settings, logger)
