--- a/cmd/hyssopsail-standin/config.go
+++ b/cmd/hyssopsail-standin/config.go
@@ -13,25 +13,25 @@
 	"github.com/hyssopsail/hyssopsail/internal/standin"
 )
 
-// config is the command line.
+// config is the parsed command line.
 type config struct {
-	options     standin.Options
-	count       int
-	addressFile string
-	logLevel    string
-	leaveBound  time.Duration
+	options          standin.Options
+	count            int
+	addressFile      string
+	logLevel         string
+	maxLeaveDuration time.Duration
 }
 
-// raw holds flags that need more than parsing.
-type raw struct {
+// rawFlags holds flags that config.withRawFlags converts and checks.
+type rawFlags struct {
 	id, zone, role, crashAt, faults string
 	models                          []string
 	incarnation                     uint64
 }
 
-func parse(args []string) (config, error) {
+func parseCommandLine(args []string) (config, error) {
 	c := config{options: standin.Options{Timing: standin.DefaultTiming()}}
-	var r raw
+	var r rawFlags
 	app := kingpin.New("hyssopsail-standin", "Emulated endpoints for tests and measurements.")
 	identityFlags(app, &c, &r)
 	networkFlags(app, &c)
@@ -40,10 +40,10 @@
 	if _, err := app.Parse(args); err != nil {
 		return config{}, trace.BadParameter("%v", err)
 	}
-	return c.finish(r)
+	return c.withRawFlags(r)
 }
 
-func identityFlags(app *kingpin.Application, c *config, r *raw) {
+func identityFlags(app *kingpin.Application, c *config, r *rawFlags) {
 	app.Flag("id", "Endpoint ID; with --count, its beginning.").Required().StringVar(&r.id)
 	app.Flag("incarnation", "Incarnation; 0: from the clock.").Uint64Var(&r.incarnation)
 	app.Flag("zone", "Availability zone.").Required().StringVar(&r.zone)
@@ -87,7 +87,7 @@
 	app.Flag("cache-bytes", "Memory of the prefix cache.").Default("8589934592").Int64Var(&t.CacheBytes)
 }
 
-func behaviourFlags(app *kingpin.Application, c *config, r *raw) {
+func behaviourFlags(app *kingpin.Application, c *config, r *rawFlags) {
 	app.Flag("checks-tokens", "Refuse orders with an old fencing token.").BoolVar(&c.options.ChecksTokens)
 	app.Flag("free-on-disconnect", "Free a request when its connection ends.").BoolVar(&c.options.FreeOnDisconnect)
 	app.Flag("refuse-leaving", "Take no new work from the leave on.").BoolVar(&c.options.RefuseLeaving)
@@ -95,12 +95,12 @@
 	app.Flag("crash-at", "prefill, decode or call.").Default(string(engineapi.StagePrefill)).EnumVar(&r.crashAt,
 		string(engineapi.StagePrefill), string(engineapi.StageDecode), string(engineapi.StageCall))
 	app.Flag("faults", "Switches at the start, as JSON.").Default("{}").StringVar(&r.faults)
-	app.Flag("leave-bound", "Longest stop after SIGTERM.").Default("60s").DurationVar(&c.leaveBound)
+	app.Flag("leave-bound", "Longest stop after SIGTERM.").Default("60s").DurationVar(&c.maxLeaveDuration)
 	app.Flag("audit-folder", "Folder for the audit of a process that the crash fault ends.").StringVar(&c.options.AuditFolder)
 	app.Flag("most-facts", "Attempts kept for the audit.").Default("200000").IntVar(&c.options.MostFacts)
 }
 
-func (c config) finish(r raw) (config, error) {
+func (c config) withRawFlags(r rawFlags) (config, error) {
 	c.options.ID = fleet.EndpointID(r.id)
 	c.options.Incarnation = fleet.Incarnation(r.incarnation)
 	c.options.Zone = fleet.AvailabilityZone(r.zone)
@@ -122,7 +122,7 @@
 	return c, nil
 }
 
-// parseModel reads ModelRef's String form.
+// parseModel parses the form that ModelRef.String returns.
 func parseModel(text string) (engineapi.ModelRef, error) {
 	name, rest, ok := strings.Cut(text, "@")
 	if !ok || name == "" {
--- a/cmd/hyssopsail-standin/endpoints.go
+++ b/cmd/hyssopsail-standin/endpoints.go
@@ -41,8 +41,9 @@
 	return e, nil
 }
 
-// run serves until stopping ends, then leaves: it serves what is held, for at
-// most the leave bound. A leave that its bound cuts short is an error.
+// run serves until stopping is done, then announces the leave and finishes the
+// requests in flight, for at most maxLeaveDuration. It returns an error when that
+// is not enough.
 func (e *endpoints) run(stopping context.Context) error {
 	running, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -68,7 +69,7 @@
 
 func (e *endpoints) leave(running context.Context) error {
 	e.part.Info("leaving")
-	ctx, stop := context.WithTimeout(running, e.config.leaveBound)
+	ctx, stop := context.WithTimeout(running, e.config.maxLeaveDuration)
 	defer stop()
 	failures := make([]error, len(e.all))
 	var all sync.WaitGroup
@@ -79,7 +80,8 @@
 	return trace.NewAggregate(failures...)
 }
 
-// writeAddresses waits until all listen, and then writes the file at once.
+// writeAddresses waits until all endpoints listen, then writes the address file
+// atomically.
 func (e *endpoints) writeAddresses(running context.Context) error {
 	var lines strings.Builder
 	for n, s := range e.all {
--- a/cmd/hyssopsail-standin/main.go
+++ b/cmd/hyssopsail-standin/main.go
@@ -22,7 +22,7 @@
 }
 
 func run(args []string) error {
-	c, err := parse(args)
+	c, err := parseCommandLine(args)
 	if err != nil {
 		return err
 	}
--- a/cmd/hyssopsail-standin/main_test.go
+++ b/cmd/hyssopsail-standin/main_test.go
@@ -21,25 +21,26 @@
 	"github.com/hyssopsail/hyssopsail/internal/testkit"
 )
 
-// asCommand makes the test binary run the command instead of the tests.
-const asCommand = "HYSSOPSAIL_STANDIN_TEST_COMMAND"
+// runCommandVariable is the environment variable that makes the test binary run
+// the command instead of the tests.
+const runCommandVariable = "HYSSOPSAIL_STANDIN_TEST_COMMAND"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asCommand) != "" {
+	if os.Getenv(runCommandVariable) != "" {
 		main()
 		os.Exit(0)
 	}
 	os.Exit(m.Run())
 }
 
-// command runs the command as a process of its own, until the test ends.
-func command(t *testing.T, args ...string) (process *exec.Cmd, addresses []string) {
+// startCommand runs the command in a separate process until the test ends.
+func startCommand(t *testing.T, args ...string) (process *exec.Cmd, addresses []string) {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "addresses")
 	args = append(args, "--id", "e", "--zone", "howrah", "--model", "m@1", "--leave-grace", "1ms",
 		"--incarnation", "5", "--log-level", "error", "--address-file", file)
 	process = exec.Command(os.Args[0], args...)
-	process.Env = append(os.Environ(), asCommand+"=1")
+	process.Env = append(os.Environ(), runCommandVariable+"=1")
 	process.Stderr = os.Stderr
 	assert.NilError(t, process.Start())
 	t.Cleanup(func() { _ = process.Process.Kill() })
@@ -54,7 +55,7 @@
 	return engine.Target{ID: fleet.EndpointID(id), Incarnation: 5, Zone: "howrah", Address: address}
 }
 
-func work(at engine.Target) engineapi.Work {
+func newWork(at engine.Target) engineapi.Work {
 	model := engineapi.ModelRef{Model: "m", Version: "1"}
 	return engineapi.Work{Attempt: "1", Endpoint: at.ID, Incarnation: at.Incarnation, Model: model}
 }
@@ -62,14 +63,14 @@
 func prefill(t *testing.T, at engine.Target, prompt string) error {
 	t.Helper()
 	_, err := engine.NewClient(engine.Options{PrefillTimeout: 10 * time.Second}).Prefill(t.Context(), at, nil, engineapi.PrefillRequest{
-		Work:   work(at),
+		Work:   newWork(at),
 		Prompt: prompt,
 	})
 	return err
 }
 
 func TestManyEndpointsInOneProcess(t *testing.T) {
-	process, addresses := command(t, "--count", "3")
+	process, addresses := startCommand(t, "--count", "3")
 	assert.Equal(t, len(addresses), 3)
 	for _, line := range addresses {
 		assert.NilError(t, prefill(t, target(line), "x"))
@@ -78,14 +79,14 @@
 	assert.NilError(t, process.Wait())
 }
 
-// An engine process gets SIGTERM with a stream in flight. The stream must end
-// whole, and the process with code 0.
+// An engine process gets SIGTERM with a stream in flight. The stream must be
+// complete, and the process must exit with code 0.
 func TestStopIsGraceful(t *testing.T) {
 	const prompt = "stop [[tokens=50]]"
-	process, addresses := command(t)
+	process, addresses := startCommand(t)
 	at := target(addresses[0])
 	client := engine.NewClient(engine.Options{})
-	w := work(at)
+	w := newWork(at)
 	kv, err := client.Prefill(t.Context(), at, nil, engineapi.PrefillRequest{Work: w, Prompt: prompt})
 	assert.NilError(t, err)
 	_, err = client.Import(t.Context(), at, nil, engineapi.ImportRequest{Work: w, Source: at.Address, Handle: kv.Handle})
@@ -108,10 +109,10 @@
 	assert.NilError(t, process.Wait())
 }
 
-// A marked request ends each process that runs it, and its client sees the
-// connection break.
+// A request with the crash marker ends the process that runs it, and its client
+// sees the connection break.
 func TestMarkedRequestEndsTheProcess(t *testing.T) {
-	process, addresses := command(t, "--crash-marker", "poison")
+	process, addresses := startCommand(t, "--crash-marker", "poison")
 	err := prefill(t, target(addresses[0]), "poison")
 	var failure *engine.Error
 	assert.Assert(t, errors.As(err, &failure))
@@ -121,10 +122,10 @@
 	assert.Equal(t, exit.ExitCode(), 3)
 }
 
-// An engine process is stopped by SIGSTOP in the middle of a prefill, and goes
-// on after SIGCONT; its answer then still counts.
-func TestStoppedProcessGoesOn(t *testing.T) {
-	process, addresses := command(t, "--prefill-base", "300ms")
+// An engine process is stopped by SIGSTOP during a prefill and resumes after
+// SIGCONT. Its late answer must still be valid.
+func TestStoppedProcessResumes(t *testing.T) {
+	process, addresses := startCommand(t, "--prefill-base", "300ms")
 	done := make(chan error, 1)
 	go func() { done <- prefill(t, target(addresses[0]), "x") }()
 	client := engine.NewClient(engine.Options{ReadTimeout: 100 * time.Millisecond})
@@ -153,14 +154,14 @@
 		"bad faults":   {"--id", "e", "--zone", "z", "--faults", "{"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, err := parse(args)
+			_, err := parseCommandLine(args)
 			assert.Assert(t, err != nil)
 		})
 	}
 }
 
 func TestCommandLine(t *testing.T) {
-	c, err := parse([]string{
+	c, err := parseCommandLine([]string{
 		"--id", "e", "--zone", "z", "--role", "prefill", "--model", "m@1/a", "--model", "n@2",
 		"--faults", `{"slow":2}`, "--crash-at", "decode", "--kv-life", "1s",
 	})
