--- a/examples/examples_test.go
+++ b/examples/examples_test.go
@@ -1,4 +1,4 @@
-// Package examples holds whole deployments; its test keeps them right.
+// Package examples holds complete example deployments; its tests check them.
 package examples
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/hyssopsail/hyssopsail/internal/settings"
 )
 
-const instancesInEach = 9
+const instancesPerDeployment = 9
 
 func load(t *testing.T, name string) *settings.Tree {
 	t.Helper()
@@ -70,7 +70,7 @@
 	t.Helper()
 	paths, err := filepath.Glob(filepath.Join(name, "daemons", "*.yaml"))
 	assert.NilError(t, err)
-	assert.Equal(t, len(paths), instancesInEach)
+	assert.Equal(t, len(paths), instancesPerDeployment)
 	zones := settingsZones(tree)
 	controls := map[string]bool{}
 	var listed []string
@@ -108,7 +108,7 @@
 	}
 }
 
-func TestWhatTheUsersWeigh(t *testing.T) {
+func TestTeamPreferences(t *testing.T) {
 	sutokatha, archive := load(t, "sutokatha"), load(t, "archive")
 	assert.Assert(t, sutokatha.Teams["sorting"].WastedPrefillWeight > archive.Teams["research"].WastedPrefillWeight)
 	bank, ok := sutokatha.Service(sutokatha.Teams["volunteers"], "bank-app")
