--- a/internal/e2e/addresses_test.go
+++ b/internal/e2e/addresses_test.go
@@ -7,52 +7,52 @@
 	"github.com/hyssopsail/hyssopsail/internal/callerapi"
 )
 
-// addressBook does as callers do: it asks any entry which to use and keeps
-// that answer for as long as it may.
-type addressBook struct {
-	fleet *testFleet
-	kept  []*instance
-	until time.Time
+// addressCache finds entries as callers do: it asks any entry for the addresses to
+// use and keeps the answer for the time that the answer allows.
+type addressCache struct {
+	fleet   *testFleet
+	entries []*instance
+	expires time.Time
 }
 
-func newAddressBook(f *testFleet) *addressBook { return &addressBook{fleet: f} }
+func newAddressCache(f *testFleet) *addressCache { return &addressCache{fleet: f} }
 
-// pick gives the n-th of the entries to use.
-func (b *addressBook) pick(t *testing.T, n int) *instance {
-	if time.Now().After(b.until) {
+// pick returns the n-th of the entries to use, modulo their number.
+func (b *addressCache) pick(t *testing.T, n int) *instance {
+	if time.Now().After(b.expires) {
 		b.refresh(t)
 	}
-	return b.kept[n%len(b.kept)]
+	return b.entries[n%len(b.entries)]
 }
 
-func (b *addressBook) refresh(t *testing.T) {
+func (b *addressCache) refresh(t *testing.T) {
 	for attempt := 0; ; attempt++ {
 		asked := time.Now()
-		reply, err := addressesFrom(t, b.fleet.instances[attempt%len(b.fleet.instances)])
+		reply, err := fetchAddresses(t, b.fleet.instances[attempt%len(b.fleet.instances)])
 		if err != nil || len(reply.Addresses) == 0 {
-			<-time.After(pollEvery)
+			<-time.After(pollInterval)
 			continue
 		}
-		b.kept = nil
+		b.entries = nil
 		for _, a := range reply.Addresses {
-			b.kept = append(b.kept, b.fleet.byCallers(a.Address))
+			b.entries = append(b.entries, b.fleet.instanceByCallersAddress(a.Address))
 		}
-		b.until = asked.Add(time.Duration(reply.KeepMs) * time.Millisecond)
+		b.expires = asked.Add(time.Duration(reply.KeepMs) * time.Millisecond)
 		return
 	}
 }
 
-func (f *testFleet) byCallers(address string) *instance {
+func (f *testFleet) instanceByCallersAddress(address string) *instance {
 	for _, i := range f.instances {
-		if i.at(callersPort) == address {
+		if i.address(callersPort) == address {
 			return i
 		}
 	}
 	return nil
 }
 
-func addressesFrom(t *testing.T, i *instance) (callerapi.AddressesReply, error) {
+func fetchAddresses(t *testing.T, i *instance) (callerapi.AddressesReply, error) {
 	var reply callerapi.AddressesReply
-	_, err := get(callContext(t), i, "/v1/addresses", request{}, &reply)
+	_, err := getJSON(callContext(t), i, "/v1/addresses", request{}, &reply)
 	return reply, err
 }
--- a/internal/e2e/caller_test.go
+++ b/internal/e2e/caller_test.go
@@ -16,107 +16,110 @@
 	"github.com/hyssopsail/hyssopsail/internal/callerapi"
 )
 
-// answer is what a caller got.
+// answer is the response that a caller received.
 type answer struct {
-	status  int
-	outcome callerapi.Outcome
-	text    string
-	refused callerapi.Error
-	cut     bool // the stream ended without a last event
+	status    int
+	outcome   callerapi.Outcome
+	text      string
+	apiError  callerapi.Error
+	truncated bool // the connection ended before the whole answer was read
 }
 
-// whole tells whether the caller has a complete answer.
-func (a answer) whole() bool { return a.status == http.StatusOK && a.refused.Code == "" && !a.cut }
+// isComplete reports whether the caller has a complete answer.
+func (a answer) isComplete() bool {
+	return a.status == http.StatusOK && a.apiError.Code == "" && !a.truncated
+}
 
-// request is one that a test's caller sends.
+// request describes a request that a test sends as a caller.
 type request struct {
-	prompt    string
-	maxTokens int
-	stream    bool
-	key       string
-	teamKey   string
-	patience  string // ms; empty: the settings'
+	prompt         string
+	maxTokens      int
+	stream         bool
+	idempotencyKey string
+	teamKey        string
+	deadlineMs     string // empty: the settings' default applies
 }
 
-// ask sends a completion to an entry; err means that no answer came at all.
-func ask(ctx context.Context, entry *instance, r request) (answer, error) {
+// sendCompletion sends a completion to an entry. It returns an error only when no
+// response came at all.
+func sendCompletion(ctx context.Context, entry *instance, r request) (answer, error) {
 	body, err := json.Marshal(callerapi.CompletionRequest{Model: "m", Prompt: r.prompt, MaxTokens: r.maxTokens, Stream: r.stream})
 	if err != nil {
 		return answer{}, err
 	}
-	sent, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+entry.at(callersPort)+"/v1/completions", bytes.NewReader(body))
+	sent, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+entry.address(callersPort)+"/v1/completions", bytes.NewReader(body))
 	if err != nil {
 		return answer{}, err
 	}
-	r.address(sent)
-	return receive(sent, r.stream)
+	r.setHeaders(sent)
+	return roundTrip(sent, r.stream)
 }
 
-func (r request) address(sent *http.Request) {
+func (r request) setHeaders(sent *http.Request) {
 	key := r.teamKey
 	if key == "" {
 		key = teamKey
 	}
 	sent.Header.Set(callerapi.HeaderAuthorise, "Bearer "+key)
-	if r.key != "" {
-		sent.Header.Set(callerapi.HeaderKey, r.key)
+	if r.idempotencyKey != "" {
+		sent.Header.Set(callerapi.HeaderKey, r.idempotencyKey)
 	}
-	if r.patience != "" {
-		sent.Header.Set(callerapi.HeaderDeadline, r.patience)
+	if r.deadlineMs != "" {
+		sent.Header.Set(callerapi.HeaderDeadline, r.deadlineMs)
 	}
 }
 
-// call sends a plain service call that must not run twice.
-func call(ctx context.Context, entry *instance, path, key, body string) (answer, error) {
-	return callAs(ctx, entry, path, request{key: key}, body)
+// callService sends a plain service call that must not run twice.
+func callService(ctx context.Context, entry *instance, path, key, body string) (answer, error) {
+	return callServiceAs(ctx, entry, path, request{idempotencyKey: key}, body)
 }
 
-// callAs sends a plain service call with r's key and team.
-func callAs(ctx context.Context, entry *instance, path string, r request, body string) (answer, error) {
-	sent, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+entry.at(callersPort)+"/v1/services/s"+path, strings.NewReader(body))
+// callServiceAs sends a plain service call with r's key and team.
+func callServiceAs(ctx context.Context, entry *instance, path string, r request, body string) (answer, error) {
+	sent, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+entry.address(callersPort)+"/v1/services/s"+path, strings.NewReader(body))
 	if err != nil {
 		return answer{}, err
 	}
-	r.address(sent)
-	return receive(sent, false)
+	r.setHeaders(sent)
+	return roundTrip(sent, false)
 }
 
-// mustAsk is ask at an entry that must give some answer.
-func mustAsk(t *testing.T, entry *instance, r request) answer {
+// mustSendCompletion is sendCompletion to an entry that must respond.
+func mustSendCompletion(t *testing.T, entry *instance, r request) answer {
 	t.Helper()
-	a, err := ask(callContext(t), entry, r)
+	a, err := sendCompletion(callContext(t), entry, r)
 	assert.NilError(t, err)
 	return a
 }
 
-// mustCall is call at an entry that must give some answer.
-func mustCall(t *testing.T, entry *instance, path, key, body string) answer {
+// mustCallService is callService at an entry that must respond.
+func mustCallService(t *testing.T, entry *instance, path, key, body string) answer {
 	t.Helper()
-	a, err := call(callContext(t), entry, path, key, body)
+	a, err := callService(callContext(t), entry, path, key, body)
 	assert.NilError(t, err)
 	return a
 }
 
-// askBeside is ask while the test goes on; no answer at all is one that isn't
-// whole, with the cause.
-func askBeside(t *testing.T, entry *instance, r request) <-chan answer {
+// startCompletion is sendCompletion in the background. Without any response, the
+// answer is incomplete and its message holds the cause.
+func startCompletion(t *testing.T, entry *instance, r request) <-chan answer {
 	ctx := callContext(t)
 	got := make(chan answer, 1)
 	go func() {
-		a, err := ask(ctx, entry, r)
+		a, err := sendCompletion(ctx, entry, r)
 		if err != nil {
-			a.refused.Message = err.Error()
+			a.apiError.Message = err.Error()
 		}
 		got <- a
 	}()
 	return got
 }
 
-// each request has a connection of its own, so that a dead entry's connection
-// is never taken for a later request.
+// callerTransport opens a new connection for each request, so that a dead entry's
+// connection is never reused.
 var callerTransport = &http.Transport{DisableKeepAlives: true}
 
-func receive(sent *http.Request, stream bool) (answer, error) {
+func roundTrip(sent *http.Request, stream bool) (answer, error) {
 	response, err := callerTransport.RoundTrip(sent)
 	if err != nil {
 		return answer{}, err
@@ -131,7 +134,7 @@
 	}
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
-		a.cut = true
+		a.truncated = true
 		return a, nil
 	}
 	return readBody(body, a), nil
@@ -140,7 +143,7 @@
 func readBody(body []byte, a answer) answer {
 	var refused callerapi.ErrorBody
 	if a.status >= http.StatusBadRequest && json.Unmarshal(body, &refused) == nil {
-		a.refused = refused.Error
+		a.apiError = refused.Error
 		return a
 	}
 	var reply callerapi.CompletionReply
@@ -153,7 +156,7 @@
 }
 
 func readEvents(body io.Reader, a answer) answer {
-	a.cut = true
+	a.truncated = true
 	lines := bufio.NewScanner(body)
 	for lines.Scan() {
 		data, ok := strings.CutPrefix(lines.Text(), "data: ")
@@ -161,7 +164,7 @@
 			continue
 		}
 		if data == callerapi.StreamDone {
-			a.cut = false
+			a.truncated = false
 			a.outcome = callerapi.OutcomeCompleted
 			return a
 		}
@@ -173,7 +176,7 @@
 			return a
 		}
 		if event.Error != nil {
-			a.refused, a.outcome, a.cut = *event.Error, event.Error.Outcome, false
+			a.apiError, a.outcome, a.truncated = *event.Error, event.Error.Outcome, false
 			return a
 		}
 		if len(event.Choices) == 1 {
@@ -183,13 +186,14 @@
 	return a
 }
 
-// get reads path at an entry as r's team; into may be nil.
-func get(ctx context.Context, entry *instance, path string, r request, into any) (status int, err error) {
-	sent, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+entry.at(callersPort)+path, nil)
+// getJSON requests path at an entry with r's headers and decodes the body of a 200
+// response into the value that into points to; into may be nil.
+func getJSON(ctx context.Context, entry *instance, path string, r request, into any) (status int, err error) {
+	sent, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+entry.address(callersPort)+path, nil)
 	if err != nil {
 		return 0, err
 	}
-	r.address(sent)
+	r.setHeaders(sent)
 	response, err := callerTransport.RoundTrip(sent)
 	if err != nil {
 		return 0, err
@@ -201,9 +205,9 @@
 	return response.StatusCode, err
 }
 
-func ready(t *testing.T, i *instance) error {
+func checkReady(t *testing.T, i *instance) error {
 	t.Helper()
-	status, err := get(callContext(t), i, "/readyz", request{}, nil)
+	status, err := getJSON(callContext(t), i, "/readyz", request{}, nil)
 	if err == nil && status != http.StatusOK {
 		err = fmt.Errorf("%s is not ready: %d", i.id, status)
 	}
--- a/internal/e2e/control_test.go
+++ b/internal/e2e/control_test.go
@@ -17,10 +17,10 @@
 	"github.com/hyssopsail/hyssopsail/internal/settings"
 )
 
-// versionAt reads a subtree's version at one instance; 0 when it has none.
+// versionAt returns a subtree's version at one instance, or 0 when it has none.
 func (f *testFleet) versionAt(t *testing.T, i *instance, name string) (uint64, error) {
 	t.Helper()
-	reply, err := f.operatorAs(t, operatorKey, i).GetSettings(callContext(t), &pb.GetSettingsRequest{Name: name})
+	reply, err := f.operatorClient(t, operatorKey, i).GetSettings(callContext(t), &pb.GetSettingsRequest{Name: name})
 	if err != nil {
 		return 0, err
 	}
@@ -30,22 +30,24 @@
 	return reply.GetDocuments()[0].GetVersion(), nil
 }
 
-// An operator's change is committed and the leader dies before the answer
-// leaves. The operator sends the same change again to another instance and
-// must get the first result, not a conflict with its own change.
+// An operator's change is committed and the leader dies before it replies. The
+// operator sends the same change again to another instance and must get the first
+// result, not a conflict with its own change.
 func TestChangeResentAfterTheLeaderDiedIsAppliedOnce(t *testing.T) {
-	f := startFleet(t, oneZone())
+	f := startFleet(t, oneZonePlan())
 	for round := range 3 {
-		leader := f.leader(t, f.instances...)
+		leader := f.awaitLeader(t, f.instances...)
 		id := fmt.Sprintf("change-%d", round)
 		version := uint64(round + 1)
 		yaml := teamYAML("t", teamKey, "a") + fmt.Sprintf("share: %d\n", round+2)
 		sent := make(chan error, 1)
-		go func() { sent <- f.change(t, f.operatorAs(t, operatorKey, leader), "teams/t", version, id, yaml) }()
+		go func() {
+			sent <- f.applySubtree(t, f.operatorClient(t, operatorKey, leader), "teams/t", version, id, yaml)
+		}()
 		leader.kill(t)
-		<-sent // lost or answered: the operator can't tell in general
-		eventually(t, callTime, func() error {
-			return f.change(t, f.operatorAs(t, operatorKey, f.others(leader)...), "teams/t", version, id, yaml)
+		<-sent // either result is possible: the kill races the reply
+		eventually(t, callTimeout, func() error {
+			return f.applySubtree(t, f.operatorClient(t, operatorKey, f.others(leader)...), "teams/t", version, id, yaml)
 		})
 		leader.start(t)
 		f.awaitCurrent(t, leader)
@@ -53,7 +55,7 @@
 	}
 }
 
-func (f *testFleet) wantVersion(t *testing.T, i *instance, name string, want uint64) error {
+func (f *testFleet) checkVersion(t *testing.T, i *instance, name string, want uint64) error {
 	t.Helper()
 	got, err := f.versionAt(t, i, name)
 	if err != nil {
@@ -65,68 +67,69 @@
 	return nil
 }
 
-// awaitVersion waits until the instances have this version of the team.
+// awaitVersion waits until the instances have this version of teams/t.
 func (f *testFleet) awaitVersion(t *testing.T, version uint64, at ...*instance) {
 	t.Helper()
 	for _, i := range at {
-		eventually(t, callTime, func() error { return f.wantVersion(t, i, "teams/t", version) })
+		eventually(t, callTimeout, func() error { return f.checkVersion(t, i, "teams/t", version) })
 	}
 }
 
-// awaitShare gives the team a share, sending the change until it is in force.
-func (f *testFleet) awaitShare(t *testing.T, by *operator.Client, version uint64, id string, share int) {
+// applyShare sets the team's share and resends the change until it is in force.
+func (f *testFleet) applyShare(t *testing.T, by *operator.Client, version uint64, id string, share int) {
 	t.Helper()
 	yaml := teamYAML("t", teamKey, "a") + fmt.Sprintf("share: %d\n", share)
-	eventually(t, callTime, func() error { return f.change(t, by, "teams/t", version, id, yaml) })
+	eventually(t, callTimeout, func() error { return f.applySubtree(t, by, "teams/t", version, id, yaml) })
 }
 
-// The leader is cut off silently for long, both ways. Operators go on with the
-// rest. The cut-off leader must neither answer reads nor take requests by what
-// it knows, and on its return it must not depose the new leader.
+// The leader is partitioned in both directions for a long time, while operators
+// change settings at the other instances. The old leader must neither
+// answer reads nor accept requests from its stale state, and on its return it must
+// not depose the new leader.
 func TestLeaderCutOffForLongNeitherAnswersNorDisturbs(t *testing.T) {
-	f := startFleet(t, oneZone())
-	old := f.leader(t, f.instances...)
+	f := startFleet(t, oneZonePlan())
+	old := f.awaitLeader(t, f.instances...)
 	rest := f.others(old)
 	f.isolate(old, true)
 
-	f.awaitShare(t, f.operatorAs(t, operatorKey, rest...), 1, "during the cut", 3)
-	eventually(t, callTime, func() error {
-		if ready(t, old) == nil {
+	f.applyShare(t, f.operatorClient(t, operatorKey, rest...), 1, "during the cut", 3)
+	eventually(t, callTimeout, func() error {
+		if checkReady(t, old) == nil {
 			return fmt.Errorf("the cut-off entry still takes requests")
 		}
 		return nil
 	})
 	ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 	defer cancel()
-	_, err := f.operatorAs(t, operatorKey, old).GetSettings(ctx, &pb.GetSettingsRequest{Name: "teams/t"})
+	_, err := f.operatorClient(t, operatorKey, old).GetSettings(ctx, &pb.GetSettingsRequest{Name: "teams/t"})
 	assert.Assert(t, err != nil, "the cut-off leader answered a read")
 
-	now := f.leader(t, rest...)
-	before, err := f.operatorAs(t, operatorKey, now).Status(callContext(t), nil)
+	now := f.awaitLeader(t, rest...)
+	before, err := f.operatorClient(t, operatorKey, now).Status(callContext(t), nil)
 	assert.NilError(t, err)
 	f.isolate(old, false)
 	f.awaitCurrent(t, old)
-	after, err := f.operatorAs(t, operatorKey, now).Status(callContext(t), nil)
+	after, err := f.operatorClient(t, operatorKey, now).Status(callContext(t), nil)
 	assert.NilError(t, err)
 	assert.Equal(t, after.GetLeaderInstance(), before.GetLeaderInstance())
 	assert.Equal(t, after.GetTerm(), before.GetTerm())
-	assert.NilError(t, f.wantVersion(t, old, "teams/t", 2))
+	assert.NilError(t, f.checkVersion(t, old, "teams/t", 2))
 }
 
-// One way only: a control instance hears nobody but is heard, then the other
-// way round. In both the operators' changes go on, and once it is healed the
-// instance has them all.
+// A one-way partition: a control instance receives nothing but its messages arrive,
+// then the reverse. In both cases operators' changes still succeed, and after the
+// partition the instance catches up.
 func TestControlInstanceCutOffOneWay(t *testing.T) {
 	for name, cut := range map[string]func(f *testFleet, victim *instance, cut bool){
-		"hears nobody":       (*testFleet).deafen,
-		"is heard by nobody": (*testFleet).mute,
+		"hears nobody":       (*testFleet).blockIncoming,
+		"is heard by nobody": (*testFleet).blockOutgoing,
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := startFleet(t, oneZone())
-			victim := f.leader(t, f.instances...)
+			f := startFleet(t, oneZonePlan())
+			victim := f.awaitLeader(t, f.instances...)
 			rest := f.others(victim)
 			cut(f, victim, true)
-			f.awaitShare(t, f.operatorAs(t, operatorKey, rest...), 1, "one way", 4)
+			f.applyShare(t, f.operatorClient(t, operatorKey, rest...), 1, "one way", 4)
 			cut(f, victim, false)
 			f.awaitCurrent(t, f.instances...)
 			f.awaitVersion(t, 2, f.instances...)
@@ -134,17 +137,17 @@
 	}
 }
 
-// An instance loses its disk and comes back empty; it must not vote, so that
-// it can't help elect a leader without the accepted changes. The operator
-// removes the old disk and adds the new one. Right after this repair a second
-// instance is lost, and every accepted change must still be there.
+// An instance loses its disk and restarts empty. It must not vote, since it could
+// help to elect a leader that lacks committed changes. The operator removes the old
+// disk and adds the new one. Right after that a second instance is lost, and every
+// committed change must still be there.
 func TestDiskLostThenASecondInstanceRightAfterTheRepair(t *testing.T) {
-	f := startFleet(t, oneZone())
+	f := startFleet(t, oneZonePlan())
 	for version := uint64(1); version <= 5; version++ {
 		yaml := teamYAML("t", teamKey, "a") + fmt.Sprintf("share: %d\n", version+1)
-		assert.NilError(t, f.change(t, f.operator, "teams/t", version, fmt.Sprintf("c%d", version), yaml))
+		assert.NilError(t, f.applySubtree(t, f.operator, "teams/t", version, fmt.Sprintf("c%d", version), yaml))
 	}
-	victim := f.others(f.leader(t, f.instances...))[0]
+	victim := f.others(f.awaitLeader(t, f.instances...))[0]
 	victim.kill(t)
 	victim.loseDisk(t)
 	victim.start(t)
@@ -152,47 +155,47 @@
 	f.awaitCurrent(t, rest...)
 	f.replaceDisk(t, victim, rest)
 
-	second := f.leader(t, f.instances...)
+	second := f.awaitLeader(t, f.instances...)
 	if second == victim {
 		second = rest[0]
 	}
 	second.kill(t)
 	left := f.others(second)
-	f.leader(t, left...)
+	f.awaitLeader(t, left...)
 	f.awaitVersion(t, 6, left...)
-	f.awaitShare(t, f.operatorAs(t, operatorKey, left...), 6, "after", 9)
+	f.applyShare(t, f.operatorClient(t, operatorKey, left...), 6, "after", 9)
 }
 
-// replaceDisk removes a member whose disk is lost and adds its new one, and
-// waits until that votes.
+// replaceDisk removes the member with the lost disk, adds it with its new disk and
+// waits until it votes.
 func (f *testFleet) replaceDisk(t *testing.T, victim *instance, rest []*instance) {
 	t.Helper()
-	by := f.operatorAs(t, operatorKey, rest...)
-	oldDisk := diskOf(t, by, victim.id)
+	by := f.operatorClient(t, operatorKey, rest...)
+	oldDisk := diskIDOf(t, by, victim.id)
 	var own *pb.Member
-	eventually(t, callTime, func() error {
-		member, err := f.operatorAs(t, operatorKey, victim).DiskIdentity(callContext(t), nil)
+	eventually(t, callTimeout, func() error {
+		member, err := f.operatorClient(t, operatorKey, victim).DiskIdentity(callContext(t), nil)
 		own = member
 		return err
 	})
 	assert.Assert(t, own.GetDiskId() != oldDisk, "an empty disk has a new identity")
-	eventually(t, callTime, func() error {
+	eventually(t, callTimeout, func() error {
 		_, err := by.ChangeMember(callContext(t), &pb.ChangeMemberRequest{Remove: true, Member: &pb.Member{InstanceId: victim.id, DiskId: oldDisk}})
-		if err != nil && diskOf(t, by, victim.id) == "" {
-			return nil // done by an earlier try
+		if err != nil && diskIDOf(t, by, victim.id) == "" {
+			return nil // an earlier call succeeded but its reply was lost
 		}
 		return err
 	})
-	eventually(t, callTime, func() error {
-		_, err := by.ChangeMember(callContext(t), &pb.ChangeMemberRequest{Member: &pb.Member{InstanceId: victim.id, DiskId: own.GetDiskId(), RpcAddress: f.advertised(victim)}})
-		if votes(t, by, own.GetDiskId()) {
+	eventually(t, callTimeout, func() error {
+		_, err := by.ChangeMember(callContext(t), &pb.ChangeMemberRequest{Member: &pb.Member{InstanceId: victim.id, DiskId: own.GetDiskId(), RpcAddress: f.advertisedAddress(victim)}})
+		if isVoter(t, by, own.GetDiskId()) {
 			return nil
 		}
 		return fmt.Errorf("not a voter yet: %v", err)
 	})
 }
 
-// members is the control group; none when nobody says.
+// members returns the control group's members, or nil when the call fails.
 func members(t *testing.T, by *operator.Client) []*pb.MemberStatus {
 	t.Helper()
 	status, err := by.Status(callContext(t), nil)
@@ -202,7 +205,7 @@
 	return status.GetMembers()
 }
 
-func diskOf(t *testing.T, by *operator.Client, id string) string {
+func diskIDOf(t *testing.T, by *operator.Client, id string) string {
 	t.Helper()
 	for _, m := range members(t, by) {
 		if m.GetMember().GetInstanceId() == id {
@@ -212,27 +215,27 @@
 	return ""
 }
 
-func votes(t *testing.T, by *operator.Client, disk string) bool {
+func isVoter(t *testing.T, by *operator.Client, disk string) bool {
 	t.Helper()
 	return slices.ContainsFunc(members(t, by), func(m *pb.MemberStatus) bool {
 		return m.GetMember().GetDiskId() == disk && !m.GetMember().GetLearner()
 	})
 }
 
-// A control instance is down while more than 500 changes pass; then all are
-// killed and started again. It must have every change, in order, by snapshot
-// or by log.
+// A control instance is down while more than 500 changes are committed, and must
+// catch up by snapshot or by log. Then all instances are killed and restarted, and
+// must still have every change.
 func TestRestartAfterFiveHundredChangesHavePassedBy(t *testing.T) {
-	f := startFleet(t, oneZone())
-	victim := f.others(f.leader(t, f.instances...))[0]
+	f := startFleet(t, oneZonePlan())
+	victim := f.others(f.awaitLeader(t, f.instances...))[0]
 	victim.kill(t)
-	by := f.operatorAs(t, operatorKey, f.others(victim)...)
+	by := f.operatorClient(t, operatorKey, f.others(victim)...)
 	const changes = 520
 	const teams = 8
 	var group sync.WaitGroup
 	failures := make(chan error, teams)
 	for team := range teams {
-		group.Go(func() { failures <- f.changeOften(t, by, fmt.Sprintf("x%d", team), changes/teams) })
+		group.Go(func() { failures <- f.changeRepeatedly(t, by, fmt.Sprintf("x%d", team), changes/teams) })
 	}
 	group.Wait()
 	for range teams {
@@ -241,7 +244,7 @@
 	victim.start(t)
 	f.awaitCurrent(t, victim)
 	for team := range teams {
-		assert.NilError(t, f.wantVersion(t, victim, fmt.Sprintf("teams/x%d", team), changes/teams))
+		assert.NilError(t, f.checkVersion(t, victim, fmt.Sprintf("teams/x%d", team), changes/teams))
 	}
 	for _, i := range f.instances {
 		i.kill(t)
@@ -251,14 +254,14 @@
 	}
 	f.awaitCurrent(t, f.instances...)
 	for _, i := range f.instances {
-		assert.NilError(t, f.wantVersion(t, i, "teams/x0", changes/teams))
+		assert.NilError(t, f.checkVersion(t, i, "teams/x0", changes/teams))
 	}
 }
 
-func (f *testFleet) changeOften(t *testing.T, by *operator.Client, team string, times int) error {
+func (f *testFleet) changeRepeatedly(t *testing.T, by *operator.Client, team string, times int) error {
 	for n := range times {
 		yaml := teamYAML(team, "key-"+team, "a") + fmt.Sprintf("share: %d\n", n+1)
-		result := send(t, by, settings.TeamPrefix+team, uint64(n), fmt.Sprintf("%s-%d", team, n), yaml)
+		result := sendChange(t, by, settings.TeamPrefix+team, uint64(n), fmt.Sprintf("%s-%d", team, n), yaml)
 		if result.GetStatus() != pb.ChangeStatus_CHANGE_STATUS_ACCEPTED {
 			return fmt.Errorf("%s %d: %s %s", team, n, result.GetStatus(), result.GetDetail())
 		}
@@ -266,19 +269,19 @@
 	return nil
 }
 
-// Two operators read one subtree, change it, and send their changes at the
-// same moment with equal versions, each through another instance. Exactly one
-// wins each round; the other sees the newer version in its conflict.
+// Two operators send changes of one subtree at the same time with the same expected
+// version, each through another instance. In each round exactly one is accepted,
+// and the other gets a conflict with the newer version.
 func TestOperatorsRaceWithEqualVersions(t *testing.T) {
-	f := startFleet(t, oneZone())
+	f := startFleet(t, oneZonePlan())
 	const rounds = 100
 	for round := range rounds {
 		version := uint64(round + 1)
 		results := make(chan *pb.ChangeResult, 2)
 		for n := range 2 {
-			by := f.operatorAs(t, operatorKey, f.instances[(round+n)%3])
+			by := f.operatorClient(t, operatorKey, f.instances[(round+n)%3])
 			yaml := teamYAML("t", teamKey, "a") + fmt.Sprintf("share: %d.%d\n", round+1, n+1)
-			go func() { results <- send(t, by, "teams/t", version, fmt.Sprintf("r%d-%d", round, n), yaml) }()
+			go func() { results <- sendChange(t, by, "teams/t", version, fmt.Sprintf("r%d-%d", round, n), yaml) }()
 		}
 		first, second := <-results, <-results
 		won := 0
@@ -296,8 +299,8 @@
 	}
 }
 
-// send applies a subtree and doesn't wait until it is in force.
-func send(t *testing.T, by *operator.Client, name string, version uint64, id, yaml string) *pb.ChangeResult {
+// sendChange applies a subtree and doesn't wait until it is in force.
+func sendChange(t *testing.T, by *operator.Client, name string, version uint64, id, yaml string) *pb.ChangeResult {
 	reply, err := by.Change(callContext(t), &pb.ChangeRequest{Change: &pb.ChangeSubtree{
 		Name: name, ExpectedVersion: version, ChangeId: id, Yaml: []byte(yaml),
 	}})
@@ -307,34 +310,34 @@
 	return reply.GetResult()
 }
 
-// The leader freezes for longer than its lease and wakes with an operator's
-// read in hand. The rest has changed the settings meanwhile; the read must show
-// the change or fail, never the old version.
+// The leader is frozen for longer than its lease with an operator's read pending,
+// while the other instances change the settings. After it resumes, the read must
+// return the new version or fail, never the old version.
 func TestFrozenLeaderWakesWithAReadInHand(t *testing.T) {
-	f := startFleet(t, oneZone())
-	old := f.leader(t, f.instances...)
+	f := startFleet(t, oneZonePlan())
+	old := f.awaitLeader(t, f.instances...)
 	rest := f.others(old)
 	old.freeze(t)
 	versions := make(chan uint64, 1)
 	go func() {
 		version, err := f.versionAt(t, old, "teams/t")
 		if err != nil {
-			version = 2 // a refusal is as good
+			version = 2 // an error is allowed too
 		}
 		versions <- version
 	}()
-	f.awaitShare(t, f.operatorAs(t, operatorKey, rest...), 1, "while frozen", 5)
-	old.thaw(t)
+	f.applyShare(t, f.operatorClient(t, operatorKey, rest...), 1, "while frozen", 5)
+	old.resume(t)
 	assert.Equal(t, <-versions, uint64(2))
 	f.awaitCurrent(t, f.instances...)
 }
 
-// The leader dies while a lost member is being replaced. The replacement must
-// end, and no accepted change may be lost.
+// The leader dies while a member with a lost disk is being replaced. The
+// replacement must complete, and no committed change may be lost.
 func TestLeaderKilledWhileAMemberIsReplaced(t *testing.T) {
-	f := startFleet(t, plan{zones: []string{"a", "a", "a", "a", "a"}, control: 5})
-	assert.NilError(t, f.change(t, f.operator, "teams/t", 1, "before", teamYAML("t", teamKey, "a")+"share: 2\n"))
-	leader := f.leader(t, f.instances...)
+	f := startFleet(t, fleetPlan{zones: []string{"a", "a", "a", "a", "a"}, control: 5})
+	assert.NilError(t, f.applySubtree(t, f.operator, "teams/t", 1, "before", teamYAML("t", teamKey, "a")+"share: 2\n"))
+	leader := f.awaitLeader(t, f.instances...)
 	victim := f.others(leader)[0]
 	victim.kill(t)
 	victim.loseDisk(t)
@@ -351,23 +354,23 @@
 	f.awaitVersion(t, 2, f.instances...)
 }
 
-// A control instance that was never initialised must not make a fleet of its
-// own from its empty folder: it says that it isn't initialised.
+// Control instances that were never initialised must not form a fleet from their
+// empty data folders: they answer status calls, but refuse changes and aren't ready.
 func TestEmptyFolderNeverBecomesAFleetByItself(t *testing.T) {
-	f := newFleet(t, oneZone())
+	f := newFleet(t, oneZonePlan())
 	for _, i := range f.instances {
 		i.start(t)
 	}
-	secret, err := os.ReadFile(f.key("fleet-secret.hex"))
+	secret, err := os.ReadFile(f.keyPath("fleet-secret.hex"))
 	assert.NilError(t, err)
-	by := f.operatorAs(t, strings.TrimSpace(string(secret)), f.instances[0])
-	eventually(t, callTime, func() error {
+	by := f.operatorClient(t, strings.TrimSpace(string(secret)), f.instances[0])
+	eventually(t, callTimeout, func() error {
 		_, err := by.Status(callContext(t), nil)
 		return err
 	})
 	ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 	defer cancel()
-	reply, err := by.Change(ctx, &pb.ChangeRequest{Change: &pb.ChangeSubtree{Name: "fleet", ChangeId: "x", Yaml: []byte(fleetYAML(oneZone()))}})
+	reply, err := by.Change(ctx, &pb.ChangeRequest{Change: &pb.ChangeSubtree{Name: "fleet", ChangeId: "x", Yaml: []byte(fleetYAML(oneZonePlan()))}})
 	assert.Assert(t, err != nil, "%v", reply)
-	assert.Assert(t, ready(t, f.instances[0]) != nil)
+	assert.Assert(t, checkReady(t, f.instances[0]) != nil)
 }
--- a/internal/e2e/crash_test.go
+++ b/internal/e2e/crash_test.go
@@ -15,14 +15,15 @@
 
 const crashMarker = "[[crash]]"
 
-// mostCrashes is the promise over the whole fleet.
-const mostCrashes = 2
+// maxCrashes is the guaranteed bound on the endpoints that one request may crash
+// in the whole fleet.
+const maxCrashes = 2
 
-// noRequest asks for the deaths of endpoints alone.
+// noRequest makes eventReport list only events of endpoints and views.
 const noRequest = "none"
 
-// crashed counts the endpoints that have ended.
-func (e *engines) crashed() int {
+// crashCount returns the number of endpoints that have ended.
+func (e *endpointSet) crashCount() int {
 	count := 0
 	for _, m := range e.all {
 		if m.ended() {
@@ -32,14 +33,14 @@
 	return count
 }
 
-// One scholar's verse crashes each decode engine that runs it. Its caller sends
-// it from two entries at once and, after each failure, again with a new key.
-// Nineteen innocent glosses run beside it. At most two engines die, the
-// innocent ones are all answered whole in the end, and from then on the verse
-// is refused, for good and at once, at each entry.
+// One request crashes each decode engine that runs it. It is sent to two entries at
+// once and, after each failure, again with a new key, while nineteen ordinary
+// requests run. At most two engines may crash, the ordinary requests must all
+// complete, and from then on each entry must refuse the crashing request at once
+// and finally.
 func TestCrashingRequestAmongNineteenInnocentOnes(t *testing.T) {
-	f := startFleet(t, plan{zones: []string{"a", "a", "a", "a"}, control: 3})
-	e := &engines{fleet: f}
+	f := startFleet(t, fleetPlan{zones: []string{"a", "a", "a", "a"}, control: 3})
+	e := &endpointSet{fleet: f}
 	e.add(t, "p1", "a", fleet.RolePrefill)
 	e.add(t, "p2", "a", fleet.RolePrefill)
 	for n := range 5 {
@@ -50,54 +51,54 @@
 	e.awaitServing(t)
 	var group sync.WaitGroup
 	for n := range 19 {
-		group.Go(func() { innocent(t, f, n) })
+		group.Go(func() { sendOrdinary(t, f, n) })
 	}
-	e.decodingAt(t)
+	e.awaitDecoding(t)
 	for n := range 2 {
-		group.Go(func() { crashing(t, f, n) })
+		group.Go(func() { sendCrashing(t, f, n) })
 	}
 	group.Wait()
-	assert.Assert(t, e.crashed() <= mostCrashes, "%d engines crashed:\n%s", e.crashed(), f.story(noRequest))
-	before := e.crashed()
+	assert.Assert(t, e.crashCount() <= maxCrashes, "%d engines crashed:\n%s", e.crashCount(), f.eventReport(noRequest))
+	before := e.crashCount()
 	t.Logf("%d engines crashed until the verse was contained", before)
 	for n, i := range f.instances {
-		a := mustAsk(t, i, verse(fmt.Sprintf("afterwards-%d", n)))
-		assert.Equal(t, a.refused.Code, callerapi.CodeQuarantined, "%+v", a)
-		assert.Equal(t, a.refused.RetryAfterMs, int64(0), "the refusal is final: %+v", a)
+		a := mustSendCompletion(t, i, crashingRequest(fmt.Sprintf("afterwards-%d", n)))
+		assert.Equal(t, a.apiError.Code, callerapi.CodeQuarantined, "%+v", a)
+		assert.Equal(t, a.apiError.RetryAfterMs, int64(0), "the refusal is final: %+v", a)
 	}
-	assert.Equal(t, e.crashed(), before)
+	assert.Equal(t, e.crashCount(), before)
 	e.awaitNothingHeld(t, 10*time.Second)
 }
 
-func verse(key string) request {
-	return request{prompt: "a verse " + crashMarker + " [[tokens=50]]", maxTokens: 50, stream: true, key: key}
+func crashingRequest(key string) request {
+	return request{prompt: "a verse " + crashMarker + " [[tokens=50]]", maxTokens: 50, stream: true, idempotencyKey: key}
 }
 
-// innocent asks until it is answered whole.
-func innocent(t *testing.T, f *testFleet, n int) {
+// sendOrdinary repeats an ordinary request until it completes.
+func sendOrdinary(t *testing.T, f *testFleet, n int) {
 	r := request{prompt: fmt.Sprintf("innocent %d [[tokens=300]]", n), maxTokens: 300, stream: true}
-	poll(t, 3*callTime, func() error {
-		a, err := ask(callContext(t), f.instances[n%len(f.instances)], r)
+	pollUntil(t, 3*callTimeout, func() error {
+		a, err := sendCompletion(callContext(t), f.instances[n%len(f.instances)], r)
 		if err != nil {
 			return err
 		}
-		if !a.whole() || a.text != wanted(r) {
+		if !a.isComplete() || a.text != expectedText(r) {
 			return fmt.Errorf("innocent %d: %+v", n, a)
 		}
 		return nil
 	})
 }
 
-// crashing sends the verse with new keys until it is refused for good.
-func crashing(t *testing.T, f *testFleet, n int) {
+// sendCrashing sends the crashing request with new keys until it is quarantined.
+func sendCrashing(t *testing.T, f *testFleet, n int) {
 	tries := 0
-	poll(t, 3*callTime, func() error {
+	pollUntil(t, 3*callTimeout, func() error {
 		tries++
-		a, err := ask(callContext(t), f.instances[n], verse(fmt.Sprintf("verse-%d-%d", n, tries)))
+		a, err := sendCompletion(callContext(t), f.instances[n], crashingRequest(fmt.Sprintf("verse-%d-%d", n, tries)))
 		if err != nil {
 			return err
 		}
-		if a.refused.Code != callerapi.CodeQuarantined {
+		if a.apiError.Code != callerapi.CodeQuarantined {
 			return fmt.Errorf("caller %d, try %d: %+v", n, tries, a)
 		}
 		return nil
--- a/internal/e2e/doc.go
+++ b/internal/e2e/doc.go
@@ -1,6 +1,6 @@
-// Package e2e holds tests only: real daemon processes on loopback, with real
-// kills, freezes and cut links between them, and emulated endpoints in the test
-// process whose own records tell what truly ran. Each daemon has a loopback IP
-// number of its own, and every call to another daemon passes a forwarder that
-// knows who calls whom by these numbers.
+// Package e2e holds end-to-end tests only. They run real daemon processes on
+// loopback, kill and freeze them and cut the links between them. Emulated
+// endpoints in the test process record what actually ran. Each daemon has its own
+// loopback IP address, and every call to another daemon passes a forwarder that
+// identifies caller and callee by these addresses.
 package e2e
--- a/internal/e2e/endpoints_test.go
+++ b/internal/e2e/endpoints_test.go
@@ -17,22 +17,22 @@
 	"github.com/hyssopsail/hyssopsail/internal/standin"
 )
 
-// engines is a set of emulated endpoints in the test process. Their records
-// outlive their deaths.
-type engines struct {
+// endpointSet is a set of emulated endpoints in the test process. Their audit
+// records stay readable after the endpoints have ended.
+type endpointSet struct {
 	fleet *testFleet
-	all   []*emulated
+	all   []*emulatedEndpoint
 }
 
-// emulated is one emulated endpoint.
-type emulated struct {
+// emulatedEndpoint is one run of an emulated endpoint.
+type emulatedEndpoint struct {
 	*standin.Standin
 	cancel context.CancelFunc
 	done   chan struct{} // closed once it has ended
 }
 
-// quick is an engine some ten times faster than a real one.
-func quick() standin.Timing {
+// fastTiming returns the timing of an engine some ten times faster than a real one.
+func fastTiming() standin.Timing {
 	return standin.Timing{
 		StepBase:       2 * time.Millisecond,
 		StepPerRequest: 100 * time.Microsecond,
@@ -51,13 +51,13 @@
 }
 
 // add starts an emulated endpoint that announces itself to all entries.
-func (e *engines) add(t *testing.T, id, zone string, role fleet.EndpointRole, adjust ...func(*standin.Options)) *emulated {
+func (e *endpointSet) add(t *testing.T, id, zone string, role fleet.EndpointRole, adjust ...func(*standin.Options)) *emulatedEndpoint {
 	t.Helper()
 	options := standin.Options{
 		ID:          fleet.EndpointID(id),
 		Zone:        fleet.AvailabilityZone(zone),
 		Role:        role,
-		Timing:      quick(),
+		Timing:      fastTiming(),
 		Listen:      "127.0.0.1:0",
 		EndpointKey: endpointKey,
 	}
@@ -67,7 +67,7 @@
 		options.Models = []engineapi.ModelRef{{Model: "m", Version: "1"}}
 	}
 	for _, i := range e.fleet.instances {
-		options.Entries = append(options.Entries, i.at(endpointsPort))
+		options.Entries = append(options.Entries, i.address(endpointsPort))
 	}
 	for _, a := range adjust {
 		a(&options)
@@ -75,9 +75,9 @@
 	return e.run(t, options)
 }
 
-func (e *engines) run(t *testing.T, options standin.Options) *emulated {
+func (e *endpointSet) run(t *testing.T, options standin.Options) *emulatedEndpoint {
 	t.Helper()
-	m := &emulated{done: make(chan struct{})}
+	m := &emulatedEndpoint{done: make(chan struct{})}
 	if options.Exit == nil {
 		options.Exit = func(int) { m.cancel() }
 	}
@@ -101,14 +101,14 @@
 	return m
 }
 
-// kill drops the endpoint with all its connections.
-func (m *emulated) kill() {
+// kill ends the endpoint with all its connections, without a leave.
+func (m *emulatedEndpoint) kill() {
 	m.cancel()
 	<-m.done
 }
 
-// ended tells whether the endpoint is gone.
-func (m *emulated) ended() bool {
+// ended reports whether the endpoint has ended.
+func (m *emulatedEndpoint) ended() bool {
 	select {
 	case <-m.done:
 		return true
@@ -117,10 +117,10 @@
 	}
 }
 
-func (m *emulated) id() fleet.EndpointID { return m.Announcement().ID }
+func (m *emulatedEndpoint) endpointID() fleet.EndpointID { return m.Announcement().ID }
 
-// faults sets the endpoint's switches.
-func (m *emulated) faults(t *testing.T, f standin.Faults) {
+// postFaults sets the endpoint's fault switches through its HTTP handler.
+func (m *emulatedEndpoint) postFaults(t *testing.T, f standin.Faults) {
 	t.Helper()
 	text, err := json.Marshal(f)
 	assert.NilError(t, err)
@@ -129,8 +129,8 @@
 	assert.Assert(t, recorder.Code < http.StatusBadRequest, "%s", recorder.Body)
 }
 
-// audit gives the endpoint's own record.
-func (m *emulated) audit(t *testing.T) standin.Audit {
+// fetchAudit returns the endpoint's audit record from its HTTP handler.
+func (m *emulatedEndpoint) fetchAudit(t *testing.T) standin.Audit {
 	t.Helper()
 	recorder := httptest.NewRecorder()
 	m.Handler().ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, "/audit", nil))
@@ -140,20 +140,20 @@
 	return a
 }
 
-// awaitServing waits until a completion at each entry is answered whole.
-func (e *engines) awaitServing(t *testing.T) {
+// awaitServing waits until a completion succeeds at each entry.
+func (e *endpointSet) awaitServing(t *testing.T) {
 	t.Helper()
-	e.awaitWhole(t, func(i *instance) (answer, error) {
-		return ask(callContext(t), i, request{prompt: "warm up " + i.id, maxTokens: 2})
+	e.awaitComplete(t, func(i *instance) (answer, error) {
+		return sendCompletion(callContext(t), i, request{prompt: "warm up " + i.id, maxTokens: 2})
 	})
 }
 
-func (e *engines) awaitWhole(t *testing.T, send func(*instance) (answer, error)) {
+func (e *endpointSet) awaitComplete(t *testing.T, send func(*instance) (answer, error)) {
 	t.Helper()
 	for _, i := range e.fleet.instances {
 		eventually(t, 15*time.Second, func() error {
 			a, err := send(i)
-			if err == nil && !a.whole() {
+			if err == nil && !a.isComplete() {
 				err = fmt.Errorf("%s: %+v", i.id, a)
 			}
 			return err
@@ -161,20 +161,20 @@
 	}
 }
 
-// awaitService waits until a repeatable plain call at each entry is answered.
-func (e *engines) awaitService(t *testing.T) {
+// awaitService waits until an idempotent service call succeeds at each entry.
+func (e *endpointSet) awaitService(t *testing.T) {
 	t.Helper()
-	e.awaitWhole(t, func(i *instance) (answer, error) {
-		return call(callContext(t), i, "/again", "", "warm up")
+	e.awaitComplete(t, func(i *instance) (answer, error) {
+		return callService(callContext(t), i, "/again", "", "warm up")
 	})
 }
 
-// runsOf counts how often a plain call with this body marker ran anywhere.
-func (e *engines) runsOf(t *testing.T, marker string) int {
+// runCount returns how often service calls with this marker ran, over all endpoints.
+func (e *endpointSet) runCount(t *testing.T, marker string) int {
 	t.Helper()
 	runs := 0
 	for _, m := range e.all {
-		for _, r := range m.audit(t).CallRuns {
+		for _, r := range m.fetchAudit(t).CallRuns {
 			if r.Marker == marker {
 				runs++
 			}
@@ -183,13 +183,13 @@
 	return runs
 }
 
-// awaitHeld waits until these endpoints together hold so many attempts.
-func awaitHeld(t *testing.T, count int, at ...*emulated) {
+// awaitHeld waits until these endpoints together hold at least count attempts.
+func awaitHeld(t *testing.T, count int, at ...*emulatedEndpoint) {
 	t.Helper()
-	eventually(t, callTime, func() error {
+	eventually(t, callTimeout, func() error {
 		held := 0
 		for _, m := range at {
-			held += m.audit(t).Held
+			held += m.fetchAudit(t).Held
 		}
 		if held < count {
 			return fmt.Errorf("%d of %d held", held, count)
@@ -198,16 +198,16 @@
 	})
 }
 
-// awaitNothingHeld waits until no live endpoint holds memory.
-func (e *engines) awaitNothingHeld(t *testing.T, within time.Duration) {
+// awaitNothingHeld waits until no live endpoint holds an attempt.
+func (e *endpointSet) awaitNothingHeld(t *testing.T, within time.Duration) {
 	t.Helper()
 	eventually(t, within, func() error {
 		for _, m := range e.all {
 			if m.ended() {
 				continue
 			}
-			if held := m.audit(t).Held; held > 0 {
-				return fmt.Errorf("%s holds %d", m.id(), held)
+			if held := m.fetchAudit(t).Held; held > 0 {
+				return fmt.Errorf("%s holds %d", m.endpointID(), held)
 			}
 		}
 		return nil
--- a/internal/e2e/fleet_test.go
+++ b/internal/e2e/fleet_test.go
@@ -28,47 +28,47 @@
 	teamKey     = "e2e-team"
 )
 
-// testFleet is a fleet of daemon processes with links that can be cut.
+// testFleet is a fleet of daemon processes whose links can be cut.
 type testFleet struct {
 	folder    string
-	prefix    string // of the loopback IP numbers
+	prefix    string // first three octets of the loopback addresses
 	links     *links
 	instances []*instance
 	operator  *operator.Client
 }
 
-// plan is the shape of a test fleet.
-type plan struct {
-	zones    []string // one for each instance, in order
-	control  int      // the first so many are control instances too
-	timeouts string   // YAML lines below "timeouts:"
+// fleetPlan is the shape of a test fleet.
+type fleetPlan struct {
+	zones        []string // one for each instance, in order
+	control      int      // the number of first instances that are control instances too
+	timeoutsYAML string   // YAML lines below "timeouts:"
 }
 
-// fleetsAtOnce bounds the fleets that run beside each other, so that their
-// leases aren't lost for want of processor time.
-const fleetsAtOnce = 3
+// maxParallelFleets bounds the fleets that run at the same time, so that no lease
+// is lost for want of processor time.
+const maxParallelFleets = 3
 
-var fleetRoom = make(chan struct{}, fleetsAtOnce)
+var fleetSlots = make(chan struct{}, maxParallelFleets)
 
 const (
-	firstNet  = 16 // 127.16.0 is the first prefix
-	nets      = 200
-	hostsNets = 250
+	firstSecondOctet = 16 // 127.16.0 is the first prefix
+	secondOctets     = 200
+	thirdOctets      = 250
 )
 
-var prefixes atomic.Uint32
+var prefixCounter atomic.Uint32
 
-func init() { prefixes.Store(rand.Uint32N(nets * hostsNets)) }
+func init() { prefixCounter.Store(rand.Uint32N(secondOctets * thirdOctets)) }
 
-// nextPrefix gives loopback IP numbers that no other fleet of this process has.
-// They begin at random, so that processes side by side hardly ever meet.
+// nextPrefix returns an address prefix that no other fleet of this process uses.
+// The first one is random, so that parallel test processes rarely collide.
 func nextPrefix() string {
-	n := int(prefixes.Add(1) % (nets * hostsNets))
-	return fmt.Sprintf("127.%d.%d", firstNet+n/hostsNets, n%hostsNets)
+	n := int(prefixCounter.Add(1) % (secondOctets * thirdOctets))
+	return fmt.Sprintf("127.%d.%d", firstSecondOctet+n/thirdOctets, n%thirdOctets)
 }
 
-// startFleet starts daemons, makes the fleet and applies its settings.
-func startFleet(t *testing.T, p plan) *testFleet {
+// startFleet starts daemons, initialises the fleet and applies its settings.
+func startFleet(t *testing.T, p fleetPlan) *testFleet {
 	t.Helper()
 	f := newFleet(t, p)
 	for _, i := range f.instances {
@@ -79,19 +79,19 @@
 	return f
 }
 
-// newFleet makes a fleet whose test runs beside a few others.
-func newFleet(t *testing.T, p plan) *testFleet {
+// newFleet prepares a fleet without starting it, and marks the test as parallel.
+func newFleet(t *testing.T, p fleetPlan) *testFleet {
 	t.Helper()
 	t.Parallel()
-	fleetRoom <- struct{}{}
-	t.Cleanup(func() { <-fleetRoom })
+	fleetSlots <- struct{}{}
+	t.Cleanup(func() { <-fleetSlots })
 	f := &testFleet{folder: t.TempDir(), prefix: nextPrefix(), links: newLinks()}
 	for n, zone := range p.zones {
 		f.addInstance(t, n, zone, n < p.control)
 	}
 	f.writeKeys(t)
 	for _, i := range f.instances {
-		f.writeDaemon(t, i)
+		f.writeDaemonConfig(t, i)
 	}
 	f.operator = f.newOperator(t)
 	return f
@@ -111,13 +111,13 @@
 	}
 	i.folder = filepath.Join(f.folder, i.id)
 	assert.NilError(t, os.MkdirAll(i.folder, 0o755))
-	f.links.forward(t, f.advertised(i), i.at(rpcPort))
+	f.links.forward(t, f.advertisedAddress(i), i.address(rpcPort))
 	t.Cleanup(func() { i.cleanup(t) })
 	f.instances = append(f.instances, i)
 }
 
-// advertised is where other daemons reach i: its forwarder.
-func (f *testFleet) advertised(i *instance) string {
+// advertisedAddress returns the address of i's forwarder, which other daemons use.
+func (f *testFleet) advertisedAddress(i *instance) string {
 	last := i.ip[strings.LastIndex(i.ip, ".")+1:]
 	return fmt.Sprintf("%s.1%02s:%d", f.prefix, last, rpcPort)
 }
@@ -128,25 +128,26 @@
 	for _, i := range f.instances {
 		arguments = append(arguments, i.id)
 	}
-	out, err := exec.Command(program("hyssopsail"), arguments...).CombinedOutput()
+	out, err := exec.Command(programPath("hyssopsail"), arguments...).CombinedOutput()
 	assert.NilError(t, err, "%s", out)
 }
 
-func (f *testFleet) key(name string) string { return filepath.Join(f.folder, "keys", name) }
+func (f *testFleet) keyPath(name string) string { return filepath.Join(f.folder, "keys", name) }
 
-func (f *testFleet) writeDaemon(t *testing.T, i *instance) {
+func (f *testFleet) writeDaemonConfig(t *testing.T, i *instance) {
 	t.Helper()
 	var control []string
 	for _, other := range f.instances {
 		if strings.Contains(other.roles, "control") {
-			control = append(control, fmt.Sprintf("%q", f.advertised(other)))
+			control = append(control, fmt.Sprintf("%q", f.advertisedAddress(other)))
 		}
 	}
 	data := ""
 	if strings.Contains(i.roles, "control") {
 		data = "data_folder: " + filepath.Join(i.folder, "data")
 	}
-	// A test's fleet lives for seconds: daemons must not spend them in their first window.
+	// Until the first retry window is over, a daemon allows fewer retries; with the
+	// default of 10s that would be most of a test.
 	retries := ""
 	if strings.Contains(i.roles, "entry") {
 		retries = "retries: {window: 1s}\n"
@@ -165,61 +166,63 @@
 fleet_secret_file: %s
 log_level: debug
 %s`, i.id, i.zone, i.roles, data, strings.Join(control, ", "),
-		i.at(rpcPort), f.advertised(i), i.at(callersPort), i.at(endpointsPort), i.at(operatorsPort),
-		f.key("authority.pem"), f.key(i.id+".pem"), f.key(i.id+"-key.pem"), f.key("fleet-secret.hex"), retries)
+		i.address(rpcPort), f.advertisedAddress(i), i.address(callersPort), i.address(endpointsPort), i.address(operatorsPort),
+		f.keyPath("authority.pem"), f.keyPath(i.id+".pem"), f.keyPath(i.id+"-key.pem"), f.keyPath("fleet-secret.hex"), retries)
 	assert.NilError(t, os.WriteFile(filepath.Join(i.folder, "daemon.yaml"), []byte(text), 0o644))
 }
 
-func (f *testFleet) newOperator(t *testing.T) *operator.Client { return f.operatorAs(t, operatorKey) }
+func (f *testFleet) newOperator(t *testing.T) *operator.Client {
+	return f.operatorClient(t, operatorKey)
+}
 
-func (f *testFleet) operatorAs(t *testing.T, key string, at ...*instance) *operator.Client {
+func (f *testFleet) operatorClient(t *testing.T, key string, at ...*instance) *operator.Client {
 	t.Helper()
-	secure, err := operator.ClientTLS(f.key("authority.pem"))
+	secure, err := operator.ClientTLS(f.keyPath("authority.pem"))
 	assert.NilError(t, err)
 	if len(at) == 0 {
 		at = f.instances
 	}
 	var addresses []string
 	for _, i := range at {
-		addresses = append(addresses, i.at(operatorsPort))
+		addresses = append(addresses, i.address(operatorsPort))
 	}
 	return operator.NewClient(operator.ClientOptions{Addresses: addresses, Key: key, TLS: secure})
 }
 
-// callTime bounds one call of a test.
-const callTime = 20 * time.Second
+// callTimeout bounds one call, and most waits, of a test.
+const callTimeout = 20 * time.Second
 
 func callContext(t *testing.T) context.Context {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), callTime)
+	ctx, cancel := context.WithTimeout(t.Context(), callTimeout)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-func (f *testFleet) initialise(t *testing.T, p plan) {
+func (f *testFleet) initialise(t *testing.T, p fleetPlan) {
 	t.Helper()
-	secret, err := os.ReadFile(f.key("fleet-secret.hex"))
+	secret, err := os.ReadFile(f.keyPath("fleet-secret.hex"))
 	assert.NilError(t, err)
-	bootstrap := f.operatorAs(t, strings.TrimSpace(string(secret)))
+	bootstrap := f.operatorClient(t, strings.TrimSpace(string(secret)))
 	var members []*pb.Member
 	for _, i := range f.instances[:p.control] {
-		members = append(members, &pb.Member{InstanceId: i.id, RpcAddress: f.advertised(i)})
+		members = append(members, &pb.Member{InstanceId: i.id, RpcAddress: f.advertisedAddress(i)})
 	}
 	eventually(t, 10*time.Second, func() error {
 		_, err := bootstrap.Init(callContext(t), &pb.InitRequest{FleetId: "e2e", Members: members})
 		return err
 	})
 	eventually(t, 10*time.Second, func() error {
-		return f.change(t, bootstrap, settings.FleetSubtree, 0, "boot-fleet", fleetYAML(p))
+		return f.applySubtree(t, bootstrap, settings.FleetSubtree, 0, "boot-fleet", fleetYAML(p))
 	})
 	eventually(t, 10*time.Second, func() error {
-		return f.change(t, f.operator, "teams/t", 0, "boot-team", teamYAML("t", teamKey, p.zoneList()...))
+		return f.applySubtree(t, f.operator, "teams/t", 0, "boot-team", teamYAML("t", teamKey, p.zoneList()...))
 	})
 }
 
-// change applies a subtree and waits until it is in force; anything but that
-// is an error.
-func (f *testFleet) change(t *testing.T, by *operator.Client, name string, expected uint64, id, yaml string) error {
+// applySubtree applies a subtree and returns an error unless it is accepted and in
+// force within 5 s.
+func (f *testFleet) applySubtree(t *testing.T, by *operator.Client, name string, expected uint64, id, yaml string) error {
 	t.Helper()
 	reply, err := by.Change(callContext(t), &pb.ChangeRequest{
 		Change:        &pb.ChangeSubtree{Name: name, ExpectedVersion: expected, ChangeId: id, Yaml: []byte(yaml)},
@@ -237,11 +240,11 @@
 	return nil
 }
 
-func (p plan) zoneList() []string {
+func (p fleetPlan) zoneList() []string {
 	return slices.Compact(slices.Sorted(slices.Values(p.zones)))
 }
 
-func fleetYAML(p plan) string {
+func fleetYAML(p fleetPlan) string {
 	var b strings.Builder
 	b.WriteString("availability_zones:\n")
 	for _, zone := range p.zoneList() {
@@ -268,8 +271,8 @@
 caller_kinds:
   - {kind: any, patience: 10s, priority: 5}
 `, keyhash.Of(endpointKey), keyhash.Of(operatorKey))
-	if p.timeouts != "" {
-		b.WriteString("timeouts:\n" + p.timeouts)
+	if p.timeoutsYAML != "" {
+		b.WriteString("timeouts:\n" + p.timeoutsYAML)
 	}
 	return b.String()
 }
@@ -284,49 +287,49 @@
 `, name, keyhash.Of(key), strings.Join(zones, ", "))
 }
 
-// awaitCurrent waits until the instances serve.
+// awaitCurrent waits until the instances are ready.
 func (f *testFleet) awaitCurrent(t *testing.T, instances ...*instance) {
 	t.Helper()
 	for _, i := range instances {
 		eventually(t, 15*time.Second, func() error {
-			return ready(t, i)
+			return checkReady(t, i)
 		})
 	}
 }
 
-// cutOneWay silences one way between two instances, or undoes it.
+// cutOneWay drops all bytes from one instance to another, or ends that.
 func (f *testFleet) cutOneWay(from, to *instance, cut bool) {
-	f.links.set(direction{from.ip, to.ip}, cut)
+	f.links.setCut(direction{from.ip, to.ip}, cut)
 }
 
-// deafen silences all that i hears, or undoes it.
-func (f *testFleet) deafen(i *instance, cut bool) {
+// blockIncoming drops all bytes from other instances to i, or ends that.
+func (f *testFleet) blockIncoming(i *instance, cut bool) {
 	for _, other := range f.others(i) {
 		f.cutOneWay(other, i, cut)
 	}
 }
 
-// mute silences all that others hear from i, or undoes it.
-func (f *testFleet) mute(i *instance, cut bool) {
+// blockOutgoing drops all bytes from i to other instances, or ends that.
+func (f *testFleet) blockOutgoing(i *instance, cut bool) {
 	for _, other := range f.others(i) {
 		f.cutOneWay(i, other, cut)
 	}
 }
 
-// isolate silences both ways between i and all others.
+// isolate drops all bytes between i and the other instances, or ends that.
 func (f *testFleet) isolate(i *instance, cut bool) {
-	f.deafen(i, cut)
-	f.mute(i, cut)
+	f.blockIncoming(i, cut)
+	f.blockOutgoing(i, cut)
 }
 
-// leader gives the instance that leads the control group.
-func (f *testFleet) leader(t *testing.T, among ...*instance) *instance {
+// awaitLeader waits for a leader among these instances and returns it.
+func (f *testFleet) awaitLeader(t *testing.T, among ...*instance) *instance {
 	t.Helper()
 	var found *instance
 	eventually(t, 15*time.Second, func() error {
 		var seen []string
 		for _, i := range among {
-			status, err := f.operatorAs(t, operatorKey, i).Status(callContext(t), nil)
+			status, err := f.operatorClient(t, operatorKey, i).Status(callContext(t), nil)
 			seen = append(seen, fmt.Sprintf("%s says %q (%v)", i.id, status.GetLeaderInstance(), err))
 			if err != nil || status.GetLeaderInstance() != i.id {
 				continue
--- a/internal/e2e/hangup_test.go
+++ b/internal/e2e/hangup_test.go
@@ -16,7 +16,7 @@
 	const exitRefused = 4
 	pipe := filepath.Join(t.TempDir(), "daemon.yaml")
 	assert.NilError(t, syscall.Mkfifo(pipe, 0o600))
-	command := exec.Command(program("hyssopsaild"), "--config", pipe)
+	command := exec.Command(programPath("hyssopsaild"), "--config", pipe)
 	assert.NilError(t, command.Start())
 	file, err := os.OpenFile(pipe, os.O_WRONLY, 0) // returns when the daemon has opened it
 	assert.NilError(t, err)
--- a/internal/e2e/links_test.go
+++ b/internal/e2e/links_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// direction is one way between two daemons, by their IP numbers.
+// direction is one direction between two daemons, by their IP addresses.
 type direction struct{ from, to string }
 
 // links forwards all calls between daemons and can cut each direction
@@ -25,8 +25,8 @@
 	return &links{cut: map[direction]bool{}, conns: map[net.Conn]struct{}{}}
 }
 
-// forward listens at address and passes connections on to target, whose IP
-// number names the daemon behind.
+// forward listens at address and forwards connections to target, whose IP address
+// identifies the daemon.
 func (l *links) forward(t *testing.T, address, target string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", address)
@@ -41,30 +41,30 @@
 			if err != nil {
 				return
 			}
-			go l.carry(conn, target)
+			go l.proxyConnection(conn, target)
 		}
 	}()
 }
 
-func (l *links) carry(caller net.Conn, target string) {
-	l.add(caller)
+func (l *links) proxyConnection(caller net.Conn, target string) {
+	l.track(caller)
 	callee, err := net.Dial("tcp", target)
 	if err != nil {
-		l.drop(caller)
+		l.closeConnection(caller)
 		return
 	}
-	l.add(callee)
+	l.track(callee)
 	from, to := hostOf(caller.RemoteAddr().String()), hostOf(target)
 	var both sync.WaitGroup
 	both.Go(func() { l.copy(callee, caller, direction{from, to}) })
 	both.Go(func() { l.copy(caller, callee, direction{to, from}) })
 	both.Wait()
-	l.drop(caller)
-	l.drop(callee)
+	l.closeConnection(caller)
+	l.closeConnection(callee)
 }
 
-// copy passes bytes on in one direction. What comes during a cut is lost, and
-// the connection with it: after the cut the stream would have a gap.
+// copy forwards bytes in one direction. Once it has dropped bytes during a cut, it
+// drops all later ones too, since the stream would have a gap.
 func (l *links) copy(to io.WriteCloser, from io.Reader, way direction) {
 	buffer := make([]byte, 32<<10)
 	broken := false
@@ -93,19 +93,19 @@
 	return l.cut[way]
 }
 
-func (l *links) set(way direction, cut bool) {
+func (l *links) setCut(way direction, cut bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.cut[way] = cut
 }
 
-func (l *links) add(c net.Conn) {
+func (l *links) track(c net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.conns[c] = struct{}{}
 }
 
-func (l *links) drop(c net.Conn) {
+func (l *links) closeConnection(c net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.conns, c)
--- a/internal/e2e/main_test.go
+++ b/internal/e2e/main_test.go
@@ -8,12 +8,12 @@
 	"testing"
 )
 
-// programs is the folder of the built programs.
-var programs string
+// programFolder is the folder of the built programs.
+var programFolder string
 
-// raceDaemons is the environment variable with which the daemons are built
-// with the race detector; a race then fails the test by the daemon's log.
-const raceDaemons = "HYSSOPSAIL_E2E_RACE"
+// raceVariable is the environment variable that has the daemons built with the
+// race detector. A race is found in the daemon's log and fails the test.
+const raceVariable = "HYSSOPSAIL_E2E_RACE"
 
 func TestMain(m *testing.M) {
 	os.Exit(runTests(m))
@@ -27,7 +27,7 @@
 	}
 	defer func() { _ = os.RemoveAll(folder) }()
 	arguments := []string{"build", "-o", folder + string(filepath.Separator)}
-	if os.Getenv(raceDaemons) != "" {
+	if os.Getenv(raceVariable) != "" {
 		arguments = append(arguments, "-race")
 	}
 	build := exec.Command("go", append(arguments, "../../cmd/...")...)
@@ -35,8 +35,8 @@
 		fmt.Fprintf(os.Stderr, "can't build: %v\n%s", err, out)
 		return 1
 	}
-	programs = folder
+	programFolder = folder
 	return m.Run()
 }
 
-func program(name string) string { return filepath.Join(programs, name) }
+func programPath(name string) string { return filepath.Join(programFolder, name) }
--- a/internal/e2e/metrics_test.go
+++ b/internal/e2e/metrics_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// metricOf sums the samples of one metric at a daemon; 0 when it has none.
-func metricOf(t *testing.T, i *instance, name string) (float64, error) {
+// metricSum returns the sum of a metric's samples at a daemon, or 0 without any.
+func metricSum(t *testing.T, i *instance, name string) (float64, error) {
 	t.Helper()
 	page := metricsPage(t, i)
 	sum := 0.0
--- a/internal/e2e/once_test.go
+++ b/internal/e2e/once_test.go
@@ -14,53 +14,55 @@
 	"github.com/hyssopsail/hyssopsail/internal/standin"
 )
 
-// pickups is a fleet of four entries with two processes of the plain service.
-func pickups(t *testing.T) (*testFleet, *engines) { return pickupsIn(t, "a", "a", "a", "a") }
+// startServiceFleet is a fleet of four entries with two processes of the plain service.
+func startServiceFleet(t *testing.T) (*testFleet, *endpointSet) {
+	return startServiceFleetIn(t, "a", "a", "a", "a")
+}
 
-// pickupsIn has one entry in each of the zones and the service in zone a.
-func pickupsIn(t *testing.T, zones ...string) (*testFleet, *engines) {
+// startServiceFleetIn has one entry in each of the zones and the service in zone a.
+func startServiceFleetIn(t *testing.T, zones ...string) (*testFleet, *endpointSet) {
 	t.Helper()
-	f := startFleet(t, plan{zones: zones, control: 3})
-	e := &engines{fleet: f}
+	f := startFleet(t, fleetPlan{zones: zones, control: 3})
+	e := &endpointSet{fleet: f}
 	e.add(t, "s1", "a", fleet.RolePlain)
 	e.add(t, "s2", "a", fleet.RolePlain)
 	e.awaitService(t)
 	return f, e
 }
 
-func body(marker string) string { return "[[id=" + marker + "]]" }
+func markedBody(marker string) string { return "[[id=" + marker + "]]" }
 
 // A volunteer's pickup slip is sent again with the same key at every other
 // entry. It runs once; the repeats get the recorded outcome.
 func TestNonIdempotentCallRunsOnceOverAllEntries(t *testing.T) {
-	f, e := pickups(t)
-	a := mustCall(t, f.instances[0], "/once", "key-1", body("slip-1"))
+	f, e := startServiceFleet(t)
+	a := mustCallService(t, f.instances[0], "/once", "key-1", markedBody("slip-1"))
 	assert.Equal(t, a.status, http.StatusOK)
 	assert.Equal(t, a.outcome, callerapi.OutcomeCompleted)
 	for _, i := range f.instances {
-		again := mustCall(t, i, "/once", "key-1", body("slip-1"))
-		assert.Equal(t, again.refused.Code, callerapi.CodeRecorded)
+		again := mustCallService(t, i, "/once", "key-1", markedBody("slip-1"))
+		assert.Equal(t, again.apiError.Code, callerapi.CodeRecorded)
 		assert.Equal(t, again.outcome, callerapi.OutcomeCompleted)
 	}
-	assert.Equal(t, e.runsOf(t, "slip-1"), 1)
+	assert.Equal(t, e.runCount(t, "slip-1"), 1)
 }
 
 // The entry dies while the slip's call runs, and the volunteer's app sends the
 // slip again at another entry. It must not run a second time, and the caller
 // must not be told that it was not run.
 func TestEntryKilledDuringTheRun(t *testing.T) {
-	f, e := pickups(t)
+	f, e := startServiceFleet(t)
 	for _, m := range e.all {
-		m.faults(t, standin.Faults{CallDelayMs: 1500})
+		m.postFaults(t, standin.Faults{CallDelayMs: 1500})
 	}
 	victim := f.instances[3] // no control instance: the group stays whole
 	sent := make(chan error, 1)
 	go func() {
-		_, err := call(callContext(t), victim, "/once", "key-2", body("slip-2"))
+		_, err := callService(callContext(t), victim, "/once", "key-2", markedBody("slip-2"))
 		sent <- err
 	}()
-	eventually(t, callTime, func() error {
-		if e.runsOf(t, "slip-2") == 0 {
+	eventually(t, callTimeout, func() error {
+		if e.runCount(t, "slip-2") == 0 {
 			return fmt.Errorf("not begun")
 		}
 		return nil
@@ -69,12 +71,12 @@
 	assert.Assert(t, <-sent != nil)
 	deadline := time.Now().Add(6 * time.Second)
 	for n := 0; time.Now().Before(deadline); n++ {
-		again := mustCall(t, f.instances[n%3], "/once", "key-2", body("slip-2"))
+		again := mustCallService(t, f.instances[n%3], "/once", "key-2", markedBody("slip-2"))
 		assert.Assert(t, again.status != http.StatusOK, "%+v", again)
-		assert.Assert(t, again.outcome != callerapi.OutcomeNotRun || again.refused.Code == callerapi.CodeNotCurrent, "%+v", again)
+		assert.Assert(t, again.outcome != callerapi.OutcomeNotRun || again.apiError.Code == callerapi.CodeNotCurrent, "%+v", again)
 		<-time.After(200 * time.Millisecond)
 	}
-	assert.Equal(t, e.runsOf(t, "slip-2"), 1)
+	assert.Equal(t, e.runCount(t, "slip-2"), 1)
 }
 
 // The entry freezes as the slip arrives, for longer than its lease. The
@@ -82,15 +84,15 @@
 // wakes with the first copy in hand. Over both it runs at most once, and when
 // the repeat was told "not run" it truly did not run by either.
 func TestEntryFrozenWhileTheCallerRepeatsElsewhere(t *testing.T) {
-	f, e := pickups(t)
+	f, e := startServiceFleet(t)
 	victim := f.instances[3]
 	for round := range 6 {
 		key := fmt.Sprintf("key-frozen-%d", round)
 		marker := fmt.Sprintf("slip-frozen-%d", round)
 		first := make(chan answer, 1)
-		ctx, cancel := context.WithTimeout(t.Context(), callTime)
+		ctx, cancel := context.WithTimeout(t.Context(), callTimeout)
 		go func() {
-			a, err := call(ctx, victim, "/once", key, body(marker))
+			a, err := callService(ctx, victim, "/once", key, markedBody(marker))
 			if err != nil {
 				a.outcome = callerapi.OutcomeUnknown
 			}
@@ -100,8 +102,8 @@
 		<-time.After(time.Duration(round) * 500 * time.Microsecond)
 		victim.freeze(t)
 		var last answer
-		eventually(t, callTime, func() error {
-			again, err := call(callContext(t), f.instances[round%3], "/once", key, body(marker))
+		eventually(t, callTimeout, func() error {
+			again, err := callService(callContext(t), f.instances[round%3], "/once", key, markedBody(marker))
 			if err != nil {
 				return err
 			}
@@ -111,10 +113,10 @@
 			}
 			return nil
 		})
-		victim.thaw(t)
+		victim.resume(t)
 		a := <-first
 		cancel()
-		runs := e.runsOf(t, marker)
+		runs := e.runCount(t, marker)
 		assert.Assert(t, runs <= 1, "round %d: %d runs", round, runs)
 		if last.outcome == callerapi.OutcomeNotRun || a.outcome == callerapi.OutcomeNotRun {
 			completed := last.outcome == callerapi.OutcomeCompleted || a.outcome == callerapi.OutcomeCompleted
@@ -130,22 +132,22 @@
 // A ledger replica dies, the group is repaired, and right after that a second
 // one dies. A repeat of a slip that ran before both must still be refused.
 func TestLedgerReplicaLostRepairedAndASecondOneLost(t *testing.T) {
-	f := startFleet(t, plan{zones: []string{"a", "a", "a", "a", "a", "a"}, control: 3})
-	e := &engines{fleet: f}
+	f := startFleet(t, fleetPlan{zones: []string{"a", "a", "a", "a", "a", "a"}, control: 3})
+	e := &endpointSet{fleet: f}
 	e.add(t, "s1", "a", fleet.RolePlain)
 	e.awaitService(t)
 	const slips = 24
 	for n := range slips {
-		a := mustCall(t, f.instances[n%len(f.instances)], "/once", fmt.Sprintf("key-%d", n), body(fmt.Sprintf("slip-%d", n)))
+		a := mustCallService(t, f.instances[n%len(f.instances)], "/once", fmt.Sprintf("key-%d", n), markedBody(fmt.Sprintf("slip-%d", n)))
 		assert.Equal(t, a.status, http.StatusOK, "%+v", a)
 	}
 	f.instances[4].kill(t)
-	f.awaitWholeLedger(t, f.instances[4])
+	f.awaitLedgerRepaired(t, f.instances[4])
 	f.instances[5].kill(t)
 	for n := range slips {
 		marker := fmt.Sprintf("slip-%d", n)
-		eventually(t, callTime, func() error {
-			again, err := call(callContext(t), f.instances[n%4], "/once", fmt.Sprintf("key-%d", n), body(marker))
+		eventually(t, callTimeout, func() error {
+			again, err := callService(callContext(t), f.instances[n%4], "/once", fmt.Sprintf("key-%d", n), markedBody(marker))
 			if err != nil {
 				return err
 			}
@@ -154,19 +156,19 @@
 			}
 			return nil
 		})
-		assert.Equal(t, e.runsOf(t, marker), 1)
+		assert.Equal(t, e.runCount(t, marker), 1)
 	}
 }
 
-// awaitWholeLedger waits until the view is without gone and each remaining
+// awaitLedgerRepaired waits until the view is without gone and each remaining
 // entry has logged its last shard copy. It polls a key of each shard: a claim
 // is answered only by whole groups.
-func (f *testFleet) awaitWholeLedger(t *testing.T, gone *instance) {
+func (f *testFleet) awaitLedgerRepaired(t *testing.T, gone *instance) {
 	t.Helper()
-	f.awaitGone(t, f.instances[0], gone)
+	f.awaitRemoved(t, f.instances[0], gone)
 	for _, i := range f.others(gone) {
-		eventually(t, callTime, func() error {
-			shards, err := metricOf(t, i, "hyssopsail_ledger_copying_shards")
+		eventually(t, callTimeout, func() error {
+			shards, err := metricSum(t, i, "hyssopsail_ledger_copying_shards")
 			if err != nil {
 				return err
 			}
@@ -183,7 +185,7 @@
 // entry and the repeat elsewhere; when the first is told "not run" and the
 // repeat completes, exactly once.
 func TestEntryCutOffFromTheLedger(t *testing.T) {
-	f, e := pickups(t)
+	f, e := startServiceFleet(t)
 	victim := f.instances[3]
 	cases := []struct {
 		name           string
@@ -202,11 +204,11 @@
 			}
 		}
 		cut(true)
-		a, err := call(callContext(t), victim, "/once", key, body(marker))
+		a, err := callService(callContext(t), victim, "/once", key, markedBody(marker))
 		assert.NilError(t, err, c.name)
 		assert.Assert(t, a.status != http.StatusOK, "%s: %+v", c.name, a)
-		eventually(t, callTime, func() error {
-			again, err := call(callContext(t), f.instances[0], "/once", key, body(marker))
+		eventually(t, callTimeout, func() error {
+			again, err := callService(callContext(t), f.instances[0], "/once", key, markedBody(marker))
 			if err != nil {
 				return err
 			}
@@ -218,8 +220,8 @@
 		cut(false)
 		f.awaitCurrent(t, victim)
 		if a.outcome == callerapi.OutcomeNotRun {
-			assert.Equal(t, e.runsOf(t, marker), 1, c.name)
+			assert.Equal(t, e.runCount(t, marker), 1, c.name)
 		}
-		assert.Assert(t, e.runsOf(t, marker) <= 1, c.name)
+		assert.Assert(t, e.runCount(t, marker) <= 1, c.name)
 	}
 }
--- a/internal/e2e/process_test.go
+++ b/internal/e2e/process_test.go
@@ -24,8 +24,8 @@
 
 	mu      sync.Mutex
 	command *exec.Cmd
-	ended   chan struct{}
-	status  error
+	exited  chan struct{}
+	exitErr error
 	log     *bytes.Buffer
 }
 
@@ -37,34 +37,35 @@
 	operatorsPort = 7404
 )
 
-func (i *instance) at(port int) string { return fmt.Sprintf("%s:%d", i.ip, port) }
+func (i *instance) address(port int) string { return fmt.Sprintf("%s:%d", i.ip, port) }
 
-// lockedWriter lets a test read a log while the process writes it.
-type lockedWriter struct{ of *instance }
+// lockedWriter appends to an instance's log under its lock, so that a test can read
+// the log while the process writes it.
+type lockedWriter struct{ instance *instance }
 
 func (w lockedWriter) Write(p []byte) (int, error) {
-	w.of.mu.Lock()
-	defer w.of.mu.Unlock()
-	return w.of.log.Write(p)
+	w.instance.mu.Lock()
+	defer w.instance.mu.Unlock()
+	return w.instance.log.Write(p)
 }
 
 func (i *instance) start(t *testing.T) {
 	t.Helper()
-	command := exec.Command(program("hyssopsaild"), "--config", filepath.Join(i.folder, "daemon.yaml"))
+	command := exec.Command(programPath("hyssopsaild"), "--config", filepath.Join(i.folder, "daemon.yaml"))
 	i.mu.Lock()
 	if i.log == nil {
 		i.log = &bytes.Buffer{}
 	}
 	i.command = command
-	i.ended = make(chan struct{})
-	ended := i.ended
+	i.exited = make(chan struct{})
+	ended := i.exited
 	i.mu.Unlock()
 	command.Stderr = lockedWriter{i}
 	assert.NilError(t, command.Start())
 	go func() {
 		status := command.Wait()
 		i.mu.Lock()
-		i.status = status
+		i.exitErr = status
 		i.mu.Unlock()
 		close(ended)
 	}()
@@ -79,63 +80,64 @@
 func (i *instance) kill(t *testing.T) {
 	t.Helper()
 	i.signal(t, syscall.SIGKILL)
-	<-i.ended
+	<-i.exited
 }
 
 func (i *instance) freeze(t *testing.T) { t.Helper(); i.signal(t, syscall.SIGSTOP) }
-func (i *instance) thaw(t *testing.T)   { t.Helper(); i.signal(t, syscall.SIGCONT) }
+func (i *instance) resume(t *testing.T) { t.Helper(); i.signal(t, syscall.SIGCONT) }
 
-// stop ends the process gracefully and gives its exit status.
+// stop ends the process gracefully and returns its exit error.
 func (i *instance) stop(t *testing.T, within time.Duration) error {
 	t.Helper()
 	i.terminate(t)
-	return i.awaitEnd(within)
+	return i.awaitExit(within)
 }
 
-// terminate begins a graceful stop.
+// terminate sends SIGTERM, which starts a graceful stop.
 func (i *instance) terminate(t *testing.T) { t.Helper(); i.signal(t, syscall.SIGTERM) }
 
-// awaitEnd gives the exit status of a process that was told to end.
-func (i *instance) awaitEnd(within time.Duration) error {
+// awaitExit waits for the process to end and returns its exit error.
+func (i *instance) awaitExit(within time.Duration) error {
 	select {
-	case <-i.ended:
+	case <-i.exited:
 	case <-time.After(within):
 		return fmt.Errorf("%s did not stop within %s", i.id, within)
 	}
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	return i.status
+	return i.exitErr
 }
 
-// cleanup ends what still runs, frozen or not.
+// cleanup kills the process if it still runs, frozen or not, and fails the test on
+// data races and panics in its log.
 func (i *instance) cleanup(t *testing.T) {
 	if i.command == nil {
 		return
 	}
 	select {
-	case <-i.ended:
+	case <-i.exited:
 	default:
 		_ = i.command.Process.Signal(syscall.SIGKILL)
-		<-i.ended
+		<-i.exited
 	}
 	for _, fault := range []string{"WARNING: DATA RACE", "panic: ", "fatal error: "} {
 		if n := bytes.Index(i.log.Bytes(), []byte(fault)); n >= 0 {
-			t.Errorf("%s: %s", i.id, i.log.Bytes()[n:min(n+tailBytes, i.log.Len())])
+			t.Errorf("%s: %s", i.id, i.log.Bytes()[n:min(n+logTailBytes, i.log.Len())])
 		}
 	}
 	if t.Failed() {
-		t.Logf("log of %s:\n%s", i.id, i.tail())
+		t.Logf("log of %s:\n%s", i.id, i.logTail())
 	}
 }
 
-const tailBytes = 4000
+const logTailBytes = 4000
 
-func (i *instance) tail() string {
+func (i *instance) logTail() string {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	text := i.log.Bytes()
-	if len(text) > tailBytes {
-		text = text[len(text)-tailBytes:]
+	if len(text) > logTailBytes {
+		text = text[len(text)-logTailBytes:]
 	}
 	return string(text)
 }
@@ -146,17 +148,17 @@
 	assert.NilError(t, os.RemoveAll(filepath.Join(i.folder, "data")))
 }
 
-// eventually polls until check is nil, and ends the test after within.
+// eventually polls until check returns nil, and fails the test at once after within.
 func eventually(t *testing.T, within time.Duration, check func() error) {
 	t.Helper()
-	if !poll(t, within, check) {
+	if !pollUntil(t, within, check) {
 		t.FailNow()
 	}
 }
 
-// poll is eventually for goroutines beside the test's own, which must not end
-// it: they mark it as failed.
-func poll(t *testing.T, within time.Duration, check func() error) bool {
+// pollUntil is eventually for goroutines other than the test's own. These must not
+// call FailNow, so it marks the test as failed and returns false.
+func pollUntil(t *testing.T, within time.Duration, check func() error) bool {
 	t.Helper()
 	deadline := time.Now().Add(within)
 	for {
@@ -168,8 +170,8 @@
 			t.Errorf("not so within %s: %v", within, err)
 			return false
 		}
-		<-time.After(pollEvery)
+		<-time.After(pollInterval)
 	}
 }
 
-const pollEvery = 20 * time.Millisecond
+const pollInterval = 20 * time.Millisecond
--- a/internal/e2e/provision_test.go
+++ b/internal/e2e/provision_test.go
@@ -18,18 +18,18 @@
 	"github.com/hyssopsail/hyssopsail/internal/standin"
 )
 
-const quickProvision = "provision: {mode: %s, poll: 300ms, hold: 1s, cool_down: 5s, drain: 5s, models_per_engine: 1}\n"
+const provisionYAML = "provision: {mode: %s, poll: 300ms, hold: 1s, cool_down: 5s, drain: 5s, models_per_engine: 1}\n"
 
-// provision puts a fleet's planners in a mode.
-func (f *testFleet) provision(t *testing.T, p plan, mode settings.ProvisionMode) {
+// setProvisionMode puts a fleet's planners in a mode.
+func (f *testFleet) setProvisionMode(t *testing.T, p fleetPlan, mode settings.ProvisionMode) {
 	t.Helper()
-	yaml := fleetYAML(p) + fmt.Sprintf(quickProvision, mode)
+	yaml := fleetYAML(p) + fmt.Sprintf(provisionYAML, mode)
 	eventually(t, 10*time.Second, func() error {
 		version, err := f.versionAt(t, f.instances[0], settings.FleetSubtree)
 		if err != nil {
 			return err
 		}
-		return f.change(t, f.operator, settings.FleetSubtree, version, uuid.NewString(), yaml)
+		return f.applySubtree(t, f.operator, settings.FleetSubtree, version, uuid.NewString(), yaml)
 	})
 }
 
@@ -43,18 +43,18 @@
 // until an idle engine of each kind has loaded it, and then get their answers;
 // nobody has to do anything.
 func TestModelIsLoadedWhereDemandIs(t *testing.T) {
-	p := oneZone()
+	p := oneZonePlan()
 	f := startFleet(t, p)
-	f.provision(t, p, settings.ProvisionAct)
-	e := &engines{fleet: f}
+	f.setProvisionMode(t, p, settings.ProvisionAct)
+	e := &endpointSet{fleet: f}
 	prefill := e.add(t, "p", "a", fleet.RolePrefill, withoutModel)
 	decode := e.add(t, "d", "a", fleet.RoleDecode, withoutModel)
 	f.awaitEndpoints(t, "p", "d")
 
 	began := time.Now()
 	eventually(t, 40*time.Second, func() error {
-		a, err := ask(callContext(t), f.instances[0], request{prompt: "bales of saris", maxTokens: 3})
-		if err == nil && !a.whole() {
+		a, err := sendCompletion(callContext(t), f.instances[0], request{prompt: "bales of saris", maxTokens: 3})
+		if err == nil && !a.isComplete() {
 			err = fmt.Errorf("%+v", a)
 		}
 		return err
@@ -64,7 +64,7 @@
 	m := []engineapi.ModelRef{{Model: "m", Version: "1"}}
 	assert.DeepEqual(t, prefill.Announcement().Models, m)
 	assert.DeepEqual(t, decode.Announcement().Models, m)
-	assert.Equal(t, prefill.audit(t).Orders+decode.audit(t).Orders, 2)
+	assert.Equal(t, prefill.fetchAudit(t).Orders+decode.fetchAudit(t).Orders, 2)
 }
 
 // logPollBytes tells what planners' looks have cost so far.
@@ -72,9 +72,9 @@
 	t.Helper()
 	polls, size := 0.0, 0.0
 	for _, i := range f.instances {
-		p, err := metricOf(t, i, "hyssopsail_provision_polls_total")
+		p, err := metricSum(t, i, "hyssopsail_provision_polls_total")
 		assert.NilError(t, err)
-		s, err := metricOf(t, i, "hyssopsail_provision_poll_bytes")
+		s, err := metricSum(t, i, "hyssopsail_provision_poll_bytes")
 		assert.NilError(t, err)
 		polls, size = polls+p, size+s
 	}
@@ -105,14 +105,14 @@
 // In the default mode the same demand moves nothing; the time line says what
 // would have been ordered.
 func TestAdviceMovesNothing(t *testing.T) {
-	p := oneZone()
+	p := oneZonePlan()
 	f := startFleet(t, p)
-	f.provision(t, p, settings.ProvisionAdvise)
-	e := &engines{fleet: f}
+	f.setProvisionMode(t, p, settings.ProvisionAdvise)
+	e := &endpointSet{fleet: f}
 	decode := e.add(t, "d", "a", fleet.RoleDecode, withoutModel)
 	f.awaitEndpoints(t, "d")
 	eventually(t, 30*time.Second, func() error {
-		if _, err := ask(callContext(t), f.instances[0], request{prompt: "x", maxTokens: 1}); err != nil {
+		if _, err := sendCompletion(callContext(t), f.instances[0], request{prompt: "x", maxTokens: 1}); err != nil {
 			return err
 		}
 		line, err := f.operator.Timeline(callContext(t), &pb.TimelineQuery{EndpointId: "d"})
@@ -132,18 +132,18 @@
 		}
 		return nil
 	})
-	assert.Equal(t, decode.audit(t).Orders, 0)
+	assert.Equal(t, decode.fetchAudit(t).Orders, 0)
 }
 
 // An operator loads, unloads and changes a role by hand; the time line names
 // the operator.
 func TestOperatorOrdersAnEndpoint(t *testing.T) {
-	p := oneZone()
+	p := oneZonePlan()
 	f := startFleet(t, p)
-	e := &engines{fleet: f}
+	e := &endpointSet{fleet: f}
 	engine := e.add(t, "x", "a", fleet.RoleDecode, withoutModel)
 	f.awaitEndpoints(t, "x")
-	at := f.operatorAs(t, operatorKey, f.instances[1])
+	at := f.operatorClient(t, operatorKey, f.instances[1])
 	for _, in := range []*pb.OrderEndpointRequest{
 		{Kind: "load", Model: "m@1"},
 		{Kind: "change-role", Role: "both"},
@@ -156,13 +156,13 @@
 			assert.Equal(t, reply.GetOutcome(), "done", "%v", in)
 		}
 	}
-	tool := exec.Command(program("hyssopsail"), "--address", f.instances[1].at(operatorsPort),
-		"--authority", f.key("authority.pem"), "order", "load", "x", "m@1")
+	tool := exec.Command(programPath("hyssopsail"), "--address", f.instances[1].address(operatorsPort),
+		"--authority", f.keyPath("authority.pem"), "order", "load", "x", "m@1")
 	tool.Env = append(os.Environ(), "HYSSOPSAIL_KEY="+operatorKey)
 	out, err := tool.CombinedOutput()
 	assert.NilError(t, err, "%s", out)
 	assert.Assert(t, strings.Contains(string(out), "done"), "%s", out)
-	assert.Equal(t, engine.audit(t).Orders, 4)
+	assert.Equal(t, engine.fetchAudit(t).Orders, 4)
 	assert.Equal(t, engine.Announcement().Role, fleet.RoleBoth)
 	line, err := f.operator.Timeline(callContext(t), &pb.TimelineQuery{EndpointId: "x"})
 	assert.NilError(t, err)
--- a/internal/e2e/request_test.go
+++ b/internal/e2e/request_test.go
@@ -10,13 +10,13 @@
 	"github.com/hyssopsail/hyssopsail/internal/standin"
 )
 
-// oneZone is three entries that are control instances too.
-func oneZone() plan { return plan{zones: []string{"a", "a", "a"}, control: 3} }
+// oneZonePlan is three entries that are control instances too.
+func oneZonePlan() fleetPlan { return fleetPlan{zones: []string{"a", "a", "a"}, control: 3} }
 
 // A caller asks each entry, streamed and whole, and gets its own answer whole.
 func TestWholePath(t *testing.T) {
-	f := startFleet(t, oneZone())
-	e := &engines{fleet: f}
+	f := startFleet(t, oneZonePlan())
+	e := &endpointSet{fleet: f}
 	e.add(t, "p", "a", fleet.RolePrefill)
 	e.add(t, "d1", "a", fleet.RoleDecode)
 	e.add(t, "d2", "a", fleet.RoleDecode)
@@ -24,11 +24,11 @@
 	for _, i := range f.instances {
 		for _, stream := range []bool{true, false} {
 			r := request{prompt: "bale of saris at " + i.id, maxTokens: 40, stream: stream}
-			a := mustAsk(t, i, r)
-			assert.Assert(t, a.whole(), "%+v", a)
+			a := mustSendCompletion(t, i, r)
+			assert.Assert(t, a.isComplete(), "%+v", a)
 			assert.Equal(t, a.outcome, callerapi.OutcomeCompleted)
 			assert.Equal(t, a.text, standin.ExpectedText(r.prompt, r.maxTokens))
 		}
 	}
-	e.awaitNothingHeld(t, callTime)
+	e.awaitNothingHeld(t, callTimeout)
 }
--- a/internal/e2e/secrecy_test.go
+++ b/internal/e2e/secrecy_test.go
@@ -20,33 +20,33 @@
 // team key of its own. Whoever reads logs, metrics, the time line or the disks
 // must find none of them, nor any of the answer.
 func TestBodiesAndKeysAreWrittenNowhere(t *testing.T) {
-	f := startFleet(t, oneZone())
-	e := &engines{fleet: f}
+	f := startFleet(t, oneZonePlan())
+	e := &endpointSet{fleet: f}
 	e.add(t, "p", "a", fleet.RolePrefill)
 	e.add(t, "d", "a", fleet.RoleDecode)
 	e.add(t, "s1", "a", fleet.RolePlain)
 	e.awaitServing(t)
 	e.awaitService(t)
 	const bodyMark, keyMark, pathMark = "marked-body-5b1c", "marked-key-77d0", "marked-query-9a3e"
-	r := request{prompt: bodyMark, maxTokens: 20, stream: true, key: keyMark}
-	a := mustAsk(t, f.instances[0], r)
-	assert.Assert(t, a.whole(), "%+v", a)
-	once := mustCall(t, f.instances[1], "/once?q="+pathMark, keyMark+"-once", body(bodyMark))
+	r := request{prompt: bodyMark, maxTokens: 20, stream: true, idempotencyKey: keyMark}
+	a := mustSendCompletion(t, f.instances[0], r)
+	assert.Assert(t, a.isComplete(), "%+v", a)
+	once := mustCallService(t, f.instances[1], "/once?q="+pathMark, keyMark+"-once", markedBody(bodyMark))
 	assert.Equal(t, once.status, http.StatusOK, "%+v", once)
-	refused := mustAsk(t, f.instances[2], request{prompt: bodyMark, key: keyMark, teamKey: "wrong-" + keyMark})
+	refused := mustSendCompletion(t, f.instances[2], request{prompt: bodyMark, idempotencyKey: keyMark, teamKey: "wrong-" + keyMark})
 	assert.Equal(t, refused.status, http.StatusUnauthorized)
 
-	secrets := []string{bodyMark, keyMark, pathMark, wanted(r), teamKey, operatorKey, endpointKey}
-	for place, text := range f.everythingWritten(t) {
+	secrets := []string{bodyMark, keyMark, pathMark, expectedText(r), teamKey, operatorKey, endpointKey}
+	for place, text := range f.collectOutput(t) {
 		for _, secret := range secrets {
 			assert.Assert(t, !bytes.Contains(text, []byte(secret)), "%s holds %q", place, secret)
 		}
 	}
 }
 
-// everythingWritten gives the logs, metrics, time line and files of all
+// collectOutput gives the logs, metrics, time line and files of all
 // daemons, but for the keys that a file is there to hold.
-func (f *testFleet) everythingWritten(t *testing.T) map[string][]byte {
+func (f *testFleet) collectOutput(t *testing.T) map[string][]byte {
 	t.Helper()
 	places := map[string][]byte{}
 	for _, i := range f.instances {
@@ -82,7 +82,7 @@
 
 func metricsPage(t *testing.T, i *instance) []byte {
 	t.Helper()
-	sent, err := http.NewRequestWithContext(callContext(t), http.MethodGet, "https://"+i.at(operatorsPort)+"/metrics", nil)
+	sent, err := http.NewRequestWithContext(callContext(t), http.MethodGet, "https://"+i.address(operatorsPort)+"/metrics", nil)
 	assert.NilError(t, err)
 	// The figures of a test fleet need no proof of who gives them.
 	transport := &http.Transport{TLSClientConfig: &tls.Config{InsecureSkipVerify: true}, DisableKeepAlives: true}
--- a/internal/e2e/soak_callers_test.go
+++ b/internal/e2e/soak_callers_test.go
@@ -16,43 +16,43 @@
 type soakKind string
 
 const (
-	kindSlip   soakKind = "slip"   // a plain call that must not run twice
+	kindOnce   soakKind = "slip"   // a plain call that must not run twice
 	kindLookup soakKind = "lookup" // a repeatable plain call
 	kindStream soakKind = "stream"
-	kindWhole  soakKind = "whole"
+	kindUnary  soakKind = "whole"
 )
 
-func (k soakKind) model() bool { return k == kindStream || k == kindWhole }
+func (k soakKind) isModelRequest() bool { return k == kindStream || k == kindUnary }
 
-// soakEnd is what a request came to, as its caller sees it.
-type soakEnd string
+// soakResult is what a request came to, as its caller sees it.
+type soakResult string
 
 const (
-	endWhole     soakEnd = "answered whole"
-	endRecorded  soakEnd = "told that it ran before"
-	endRefused   soakEnd = "refused, not run"
-	endFailed    soakEnd = "failed"
-	endUnknown   soakEnd = "unknown"
-	endAbandoned soakEnd = "given up by its caller"
-	endSilent    soakEnd = "no answer yet"
+	resultComplete  soakResult = "answered whole"
+	resultRecorded  soakResult = "told that it ran before"
+	resultNotRun    soakResult = "refused, not run"
+	resultFailed    soakResult = "failed"
+	resultUnknown   soakResult = "unknown"
+	resultAbandoned soakResult = "given up by its caller"
+	resultNone      soakResult = "no answer yet"
 )
 
 // soakRequest is one request over all its repeats.
 type soakRequest struct {
-	kind   soakKind
-	marker string // its idempotency key too
-	team   *soakTeam
-	ask    request
-	end    soakEnd
-	sends  []string // what came of each, for a report
+	kind    soakKind
+	marker  string // its idempotency key too
+	team    *soakTeam
+	request request
+	result  soakResult
+	sendLog []string // what came of each, for a report
 }
 
 // soakLog is the callers' own record.
 type soakLog struct {
-	mu       sync.Mutex
-	requests []*soakRequest
-	wrong    []string
-	cuts     int
+	mu             sync.Mutex
+	requests       []*soakRequest
+	wrongTexts     []string
+	truncatedCount int
 }
 
 func (l *soakLog) add(r *soakRequest) {
@@ -61,16 +61,16 @@
 	l.requests = append(l.requests, r)
 }
 
-func (l *soakLog) addWrong(format string, arguments ...any) {
+func (l *soakLog) addWrongText(format string, arguments ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.wrong = append(l.wrong, fmt.Sprintf(format, arguments...))
+	l.wrongTexts = append(l.wrongTexts, fmt.Sprintf(format, arguments...))
 }
 
-func (l *soakLog) addCut() {
+func (l *soakLog) addTruncated() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.cuts++
+	l.truncatedCount++
 }
 
 // soakCaller sends one request after the other.
@@ -85,77 +85,77 @@
 }
 
 const (
-	mostSends      = 40
-	sendTime       = 14 * time.Second
-	mostRepeatWait = 400 * time.Millisecond
-	mostPatience   = 600 * time.Millisecond // of a caller that leaves early
+	maxSends         = 40
+	sendTimeout      = 14 * time.Second
+	maxRepeatWait    = 400 * time.Millisecond
+	maxImpatientWait = 600 * time.Millisecond // of a caller that leaves early
 )
 
 func (c *soakCaller) run(stop <-chan struct{}) {
-	untilClosed(stop, func(n int) {
-		r := c.next(n)
+	repeatUntilClosed(stop, func(n int) {
+		r := c.newRequest(n)
 		c.log.add(r)
-		c.serve(r)
+		c.sendUntilDecided(r)
 	})
 }
 
-func (c *soakCaller) next(n int) *soakRequest {
-	kinds := []soakKind{kindSlip, kindSlip, kindSlip, kindLookup, kindStream, kindStream, kindStream, kindWhole, kindWhole}
+func (c *soakCaller) newRequest(n int) *soakRequest {
+	kinds := []soakKind{kindOnce, kindOnce, kindOnce, kindLookup, kindStream, kindStream, kindStream, kindUnary, kindUnary}
 	kind := kinds[c.random.IntN(len(kinds))]
 	marker := fmt.Sprintf("%s-%d-%d", kind, c.number, n)
 	team := c.teams[c.random.IntN(len(c.teams))]
 	tokens := 1 + c.random.IntN(120)
 	return &soakRequest{
-		kind: kind, marker: marker, team: team, end: endSilent,
-		ask: request{
-			prompt:    fmt.Sprintf("%s [[id=%s]][[tokens=%d]]", strings.Repeat("verse ", c.random.IntN(600)), marker, tokens),
-			maxTokens: 200,
-			stream:    kind == kindStream,
-			key:       marker,
-			teamKey:   team.key,
+		kind: kind, marker: marker, team: team, result: resultNone,
+		request: request{
+			prompt:         fmt.Sprintf("%s [[id=%s]][[tokens=%d]]", strings.Repeat("verse ", c.random.IntN(600)), marker, tokens),
+			maxTokens:      200,
+			stream:         kind == kindStream,
+			idempotencyKey: marker,
+			teamKey:        team.key,
 		},
 	}
 }
 
-// serve sends a request, and again with the same key elsewhere, until its fate
+// sendUntilDecided sends a request, and again with the same key elsewhere, until its fate
 // is told or the caller leaves.
-func (c *soakCaller) serve(r *soakRequest) {
+func (c *soakCaller) sendUntilDecided(r *soakRequest) {
 	leaves := c.random.IntN(12) == 0
-	for range mostSends {
-		within := sendTime
+	for range maxSends {
+		within := sendTimeout
 		if leaves {
-			within = 1 + rand64(c.random.Int64N, mostPatience)
+			within = 1 + randomDuration(c.random.Int64N, maxImpatientWait)
 		}
-		entry := c.entry(r.team)
+		entry := c.pickEntry(r.team)
 		begun := time.Now()
 		a, err := c.send(entry, r, within)
-		r.note(begun, entry, a, err)
-		if end, told := c.judge(r, a, err); told {
-			r.end = end
+		r.recordSend(begun, entry, a, err)
+		if end, told := c.classify(r, a, err); told {
+			r.result = end
 			return
 		}
 		if leaves {
-			r.end = endAbandoned
+			r.result = resultAbandoned
 			return
 		}
-		<-time.After(rand64(c.random.Int64N, mostRepeatWait))
+		<-time.After(randomDuration(c.random.Int64N, maxRepeatWait))
 	}
 }
 
-func (r *soakRequest) note(begun time.Time, entry *instance, a answer, err error) {
-	what := fmt.Sprintf("%d %s %s %q", a.status, a.outcome, a.refused.Code, a.refused.Message)
+func (r *soakRequest) recordSend(begun time.Time, entry *instance, a answer, err error) {
+	what := fmt.Sprintf("%d %s %s %q", a.status, a.outcome, a.apiError.Code, a.apiError.Message)
 	if err != nil {
 		what = err.Error()
 	}
-	if a.cut {
+	if a.truncated {
 		what += " cut"
 	}
 	const format = "15:04:05.000"
-	r.sends = append(r.sends, fmt.Sprintf("%s-%s %s %s", begun.Format(format), time.Now().Format(format), entry.id, what))
+	r.sendLog = append(r.sendLog, fmt.Sprintf("%s-%s %s %s", begun.Format(format), time.Now().Format(format), entry.id, what))
 }
 
-// entry is mostly one in the team's own zone.
-func (c *soakCaller) entry(team *soakTeam) *instance {
+// pickEntry is mostly one in the team's own zone.
+func (c *soakCaller) pickEntry(team *soakTeam) *instance {
 	for {
 		i := c.fleet.instances[c.random.IntN(len(c.fleet.instances))]
 		if i.zone == team.home || c.random.IntN(8) == 0 {
@@ -167,54 +167,54 @@
 func (c *soakCaller) send(entry *instance, r *soakRequest, within time.Duration) (answer, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
-	if r.kind.model() {
-		return ask(ctx, entry, r.ask)
+	if r.kind.isModelRequest() {
+		return sendCompletion(ctx, entry, r.request)
 	}
 	path := "/once"
 	if r.kind == kindLookup {
 		path = "/again"
 	}
-	return callAs(ctx, entry, path, r.ask, body(r.marker))
+	return callServiceAs(ctx, entry, path, r.request, markedBody(r.marker))
 }
 
-// judge tells what an answer means for its caller; told is false when the
+// classify tells what an answer means for its caller; told is false when the
 // caller goes on.
-func (c *soakCaller) judge(r *soakRequest, a answer, err error) (end soakEnd, told bool) {
+func (c *soakCaller) classify(r *soakRequest, a answer, err error) (end soakResult, told bool) {
 	if err != nil {
-		return endSilent, false
+		return resultNone, false
 	}
-	if r.kind.model() && a.status == http.StatusOK {
-		c.compare(r, a)
+	if r.kind.isModelRequest() && a.status == http.StatusOK {
+		c.checkText(r, a)
 	}
-	if a.cut {
-		c.log.addCut()
-		return endSilent, false
+	if a.truncated {
+		c.log.addTruncated()
+		return resultNone, false
 	}
-	if a.whole() {
-		return endWhole, true
+	if a.isComplete() {
+		return resultComplete, true
 	}
 	switch a.outcome {
 	case callerapi.OutcomeNotRun:
 		// Half of the callers take it as final, and hold the system to it.
-		return endRefused, c.random.IntN(2) == 0
+		return resultNotRun, c.random.IntN(2) == 0
 	case callerapi.OutcomeFailed:
-		return endFailed, true
+		return resultFailed, true
 	case callerapi.OutcomeCompleted:
-		return endRecorded, true
+		return resultRecorded, true
 	case callerapi.OutcomeUnknown:
-		return endUnknown, a.refused.Code == callerapi.CodeUnknown
+		return resultUnknown, a.apiError.Code == callerapi.CodeUnknown
 	}
-	return endSilent, false
+	return resultNone, false
 }
 
-// compare holds a model's answer, or the part that came, against its prompt.
-func (c *soakCaller) compare(r *soakRequest, a answer) {
-	want := wanted(r.ask)
-	if a.whole() && a.text == want {
+// checkText holds a model's answer, or the part that came, against its prompt.
+func (c *soakCaller) checkText(r *soakRequest, a answer) {
+	want := expectedText(r.request)
+	if a.isComplete() && a.text == want {
 		return
 	}
-	if !a.whole() && strings.HasPrefix(want, a.text) {
+	if !a.isComplete() && strings.HasPrefix(want, a.text) {
 		return
 	}
-	c.log.addWrong("%s: got %d bytes, want %d: %+v", r.marker, len(a.text), len(want), r.sends)
+	c.log.addWrongText("%s: got %d bytes, want %d: %+v", r.marker, len(a.text), len(want), r.sendLog)
 }
--- a/internal/e2e/soak_faults_test.go
+++ b/internal/e2e/soak_faults_test.go
@@ -20,129 +20,129 @@
 }
 
 const (
-	mostFaultGap  = 1500 * time.Millisecond // between the two of a pair
-	leastFault    = 300 * time.Millisecond
-	mostFault     = 4 * time.Second // past each lease
-	mostFaultRest = time.Second
-	leaveTime     = 10 * time.Second
-	stopTime      = 60 * time.Second
+	maxFaultGap         = 1500 * time.Millisecond // between the two of a pair
+	minFaultDuration    = 300 * time.Millisecond
+	maxFaultDuration    = 4 * time.Second // past each lease
+	maxRestBetweenPairs = time.Second
+	leaveTimeout        = 10 * time.Second
+	stopTimeout         = 60 * time.Second
 )
 
-// pair lets two random faults overlap, heals both and waits until all serve.
-func (s *soak) pair(n int) {
-	first := s.fault()
-	second := s.fault()
+// runFaultPair lets two random faults overlap, heals both and waits until all serve.
+func (s *soak) runFaultPair(n int) {
+	first := s.randomFault()
+	second := s.randomFault()
 	for second.target == first.target {
-		second = s.fault()
+		second = s.randomFault()
 	}
 	s.t.Logf("%s pair %d: %s, %s", time.Now().Format("15:04:05.000"), n, first.name, second.name)
 	first.begin()
-	s.pause(0, mostFaultGap)
+	s.pause(0, maxFaultGap)
 	second.begin()
-	s.pause(leastFault, mostFault)
+	s.pause(minFaultDuration, maxFaultDuration)
 	first.heal()
-	s.pause(0, mostFaultGap)
+	s.pause(0, maxFaultGap)
 	second.heal()
 	s.fleet.awaitCurrent(s.t, s.fleet.instances...)
-	s.pause(0, mostFaultRest)
+	s.pause(0, maxRestBetweenPairs)
 }
 
 // pause lets a random time pass: the moment of a fault.
 func (s *soak) pause(least, most time.Duration) {
-	<-time.After(least + rand64(s.random.Int64N, most-least))
+	<-time.After(least + randomDuration(s.random.Int64N, most-least))
 }
 
-func rand64(draw func(int64) int64, most time.Duration) time.Duration {
+func randomDuration(draw func(int64) int64, most time.Duration) time.Duration {
 	return time.Duration(draw(int64(most)))
 }
 
-func (s *soak) fault() soakFault {
+func (s *soak) randomFault() soakFault {
 	kinds := []func() soakFault{
-		s.killed, s.frozen, s.isolated, s.deaf, s.mute, s.stopped,
-		s.engineKilled, s.engineLeaves, s.engineSwitch, s.engineSwitch, s.serviceSwitch, s.zonesChange,
+		s.killFault, s.freezeFault, s.isolateFault, s.blockIncomingFault, s.blockOutgoingFault, s.stopFault,
+		s.killEndpointFault, s.leaveFault, s.engineFault, s.engineFault, s.serviceFault, s.zonesFault,
 	}
 	return kinds[s.random.IntN(len(kinds))]()
 }
 
-func (s *soak) someInstance() *instance {
+func (s *soak) randomInstance() *instance {
 	return s.fleet.instances[s.random.IntN(len(s.fleet.instances))]
 }
 
-func (s *soak) killed() soakFault {
-	i := s.someInstance()
+func (s *soak) killFault() soakFault {
+	i := s.randomInstance()
 	return soakFault{"kill " + i.id, i.id, func() { i.kill(s.t) }, func() { i.start(s.t) }}
 }
 
-func (s *soak) frozen() soakFault {
-	i := s.someInstance()
-	return soakFault{"freeze " + i.id, i.id, func() { i.freeze(s.t) }, func() { i.thaw(s.t) }}
+func (s *soak) freezeFault() soakFault {
+	i := s.randomInstance()
+	return soakFault{"freeze " + i.id, i.id, func() { i.freeze(s.t) }, func() { i.resume(s.t) }}
 }
 
-func (s *soak) isolated() soakFault { return s.cutOff("isolate", s.fleet.isolate) }
+func (s *soak) isolateFault() soakFault { return s.networkFault("isolate", s.fleet.isolate) }
 
-// deaf is an instance that hears nobody, and is heard.
-func (s *soak) deaf() soakFault { return s.cutOff("deaf", s.fleet.deafen) }
+// blockIncomingFault is an instance that hears nobody, and is heard.
+func (s *soak) blockIncomingFault() soakFault { return s.networkFault("deaf", s.fleet.blockIncoming) }
 
-// mute is an instance that nobody hears, and hears.
-func (s *soak) mute() soakFault { return s.cutOff("mute", s.fleet.mute) }
+// blockOutgoingFault is an instance that nobody hears, and hears.
+func (s *soak) blockOutgoingFault() soakFault { return s.networkFault("mute", s.fleet.blockOutgoing) }
 
-func (s *soak) cutOff(name string, cut func(i *instance, cut bool)) soakFault {
-	i := s.someInstance()
+func (s *soak) networkFault(name string, cut func(i *instance, cut bool)) soakFault {
+	i := s.randomInstance()
 	return soakFault{name + " " + i.id, i.id, func() { cut(i, true) }, func() { cut(i, false) }}
 }
 
-func (s *soak) stopped() soakFault {
-	i := s.someInstance()
+func (s *soak) stopFault() soakFault {
+	i := s.randomInstance()
 	ended := make(chan error, 1)
 	begin := func() {
 		i.terminate(s.t)
-		go func() { ended <- i.awaitEnd(stopTime) }()
+		go func() { ended <- i.awaitExit(stopTimeout) }()
 	}
 	heal := func() {
-		assert.NilError(s.t, <-ended, "%s", i.tail())
+		assert.NilError(s.t, <-ended, "%s", i.logTail())
 		i.start(s.t)
 	}
 	return soakFault{"stop " + i.id, i.id, begin, heal}
 }
 
-func (s *soak) someEngine(plain bool) *soakEngine {
+func (s *soak) randomEndpoint(plain bool) *soakEndpoint {
 	for {
-		g := s.slots[s.random.IntN(len(s.slots))]
+		g := s.endpoints[s.random.IntN(len(s.endpoints))]
 		if (g.role == fleet.RolePlain) == plain {
 			return g
 		}
 	}
 }
 
-func (s *soak) engineKilled() soakFault {
-	g := s.someEngine(s.random.IntN(3) == 0)
-	return soakFault{"engine killed " + g.id, g.id, func() { g.now.kill() }, func() { s.startEngine(g) }}
+func (s *soak) killEndpointFault() soakFault {
+	g := s.randomEndpoint(s.random.IntN(3) == 0)
+	return soakFault{"engine killed " + g.id, g.id, func() { g.current.kill() }, func() { s.startEndpoint(g) }}
 }
 
-// engineLeaves announces its leave, goes on until it holds nothing, and comes
+// leaveFault announces its leave, goes on until it holds nothing, and comes
 // back as a new process.
-func (s *soak) engineLeaves() soakFault {
-	g := s.someEngine(s.random.IntN(3) == 0)
+func (s *soak) leaveFault() soakFault {
+	g := s.randomEndpoint(s.random.IntN(3) == 0)
 	left := make(chan struct{})
 	begin := func() {
-		leaver := g.now
+		leaver := g.current
 		go func() {
 			defer close(left)
-			ctx, cancel := context.WithTimeout(context.Background(), leaveTime)
+			ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 			defer cancel()
 			_ = leaver.Leave(ctx) // a leave that nobody confirms ends as a death
 		}()
 	}
 	heal := func() {
 		<-left
-		g.now.kill()
-		s.startEngine(g)
+		g.current.kill()
+		s.startEndpoint(g)
 	}
 	return soakFault{"engine leaves " + g.id, g.id, begin, heal}
 }
 
-func (s *soak) engineSwitch() soakFault {
-	g := s.someEngine(false)
+func (s *soak) engineFault() soakFault {
+	g := s.randomEndpoint(false)
 	switches := []standin.Faults{
 		{StallTransfers: true},
 		{IgnoreCancels: 10},
@@ -155,11 +155,11 @@
 		{ChunkFault: standin.ChunkRepeat},
 		{ChunkFault: standin.ChunkCut},
 	}
-	return s.switched(g, switches[s.random.IntN(len(switches))])
+	return s.switchFault(g, switches[s.random.IntN(len(switches))])
 }
 
-func (s *soak) serviceSwitch() soakFault {
-	g := s.someEngine(true)
+func (s *soak) serviceFault() soakFault {
+	g := s.randomEndpoint(true)
 	switches := []standin.Faults{
 		{FailCalls: true},
 		{CutCalls: true},
@@ -167,17 +167,17 @@
 		{CallDelayMs: 800},
 		{Freeze: true},
 	}
-	return s.switched(g, switches[s.random.IntN(len(switches))])
+	return s.switchFault(g, switches[s.random.IntN(len(switches))])
 }
 
-func (s *soak) switched(g *soakEngine, f standin.Faults) soakFault {
-	begin := func() { g.now.SetFaults(f) }
-	heal := func() { g.now.SetFaults(standin.Faults{}) }
+func (s *soak) switchFault(g *soakEndpoint, f standin.Faults) soakFault {
+	begin := func() { g.current.SetFaults(f) }
+	heal := func() { g.current.SetFaults(standin.Faults{}) }
 	return soakFault{fmt.Sprintf("%s %+v", g.id, f), g.id, begin, heal}
 }
 
-// zonesChange permits a team's data in the other zone too, and forbids it again.
-func (s *soak) zonesChange() soakFault {
+// zonesFault permits a team's data in the other zone too, and forbids it again.
+func (s *soak) zonesFault() soakFault {
 	team := s.teams[s.random.IntN(len(s.teams))]
 	return soakFault{"zones of " + team.name, "team " + team.name, func() { s.widen(team) }, func() { s.narrow(team) }}
 }
--- a/internal/e2e/soak_test.go
+++ b/internal/e2e/soak_test.go
@@ -22,10 +22,10 @@
 )
 
 const (
-	soakShort    = 14 * time.Second // the length in CI
-	soakSeed     = 1
-	soakCallers  = 10
-	soakHeldTime = 15 * time.Second // until all memory must be free
+	defaultSoakLength  = 14 * time.Second // the length in CI
+	defaultSoakSeed    = 1
+	soakCallers        = 10
+	soakReleaseTimeout = 15 * time.Second // until all memory must be free
 )
 
 // soakTeam is a team of the soak: its data stays in home, but for the times
@@ -36,11 +36,11 @@
 	home    string
 	version uint64
 	mu      sync.Mutex
-	wide    []span
+	widened []timeSpan
 }
 
-// span is a time, unix ms, in which a team may run anywhere.
-type span struct{ from, until int64 }
+// timeSpan is a time, unix ms, in which a team may run anywhere.
+type timeSpan struct{ from, until int64 }
 
 func (s *soakTeam) permits(zone fleet.AvailabilityZone, at int64) bool {
 	if string(zone) == s.home {
@@ -48,7 +48,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, w := range s.wide {
+	for _, w := range s.widened {
 		if at >= w.from && (w.until == 0 || at <= w.until) {
 			return true
 		}
@@ -56,26 +56,26 @@
 	return false
 }
 
-// soakEngine is an endpoint that may live several times.
-type soakEngine struct {
+// soakEndpoint is an endpoint that may live several times.
+type soakEndpoint struct {
 	id      string
 	zone    string
 	role    fleet.EndpointRole
 	address string
-	now     *emulated
+	current *emulatedEndpoint
 }
 
 // soak is one run: a fleet, its load, its faults and the record of callers.
 type soak struct {
-	t       *testing.T
-	fleet   *testFleet
-	engines *engines
-	slots   []*soakEngine
-	teams   []*soakTeam
-	seed    uint64
-	random  *rand.Rand // of the faults
-	log     soakLog
-	changes int
+	t         *testing.T
+	fleet     *testFleet
+	emulated  *endpointSet
+	endpoints []*soakEndpoint
+	teams     []*soakTeam
+	seed      uint64
+	random    *rand.Rand // of the faults
+	log       soakLog
+	changes   int
 }
 
 // Any two faults at once, again and again: entries and control instances die,
@@ -93,7 +93,7 @@
 	}
 	end := time.Now().Add(soakLength(t))
 	for pairs := 1; time.Now().Before(end); pairs++ {
-		s.pair(pairs)
+		s.runFaultPair(pairs)
 	}
 	close(stop)
 	callers.Wait()
@@ -103,7 +103,7 @@
 func soakLength(t *testing.T) time.Duration {
 	text := os.Getenv(soakLengthVariable)
 	if text == "" {
-		return soakShort
+		return defaultSoakLength
 	}
 	length, err := time.ParseDuration(text)
 	assert.NilError(t, err)
@@ -111,15 +111,15 @@
 }
 
 func newSoak(t *testing.T) *soak {
-	seed := uint64(soakSeed)
+	seed := uint64(defaultSoakSeed)
 	if text := os.Getenv(soakSeedVariable); text != "" {
 		n, err := strconv.ParseUint(text, 10, 64)
 		assert.NilError(t, err)
 		seed = n
 	}
-	f := startFleet(t, plan{zones: []string{"a", "b", "a", "a", "b", "b"}, control: 3})
+	f := startFleet(t, fleetPlan{zones: []string{"a", "b", "a", "a", "b", "b"}, control: 3})
 	s := &soak{
-		t: t, fleet: f, engines: &engines{fleet: f}, seed: seed,
+		t: t, fleet: f, emulated: &endpointSet{fleet: f}, seed: seed,
 		random: rand.New(rand.NewPCG(seed, 0)),
 		teams: []*soakTeam{
 			{name: "t", key: teamKey, home: "a", version: 1},
@@ -127,58 +127,58 @@
 		},
 	}
 	for _, team := range s.teams {
-		s.permit(team, team.home)
+		s.setZones(team, team.home)
 	}
-	s.addEngines()
+	s.addEndpoints()
 	return s
 }
 
-func (s *soak) addEngines() {
+func (s *soak) addEndpoints() {
 	for _, zone := range []string{"a", "b"} {
-		s.addEngine("p-"+zone, zone, fleet.RolePrefill)
-		s.addEngine("q-"+zone, zone, fleet.RolePrefill)
+		s.addEndpoint("p-"+zone, zone, fleet.RolePrefill)
+		s.addEndpoint("q-"+zone, zone, fleet.RolePrefill)
 		for n := range 3 {
-			s.addEngine(fmt.Sprintf("d%d-%s", n, zone), zone, fleet.RoleDecode)
+			s.addEndpoint(fmt.Sprintf("d%d-%s", n, zone), zone, fleet.RoleDecode)
 		}
 		for n := range 2 {
-			s.addEngine(fmt.Sprintf("s%d-%s", n, zone), zone, fleet.RolePlain)
+			s.addEndpoint(fmt.Sprintf("s%d-%s", n, zone), zone, fleet.RolePlain)
 		}
 	}
 }
 
-func (s *soak) addEngine(id, zone string, role fleet.EndpointRole) {
-	g := &soakEngine{id: id, zone: zone, role: role, address: s.fleet.prefix + ".250:0"}
-	s.slots = append(s.slots, g)
-	s.startEngine(g)
-	g.address = g.now.Address()
+func (s *soak) addEndpoint(id, zone string, role fleet.EndpointRole) {
+	g := &soakEndpoint{id: id, zone: zone, role: role, address: s.fleet.prefix + ".250:0"}
+	s.endpoints = append(s.endpoints, g)
+	s.startEndpoint(g)
+	g.address = g.current.Address()
 }
 
-// startEngine starts an endpoint with a new incarnation at its address.
-func (s *soak) startEngine(g *soakEngine) {
-	g.now = s.engines.add(s.t, g.id, g.zone, g.role, func(o *standin.Options) { o.Listen = g.address })
+// startEndpoint starts an endpoint with a new incarnation at its address.
+func (s *soak) startEndpoint(g *soakEndpoint) {
+	g.current = s.emulated.add(s.t, g.id, g.zone, g.role, func(o *standin.Options) { o.Listen = g.address })
 }
 
-// permit changes a team's zones and waits until the change is in force.
-func (s *soak) permit(team *soakTeam, zones ...string) {
+// setZones changes a team's zones and waits until the change is in force.
+func (s *soak) setZones(team *soakTeam, zones ...string) {
 	s.changes++
 	id := fmt.Sprintf("soak-%d", s.changes)
 	yaml := teamYAML(team.name, team.key, zones...)
 	eventually(s.t, 60*time.Second, func() error {
-		return s.fleet.change(s.t, s.fleet.operator, "teams/"+team.name, team.version, id, yaml)
+		return s.fleet.applySubtree(s.t, s.fleet.operator, "teams/"+team.name, team.version, id, yaml)
 	})
 	team.version++
 }
 
 func (s *soak) widen(team *soakTeam) {
 	team.mu.Lock()
-	team.wide = append(team.wide, span{from: time.Now().UnixMilli()})
+	team.widened = append(team.widened, timeSpan{from: time.Now().UnixMilli()})
 	team.mu.Unlock()
-	s.permit(team, "a", "b")
+	s.setZones(team, "a", "b")
 }
 
 func (s *soak) narrow(team *soakTeam) {
-	s.permit(team, team.home)
+	s.setZones(team, team.home)
 	team.mu.Lock()
-	team.wide[len(team.wide)-1].until = time.Now().UnixMilli()
+	team.widened[len(team.widened)-1].until = time.Now().UnixMilli()
 	team.mu.Unlock()
 }
--- a/internal/e2e/story_test.go
+++ b/internal/e2e/story_test.go
@@ -10,10 +10,10 @@
 	"github.com/hyssopsail/hyssopsail/internal/timeline"
 )
 
-// story gives the time line of a request over all daemons, with all deaths of
+// eventReport gives the time line of a request over all daemons, with all deaths of
 // endpoints, for the report of a failed test.
-func (f *testFleet) story(request string) string {
-	ctx, cancel := context.WithTimeout(context.Background(), callTime)
+func (f *testFleet) eventReport(request string) string {
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	reply, err := f.operator.Timeline(ctx, &pb.TimelineQuery{Limit: 10_000})
 	if err != nil {
@@ -21,7 +21,7 @@
 	}
 	var b strings.Builder
 	for _, e := range reply.Events {
-		if e.GetRequestId() == request || fateful(timeline.Kind(e.GetKind())) {
+		if e.GetRequestId() == request || isEndpointOrViewEvent(timeline.Kind(e.GetKind())) {
 			at := time.Unix(0, int64(e.GetWallNs())).Format("15:04:05.000")
 			fmt.Fprintf(&b, "%s %s %s %.8s %s %s %s\n", at, e.GetInstanceId(), e.GetKind(), e.GetAttemptId(), e.GetEndpointId(), e.GetRequestId(), e.GetDetail())
 		}
@@ -29,7 +29,7 @@
 	return b.String()
 }
 
-func fateful(k timeline.Kind) bool {
+func isEndpointOrViewEvent(k timeline.Kind) bool {
 	switch k {
 	case timeline.KindEndpointJoin, timeline.KindEndpointLost, timeline.KindSuspect, timeline.KindQuarantined, timeline.KindViewChanged:
 		return true
--- a/internal/e2e/stream_test.go
+++ b/internal/e2e/stream_test.go
@@ -15,15 +15,15 @@
 	"github.com/hyssopsail/hyssopsail/internal/standin"
 )
 
-// models is a fleet with two prefill and three decode engines.
-func models(t *testing.T, entries int) (*testFleet, *engines) {
+// startModelFleet is a fleet with two prefill and three decode engines.
+func startModelFleet(t *testing.T, entries int) (*testFleet, *endpointSet) {
 	t.Helper()
 	zones := make([]string, entries)
 	for n := range zones {
 		zones[n] = "a"
 	}
-	f := startFleet(t, plan{zones: zones, control: 3})
-	e := &engines{fleet: f}
+	f := startFleet(t, fleetPlan{zones: zones, control: 3})
+	e := &endpointSet{fleet: f}
 	e.add(t, "p1", "a", fleet.RolePrefill)
 	e.add(t, "p2", "a", fleet.RolePrefill)
 	for n := range 3 {
@@ -34,15 +34,15 @@
 }
 
 // outcomeOf sends a request until its final answer and gives it.
-func wanted(r request) string { return standin.ExpectedText(r.prompt, r.maxTokens) }
+func expectedText(r request) string { return standin.ExpectedText(r.prompt, r.maxTokens) }
 
-// decodingAt waits until some decode engine holds an attempt in decode.
-func (e *engines) decodingAt(t *testing.T) *emulated {
+// awaitDecoding waits until some decode engine holds an attempt in decode.
+func (e *endpointSet) awaitDecoding(t *testing.T) *emulatedEndpoint {
 	t.Helper()
-	var found *emulated
-	eventually(t, callTime, func() error {
+	var found *emulatedEndpoint
+	eventually(t, callTimeout, func() error {
 		for _, m := range e.all {
-			for _, fact := range m.audit(t).Attempts {
+			for _, fact := range m.fetchAudit(t).Attempts {
 				if fact.Decodes > 0 && fact.EndedMs == 0 && fact.Tokens > 3 {
 					found = m
 					return nil
@@ -58,28 +58,28 @@
 // at the next token from another engine: the answer is whole, without a gap or
 // a repeated token.
 func TestDecodeEngineKilledMidStream(t *testing.T) {
-	f, e := models(t, 3)
+	f, e := startModelFleet(t, 3)
 	r := request{prompt: "a long gloss [[tokens=400]]", maxTokens: 400, stream: true}
-	got := askBeside(t, f.instances[0], r)
-	e.decodingAt(t).kill()
+	got := startCompletion(t, f.instances[0], r)
+	e.awaitDecoding(t).kill()
 	a := <-got
-	assert.Assert(t, a.whole(), "%+v", a)
-	assert.Equal(t, a.text, wanted(r))
+	assert.Assert(t, a.isComplete(), "%+v", a)
+	assert.Equal(t, a.text, expectedText(r))
 	e.awaitNothingHeld(t, 10*time.Second)
 }
 
 // A prefill engine dies while it computes; the request is computed elsewhere.
 func TestPrefillEngineKilled(t *testing.T) {
-	f, e := models(t, 3)
+	f, e := startModelFleet(t, 3)
 	for _, m := range e.all[:2] {
-		m.faults(t, standin.Faults{Slow: 20}) // the prefill takes long enough to be met
+		m.postFaults(t, standin.Faults{Slow: 20}) // the prefill takes long enough to be met
 	}
 	r := request{prompt: strings.Repeat("bale photographs ", 250), maxTokens: 20, stream: true}
-	got := askBeside(t, f.instances[1], r)
-	var busy *emulated
-	eventually(t, callTime, func() error {
+	got := startCompletion(t, f.instances[1], r)
+	var busy *emulatedEndpoint
+	eventually(t, callTimeout, func() error {
 		for _, m := range e.all[:2] {
-			if m.audit(t).Held > 0 {
+			if m.fetchAudit(t).Held > 0 {
 				busy = m
 				return nil
 			}
@@ -93,24 +93,24 @@
 	})
 	busy.kill()
 	a := <-got
-	assert.Assert(t, a.whole(), "%+v", a)
-	assert.Equal(t, a.text, wanted(r))
+	assert.Assert(t, a.isComplete(), "%+v", a)
+	assert.Equal(t, a.text, expectedText(r))
 	e.awaitNothingHeld(t, 10*time.Second)
 }
 
 // Callers go away at random moments: in the queue, during prefill, transfer
 // and decode. No engine memory stays held.
 func TestCallersGoneAtEachStage(t *testing.T) {
-	f, e := models(t, 3)
+	f, e := startModelFleet(t, 3)
 	for _, m := range e.all {
-		m.faults(t, standin.Faults{IgnoreCancels: 2})
+		m.postFaults(t, standin.Faults{IgnoreCancels: 2})
 	}
 	var group sync.WaitGroup
 	for n := range 40 {
 		group.Go(func() {
 			ctx, cancel := context.WithTimeout(t.Context(), time.Duration(n*4)*time.Millisecond)
 			defer cancel()
-			_, _ = ask(ctx, f.instances[n%3], request{prompt: fmt.Sprintf("gone %d [[tokens=500]]", n), maxTokens: 500, stream: true})
+			_, _ = sendCompletion(ctx, f.instances[n%3], request{prompt: fmt.Sprintf("gone %d [[tokens=500]]", n), maxTokens: 500, stream: true})
 		})
 	}
 	group.Wait()
@@ -120,12 +120,12 @@
 // An entry dies with many streams in flight. The engines' memory that they
 // held is freed within seconds, though nobody is left to cancel them.
 func TestEntryKilledFreesItsEngineMemory(t *testing.T) {
-	f, e := models(t, 4)
+	f, e := startModelFleet(t, 4)
 	victim := f.instances[3]
 	var group sync.WaitGroup
 	for n := range 12 {
 		group.Go(func() {
-			_, _ = ask(callContext(t), victim, request{prompt: fmt.Sprintf("orphan %d [[tokens=20000]]", n), maxTokens: 20000, stream: true})
+			_, _ = sendCompletion(callContext(t), victim, request{prompt: fmt.Sprintf("orphan %d [[tokens=20000]]", n), maxTokens: 20000, stream: true})
 		})
 	}
 	awaitHeld(t, 12, e.all...)
@@ -139,19 +139,19 @@
 // Two hundred callers ask all entries at once; each gets the answer to its own
 // prompt.
 func TestEachCallerGetsItsOwnAnswer(t *testing.T) {
-	f, e := models(t, 3)
+	f, e := startModelFleet(t, 3)
 	var group sync.WaitGroup
 	wrong := make(chan string, 200)
 	for n := range 200 {
 		group.Go(func() {
 			r := request{prompt: fmt.Sprintf("verse %d [[tokens=%d]]", n, 5+n%30), maxTokens: 60, stream: n%2 == 0}
-			a, err := ask(callContext(t), f.instances[n%3], r)
+			a, err := sendCompletion(callContext(t), f.instances[n%3], r)
 			switch {
 			case err != nil:
 				wrong <- err.Error()
-			case a.whole() && a.text != wanted(r):
+			case a.isComplete() && a.text != expectedText(r):
 				wrong <- fmt.Sprintf("verse %d: another answer", n)
-			case !a.whole() && a.refused.Code != callerapi.CodeOverloaded:
+			case !a.isComplete() && a.apiError.Code != callerapi.CodeOverloaded:
 				wrong <- fmt.Sprintf("verse %d: %+v", n, a)
 			}
 		})
@@ -167,22 +167,22 @@
 // Every daemon is stopped in turn under load, each started again after. No
 // caller that asked an address that it was given loses its answer.
 func TestGracefulStopOfEachDaemonUnderLoad(t *testing.T) {
-	f, e := models(t, 4)
+	f, e := startModelFleet(t, 4)
 	e.add(t, "s1", "a", fleet.RolePlain)
 	e.add(t, "s2", "a", fleet.RolePlain)
 	e.awaitService(t)
 	stop := make(chan struct{})
-	lost := &complaints{}
+	lost := &failureLog{}
 	var group sync.WaitGroup
 	for n := range 8 {
-		group.Go(func() { loadUntil(t, f, n, stop, lost) })
+		group.Go(func() { sendStreamsUntil(t, f, n, stop, lost) })
 	}
 	for n := range 4 {
-		group.Go(func() { slipsUntil(t, f, n, stop, lost) })
+		group.Go(func() { sendSlipsUntil(t, f, n, stop, lost) })
 	}
 	for _, i := range f.instances {
 		t.Logf("%s stopping %s", time.Now().Format(time.TimeOnly), i.id)
-		assert.NilError(t, i.stop(t, 60*time.Second), "%s", i.tail())
+		assert.NilError(t, i.stop(t, 60*time.Second), "%s", i.logTail())
 		t.Logf("%s starting %s", time.Now().Format(time.TimeOnly), i.id)
 		i.start(t)
 		f.awaitCurrent(t, i)
@@ -190,12 +190,12 @@
 	close(stop)
 	group.Wait()
 	lost.report(t)
-	e.ranOnce(t, "stop-")
+	e.checkRunOnce(t, "stop-")
 	e.awaitNothingHeld(t, 10*time.Second)
 }
 
-// ranOnce checks that no plain call whose marker begins so ran more than once.
-func (e *engines) ranOnce(t *testing.T, markers string) {
+// checkRunOnce checks that no plain call whose marker begins so ran more than once.
+func (e *endpointSet) checkRunOnce(t *testing.T, markers string) {
 	t.Helper()
 	runs := map[string]int{}
 	for _, m := range e.all {
@@ -208,31 +208,31 @@
 	}
 }
 
-// slipsUntil sends slips, each once, to addresses that are kept.
-func slipsUntil(t *testing.T, f *testFleet, worker int, stop <-chan struct{}, lost *complaints) {
-	addresses := newAddressBook(f)
-	untilClosed(stop, func(n int) {
-		<-time.After(pollEvery)
+// sendSlipsUntil sends slips, each once, to addresses that are kept.
+func sendSlipsUntil(t *testing.T, f *testFleet, worker int, stop <-chan struct{}, lost *failureLog) {
+	addresses := newAddressCache(f)
+	repeatUntilClosed(stop, func(n int) {
+		<-time.After(pollInterval)
 		marker := fmt.Sprintf("stop-%d-%d", worker, n)
 		entry := addresses.pick(t, worker+n)
-		a, err := call(callContext(t), entry, "/once", marker, body(marker))
-		if err != nil || !a.whole() {
+		a, err := callService(callContext(t), entry, "/once", marker, markedBody(marker))
+		if err != nil || !a.isComplete() {
 			lost.add("%s %s: %s: %+v %v", time.Now().Format(time.TimeOnly), entry.id, marker, a, err)
 		}
 	})
 }
 
-// complaints counts what callers lost and keeps the first few.
-type complaints struct {
+// failureLog counts what callers lost and keeps the first few.
+type failureLog struct {
 	mu    sync.Mutex
 	count int
 	first []string
 	when  map[string]int // by second
 }
 
-const complaintsKept = 4
+const maxFailuresKept = 4
 
-func (c *complaints) add(format string, arguments ...any) {
+func (c *failureLog) add(format string, arguments ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.count++
@@ -240,12 +240,12 @@
 		c.when = map[string]int{}
 	}
 	c.when[time.Now().Format(time.TimeOnly)]++
-	if len(c.first) < complaintsKept {
+	if len(c.first) < maxFailuresKept {
 		c.first = append(c.first, fmt.Sprintf(format, arguments...))
 	}
 }
 
-func (c *complaints) report(t *testing.T) {
+func (c *failureLog) report(t *testing.T) {
 	t.Helper()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -254,22 +254,22 @@
 	}
 }
 
-func loadUntil(t *testing.T, f *testFleet, worker int, stop <-chan struct{}, lost *complaints) {
-	addresses := newAddressBook(f)
-	untilClosed(stop, func(n int) {
+func sendStreamsUntil(t *testing.T, f *testFleet, worker int, stop <-chan struct{}, lost *failureLog) {
+	addresses := newAddressCache(f)
+	repeatUntilClosed(stop, func(n int) {
 		r := request{prompt: fmt.Sprintf("load %d %d [[tokens=60]]", worker, n), maxTokens: 60, stream: true}
 		entry := addresses.pick(t, worker+n)
-		a, err := ask(callContext(t), entry, r)
+		a, err := sendCompletion(callContext(t), entry, r)
 		if err != nil {
 			lost.add("%s %s: no answer: %v", time.Now().Format(time.TimeOnly), entry.id, err)
-		} else if !a.whole() || a.text != wanted(r) {
+		} else if !a.isComplete() || a.text != expectedText(r) {
 			lost.add("%s %s: %+v", time.Now().Format(time.TimeOnly), entry.id, a)
 		}
 	})
 }
 
-// untilClosed repeats a step, counted from 0, until stop is closed.
-func untilClosed(stop <-chan struct{}, step func(n int)) {
+// repeatUntilClosed repeats a step, counted from 0, until stop is closed.
+func repeatUntilClosed(stop <-chan struct{}, step func(n int)) {
 	for n := 0; ; n++ {
 		select {
 		case <-stop:
--- a/internal/e2e/transfer_test.go
+++ b/internal/e2e/transfer_test.go
@@ -17,16 +17,16 @@
 // The transfer is given up in time, and neither end keeps its memory, though
 // the engine stays as it is.
 func TestStalledTransferIsGivenUpAndRetried(t *testing.T) {
-	f, e := models(t, 3)
+	f, e := startModelFleet(t, 3)
 	stalled := e.all[0]
 	stalled.SetFaults(standin.Faults{StallTransfers: true})
 	before := stalled.Audit()
-	lost := &complaints{}
-	eventually(t, callTime, func() error {
+	lost := &failureLog{}
+	eventually(t, callTimeout, func() error {
 		var group sync.WaitGroup
 		for n := range 6 {
 			group.Go(func() {
-				askWhole(t, f, n, request{prompt: fmt.Sprintf("gloss %d [[tokens=10]]", n), maxTokens: 10, stream: n%2 == 0}, lost)
+				expectComplete(t, f, n, request{prompt: fmt.Sprintf("gloss %d [[tokens=10]]", n), maxTokens: 10, stream: n%2 == 0}, lost)
 			})
 		}
 		group.Wait()
@@ -40,16 +40,16 @@
 	assert.Equal(t, stalled.Audit().PrefillUsedMs, before.PrefillUsedMs)
 }
 
-// askWhole sends a request and complains unless it is answered whole.
-func askWhole(t *testing.T, f *testFleet, entry int, r request, lost *complaints) {
+// expectComplete sends a request and complains unless it is answered whole.
+func expectComplete(t *testing.T, f *testFleet, entry int, r request, lost *failureLog) {
 	i := f.instances[entry%len(f.instances)]
-	a, err := ask(callContext(t), i, r)
+	a, err := sendCompletion(callContext(t), i, r)
 	if err != nil {
 		lost.add("%s: %v", i.id, err)
 		return
 	}
-	if !a.whole() || a.text != wanted(r) {
-		lost.add("%s: %+v\n%s", i.id, a, f.story(a.refused.RequestID))
+	if !a.isComplete() || a.text != expectedText(r) {
+		lost.add("%s: %+v\n%s", i.id, a, f.eventReport(a.apiError.RequestID))
 	}
 }
 
@@ -57,17 +57,17 @@
 // on the same address, and sends chunks of its earlier life in the streams that
 // come to it. Each scholar still gets the own text, whole and in order.
 func TestEndpointBackOnItsAddressWhileOldChunksArrive(t *testing.T) {
-	f, e := models(t, 3)
-	lost := &complaints{}
+	f, e := startModelFleet(t, 3)
+	lost := &failureLog{}
 	for round := range 3 {
 		var group sync.WaitGroup
 		for n := range 9 {
 			r := request{prompt: fmt.Sprintf("verse %d %d [[tokens=300]]", round, n), maxTokens: 300, stream: true}
-			group.Go(func() { askWhole(t, f, n, r, lost) })
+			group.Go(func() { expectComplete(t, f, n, r, lost) })
 		}
-		old := e.decodingAt(t)
+		old := e.awaitDecoding(t)
 		address := old.Address()
-		id := string(old.id())
+		id := string(old.endpointID())
 		old.kill()
 		again := e.add(t, id, "a", fleet.RoleDecode, func(o *standin.Options) { o.Listen = address })
 		again.SetFaults(standin.Faults{ChunkFault: standin.ChunkStale})
--- a/internal/e2e/zonechange_test.go
+++ b/internal/e2e/zonechange_test.go
@@ -11,17 +11,19 @@
 	"github.com/hyssopsail/hyssopsail/internal/callerapi"
 )
 
-// zonePickups is a fleet over two zones in which zone a has a majority of each
+// startTwoZoneServiceFleet is a fleet over two zones in which zone a has a majority of each
 // ledger group, and a plain service in zone a.
-func zonePickups(t *testing.T) (*testFleet, *engines) { return pickupsIn(t, "a", "a", "a", "b") }
+func startTwoZoneServiceFleet(t *testing.T) (*testFleet, *endpointSet) {
+	return startServiceFleetIn(t, "a", "a", "a", "b")
+}
 
 // setZones changes the permitted zones of the team and waits until the change
 // is in force.
 func (f *testFleet) setZones(t *testing.T, version uint64, zones ...string) {
 	t.Helper()
 	id := fmt.Sprintf("zones-%d", version)
-	eventually(t, callTime, func() error {
-		return f.change(t, f.operator, "teams/t", version, id, teamYAML("t", teamKey, zones...))
+	eventually(t, callTimeout, func() error {
+		return f.applySubtree(t, f.operator, "teams/t", version, id, teamYAML("t", teamKey, zones...))
 	})
 }
 
@@ -30,12 +32,12 @@
 func repeatSlip(t *testing.T, entries []*instance, key, marker string) {
 	t.Helper()
 	for _, i := range entries {
-		eventually(t, callTime, func() error {
-			again, err := call(callContext(t), i, "/once", key, body(marker))
+		eventually(t, callTimeout, func() error {
+			again, err := callService(callContext(t), i, "/once", key, markedBody(marker))
 			if err != nil {
 				return err
 			}
-			if again.outcome != callerapi.OutcomeCompleted || again.refused.Code != callerapi.CodeRecorded {
+			if again.outcome != callerapi.OutcomeCompleted || again.apiError.Code != callerapi.CodeRecorded {
 				return fmt.Errorf("%s at %s: %+v", marker, i.id, again)
 			}
 			return nil
@@ -48,12 +50,12 @@
 // again with the same key. Its record is under the zones of before; an entry
 // that looks only where new records go would send a second truck.
 func TestSlipRepeatedAfterItsZonesChanged(t *testing.T) {
-	f, e := zonePickups(t)
+	f, e := startTwoZoneServiceFleet(t)
 	const slips = 16
 	key := func(n int) string { return fmt.Sprintf("key-zones-%d", n) }
 	marker := func(n int) string { return fmt.Sprintf("slip-zones-%d", n) }
 	for n := range slips {
-		a := mustCall(t, f.instances[n%3], "/once", key(n), body(marker(n)))
+		a := mustCallService(t, f.instances[n%3], "/once", key(n), markedBody(marker(n)))
 		assert.Equal(t, a.status, http.StatusOK, "%+v", a)
 	}
 	f.setZones(t, 1, "a")
@@ -63,7 +65,7 @@
 	f.setZones(t, 2, "a", "b")
 	for n := range slips {
 		repeatSlip(t, f.instances, key(n), marker(n))
-		assert.Equal(t, e.runsOf(t, marker(n)), 1)
+		assert.Equal(t, e.runCount(t, marker(n)), 1)
 	}
 }
 
@@ -71,7 +73,7 @@
 // zones change: some entries claim under the old zones, some under the new.
 // The slip runs once at most, and once if any answer says that it completed.
 func TestSlipRacesAChangeOfItsZones(t *testing.T) {
-	f, e := zonePickups(t)
+	f, e := startTwoZoneServiceFleet(t)
 	sets := [][]string{{"a"}, {"a", "b"}}
 	for round := range 8 {
 		var group sync.WaitGroup
@@ -81,7 +83,7 @@
 			answers[n] = make([]answer, 3)
 			for at, i := range f.instances[:3] {
 				group.Go(func() {
-					a, err := call(callContext(t), i, "/once", fmt.Sprintf("key-race-%d-%d", round, n), body(fmt.Sprintf("slip-race-%d-%d", round, n)))
+					a, err := callService(callContext(t), i, "/once", fmt.Sprintf("key-race-%d-%d", round, n), markedBody(fmt.Sprintf("slip-race-%d-%d", round, n)))
 					if err == nil {
 						answers[n][at] = a
 					}
@@ -91,7 +93,7 @@
 		f.setZones(t, uint64(round+1), sets[round%2]...)
 		group.Wait()
 		for n := range slips {
-			runs := e.runsOf(t, fmt.Sprintf("slip-race-%d-%d", round, n))
+			runs := e.runCount(t, fmt.Sprintf("slip-race-%d-%d", round, n))
 			assert.Assert(t, runs <= 1, "round %d: %d runs: %+v", round, runs, answers[n])
 			for _, a := range answers[n] {
 				if a.outcome == callerapi.OutcomeCompleted {
--- a/internal/e2e/zones_test.go
+++ b/internal/e2e/zones_test.go
@@ -14,10 +14,10 @@
 	"github.com/hyssopsail/hyssopsail/internal/standin"
 )
 
-// twoZones is a fleet with entries and all kinds of endpoints in two zones.
-func twoZones(t *testing.T) (*testFleet, *engines) {
-	f := startFleet(t, plan{zones: []string{"a", "b", "a", "b"}, control: 3})
-	e := &engines{fleet: f}
+// startTwoZoneFleet is a fleet with entries and all kinds of endpoints in two zones.
+func startTwoZoneFleet(t *testing.T) (*testFleet, *endpointSet) {
+	f := startFleet(t, fleetPlan{zones: []string{"a", "b", "a", "b"}, control: 3})
+	e := &endpointSet{fleet: f}
 	for _, zone := range []string{"a", "b"} {
 		e.add(t, "p-"+zone, zone, fleet.RolePrefill)
 		e.add(t, "d-"+zone, zone, fleet.RoleDecode, func(o *standin.Options) { o.Slots = 6 })
@@ -28,8 +28,8 @@
 	return f, e
 }
 
-// newestIn gives when the newest work in a zone began, unix ms.
-func (e *engines) newestIn(zone fleet.AvailabilityZone) int64 {
+// lastStartIn gives when the newest work in a zone began, unix ms.
+func (e *endpointSet) lastStartIn(zone fleet.AvailabilityZone) int64 {
 	newest := int64(0)
 	for _, m := range e.all {
 		record := m.Audit()
@@ -47,33 +47,33 @@
 // there and more wait. Once the change is in force nothing of the team begins in
 // that zone, and what ran there ends instead of running on for half a minute.
 func TestZonesNarrowedWhileRequestsRunAndWait(t *testing.T) {
-	f, e := twoZones(t)
+	f, e := startTwoZoneFleet(t)
 	stop := make(chan struct{})
 	var load sync.WaitGroup
 	long, leave := context.WithCancel(callContext(t))
 	for n := range 24 {
 		load.Go(func() {
 			r := request{prompt: fmt.Sprintf("narrow %d [[tokens=15000]]", n), maxTokens: 15000, stream: true}
-			_, _ = ask(long, f.instances[n%4], r)
+			_, _ = sendCompletion(long, f.instances[n%4], r)
 		})
 	}
 	for n := range 8 {
-		load.Go(func() { bothKinds(t, f.instances[n%4], n, stop) })
+		load.Go(func() { sendBothKinds(t, f.instances[n%4], n, stop) })
 	}
-	eventually(t, callTime, func() error {
+	eventually(t, callTimeout, func() error {
 		for _, m := range e.all {
 			if a := m.Audit(); a.Role == fleet.RoleDecode && a.Held < 6 {
-				return fmt.Errorf("%s holds %d", m.id(), a.Held)
+				return fmt.Errorf("%s holds %d", m.endpointID(), a.Held)
 			}
 		}
 		return nil
 	})
-	assert.NilError(t, f.change(t, f.operator, "teams/t", 1, "narrow", teamYAML("t", teamKey, "a")))
+	assert.NilError(t, f.applySubtree(t, f.operator, "teams/t", 1, "narrow", teamYAML("t", teamKey, "a")))
 	inForce := time.Now().UnixMilli()
 	eventually(t, 6*time.Second, func() error {
 		for _, m := range e.all {
 			if a := m.Audit(); a.Zone == "b" && a.Held > 0 {
-				return fmt.Errorf("%s still holds %d", m.id(), a.Held)
+				return fmt.Errorf("%s still holds %d", m.endpointID(), a.Held)
 			}
 		}
 		return nil
@@ -81,7 +81,7 @@
 	close(stop)
 	leave()
 	load.Wait()
-	assert.Assert(t, e.newestIn("b") <= inForce, "work began in the forbidden zone %d ms after the change was in force", e.newestIn("b")-inForce)
+	assert.Assert(t, e.lastStartIn("b") <= inForce, "work began in the forbidden zone %d ms after the change was in force", e.lastStartIn("b")-inForce)
 	e.awaitNothingHeld(t, 10*time.Second)
 }
 
@@ -89,37 +89,37 @@
 // "not run" by each entry that is left, and nothing of theirs runs in the other
 // zone, where all is well.
 func TestTeamWhoseZonesAreDownIsRefused(t *testing.T) {
-	f, e := twoZones(t)
-	assert.NilError(t, f.change(t, f.operator, "teams/t", 1, "only b", teamYAML("t", teamKey, "b")))
+	f, e := startTwoZoneFleet(t)
+	assert.NilError(t, f.applySubtree(t, f.operator, "teams/t", 1, "only b", teamYAML("t", teamKey, "b")))
 	for _, m := range e.all {
 		if m.Audit().Zone == "b" {
 			m.kill()
 		}
 	}
 	inForce := time.Now().UnixMilli()
-	f.refusesAll(t, f.instances)
+	f.checkAllRefuse(t, f.instances)
 	f.instances[3].kill(t) // the entry in b that is no control instance
-	f.refusesAll(t, f.instances[:3])
-	assert.Assert(t, e.newestIn("a") <= inForce)
+	f.checkAllRefuse(t, f.instances[:3])
+	assert.Assert(t, e.lastStartIn("a") <= inForce)
 }
 
-func (f *testFleet) refusesAll(t *testing.T, entries []*instance) {
+func (f *testFleet) checkAllRefuse(t *testing.T, entries []*instance) {
 	t.Helper()
 	for n, i := range entries {
-		eventually(t, callTime, func() error {
-			a := mustAsk(t, i, request{prompt: fmt.Sprintf("down %d", n), maxTokens: 5})
-			assert.Assert(t, !a.whole(), "%s served it: %+v", i.id, a)
-			return wantNotRun(i, a)
+		eventually(t, callTimeout, func() error {
+			a := mustSendCompletion(t, i, request{prompt: fmt.Sprintf("down %d", n), maxTokens: 5})
+			assert.Assert(t, !a.isComplete(), "%s served it: %+v", i.id, a)
+			return checkNotRun(i, a)
 		})
-		eventually(t, callTime, func() error {
-			a := mustCall(t, i, "/once", "", body(fmt.Sprintf("down-%d", n)))
+		eventually(t, callTimeout, func() error {
+			a := mustCallService(t, i, "/once", "", markedBody(fmt.Sprintf("down-%d", n)))
 			assert.Assert(t, a.status >= 400, "%s served it: %+v", i.id, a)
-			return wantNotRun(i, a)
+			return checkNotRun(i, a)
 		})
 	}
 }
 
-func wantNotRun(i *instance, a answer) error {
+func checkNotRun(i *instance, a answer) error {
 	if a.outcome != callerapi.OutcomeNotRun {
 		return fmt.Errorf("%s: %+v", i.id, a)
 	}
@@ -131,16 +131,16 @@
 // same key: it must not run a second time, though its record was kept by
 // replicas in the zones of before.
 func TestSlipRepeatedAfterItsTeamsZonesChanged(t *testing.T) {
-	f, e := twoZones(t)
+	f, e := startTwoZoneFleet(t)
 	const slips = 8
 	for n := range slips {
-		a := mustCall(t, f.instances[0], "/once", fmt.Sprintf("key-%d", n), body(fmt.Sprintf("slip-%d", n)))
+		a := mustCallService(t, f.instances[0], "/once", fmt.Sprintf("key-%d", n), markedBody(fmt.Sprintf("slip-%d", n)))
 		assert.Equal(t, a.status, 200, "%+v", a)
 	}
-	assert.NilError(t, f.change(t, f.operator, "teams/t", 1, "narrow", teamYAML("t", teamKey, "a")))
+	assert.NilError(t, f.applySubtree(t, f.operator, "teams/t", 1, "narrow", teamYAML("t", teamKey, "a")))
 	for n := range slips {
-		again := mustCall(t, f.instances[0], "/once", fmt.Sprintf("key-%d", n), body(fmt.Sprintf("slip-%d", n)))
+		again := mustCallService(t, f.instances[0], "/once", fmt.Sprintf("key-%d", n), markedBody(fmt.Sprintf("slip-%d", n)))
 		assert.Check(t, again.outcome != callerapi.OutcomeNotRun, "%+v", again)
-		assert.Check(t, e.runsOf(t, fmt.Sprintf("slip-%d", n)) == 1, "slip-%d ran twice", n)
+		assert.Check(t, e.runCount(t, fmt.Sprintf("slip-%d", n)) == 1, "slip-%d ran twice", n)
 	}
 }
