--- a/internal/e2e/story_test.go
+++ b/internal/e2e/event_report_test.go
@@ -10,8 +10,8 @@
 	"github.com/hyssopsail/hyssopsail/internal/timeline"
 )
 
-// eventReport gives the time line of a request over all daemons, with all deaths of
-// endpoints, for the report of a failed test.
+// eventReport returns the time line of a request over all daemons, and the events of
+// endpoints and views, for the message of a failed test.
 func (f *testFleet) eventReport(request string) string {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
--- a/internal/e2e/hangup_test.go
+++ b/internal/e2e/hangup_test.go
@@ -10,8 +10,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against a daemon that is lost to a SIGHUP while it starts: it lives on, and
-// refuses the file that it then reads.
+// A SIGHUP while a daemon starts must not end it: it goes on to read its settings
+// file and exits because that is invalid.
 func TestHangupEndsNoDaemon(t *testing.T) {
 	const exitRefused = 4
 	pipe := filepath.Join(t.TempDir(), "daemon.yaml")
@@ -24,6 +24,6 @@
 	_, err = file.WriteString("nonsense: [")
 	assert.NilError(t, err)
 	assert.NilError(t, file.Close())
-	_ = command.Wait() // its state tells how it ended
+	_ = command.Wait() // the exit code is checked below
 	assert.Equal(t, command.ProcessState.ExitCode(), exitRefused, "%v", command.ProcessState)
 }
--- a/internal/e2e/once_test.go
+++ b/internal/e2e/once_test.go
@@ -14,12 +14,13 @@
 	"github.com/hyssopsail/hyssopsail/internal/standin"
 )
 
-// startServiceFleet is a fleet of four entries with two processes of the plain service.
+// startServiceFleet starts four entries and two endpoints of the plain service.
 func startServiceFleet(t *testing.T) (*testFleet, *endpointSet) {
 	return startServiceFleetIn(t, "a", "a", "a", "a")
 }
 
-// startServiceFleetIn has one entry in each of the zones and the service in zone a.
+// startServiceFleetIn starts one entry in each of the zones, and two endpoints of
+// the plain service in zone a.
 func startServiceFleetIn(t *testing.T, zones ...string) (*testFleet, *endpointSet) {
 	t.Helper()
 	f := startFleet(t, fleetPlan{zones: zones, control: 3})
@@ -32,8 +33,8 @@
 
 func markedBody(marker string) string { return "[[id=" + marker + "]]" }
 
-// A volunteer's pickup slip is sent again with the same key at every other
-// entry. It runs once; the repeats get the recorded outcome.
+// A non-idempotent call is repeated with the same key at every entry. It must run
+// once, and the repeats must get the recorded outcome.
 func TestNonIdempotentCallRunsOnceOverAllEntries(t *testing.T) {
 	f, e := startServiceFleet(t)
 	a := mustCallService(t, f.instances[0], "/once", "key-1", markedBody("slip-1"))
@@ -47,15 +48,15 @@
 	assert.Equal(t, e.runCount(t, "slip-1"), 1)
 }
 
-// The entry dies while the slip's call runs, and the volunteer's app sends the
-// slip again at another entry. It must not run a second time, and the caller
-// must not be told that it was not run.
+// The entry dies while a non-idempotent call runs, and the caller repeats it at the
+// other entries. It must not run a second time, and no answer may say that it was
+// not run.
 func TestEntryKilledDuringTheRun(t *testing.T) {
 	f, e := startServiceFleet(t)
 	for _, m := range e.all {
 		m.postFaults(t, standin.Faults{CallDelayMs: 1500})
 	}
-	victim := f.instances[3] // no control instance: the group stays whole
+	victim := f.instances[3] // not a control instance, so the control group is complete
 	sent := make(chan error, 1)
 	go func() {
 		_, err := callService(callContext(t), victim, "/once", "key-2", markedBody("slip-2"))
@@ -79,10 +80,10 @@
 	assert.Equal(t, e.runCount(t, "slip-2"), 1)
 }
 
-// The entry freezes as the slip arrives, for longer than its lease. The
-// volunteer's app sends the slip again at another entry. Then the frozen entry
-// wakes with the first copy in hand. Over both it runs at most once, and when
-// the repeat was told "not run" it truly did not run by either.
+// The entry is frozen as a non-idempotent call arrives, for longer than its lease.
+// The caller repeats the call at another entry, then the frozen entry resumes with
+// the first call pending. The call must run at most once over both entries, and
+// when an answer says "not run" it must not have run, unless the other completed.
 func TestEntryFrozenWhileTheCallerRepeatsElsewhere(t *testing.T) {
 	f, e := startServiceFleet(t)
 	victim := f.instances[3]
@@ -98,7 +99,7 @@
 			}
 			first <- a
 		}()
-		// Each round freezes at another point of the first copy's way.
+		// Each round freezes the entry at a later point of the first call.
 		<-time.After(time.Duration(round) * 500 * time.Microsecond)
 		victim.freeze(t)
 		var last answer
@@ -129,8 +130,8 @@
 	}
 }
 
-// A ledger replica dies, the group is repaired, and right after that a second
-// one dies. A repeat of a slip that ran before both must still be refused.
+// A ledger replica dies, its groups are repaired, and right after that a second one
+// dies. Repeats of calls that ran before must still get the recorded outcome.
 func TestLedgerReplicaLostRepairedAndASecondOneLost(t *testing.T) {
 	f := startFleet(t, fleetPlan{zones: []string{"a", "a", "a", "a", "a", "a"}, control: 3})
 	e := &endpointSet{fleet: f}
@@ -160,9 +161,8 @@
 	}
 }
 
-// awaitLedgerRepaired waits until the view is without gone and each remaining
-// entry has logged its last shard copy. It polls a key of each shard: a claim
-// is answered only by whole groups.
+// awaitLedgerRepaired waits until the view no longer has gone and the metrics of
+// each remaining entry show no shard that is still being copied.
 func (f *testFleet) awaitLedgerRepaired(t *testing.T, gone *instance) {
 	t.Helper()
 	f.awaitRemoved(t, f.instances[0], gone)
@@ -180,10 +180,10 @@
 	}
 }
 
-// The entry can't reach any ledger replica: both ways, or it hears none of their
-// answers, or they hear none of its calls. The slip runs at most once over this
-// entry and the repeat elsewhere; when the first is told "not run" and the
-// repeat completes, exactly once.
+// An entry is cut off from the other ledger replicas: in both directions, or only
+// their messages or only its own are lost. A non-idempotent call must run at most
+// once over this entry and the repeat elsewhere, and exactly once when this entry
+// answers "not run".
 func TestEntryCutOffFromTheLedger(t *testing.T) {
 	f, e := startServiceFleet(t)
 	victim := f.instances[3]
--- a/internal/e2e/process_test.go
+++ b/internal/e2e/process_test.go
@@ -58,7 +58,7 @@
 	}
 	i.command = command
 	i.exited = make(chan struct{})
-	ended := i.exited
+	exited := i.exited
 	i.mu.Unlock()
 	command.Stderr = lockedWriter{i}
 	assert.NilError(t, command.Start())
@@ -67,7 +67,7 @@
 		i.mu.Lock()
 		i.exitErr = status
 		i.mu.Unlock()
-		close(ended)
+		close(exited)
 	}()
 }
 
--- a/internal/e2e/provision_frozen_test.go
+++ b/internal/e2e/provision_frozen_test.go
@@ -19,16 +19,17 @@
 	"github.com/hyssopsail/hyssopsail/internal/standin"
 )
 
-// delayingProxy is the way to an endpoint on which old orders get stuck.
+// delayingProxy is a proxy in front of an endpoint that holds old orders back until
+// their release.
 type delayingProxy struct {
 	server    *httptest.Server
-	held      chan struct{} // closed when an old order is on the road
+	held      chan struct{} // closed when an old order has arrived at the proxy
 	release   chan struct{}
-	delivered chan int // the endpoint's answer to an old order, HTTP status
+	delivered chan int // HTTP status of the endpoint's answer to an old order
 
 	mu       sync.Mutex
 	endpoint http.Handler
-	onOrder  func() // called when an order arrives
+	onOrder  func() // called for each order, before it is forwarded
 }
 
 func newDelayingProxy(t *testing.T) *delayingProxy {
@@ -41,29 +42,29 @@
 
 func (r *delayingProxy) address() string { return strings.TrimPrefix(r.server.URL, "http://") }
 
-// ServeHTTP passes calls on to the endpoint, old orders after their release,
-// whether the sender still waits or not: the bytes have left it.
+// ServeHTTP forwards calls to the endpoint, old orders only after their release. It
+// forwards these even when the sender has given up, as a network may.
 func (r *delayingProxy) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	r.mu.Lock()
-	end, onOrder := r.endpoint, r.onOrder
+	target, onOrder := r.endpoint, r.onOrder
 	r.mu.Unlock()
 	if onOrder != nil && strings.HasSuffix(q.URL.Path, "/orders") {
 		onOrder()
 	}
 	body, err := io.ReadAll(q.Body)
-	if err != nil || end == nil {
+	if err != nil || target == nil {
 		w.WriteHeader(http.StatusBadGateway)
 		return
 	}
 	q.Body = io.NopCloser(bytes.NewReader(body))
 	if !bytes.Contains(body, []byte(`"operator/old`)) {
-		end.ServeHTTP(w, q)
+		target.ServeHTTP(w, q)
 		return
 	}
 	close(r.held)
 	<-r.release
 	answer := httptest.NewRecorder()
-	end.ServeHTTP(answer, q.WithContext(context.WithoutCancel(q.Context())))
+	target.ServeHTTP(answer, q.WithContext(context.WithoutCancel(q.Context())))
 	r.delivered <- answer.Code
 }
 
@@ -79,7 +80,7 @@
 	return m
 }
 
-// sendOrder gives an operator's order at one instance and waits for its end.
+// sendOrder sends an operator's order to one instance and waits for its end.
 func (f *testFleet) sendOrder(t *testing.T, at *instance, id, endpoint, role string) (outcome string) {
 	t.Helper()
 	client := f.operatorClient(t, operatorKey, at)
@@ -94,55 +95,55 @@
 	return outcome
 }
 
-// A daemon has given orders to two endpoints and is frozen while they are on
-// the way, for longer than its lease. Another daemon gives newer orders, which
-// are done. Then the frozen one wakes and its old orders arrive. The endpoint
-// that checks fencing tokens refuses its own; the other one obeys, and must be
-// given the newer order again. The old one never wins.
+// A daemon sends orders to two endpoints and is frozen while they are on the way,
+// for longer than its lease. Another daemon sends newer orders, which are carried
+// out. Then the first daemon resumes and its old orders arrive. The endpoint that
+// checks fencing tokens must refuse the old order. The other one carries it out and
+// must be sent the newer order again, so that the old one never prevails.
 func TestFrozenDaemonWakesWithOrdersInHand(t *testing.T) {
 	f := startFleet(t, oneZonePlan())
 	e := &endpointSet{fleet: f}
-	roads := map[string]*delayingProxy{"checks": newDelayingProxy(t), "ignores": newDelayingProxy(t)}
-	ends := map[string]*emulatedEndpoint{}
-	for id, road := range roads {
-		ends[id] = e.addBehindProxy(t, road, id, id == "checks")
+	proxies := map[string]*delayingProxy{"checks": newDelayingProxy(t), "ignores": newDelayingProxy(t)}
+	endpoints := map[string]*emulatedEndpoint{}
+	for id, proxy := range proxies {
+		endpoints[id] = e.addBehindProxy(t, proxy, id, id == "checks")
 	}
 	f.awaitEndpoints(t, "checks", "ignores")
 	rest := f.others(f.awaitLeader(t, f.instances...))
 	frozen, other := rest[0], rest[1]
-	for id, road := range roads {
+	for id, proxy := range proxies {
 		go func() {
 			_, _ = f.operatorClient(t, operatorKey, frozen).Order(t.Context(), &pb.OrderEndpointRequest{
 				OrderId: "old-" + id, EndpointId: id, Kind: "change-role", Role: "prefill",
 			})
 		}()
-		<-road.held
+		<-proxy.held
 	}
 	frozen.freeze(t)
 	f.awaitRemoved(t, other, frozen)
-	for id := range roads {
+	for id := range proxies {
 		assert.Equal(t, f.sendOrder(t, other, "new-"+id, id, "both"), "done", id)
-		assert.Equal(t, ends[id].Announcement().Role, fleet.RoleBoth)
+		assert.Equal(t, endpoints[id].Announcement().Role, fleet.RoleBoth)
 	}
 	frozen.resume(t)
-	for _, road := range roads {
-		close(road.release)
+	for _, proxy := range proxies {
+		close(proxy.release)
 	}
-	assert.Equal(t, <-roads["checks"].delivered, http.StatusConflict)
-	assert.Equal(t, <-roads["ignores"].delivered, http.StatusOK)
-	for id, end := range ends {
+	assert.Equal(t, <-proxies["checks"].delivered, http.StatusConflict)
+	assert.Equal(t, <-proxies["ignores"].delivered, http.StatusOK)
+	for id, target := range endpoints {
 		eventually(t, 60*time.Second, func() error {
-			if role := end.Announcement().Role; role != fleet.RoleBoth {
+			if role := target.Announcement().Role; role != fleet.RoleBoth {
 				return fmt.Errorf("%s has role %s", id, role)
 			}
 			return nil
 		})
 	}
-	assert.Equal(t, ends["checks"].fetchAudit(t).Orders, 1)
-	assert.Equal(t, ends["ignores"].fetchAudit(t).Orders, 3) // the newer, the old, the newer again
+	assert.Equal(t, endpoints["checks"].fetchAudit(t).Orders, 1)
+	assert.Equal(t, endpoints["ignores"].fetchAudit(t).Orders, 3) // the newer order, the old one, the newer one again
 }
 
-// awaitRemoved waits until an instance is out of another's view.
+// awaitRemoved waits until an instance is removed from another's view.
 func (f *testFleet) awaitRemoved(t *testing.T, at, gone *instance) {
 	t.Helper()
 	eventually(t, callTimeout, func() error {
@@ -159,20 +160,20 @@
 	})
 }
 
-// Callers' streams run on an engine that is told to drop their model. The order
-// must wait until they have ended whole, and no new one may begin meanwhile:
-// else streams break off in the middle.
+// An engine gets the order to unload a model while streams of that model run on it.
+// The order must wait until the streams have completed, and no new one may begin
+// meanwhile; otherwise streams are cut off.
 func TestUnloadWaitsForRunningStreams(t *testing.T) {
 	f := startFleet(t, oneZonePlan())
 	e := &endpointSet{fleet: f}
 	e.add(t, "p", "a", fleet.RolePrefill)
-	road := newDelayingProxy(t)
-	decode := e.addBehindProxy(t, road, "d", true)
+	proxy := newDelayingProxy(t)
+	decode := e.addBehindProxy(t, proxy, "d", true)
 	e.awaitServing(t)
 	held := make(chan int, 8)
-	road.mu.Lock()
-	road.onOrder = func() { held <- decode.fetchAudit(t).Held }
-	road.mu.Unlock()
+	proxy.mu.Lock()
+	proxy.onOrder = func() { held <- decode.fetchAudit(t).Held }
+	proxy.mu.Unlock()
 
 	streams := make(chan answer, 3)
 	for _, i := range f.instances {
--- a/internal/e2e/provision_test.go
+++ b/internal/e2e/provision_test.go
@@ -20,7 +20,7 @@
 
 const provisionYAML = "provision: {mode: %s, poll: 300ms, hold: 1s, cool_down: 5s, drain: 5s, models_per_engine: 1}\n"
 
-// setProvisionMode puts a fleet's planners in a mode.
+// setProvisionMode sets the mode of the fleet's provision planners.
 func (f *testFleet) setProvisionMode(t *testing.T, p fleetPlan, mode settings.ProvisionMode) {
 	t.Helper()
 	yaml := fleetYAML(p) + fmt.Sprintf(provisionYAML, mode)
@@ -39,9 +39,8 @@
 	o.Timing.LoadTime = 500 * time.Millisecond
 }
 
-// A model has no endpoint and callers begin to ask for it. They are refused
-// until an idle engine of each kind has loaded it, and then get their answers;
-// nobody has to do anything.
+// Callers request a model that no endpoint has. They are refused until an idle
+// engine of each role has loaded it, without an operator, and are then served.
 func TestModelIsLoadedWhereDemandIs(t *testing.T) {
 	p := oneZonePlan()
 	f := startFleet(t, p)
@@ -67,7 +66,7 @@
 	assert.Equal(t, prefill.fetchAudit(t).Orders+decode.fetchAudit(t).Orders, 2)
 }
 
-// logPollBytes tells what planners' looks have cost so far.
+// logPollBytes logs the number and the mean size of the planners' polls so far.
 func (f *testFleet) logPollBytes(t *testing.T) {
 	t.Helper()
 	polls, size := 0.0, 0.0
@@ -81,7 +80,7 @@
 	t.Logf("%.0f looks, %.0f bytes from the two other entries each", polls, size/max(polls, 1))
 }
 
-// awaitEndpoints waits until the homes know the endpoints.
+// awaitEndpoints waits until each of the endpoints is listed by its home.
 func (f *testFleet) awaitEndpoints(t *testing.T, ids ...string) {
 	t.Helper()
 	eventually(t, 15*time.Second, func() error {
@@ -102,7 +101,7 @@
 	})
 }
 
-// In the default mode the same demand moves nothing; the time line says what
+// In advise mode, the default, demand causes no order; the time line records what
 // would have been ordered.
 func TestAdviceMovesNothing(t *testing.T) {
 	p := oneZonePlan()
@@ -119,8 +118,7 @@
 		if err != nil {
 			return err
 		}
-		// The second advice comes when the endpoint would long have obeyed
-		// the first.
+		// By the second advice, an order for the first would have been carried out.
 		advised := 0
 		for _, event := range line.Events {
 			if strings.HasPrefix(event.GetDetail(), "advised ") {
@@ -135,8 +133,8 @@
 	assert.Equal(t, decode.fetchAudit(t).Orders, 0)
 }
 
-// An operator loads, unloads and changes a role by hand; the time line names
-// the operator.
+// An operator orders a load, an unload and a change of role, each of them also
+// repeated. The time line must name the operator.
 func TestOperatorOrdersAnEndpoint(t *testing.T) {
 	p := oneZonePlan()
 	f := startFleet(t, p)
--- a/internal/e2e/repeat_test.go
+++ b/internal/e2e/repeat_test.go
@@ -15,7 +15,8 @@
 	"github.com/hyssopsail/hyssopsail/internal/standin"
 )
 
-// decodeAttempts gives when decodes of a marker began and ended, over all engines.
+// decodeAttempts returns all engines' records of attempts with this marker that
+// reached decode.
 func (e *endpointSet) decodeAttempts(marker string) []standin.Fact {
 	var all []standin.Fact
 	for _, m := range e.all {
@@ -28,7 +29,7 @@
 	return all
 }
 
-// anyOverlap tells whether two of the decodes ran at the same time.
+// anyOverlap reports whether any two of the attempts ran at the same time.
 func anyOverlap(all []standin.Fact) bool {
 	for n, a := range all {
 		for _, b := range all[n+1:] {
@@ -40,10 +41,10 @@
 	return false
 }
 
-// A scholar's app loses patience and sends a gloss again with the same key
-// while it runs: at the same entry, where it joins the run, and at another one,
-// where it is told that the gloss is in flight or takes it over. It never runs
-// twice at once, and who is answered has the whole text.
+// A caller repeats a model request with the same key while it runs. At the same
+// entry the repeat joins the run; at another entry it is answered "in flight" or
+// takes the request over. Two runs must never overlap, and each complete answer
+// must have the whole text.
 func TestModelRequestRepeatedWhileItRuns(t *testing.T) {
 	f, e := startModelFleet(t, 3)
 	for n, again := range []int{0, 1} {
@@ -73,9 +74,9 @@
 	}
 }
 
-// startSaturatedFleet is a fleet whose only decode engine has few slots, all taken by long
-// streams until leave is called.
-func startSaturatedFleet(t *testing.T) (f *testFleet, e *endpointSet, leave func()) {
+// startSaturatedFleet starts a fleet whose only decode engine has four slots, all
+// taken by long streams until stopStreams is called.
+func startSaturatedFleet(t *testing.T) (f *testFleet, e *endpointSet, stopStreams func()) {
 	f = startFleet(t, oneZonePlan())
 	e = &endpointSet{fleet: f}
 	e.add(t, "p", "a", fleet.RolePrefill)
@@ -91,11 +92,11 @@
 	return f, e, cancel
 }
 
-// All decode memory is taken for a long time. Requests that can't be served in
-// time are refused at once with "not run" and a time to come back, long before
-// the caller's patience is over, and none of them ran.
+// All decode slots are taken for a long time. Requests that can't be served in time
+// must be refused early, well before their deadline, with outcome "not run" and a
+// retry time, and none of them may run.
 func TestRefusalAtOverloadIsAtOnce(t *testing.T) {
-	f, e, leave := startSaturatedFleet(t)
+	f, e, stopStreams := startSaturatedFleet(t)
 	const patience = 10 * time.Second
 	refused := 0
 	var mu sync.Mutex
@@ -125,14 +126,14 @@
 	group.Wait()
 	t.Logf("%d of 60 refused as overloaded, not run", refused)
 	assert.Assert(t, refused > 0)
-	leave()
+	stopStreams()
 	e.awaitNothingHeld(t, 10*time.Second)
 }
 
-// Callers leave while their requests wait for decode memory. When memory comes
-// free, none of theirs is decoded and nothing stays held.
+// Callers disconnect while their requests wait for a decode slot. When slots become
+// free, none of these requests may be decoded and nothing may stay held.
 func TestCallersGoneInTheQueue(t *testing.T) {
-	f, e, leave := startSaturatedFleet(t)
+	f, e, stopStreams := startSaturatedFleet(t)
 	var group sync.WaitGroup
 	for n := range 12 {
 		group.Go(func() {
@@ -142,7 +143,7 @@
 		})
 	}
 	group.Wait()
-	leave()
+	stopStreams()
 	e.awaitNothingHeld(t, 10*time.Second)
 	for n := range 12 {
 		assert.Check(t, len(e.decodeAttempts(fmt.Sprintf("queued-%d", n))) == 0, "queued-%d was decoded for nobody", n)
--- a/internal/e2e/request_test.go
+++ b/internal/e2e/request_test.go
@@ -10,10 +10,11 @@
 	"github.com/hyssopsail/hyssopsail/internal/standin"
 )
 
-// oneZonePlan is three entries that are control instances too.
+// oneZonePlan returns the plan of three entries in one zone that are control
+// instances too.
 func oneZonePlan() fleetPlan { return fleetPlan{zones: []string{"a", "a", "a"}, control: 3} }
 
-// A caller asks each entry, streamed and whole, and gets its own answer whole.
+// Each entry serves a completion as a stream and as one answer, with the right text.
 func TestWholePath(t *testing.T) {
 	f := startFleet(t, oneZonePlan())
 	e := &endpointSet{fleet: f}
--- a/internal/e2e/secrecy_test.go
+++ b/internal/e2e/secrecy_test.go
@@ -16,9 +16,8 @@
 	"github.com/hyssopsail/hyssopsail/internal/pb"
 )
 
-// A caller sends a body that nobody else may see, under a request key and a
-// team key of its own. Whoever reads logs, metrics, the time line or the disks
-// must find none of them, nor any of the answer.
+// Request bodies, query strings, answers, request keys and the keys of teams,
+// operators and endpoints must not appear in logs, metrics, the time line or files.
 func TestBodiesAndKeysAreWrittenNowhere(t *testing.T) {
 	f := startFleet(t, oneZonePlan())
 	e := &endpointSet{fleet: f}
@@ -44,8 +43,8 @@
 	}
 }
 
-// collectOutput gives the logs, metrics, time line and files of all
-// daemons, but for the keys that a file is there to hold.
+// collectOutput returns the logs, metrics, time line and data files of all daemons,
+// by place. Key and settings files are left out, since they hold keys on purpose.
 func (f *testFleet) collectOutput(t *testing.T) map[string][]byte {
 	t.Helper()
 	places := map[string][]byte{}
@@ -84,7 +83,7 @@
 	t.Helper()
 	sent, err := http.NewRequestWithContext(callContext(t), http.MethodGet, "https://"+i.address(operatorsPort)+"/metrics", nil)
 	assert.NilError(t, err)
-	// The figures of a test fleet need no proof of who gives them.
+	// The certificate isn't verified: that doesn't matter for a test's metrics.
 	transport := &http.Transport{TLSClientConfig: &tls.Config{InsecureSkipVerify: true}, DisableKeepAlives: true}
 	response, err := transport.RoundTrip(sent)
 	assert.NilError(t, err)
--- a/internal/e2e/soak_audit_test.go
+++ b/internal/e2e/soak_audit_test.go
@@ -14,25 +14,25 @@
 	"github.com/hyssopsail/hyssopsail/internal/fleet"
 )
 
-// soakRun is one piece of work in an endpoint's own record.
+// soakRun is one run of a request in an endpoint's audit record.
 type soakRun struct {
 	endpoint fleet.EndpointID
 	zone     fleet.AvailabilityZone
-	at       int64 // unix ms
+	at       int64 // start, Unix ms
 	call     bool
 }
 
-// soakAudit is the outcome of a soak.
+// soakAudit compares the callers' record of a soak with the endpoints' records.
 type soakAudit struct {
 	*soak
 	runs         map[string][]soakRun // by marker
 	resultCounts map[string]int
 	unknown      []string
-	unknownBy    map[string]int      // by team, ten seconds, entry and message
-	violations   map[string][]string // violations by promise
+	unknownBy    map[string]int      // by team, ten-second interval of the last send, entry and message
+	violations   map[string][]string // by guarantee
 }
 
-// The promises that the audit checks.
+// The guarantees that the audit checks, named by their violation.
 const (
 	guaranteeOnce          = "doubled"
 	guaranteeText          = "wrong text"
@@ -64,7 +64,7 @@
 	}
 }
 
-// collect reads the endpoints' records, also of those that are gone.
+// collect reads the audit records of all endpoints, also of those that have ended.
 func (a *soakAudit) collect() {
 	for _, m := range a.emulated.all {
 		record := m.Audit()
@@ -116,8 +116,9 @@
 
 func (r *soakRequest) formatSendLog() string { return "\n    " + strings.Join(r.sendLog, "\n    ") }
 
-// checkRecord looks a slip up at an entry, after all faults are healed. A slip
-// that ran must have a record, and the record must not deny the run.
+// checkRecord looks up the outcome of a non-idempotent call at an entry after all
+// faults have ended. A call that ran must have a record, which must not say "not
+// run"; a call that didn't run must not be recorded or answered as completed.
 func (a *soakAudit) checkRecord(r *soakRequest, runs int) {
 	var known callerapi.RequestReply
 	eventually(a.t, callTimeout, func() error {
@@ -140,7 +141,7 @@
 	}
 }
 
-// noRecord stands for a key that no entry knows.
+// noRecord is the outcome of a lookup that finds no record of the key.
 const noRecord callerapi.Outcome = "no record"
 
 func (a *soakAudit) lookup(r *soakRequest) (callerapi.RequestReply, error) {
--- a/internal/e2e/soak_callers_test.go
+++ b/internal/e2e/soak_callers_test.go
@@ -12,19 +12,19 @@
 	"github.com/hyssopsail/hyssopsail/internal/callerapi"
 )
 
-// soakKind is what a caller of the soak sends.
+// soakKind is the kind of a request that a caller of the soak sends.
 type soakKind string
 
 const (
-	kindOnce   soakKind = "slip"   // a plain call that must not run twice
-	kindLookup soakKind = "lookup" // a repeatable plain call
+	kindOnce   soakKind = "slip"   // a non-idempotent service call
+	kindLookup soakKind = "lookup" // an idempotent service call
 	kindStream soakKind = "stream"
 	kindUnary  soakKind = "whole"
 )
 
 func (k soakKind) isModelRequest() bool { return k == kindStream || k == kindUnary }
 
-// soakResult is what a request came to, as its caller sees it.
+// soakResult is the result of a request as its caller sees it.
 type soakResult string
 
 const (
@@ -37,17 +37,17 @@
 	resultNone      soakResult = "no answer yet"
 )
 
-// soakRequest is one request over all its repeats.
+// soakRequest is one request with all its repeats.
 type soakRequest struct {
 	kind    soakKind
-	marker  string // its idempotency key too
+	marker  string // also its idempotency key
 	team    *soakTeam
 	request request
 	result  soakResult
-	sendLog []string // what came of each, for a report
+	sendLog []string // time, entry and answer of each send, for failure messages
 }
 
-// soakLog is the callers' own record.
+// soakLog is the record of all callers.
 type soakLog struct {
 	mu             sync.Mutex
 	requests       []*soakRequest
@@ -73,7 +73,7 @@
 	l.truncatedCount++
 }
 
-// soakCaller sends one request after the other.
+// soakCaller sends random requests one after the other.
 type soakCaller struct {
 	*soak
 	number int
@@ -88,7 +88,7 @@
 	maxSends         = 40
 	sendTimeout      = 14 * time.Second
 	maxRepeatWait    = 400 * time.Millisecond
-	maxImpatientWait = 600 * time.Millisecond // of a caller that leaves early
+	maxImpatientWait = 600 * time.Millisecond // of a caller that disconnects early
 )
 
 func (c *soakCaller) run(stop <-chan struct{}) {
@@ -117,8 +117,8 @@
 	}
 }
 
-// sendUntilDecided sends a request, and again with the same key elsewhere, until its fate
-// is told or the caller leaves.
+// sendUntilDecided sends a request, and repeats it with the same key at random
+// entries, until its result is known or the caller gives up.
 func (c *soakCaller) sendUntilDecided(r *soakRequest) {
 	leaves := c.random.IntN(12) == 0
 	for range maxSends {
@@ -130,7 +130,7 @@
 		begun := time.Now()
 		a, err := c.send(entry, r, within)
 		r.recordSend(begun, entry, a, err)
-		if end, told := c.classify(r, a, err); told {
+		if end, final := c.classify(r, a, err); final {
 			r.result = end
 			return
 		}
@@ -154,7 +154,7 @@
 	r.sendLog = append(r.sendLog, fmt.Sprintf("%s-%s %s %s", begun.Format(format), time.Now().Format(format), entry.id, what))
 }
 
-// pickEntry is mostly one in the team's own zone.
+// pickEntry returns a random entry, mostly one in the team's home zone.
 func (c *soakCaller) pickEntry(team *soakTeam) *instance {
 	for {
 		i := c.fleet.instances[c.random.IntN(len(c.fleet.instances))]
@@ -177,9 +177,9 @@
 	return callServiceAs(ctx, entry, path, r.request, markedBody(r.marker))
 }
 
-// classify tells what an answer means for its caller; told is false when the
-// caller goes on.
-func (c *soakCaller) classify(r *soakRequest, a answer, err error) (end soakResult, told bool) {
+// classify returns the result of an answer for its caller; final is false when the
+// caller repeats the request.
+func (c *soakCaller) classify(r *soakRequest, a answer, err error) (end soakResult, final bool) {
 	if err != nil {
 		return resultNone, false
 	}
@@ -195,7 +195,8 @@
 	}
 	switch a.outcome {
 	case callerapi.OutcomeNotRun:
-		// Half of the callers take it as final, and hold the system to it.
+		// Half of the time the caller takes it as final, so that the audit
+		// checks that the request never ran.
 		return resultNotRun, c.random.IntN(2) == 0
 	case callerapi.OutcomeFailed:
 		return resultFailed, true
@@ -207,7 +208,8 @@
 	return resultNone, false
 }
 
-// checkText holds a model's answer, or the part that came, against its prompt.
+// checkText checks that a model's answer is the expected text, or that an
+// incomplete one is a prefix of it.
 func (c *soakCaller) checkText(r *soakRequest, a answer) {
 	want := expectedText(r.request)
 	if a.isComplete() && a.text == want {
--- a/internal/e2e/soak_faults_test.go
+++ b/internal/e2e/soak_faults_test.go
@@ -11,24 +11,25 @@
 	"github.com/hyssopsail/hyssopsail/internal/standin"
 )
 
-// soakFault is one fault that begins and is healed.
+// soakFault is a fault that can be started and ended.
 type soakFault struct {
 	name   string
-	target string // two faults of a pair have two targets
+	target string // the faults of a pair have different targets
 	begin  func()
 	heal   func()
 }
 
 const (
-	maxFaultGap         = 1500 * time.Millisecond // between the two of a pair
+	maxFaultGap         = 1500 * time.Millisecond // between the starts, and the ends, of a pair
 	minFaultDuration    = 300 * time.Millisecond
-	maxFaultDuration    = 4 * time.Second // past each lease
+	maxFaultDuration    = 4 * time.Second // longer than any lease
 	maxRestBetweenPairs = time.Second
 	leaveTimeout        = 10 * time.Second
 	stopTimeout         = 60 * time.Second
 )
 
-// runFaultPair lets two random faults overlap, heals both and waits until all serve.
+// runFaultPair starts two random faults that overlap, ends both and waits until all
+// instances are ready.
 func (s *soak) runFaultPair(n int) {
 	first := s.randomFault()
 	second := s.randomFault()
@@ -47,7 +48,7 @@
 	s.pause(0, maxRestBetweenPairs)
 }
 
-// pause lets a random time pass: the moment of a fault.
+// pause waits for a random time from least to most.
 func (s *soak) pause(least, most time.Duration) {
 	<-time.After(least + randomDuration(s.random.Int64N, most-least))
 }
@@ -80,10 +81,10 @@
 
 func (s *soak) isolateFault() soakFault { return s.networkFault("isolate", s.fleet.isolate) }
 
-// blockIncomingFault is an instance that hears nobody, and is heard.
+// blockIncomingFault drops what other instances send to an instance.
 func (s *soak) blockIncomingFault() soakFault { return s.networkFault("deaf", s.fleet.blockIncoming) }
 
-// blockOutgoingFault is an instance that nobody hears, and hears.
+// blockOutgoingFault drops what an instance sends to other instances.
 func (s *soak) blockOutgoingFault() soakFault { return s.networkFault("mute", s.fleet.blockOutgoing) }
 
 func (s *soak) networkFault(name string, cut func(i *instance, cut bool)) soakFault {
@@ -119,8 +120,8 @@
 	return soakFault{"engine killed " + g.id, g.id, func() { g.current.kill() }, func() { s.startEndpoint(g) }}
 }
 
-// leaveFault announces its leave, goes on until it holds nothing, and comes
-// back as a new process.
+// leaveFault lets an endpoint announce its leave and serve until it holds nothing,
+// then starts it again with a new incarnation.
 func (s *soak) leaveFault() soakFault {
 	g := s.randomEndpoint(s.random.IntN(3) == 0)
 	left := make(chan struct{})
@@ -130,7 +131,7 @@
 			defer close(left)
 			ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 			defer cancel()
-			_ = leaver.Leave(ctx) // a leave that nobody confirms ends as a death
+			_ = leaver.Leave(ctx) // heal kills the endpoint even if no entry confirmed the leave
 		}()
 	}
 	heal := func() {
@@ -176,7 +177,7 @@
 	return soakFault{fmt.Sprintf("%s %+v", g.id, f), g.id, begin, heal}
 }
 
-// zonesFault permits a team's data in the other zone too, and forbids it again.
+// zonesFault permits a team both zones, then only its home zone again.
 func (s *soak) zonesFault() soakFault {
 	team := s.teams[s.random.IntN(len(s.teams))]
 	return soakFault{"zones of " + team.name, "team " + team.name, func() { s.widen(team) }, func() { s.narrow(team) }}
--- a/internal/e2e/soak_test.go
+++ b/internal/e2e/soak_test.go
@@ -17,7 +17,7 @@
 
 // Environment variables of the soak.
 const (
-	soakLengthVariable = "HYSSOPSAIL_SOAK" // how long faults go on, such as "10m"
+	soakLengthVariable = "HYSSOPSAIL_SOAK" // how long faults are injected, such as "10m"
 	soakSeedVariable   = "HYSSOPSAIL_SOAK_SEED"
 )
 
@@ -25,11 +25,11 @@
 	defaultSoakLength  = 14 * time.Second // the length in CI
 	defaultSoakSeed    = 1
 	soakCallers        = 10
-	soakReleaseTimeout = 15 * time.Second // until all memory must be free
+	soakReleaseTimeout = 15 * time.Second // for endpoints to hold no attempt after the load
 )
 
-// soakTeam is a team of the soak: its data stays in home, but for the times
-// when a change permits the other zone too.
+// soakTeam is a team of the soak. Its requests may run only in zone home, except
+// while a change permits the other zone too.
 type soakTeam struct {
 	name    string
 	key     string
@@ -39,7 +39,8 @@
 	widened []timeSpan
 }
 
-// timeSpan is a time, unix ms, in which a team may run anywhere.
+// timeSpan is a period in Unix ms in which a team may run in any zone; until is 0
+// while it lasts.
 type timeSpan struct{ from, until int64 }
 
 func (s *soakTeam) permits(zone fleet.AvailabilityZone, at int64) bool {
@@ -56,7 +57,7 @@
 	return false
 }
 
-// soakEndpoint is an endpoint that may live several times.
+// soakEndpoint is an endpoint that is restarted with the same ID and address.
 type soakEndpoint struct {
 	id      string
 	zone    string
@@ -65,7 +66,7 @@
 	current *emulatedEndpoint
 }
 
-// soak is one run: a fleet, its load, its faults and the record of callers.
+// soak is one soak run: a fleet, its load, its faults and the record of callers.
 type soak struct {
 	t         *testing.T
 	fleet     *testFleet
@@ -78,12 +79,12 @@
 	changes   int
 }
 
-// Any two faults at once, again and again: entries and control instances die,
-// freeze past their leases, are cut off and stop; engines die and come back,
-// stall, lose cancels and leave; settings narrow a team's zones. Callers go on,
-// and repeat with the same key what was lost. In the end the callers' record is
-// held against the endpoints' own: nothing doubled, wrong, misplaced, lost or
-// still held, and what was "not run" did not run.
+// Runs pairs of overlapping random faults under load: instances are killed, frozen
+// past their leases, cut off or stopped; endpoints are killed, leave, stall or ignore
+// cancels; settings widen and narrow a team's zones. Callers repeat unanswered
+// requests with the same key. At the end the callers' record is compared with the
+// endpoints' records: no call ran twice, in a forbidden zone or without an outcome,
+// no text is wrong, nothing is still held, and what was "not run" did not run.
 func TestSoak(t *testing.T) {
 	s := newSoak(t)
 	stop := make(chan struct{})
--- a/internal/e2e/stream_test.go
+++ b/internal/e2e/stream_test.go
@@ -15,7 +15,7 @@
 	"github.com/hyssopsail/hyssopsail/internal/standin"
 )
 
-// startModelFleet is a fleet with two prefill and three decode engines.
+// startModelFleet starts a fleet with two prefill and three decode engines.
 func startModelFleet(t *testing.T, entries int) (*testFleet, *endpointSet) {
 	t.Helper()
 	zones := make([]string, entries)
@@ -33,10 +33,11 @@
 	return f, e
 }
 
-// outcomeOf sends a request until its final answer and gives it.
+// expectedText returns the text that an emulated engine generates for a request.
 func expectedText(r request) string { return standin.ExpectedText(r.prompt, r.maxTokens) }
 
-// awaitDecoding waits until some decode engine holds an attempt in decode.
+// awaitDecoding waits until an engine is decoding an attempt, past its first tokens,
+// and returns that engine.
 func (e *endpointSet) awaitDecoding(t *testing.T) *emulatedEndpoint {
 	t.Helper()
 	var found *emulatedEndpoint
@@ -54,9 +55,9 @@
 	return found
 }
 
-// A decode engine dies in the middle of a scholar's stream. The stream goes on
-// at the next token from another engine: the answer is whole, without a gap or
-// a repeated token.
+// A decode engine dies in the middle of a stream. The stream must continue at the
+// next token from another engine: the answer is complete, without a missing or
+// repeated token.
 func TestDecodeEngineKilledMidStream(t *testing.T) {
 	f, e := startModelFleet(t, 3)
 	r := request{prompt: "a long gloss [[tokens=400]]", maxTokens: 400, stream: true}
@@ -68,11 +69,11 @@
 	e.awaitNothingHeld(t, 10*time.Second)
 }
 
-// A prefill engine dies while it computes; the request is computed elsewhere.
+// A prefill engine dies during a prefill; the request must complete on another one.
 func TestPrefillEngineKilled(t *testing.T) {
 	f, e := startModelFleet(t, 3)
 	for _, m := range e.all[:2] {
-		m.postFaults(t, standin.Faults{Slow: 20}) // the prefill takes long enough to be met
+		m.postFaults(t, standin.Faults{Slow: 20}) // so that the kill hits a running prefill
 	}
 	r := request{prompt: strings.Repeat("bale photographs ", 250), maxTokens: 20, stream: true}
 	got := startCompletion(t, f.instances[1], r)
@@ -98,8 +99,8 @@
 	e.awaitNothingHeld(t, 10*time.Second)
 }
 
-// Callers go away at random moments: in the queue, during prefill, transfer
-// and decode. No engine memory stays held.
+// Callers disconnect at different times: in the queue, during prefill, transfer and
+// decode. No engine memory may stay held.
 func TestCallersGoneAtEachStage(t *testing.T) {
 	f, e := startModelFleet(t, 3)
 	for _, m := range e.all {
@@ -117,8 +118,8 @@
 	e.awaitNothingHeld(t, 10*time.Second)
 }
 
-// An entry dies with many streams in flight. The engines' memory that they
-// held is freed within seconds, though nobody is left to cancel them.
+// An entry dies with many streams in flight. The engine memory that they hold must be
+// freed within seconds, although no entry is left to cancel them.
 func TestEntryKilledFreesItsEngineMemory(t *testing.T) {
 	f, e := startModelFleet(t, 4)
 	victim := f.instances[3]
@@ -136,8 +137,8 @@
 	t.Logf("all freed %s after the kill", time.Since(began).Round(time.Millisecond))
 }
 
-// Two hundred callers ask all entries at once; each gets the answer to its own
-// prompt.
+// Two hundred concurrent requests over all entries; each complete answer must be the
+// one to its own prompt.
 func TestEachCallerGetsItsOwnAnswer(t *testing.T) {
 	f, e := startModelFleet(t, 3)
 	var group sync.WaitGroup
@@ -164,21 +165,21 @@
 	e.awaitNothingHeld(t, 10*time.Second)
 }
 
-// Every daemon is stopped in turn under load, each started again after. No
-// caller that asked an address that it was given loses its answer.
+// Each daemon in turn is stopped gracefully under load and started again. Callers
+// that use the addresses that entries gave them must lose no answer.
 func TestGracefulStopOfEachDaemonUnderLoad(t *testing.T) {
 	f, e := startModelFleet(t, 4)
 	e.add(t, "s1", "a", fleet.RolePlain)
 	e.add(t, "s2", "a", fleet.RolePlain)
 	e.awaitService(t)
 	stop := make(chan struct{})
-	lost := &failureLog{}
+	failures := &failureLog{}
 	var group sync.WaitGroup
 	for n := range 8 {
-		group.Go(func() { sendStreamsUntil(t, f, n, stop, lost) })
+		group.Go(func() { sendStreamsUntil(t, f, n, stop, failures) })
 	}
 	for n := range 4 {
-		group.Go(func() { sendSlipsUntil(t, f, n, stop, lost) })
+		group.Go(func() { sendSlipsUntil(t, f, n, stop, failures) })
 	}
 	for _, i := range f.instances {
 		t.Logf("%s stopping %s", time.Now().Format(time.TimeOnly), i.id)
@@ -189,12 +190,12 @@
 	}
 	close(stop)
 	group.Wait()
-	lost.report(t)
+	failures.report(t)
 	e.checkRunOnce(t, "stop-")
 	e.awaitNothingHeld(t, 10*time.Second)
 }
 
-// checkRunOnce checks that no plain call whose marker begins so ran more than once.
+// checkRunOnce checks that no service call with this marker prefix ran more than once.
 func (e *endpointSet) checkRunOnce(t *testing.T, markers string) {
 	t.Helper()
 	runs := map[string]int{}
@@ -208,8 +209,8 @@
 	}
 }
 
-// sendSlipsUntil sends slips, each once, to addresses that are kept.
-func sendSlipsUntil(t *testing.T, f *testFleet, worker int, stop <-chan struct{}, lost *failureLog) {
+// sendSlipsUntil sends non-idempotent calls, each once, until stop is closed.
+func sendSlipsUntil(t *testing.T, f *testFleet, worker int, stop <-chan struct{}, failures *failureLog) {
 	addresses := newAddressCache(f)
 	repeatUntilClosed(stop, func(n int) {
 		<-time.After(pollInterval)
@@ -217,12 +218,12 @@
 		entry := addresses.pick(t, worker+n)
 		a, err := callService(callContext(t), entry, "/once", marker, markedBody(marker))
 		if err != nil || !a.isComplete() {
-			lost.add("%s %s: %s: %+v %v", time.Now().Format(time.TimeOnly), entry.id, marker, a, err)
+			failures.add("%s %s: %s: %+v %v", time.Now().Format(time.TimeOnly), entry.id, marker, a, err)
 		}
 	})
 }
 
-// failureLog counts what callers lost and keeps the first few.
+// failureLog counts callers' failed requests and keeps the first few messages.
 type failureLog struct {
 	mu    sync.Mutex
 	count int
@@ -254,21 +255,21 @@
 	}
 }
 
-func sendStreamsUntil(t *testing.T, f *testFleet, worker int, stop <-chan struct{}, lost *failureLog) {
+func sendStreamsUntil(t *testing.T, f *testFleet, worker int, stop <-chan struct{}, failures *failureLog) {
 	addresses := newAddressCache(f)
 	repeatUntilClosed(stop, func(n int) {
 		r := request{prompt: fmt.Sprintf("load %d %d [[tokens=60]]", worker, n), maxTokens: 60, stream: true}
 		entry := addresses.pick(t, worker+n)
 		a, err := sendCompletion(callContext(t), entry, r)
 		if err != nil {
-			lost.add("%s %s: no answer: %v", time.Now().Format(time.TimeOnly), entry.id, err)
+			failures.add("%s %s: no answer: %v", time.Now().Format(time.TimeOnly), entry.id, err)
 		} else if !a.isComplete() || a.text != expectedText(r) {
-			lost.add("%s %s: %+v", time.Now().Format(time.TimeOnly), entry.id, a)
+			failures.add("%s %s: %+v", time.Now().Format(time.TimeOnly), entry.id, a)
 		}
 	})
 }
 
-// repeatUntilClosed repeats a step, counted from 0, until stop is closed.
+// repeatUntilClosed calls step with 0, 1, 2 and so on until stop is closed.
 func repeatUntilClosed(stop <-chan struct{}, step func(n int)) {
 	for n := 0; ; n++ {
 		select {
--- a/internal/e2e/transfer_test.go
+++ b/internal/e2e/transfer_test.go
@@ -12,21 +12,20 @@
 	"github.com/hyssopsail/hyssopsail/internal/standin"
 )
 
-// A prefill engine's transfers stall for good. Scholars whose prefill went
-// there wait a moment longer and get their glosses whole by another prefill.
-// The transfer is given up in time, and neither end keeps its memory, though
-// the engine stays as it is.
+// The KV transfers of a prefill engine stall for good. Requests prefilled there must
+// complete after a prefill on another engine. The transfer must be given up in time,
+// and neither end may keep its memory, although the fault persists.
 func TestStalledTransferIsGivenUpAndRetried(t *testing.T) {
 	f, e := startModelFleet(t, 3)
 	stalled := e.all[0]
 	stalled.SetFaults(standin.Faults{StallTransfers: true})
 	before := stalled.Audit()
-	lost := &failureLog{}
+	failures := &failureLog{}
 	eventually(t, callTimeout, func() error {
 		var group sync.WaitGroup
 		for n := range 6 {
 			group.Go(func() {
-				expectComplete(t, f, n, request{prompt: fmt.Sprintf("gloss %d [[tokens=10]]", n), maxTokens: 10, stream: n%2 == 0}, lost)
+				expectComplete(t, f, n, request{prompt: fmt.Sprintf("gloss %d [[tokens=10]]", n), maxTokens: 10, stream: n%2 == 0}, failures)
 			})
 		}
 		group.Wait()
@@ -35,35 +34,36 @@
 		}
 		return nil
 	})
-	lost.report(t)
+	failures.report(t)
 	e.awaitNothingHeld(t, 10*time.Second)
 	assert.Equal(t, stalled.Audit().PrefillUsedMs, before.PrefillUsedMs)
 }
 
-// expectComplete sends a request and complains unless it is answered whole.
-func expectComplete(t *testing.T, f *testFleet, entry int, r request, lost *failureLog) {
+// expectComplete sends a request and records a failure unless it completes with the
+// expected text.
+func expectComplete(t *testing.T, f *testFleet, entry int, r request, failures *failureLog) {
 	i := f.instances[entry%len(f.instances)]
 	a, err := sendCompletion(callContext(t), i, r)
 	if err != nil {
-		lost.add("%s: %v", i.id, err)
+		failures.add("%s: %v", i.id, err)
 		return
 	}
 	if !a.isComplete() || a.text != expectedText(r) {
-		lost.add("%s: %+v\n%s", i.id, a, f.eventReport(a.apiError.RequestID))
+		failures.add("%s: %+v\n%s", i.id, a, f.eventReport(a.apiError.RequestID))
 	}
 }
 
-// A decode engine dies in a stream and is back at once, with a new incarnation
-// on the same address, and sends chunks of its earlier life in the streams that
-// come to it. Each scholar still gets the own text, whole and in order.
+// A decode engine dies during a stream and restarts at once on the same address with
+// a new incarnation. It sends chunks of its previous incarnation in new streams. Each
+// caller must still get its own text, complete and in order.
 func TestEndpointBackOnItsAddressWhileOldChunksArrive(t *testing.T) {
 	f, e := startModelFleet(t, 3)
-	lost := &failureLog{}
+	failures := &failureLog{}
 	for round := range 3 {
 		var group sync.WaitGroup
 		for n := range 9 {
 			r := request{prompt: fmt.Sprintf("verse %d %d [[tokens=300]]", round, n), maxTokens: 300, stream: true}
-			group.Go(func() { expectComplete(t, f, n, r, lost) })
+			group.Go(func() { expectComplete(t, f, n, r, failures) })
 		}
 		old := e.awaitDecoding(t)
 		address := old.Address()
@@ -73,6 +73,6 @@
 		again.SetFaults(standin.Faults{ChunkFault: standin.ChunkStale})
 		group.Wait()
 	}
-	lost.report(t)
+	failures.report(t)
 	e.awaitNothingHeld(t, 10*time.Second)
 }
--- a/internal/e2e/zonechange_test.go
+++ b/internal/e2e/zonechange_test.go
@@ -11,14 +11,13 @@
 	"github.com/hyssopsail/hyssopsail/internal/callerapi"
 )
 
-// startTwoZoneServiceFleet is a fleet over two zones in which zone a has a majority of each
-// ledger group, and a plain service in zone a.
+// startTwoZoneServiceFleet starts a fleet over two zones, in which zone a has a
+// majority of each ledger group, and a plain service in zone a.
 func startTwoZoneServiceFleet(t *testing.T) (*testFleet, *endpointSet) {
 	return startServiceFleetIn(t, "a", "a", "a", "b")
 }
 
-// setZones changes the permitted zones of the team and waits until the change
-// is in force.
+// setZones sets the team's permitted zones and waits until the change is in force.
 func (f *testFleet) setZones(t *testing.T, version uint64, zones ...string) {
 	t.Helper()
 	id := fmt.Sprintf("zones-%d", version)
@@ -27,8 +26,8 @@
 	})
 }
 
-// repeatSlip sends a slip again at the entries. None may run it; one in a
-// permitted zone answers with the recorded outcome.
+// repeatSlip repeats a non-idempotent call at the entries, each in a permitted zone,
+// until each answers with the recorded outcome. None may run it again.
 func repeatSlip(t *testing.T, entries []*instance, key, marker string) {
 	t.Helper()
 	for _, i := range entries {
@@ -45,10 +44,10 @@
 	}
 }
 
-// A volunteer's pickup slip has run. The operator narrows the team's permitted
-// zones, then widens them again, and after each change the app sends the slip
-// again with the same key. Its record is under the zones of before; an entry
-// that looks only where new records go would send a second truck.
+// After a non-idempotent call has run, the operator narrows the team's permitted
+// zones and widens them again. After each change the call is repeated with the same
+// key. Its record is stored under the earlier zones, so an entry that looks only
+// where new records go would run the call a second time.
 func TestSlipRepeatedAfterItsZonesChanged(t *testing.T) {
 	f, e := startTwoZoneServiceFleet(t)
 	const slips = 16
@@ -69,9 +68,9 @@
 	}
 }
 
-// The slip and its repeats reach all entries at the moment at which the team's
-// zones change: some entries claim under the old zones, some under the new.
-// The slip runs once at most, and once if any answer says that it completed.
+// A non-idempotent call reaches three entries while the team's zones change, so that
+// some entries claim it under the old zones and some under the new. It must run at
+// most once, and exactly once if any answer says that it completed.
 func TestSlipRacesAChangeOfItsZones(t *testing.T) {
 	f, e := startTwoZoneServiceFleet(t)
 	sets := [][]string{{"a"}, {"a", "b"}}
--- a/internal/e2e/zones_test.go
+++ b/internal/e2e/zones_test.go
@@ -14,7 +14,8 @@
 	"github.com/hyssopsail/hyssopsail/internal/standin"
 )
 
-// startTwoZoneFleet is a fleet with entries and all kinds of endpoints in two zones.
+// startTwoZoneFleet starts a fleet with entries and all kinds of endpoints in each of
+// two zones.
 func startTwoZoneFleet(t *testing.T) (*testFleet, *endpointSet) {
 	f := startFleet(t, fleetPlan{zones: []string{"a", "b", "a", "b"}, control: 3})
 	e := &endpointSet{fleet: f}
@@ -28,7 +29,7 @@
 	return f, e
 }
 
-// lastStartIn gives when the newest work in a zone began, unix ms.
+// lastStartIn returns the time of the last start of an attempt in a zone, in Unix ms.
 func (e *endpointSet) lastStartIn(zone fleet.AvailabilityZone) int64 {
 	newest := int64(0)
 	for _, m := range e.all {
@@ -43,14 +44,14 @@
 	return newest
 }
 
-// An operator forbids a team's data in one zone while its glosses and slips run
-// there and more wait. Once the change is in force nothing of the team begins in
-// that zone, and what ran there ends instead of running on for half a minute.
+// An operator removes a zone from a team's permitted zones while the team's requests
+// run and wait there. Once the change is in force no request of the team may begin in
+// that zone, and running ones must end there instead of going on for half a minute.
 func TestZonesNarrowedWhileRequestsRunAndWait(t *testing.T) {
 	f, e := startTwoZoneFleet(t)
 	stop := make(chan struct{})
 	var load sync.WaitGroup
-	long, leave := context.WithCancel(callContext(t))
+	long, cancelLong := context.WithCancel(callContext(t))
 	for n := range 24 {
 		load.Go(func() {
 			r := request{prompt: fmt.Sprintf("narrow %d [[tokens=15000]]", n), maxTokens: 15000, stream: true}
@@ -79,15 +80,14 @@
 		return nil
 	})
 	close(stop)
-	leave()
+	cancelLong()
 	load.Wait()
 	assert.Assert(t, e.lastStartIn("b") <= inForce, "work began in the forbidden zone %d ms after the change was in force", e.lastStartIn("b")-inForce)
 	e.awaitNothingHeld(t, 10*time.Second)
 }
 
-// All that serves a team in its only zone is down. Its callers are refused with
-// "not run" by each entry that is left, and nothing of theirs runs in the other
-// zone, where all is well.
+// All endpoints in a team's only permitted zone are down. Each remaining entry must
+// refuse its requests with "not run", and none may run in the other, healthy zone.
 func TestTeamWhoseZonesAreDownIsRefused(t *testing.T) {
 	f, e := startTwoZoneFleet(t)
 	assert.NilError(t, f.applySubtree(t, f.operator, "teams/t", 1, "only b", teamYAML("t", teamKey, "b")))
@@ -98,7 +98,7 @@
 	}
 	inForce := time.Now().UnixMilli()
 	f.checkAllRefuse(t, f.instances)
-	f.instances[3].kill(t) // the entry in b that is no control instance
+	f.instances[3].kill(t) // the entry in zone b that is not a control instance
 	f.checkAllRefuse(t, f.instances[:3])
 	assert.Assert(t, e.lastStartIn("a") <= inForce)
 }
@@ -126,10 +126,9 @@
 	return nil
 }
 
-// A pickup slip runs, and its answer is lost. Then an operator forbids the
-// team's data in one zone. The volunteer's app sends the slip again with the
-// same key: it must not run a second time, though its record was kept by
-// replicas in the zones of before.
+// After non-idempotent calls have run, an operator removes one zone from the team's
+// permitted zones, and the calls are repeated with the same keys. None may run a
+// second time, although their records are kept by replicas in the earlier zones.
 func TestSlipRepeatedAfterItsTeamsZonesChanged(t *testing.T) {
 	f, e := startTwoZoneFleet(t)
 	const slips = 8
