--- a/internal/e2e/control_test.go
+++ b/internal/e2e/control_test.go
@@ -83,9 +83,9 @@
 }
 
 // The leader is partitioned in both directions for a long time, while operators
-// change settings at the other instances. The old leader must neither
-// answer reads nor accept requests from its stale state, and on its return it must
-// not depose the new leader.
+// change settings at the other instances. The old leader must neither answer reads
+// from its stale state nor accept requests, and on its return it must not depose the
+// new leader.
 func TestLeaderCutOffForLongNeitherAnswersNorDisturbs(t *testing.T) {
 	f := startFleet(t, oneZonePlan())
 	old := f.awaitLeader(t, f.instances...)
--- a/internal/e2e/zonechange_test.go
+++ b/internal/e2e/zonechange_test.go
@@ -69,7 +69,7 @@
 }
 
 // A non-idempotent call reaches three entries while the team's zones change, so that
-// some entries claim it under the old zones and some under the new. It must run at
+// entries may claim it under the old zones or the new ones. It must run at
 // most once, and exactly once if any answer says that it completed.
 func TestSlipRacesAChangeOfItsZones(t *testing.T) {
 	f, e := startTwoZoneServiceFleet(t)
