--- a/cmd/hyssopsail-standin/config.go
+++ b/cmd/hyssopsail-standin/config.go
@@ -72,23 +72,23 @@
 	duration("step-base", "Time of one step of the batch.", &t.StepBase)
 	duration("step-per-request", "Added for each request in the batch.", &t.StepPerRequest)
 	duration("prefill-base", "Work of a prefill.", &t.PrefillBase)
-	duration("prefill-token", "Added for each prompt token not cached.", &t.PrefillToken)
+	duration("prefill-token", "Added for each prompt token not cached.", &t.PrefillPerToken)
 	duration("prefill-slice", "Prefill work in one step.", &t.PrefillSlice)
-	duration("kv-life", "Life of an exported KV cache.", &t.KVLife)
-	duration("transfer-bound", "An import that takes longer fails.", &t.TransferBound)
-	duration("load-time", "Time to load a model or change role.", &t.LoadTime)
-	duration("load-lag", "Age of reported load.", &t.LoadLag)
-	duration("cache-lag", "Wait before cache events are sent.", &t.CacheLag)
-	duration("call-time", "Time of a plain call.", &t.CallTime)
+	duration("kv-life", "Life of an exported KV cache.", &t.KVLifetime)
+	duration("transfer-bound", "An import that takes longer fails.", &t.TransferTimeout)
+	duration("load-time", "Time to load a model or change role.", &t.ModelLoadTime)
+	duration("load-lag", "Age of reported load.", &t.LoadReportDelay)
+	duration("cache-lag", "Wait before cache events are sent.", &t.CacheEventInterval)
+	duration("call-time", "Time of a plain call.", &t.CallDuration)
 	duration("leave-grace", "Still serving after the leave was confirmed.", &t.LeaveGrace)
-	app.Flag("kv-token", "Bytes of KV cache for each token.").Default("131072").Int64Var(&t.KVToken)
-	app.Flag("link-rate", "KV bytes a second on the link.").Default("1310720000").Int64Var(&t.LinkRate)
-	app.Flag("wire-scale", "KV bytes for one byte on the wire.").Default("1024").Int64Var(&t.WireScale)
-	app.Flag("cache-bytes", "Memory of the prefix cache.").Default("8589934592").Int64Var(&t.CacheBytes)
+	app.Flag("kv-token", "Bytes of KV cache for each token.").Default("131072").Int64Var(&t.KVBytesPerToken)
+	app.Flag("link-rate", "KV bytes a second on the link.").Default("1310720000").Int64Var(&t.LinkBytesPerSecond)
+	app.Flag("wire-scale", "KV bytes for one byte on the wire.").Default("1024").Int64Var(&t.KVBytesPerWireByte)
+	app.Flag("cache-bytes", "Memory of the prefix cache.").Default("8589934592").Int64Var(&t.PrefixCacheBytes)
 }
 
 func behaviourFlags(app *kingpin.Application, c *config, r *rawFlags) {
-	app.Flag("checks-tokens", "Refuse orders with an old fencing token.").BoolVar(&c.options.ChecksTokens)
+	app.Flag("checks-tokens", "Refuse orders with an old fencing token.").BoolVar(&c.options.ChecksFencingTokens)
 	app.Flag("free-on-disconnect", "Free a request when its connection ends.").BoolVar(&c.options.FreeOnDisconnect)
 	app.Flag("refuse-leaving", "Take no new work from the leave on.").BoolVar(&c.options.RefuseLeaving)
 	app.Flag("crash-marker", "Text in a prompt or body that ends the process.").StringVar(&c.options.CrashMarker)
@@ -96,8 +96,8 @@
 		string(engineapi.StagePrefill), string(engineapi.StageDecode), string(engineapi.StageCall))
 	app.Flag("faults", "Switches at the start, as JSON.").Default("{}").StringVar(&r.faults)
 	app.Flag("leave-bound", "Longest stop after SIGTERM.").Default("60s").DurationVar(&c.maxLeaveDuration)
-	app.Flag("audit-folder", "Folder for the audit of a process that the crash fault ends.").StringVar(&c.options.AuditFolder)
-	app.Flag("most-facts", "Attempts kept for the audit.").Default("200000").IntVar(&c.options.MostFacts)
+	app.Flag("audit-folder", "Folder for the audit of a process that the crash fault ends.").StringVar(&c.options.AuditDir)
+	app.Flag("most-facts", "Attempts kept for the audit.").Default("200000").IntVar(&c.options.MaxAttemptRecords)
 }
 
 func (c config) withRawFlags(r rawFlags) (config, error) {
@@ -105,7 +105,7 @@
 	c.options.Incarnation = fleet.Incarnation(r.incarnation)
 	c.options.Zone = fleet.AvailabilityZone(r.zone)
 	c.options.Role = fleet.EndpointRole(r.role)
-	c.options.CrashAt = engineapi.Stage(r.crashAt)
+	c.options.CrashStage = engineapi.Stage(r.crashAt)
 	if c.count < 1 {
 		return config{}, trace.BadParameter("--count must be at least 1")
 	}
--- a/cmd/hyssopsail-standin/main.go
+++ b/cmd/hyssopsail-standin/main.go
@@ -30,7 +30,7 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	all, err := newEndpoints(c, logging.For(logger, "standin"))
+	all, err := newEndpoints(c, logging.NewPart(logger, "standin"))
 	if err != nil {
 		return trace.Wrap(err)
 	}
--- a/cmd/hyssopsail-standin/main_test.go
+++ b/cmd/hyssopsail-standin/main_test.go
@@ -169,7 +169,7 @@
 	assert.DeepEqual(t, c.options.Models, []engineapi.ModelRef{
 		{Model: "m", Version: "1", Adapter: "a"}, {Model: "n", Version: "2"},
 	})
-	assert.Equal(t, c.options.Faults.Slow, 2.0)
-	assert.Equal(t, c.options.CrashAt, engineapi.StageDecode)
-	assert.Equal(t, c.options.Timing.KVLife, time.Second)
+	assert.Equal(t, c.options.Faults.StepSlowdown, 2.0)
+	assert.Equal(t, c.options.CrashStage, engineapi.StageDecode)
+	assert.Equal(t, c.options.Timing.KVLifetime, time.Second)
 }
--- a/cmd/hyssopsail/ask.go
+++ b/cmd/hyssopsail/ask.go
@@ -59,7 +59,7 @@
 	}
 	ctx, cancel := context.WithTimeout(c.app.ctx, c.timeout)
 	defer cancel()
-	secure, err := rpc.TrustingTLS(c.authorityFile)
+	secure, err := rpc.ClientTLS(c.authorityFile)
 	if err != nil {
 		return trace.Wrap(err)
 	}
@@ -73,7 +73,7 @@
 func (c *askCommand) header() http.Header {
 	header := http.Header{}
 	if c.idempotencyKey != "" {
-		header.Set(callerapi.HeaderKey, c.idempotencyKey)
+		header.Set(callerapi.HeaderIdempotencyKey, c.idempotencyKey)
 	}
 	return header
 }
--- a/cmd/hyssopsail/certs.go
+++ b/cmd/hyssopsail/certs.go
@@ -23,7 +23,7 @@
 	command := parser.Command("certs", "Write a working set of keys for a new fleet: authority, a certificate and key for each instance, the fleet's secret. "+
 		"Run again in the same folder with more instances, it adds theirs. It never overwrites a file.")
 	command.Flag("folder", "Where to write.").Required().StringVar(&c.folder)
-	command.Flag("life", "How long the certificates are valid.").Default(certs.DefaultLife.String()).DurationVar(&c.validity)
+	command.Flag("life", "How long the certificates are valid.").Default(certs.DefaultValidity.String()).DurationVar(&c.validity)
 	command.Arg("instance", "Instance IDs.").Required().StringsVar(&c.instances)
 	command.Action(a.commandAction(c.run))
 }
@@ -33,7 +33,7 @@
 	for n, id := range c.instances {
 		ids[n] = fleet.InstanceID(id)
 	}
-	written, err := certs.Write(certs.Options{Folder: c.folder, Instances: ids, Life: c.validity, Now: c.app.now()})
+	written, err := certs.Write(certs.Options{Folder: c.folder, Instances: ids, Validity: c.validity, Now: c.app.now()})
 	if err != nil {
 		return trace.Wrap(err)
 	}
--- a/cmd/hyssopsail/explain.go
+++ b/cmd/hyssopsail/explain.go
@@ -41,7 +41,7 @@
 		}
 		lines, others = append(lines, read...), others+skipped
 	}
-	story, ok := explain.Of(lines, c.request)
+	story, ok := explain.NewRequestReport(lines, c.request)
 	if !ok {
 		return trace.NotFound("none of %d log lines names request %s (%d other lines)", len(lines), c.request, others)
 	}
--- a/cmd/hyssopsail/settings_send.go
+++ b/cmd/hyssopsail/settings_send.go
@@ -56,7 +56,7 @@
 // would therefore be refused for ever. A repeated refusal shows that nothing was
 // changed under the first ID, so sending under a new one can't apply the change twice.
 func (a *app) sendChangeRequest(client *operator.Client, change *pb.ChangeSubtree, wait time.Duration) (*pb.ChangeReply, error) {
-	request := &pb.ChangeRequest{Change: change, WaitInForceMs: uint64(min(wait, operator.MaxWait).Milliseconds())}
+	request := &pb.ChangeRequest{Change: change, WaitInForceMs: uint64(min(wait, operator.MaxWaitInForce).Milliseconds())}
 	if change.ChangeId != "" {
 		return client.Change(a.ctx, request)
 	}
--- a/cmd/hyssopsail/timeline.go
+++ b/cmd/hyssopsail/timeline.go
@@ -91,7 +91,7 @@
 func chartData(reply operator.TimelineReply) timeline.Merged {
 	merged := timeline.Merged{Events: reply.Events, Dropped: reply.Dropped}
 	for _, id := range reply.Unreachable {
-		merged.Silent = append(merged.Silent, timeline.Silent{Instance: fleet.InstanceID(id), Cause: "not reached in time"})
+		merged.FailedQueries = append(merged.FailedQueries, timeline.FailedQuery{Instance: fleet.InstanceID(id), Cause: "not reached in time"})
 	}
 	return merged
 }
--- a/cmd/hyssopsaild/main.go
+++ b/cmd/hyssopsaild/main.go
@@ -57,7 +57,7 @@
 		fmt.Fprintf(os.Stderr, "hyssopsaild: %v\n", err)
 		return exitRefused
 	}
-	part := logging.For(logger, "daemon")
+	part := logging.NewPart(logger, "daemon")
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer cancel()
 	go logHangups(part)
--- a/internal/e2e/caller_test.go
+++ b/internal/e2e/caller_test.go
@@ -60,9 +60,9 @@
 	if key == "" {
 		key = teamKey
 	}
-	sent.Header.Set(callerapi.HeaderAuthorise, "Bearer "+key)
+	sent.Header.Set(callerapi.HeaderAuthorization, "Bearer "+key)
 	if r.idempotencyKey != "" {
-		sent.Header.Set(callerapi.HeaderKey, r.idempotencyKey)
+		sent.Header.Set(callerapi.HeaderIdempotencyKey, r.idempotencyKey)
 	}
 	if r.deadlineMs != "" {
 		sent.Header.Set(callerapi.HeaderDeadline, r.deadlineMs)
--- a/internal/e2e/crash_test.go
+++ b/internal/e2e/crash_test.go
@@ -45,7 +45,7 @@
 	e.add(t, "p2", "a", fleet.RolePrefill)
 	for n := range 5 {
 		e.add(t, fmt.Sprintf("d%d", n), "a", fleet.RoleDecode, func(o *standin.Options) {
-			o.CrashMarker, o.CrashAt = crashMarker, "decode"
+			o.CrashMarker, o.CrashStage = crashMarker, "decode"
 		})
 	}
 	e.awaitServing(t)
--- a/internal/e2e/endpoints_test.go
+++ b/internal/e2e/endpoints_test.go
@@ -34,19 +34,19 @@
 // fastTiming returns the timing of an engine some ten times faster than a real one.
 func fastTiming() standin.Timing {
 	return standin.Timing{
-		StepBase:       2 * time.Millisecond,
-		StepPerRequest: 100 * time.Microsecond,
-		PrefillBase:    10 * time.Millisecond,
-		PrefillToken:   10 * time.Microsecond,
-		PrefillSlice:   2 * time.Millisecond,
-		KVToken:        1 << 10,
-		LinkRate:       100 << 20,
-		WireScale:      16,
-		CallTime:       time.Millisecond,
-		LeaveGrace:     time.Millisecond,
-		LoadTime:       time.Millisecond,
-		CacheLag:       5 * time.Millisecond,
-		LoadLag:        time.Millisecond,
+		StepBase:           2 * time.Millisecond,
+		StepPerRequest:     100 * time.Microsecond,
+		PrefillBase:        10 * time.Millisecond,
+		PrefillPerToken:    10 * time.Microsecond,
+		PrefillSlice:       2 * time.Millisecond,
+		KVBytesPerToken:    1 << 10,
+		LinkBytesPerSecond: 100 << 20,
+		KVBytesPerWireByte: 16,
+		CallDuration:       time.Millisecond,
+		LeaveGrace:         time.Millisecond,
+		ModelLoadTime:      time.Millisecond,
+		CacheEventInterval: 5 * time.Millisecond,
+		LoadReportDelay:    time.Millisecond,
 	}
 }
 
--- a/internal/e2e/provision_frozen_test.go
+++ b/internal/e2e/provision_frozen_test.go
@@ -71,7 +71,7 @@
 func (e *endpointSet) addBehindProxy(t *testing.T, r *delayingProxy, id string, checks bool) *emulatedEndpoint {
 	t.Helper()
 	m := e.add(t, id, "a", fleet.RoleDecode, func(o *standin.Options) {
-		o.ChecksTokens = checks
+		o.ChecksFencingTokens = checks
 		o.Advertise = r.address()
 	})
 	r.mu.Lock()
--- a/internal/e2e/provision_test.go
+++ b/internal/e2e/provision_test.go
@@ -35,8 +35,8 @@
 
 func withoutModel(o *standin.Options) {
 	o.Models = nil
-	o.ChecksTokens = true
-	o.Timing.LoadTime = 500 * time.Millisecond
+	o.ChecksFencingTokens = true
+	o.Timing.ModelLoadTime = 500 * time.Millisecond
 }
 
 // Callers request a model that no endpoint has. They are refused until an idle
--- a/internal/e2e/repeat_test.go
+++ b/internal/e2e/repeat_test.go
@@ -17,8 +17,8 @@
 
 // decodeAttempts returns all engines' records of attempts with this marker that
 // reached decode.
-func (e *endpointSet) decodeAttempts(marker string) []standin.Fact {
-	var all []standin.Fact
+func (e *endpointSet) decodeAttempts(marker string) []standin.AttemptRecord {
+	var all []standin.AttemptRecord
 	for _, m := range e.all {
 		for _, fact := range m.Audit().Attempts {
 			if fact.Marker == marker && fact.Decodes > 0 {
@@ -30,7 +30,7 @@
 }
 
 // anyOverlap reports whether any two of the attempts ran at the same time.
-func anyOverlap(all []standin.Fact) bool {
+func anyOverlap(all []standin.AttemptRecord) bool {
 	for n, a := range all {
 		for _, b := range all[n+1:] {
 			if a.StartedMs < b.EndedMs && b.StartedMs < a.EndedMs {
--- a/internal/e2e/soak_audit_test.go
+++ b/internal/e2e/soak_audit_test.go
@@ -76,11 +76,11 @@
 		for _, c := range record.CallRuns {
 			a.addRun(c.Marker, soakRun{endpoint: record.Endpoint, zone: record.Zone, at: c.AtMs, call: true})
 		}
-		if record.LastStartAfter > maxStartAfterLeave.Milliseconds() {
-			a.addViolation(guaranteeLeave, "%s after %d ms", record.Endpoint, record.LastStartAfter)
+		if record.LastStartAfterLeaveMs > maxStartAfterLeave.Milliseconds() {
+			a.addViolation(guaranteeLeave, "%s after %d ms", record.Endpoint, record.LastStartAfterLeaveMs)
 		}
-		if record.Forgotten > 0 {
-			a.addViolation(guaranteeAuditComplete, "%s: %d", record.Endpoint, record.Forgotten)
+		if record.Unrecorded > 0 {
+			a.addViolation(guaranteeAuditComplete, "%s: %d", record.Endpoint, record.Unrecorded)
 		}
 	}
 }
--- a/internal/e2e/soak_faults_test.go
+++ b/internal/e2e/soak_faults_test.go
@@ -147,14 +147,14 @@
 	switches := []standin.Faults{
 		{StallTransfers: true},
 		{IgnoreCancels: 10},
-		{Slow: 8},
+		{StepSlowdown: 8},
 		{Freeze: true},
-		{CacheGaps: 10},
-		{ChunkFault: standin.ChunkCrossed},
-		{ChunkFault: standin.ChunkStale},
-		{ChunkFault: standin.ChunkGap},
-		{ChunkFault: standin.ChunkRepeat},
-		{ChunkFault: standin.ChunkCut},
+		{DropCacheEventBatches: 10},
+		{ChunkFault: standin.ChunkWrongAttempt},
+		{ChunkFault: standin.ChunkEarlierIncarnation},
+		{ChunkFault: standin.ChunkMissingTokens},
+		{ChunkFault: standin.ChunkRepeatedToken},
+		{ChunkFault: standin.ChunkTruncated},
 	}
 	return s.switchFault(g, switches[s.random.IntN(len(switches))])
 }
@@ -163,7 +163,7 @@
 	g := s.randomEndpoint(true)
 	switches := []standin.Faults{
 		{FailCalls: true},
-		{CutCalls: true},
+		{AbortCalls: true},
 		{HangCalls: true},
 		{CallDelayMs: 800},
 		{Freeze: true},
--- a/internal/e2e/stream_test.go
+++ b/internal/e2e/stream_test.go
@@ -73,7 +73,7 @@
 func TestPrefillEngineKilled(t *testing.T) {
 	f, e := startModelFleet(t, 3)
 	for _, m := range e.all[:2] {
-		m.postFaults(t, standin.Faults{Slow: 20}) // so that the kill hits a running prefill
+		m.postFaults(t, standin.Faults{StepSlowdown: 20}) // so that the kill hits a running prefill
 	}
 	r := request{prompt: strings.Repeat("bale photographs ", 250), maxTokens: 20, stream: true}
 	got := startCompletion(t, f.instances[1], r)
--- a/internal/e2e/transfer_test.go
+++ b/internal/e2e/transfer_test.go
@@ -70,7 +70,7 @@
 		id := string(old.endpointID())
 		old.kill()
 		again := e.add(t, id, "a", fleet.RoleDecode, func(o *standin.Options) { o.Listen = address })
-		again.SetFaults(standin.Faults{ChunkFault: standin.ChunkStale})
+		again.SetFaults(standin.Faults{ChunkFault: standin.ChunkEarlierIncarnation})
 		group.Wait()
 	}
 	failures.report(t)
