--- a/internal/e2e/provision_frozen_test.go
+++ b/internal/e2e/provision_frozen_test.go
@@ -19,55 +19,56 @@
 	"github.com/hyssopsail/hyssopsail/internal/standin"
 )
 
-// slowRoad is the way to an endpoint on which old orders get stuck.
-type slowRoad struct {
-	server  *httptest.Server
-	stuck   chan struct{} // closed when an old order is on the road
-	release chan struct{}
-	arrived chan int // the endpoint's answer to an old order, HTTP status
+// delayingProxy is a proxy in front of an endpoint that holds old orders back until
+// their release.
+type delayingProxy struct {
+	server    *httptest.Server
+	held      chan struct{} // closed when an old order has arrived at the proxy
+	release   chan struct{}
+	delivered chan int // HTTP status of the endpoint's answer to an old order
 
-	mu      sync.Mutex
-	end     http.Handler
-	onOrder func() // called when an order arrives
+	mu       sync.Mutex
+	endpoint http.Handler
+	onOrder  func() // called for each order, before it is forwarded
 }
 
-func newSlowRoad(t *testing.T) *slowRoad {
+func newDelayingProxy(t *testing.T) *delayingProxy {
 	t.Helper()
-	r := &slowRoad{stuck: make(chan struct{}), release: make(chan struct{}), arrived: make(chan int, 1)}
+	r := &delayingProxy{held: make(chan struct{}), release: make(chan struct{}), delivered: make(chan int, 1)}
 	r.server = httptest.NewServer(r)
 	t.Cleanup(r.server.CloseClientConnections)
 	return r
 }
 
-func (r *slowRoad) address() string { return strings.TrimPrefix(r.server.URL, "http://") }
+func (r *delayingProxy) address() string { return strings.TrimPrefix(r.server.URL, "http://") }
 
-// ServeHTTP passes calls on to the endpoint, old orders after their release,
-// whether the sender still waits or not: the bytes have left it.
-func (r *slowRoad) ServeHTTP(w http.ResponseWriter, q *http.Request) {
+// ServeHTTP forwards calls to the endpoint, old orders only after their release. It
+// forwards these even when the sender has given up, as a network may.
+func (r *delayingProxy) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	r.mu.Lock()
-	end, onOrder := r.end, r.onOrder
+	target, onOrder := r.endpoint, r.onOrder
 	r.mu.Unlock()
 	if onOrder != nil && strings.HasSuffix(q.URL.Path, "/orders") {
 		onOrder()
 	}
 	body, err := io.ReadAll(q.Body)
-	if err != nil || end == nil {
+	if err != nil || target == nil {
 		w.WriteHeader(http.StatusBadGateway)
 		return
 	}
 	q.Body = io.NopCloser(bytes.NewReader(body))
 	if !bytes.Contains(body, []byte(`"operator/old`)) {
-		end.ServeHTTP(w, q)
+		target.ServeHTTP(w, q)
 		return
 	}
-	close(r.stuck)
+	close(r.held)
 	<-r.release
 	answer := httptest.NewRecorder()
-	end.ServeHTTP(answer, q.WithContext(context.WithoutCancel(q.Context())))
-	r.arrived <- answer.Code
+	target.ServeHTTP(answer, q.WithContext(context.WithoutCancel(q.Context())))
+	r.delivered <- answer.Code
 }
 
-func (e *engines) addBehind(t *testing.T, r *slowRoad, id string, checks bool) *emulated {
+func (e *endpointSet) addBehindProxy(t *testing.T, r *delayingProxy, id string, checks bool) *emulatedEndpoint {
 	t.Helper()
 	m := e.add(t, id, "a", fleet.RoleDecode, func(o *standin.Options) {
 		o.ChecksFencingTokens = checks
@@ -75,14 +76,14 @@
 	})
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.end = m.Handler()
+	r.endpoint = m.Handler()
 	return m
 }
 
-// order gives an operator's order at one instance and waits for its end.
-func (f *testFleet) order(t *testing.T, at *instance, id, endpoint, role string) (outcome string) {
+// sendOrder sends an operator's order to one instance and waits for its end.
+func (f *testFleet) sendOrder(t *testing.T, at *instance, id, endpoint, role string) (outcome string) {
 	t.Helper()
-	client := f.operatorAs(t, operatorKey, at)
+	client := f.operatorClient(t, operatorKey, at)
 	eventually(t, 90*time.Second, func() error {
 		reply, err := client.Order(callContext(t), &pb.OrderEndpointRequest{OrderId: id, EndpointId: endpoint, Kind: "change-role", Role: role})
 		if err == nil && !reply.GetEnded() {
@@ -94,59 +95,59 @@
 	return outcome
 }
 
-// A daemon has given orders to two endpoints and is frozen while they are on
-// the way, for longer than its lease. Another daemon gives newer orders, which
-// are done. Then the frozen one wakes and its old orders arrive. The endpoint
-// that checks fencing tokens refuses its own; the other one obeys, and must be
-// given the newer order again. The old one never wins.
+// A daemon sends orders to two endpoints and is frozen while they are on the way,
+// for longer than its lease. Another daemon sends newer orders, which are carried
+// out. Then the first daemon resumes and its old orders arrive. The endpoint that
+// checks fencing tokens must refuse the old order. The other one carries it out and
+// must be sent the newer order again, so that the old one never prevails.
 func TestFrozenDaemonWakesWithOrdersInHand(t *testing.T) {
-	f := startFleet(t, oneZone())
-	e := &engines{fleet: f}
-	roads := map[string]*slowRoad{"checks": newSlowRoad(t), "ignores": newSlowRoad(t)}
-	ends := map[string]*emulated{}
-	for id, road := range roads {
-		ends[id] = e.addBehind(t, road, id, id == "checks")
+	f := startFleet(t, oneZonePlan())
+	e := &endpointSet{fleet: f}
+	proxies := map[string]*delayingProxy{"checks": newDelayingProxy(t), "ignores": newDelayingProxy(t)}
+	endpoints := map[string]*emulatedEndpoint{}
+	for id, proxy := range proxies {
+		endpoints[id] = e.addBehindProxy(t, proxy, id, id == "checks")
 	}
 	f.awaitEndpoints(t, "checks", "ignores")
-	rest := f.others(f.leader(t, f.instances...))
+	rest := f.others(f.awaitLeader(t, f.instances...))
 	frozen, other := rest[0], rest[1]
-	for id, road := range roads {
+	for id, proxy := range proxies {
 		go func() {
-			_, _ = f.operatorAs(t, operatorKey, frozen).Order(t.Context(), &pb.OrderEndpointRequest{
+			_, _ = f.operatorClient(t, operatorKey, frozen).Order(t.Context(), &pb.OrderEndpointRequest{
 				OrderId: "old-" + id, EndpointId: id, Kind: "change-role", Role: "prefill",
 			})
 		}()
-		<-road.stuck
+		<-proxy.held
 	}
 	frozen.freeze(t)
-	f.awaitGone(t, other, frozen)
-	for id := range roads {
-		assert.Equal(t, f.order(t, other, "new-"+id, id, "both"), "done", id)
-		assert.Equal(t, ends[id].Announcement().Role, fleet.RoleBoth)
+	f.awaitRemoved(t, other, frozen)
+	for id := range proxies {
+		assert.Equal(t, f.sendOrder(t, other, "new-"+id, id, "both"), "done", id)
+		assert.Equal(t, endpoints[id].Announcement().Role, fleet.RoleBoth)
 	}
-	frozen.thaw(t)
-	for _, road := range roads {
-		close(road.release)
+	frozen.resume(t)
+	for _, proxy := range proxies {
+		close(proxy.release)
 	}
-	assert.Equal(t, <-roads["checks"].arrived, http.StatusConflict)
-	assert.Equal(t, <-roads["ignores"].arrived, http.StatusOK)
-	for id, end := range ends {
+	assert.Equal(t, <-proxies["checks"].delivered, http.StatusConflict)
+	assert.Equal(t, <-proxies["ignores"].delivered, http.StatusOK)
+	for id, target := range endpoints {
 		eventually(t, 60*time.Second, func() error {
-			if role := end.Announcement().Role; role != fleet.RoleBoth {
+			if role := target.Announcement().Role; role != fleet.RoleBoth {
 				return fmt.Errorf("%s has role %s", id, role)
 			}
 			return nil
 		})
 	}
-	assert.Equal(t, ends["checks"].audit(t).Orders, 1)
-	assert.Equal(t, ends["ignores"].audit(t).Orders, 3) // the newer, the old, the newer again
+	assert.Equal(t, endpoints["checks"].fetchAudit(t).Orders, 1)
+	assert.Equal(t, endpoints["ignores"].fetchAudit(t).Orders, 3) // the newer order, the old one, the newer one again
 }
 
-// awaitGone waits until an instance is out of another's view.
-func (f *testFleet) awaitGone(t *testing.T, at, gone *instance) {
+// awaitRemoved waits until an instance is removed from another's view.
+func (f *testFleet) awaitRemoved(t *testing.T, at, gone *instance) {
 	t.Helper()
-	eventually(t, callTime, func() error {
-		status, err := f.operatorAs(t, operatorKey, at).Status(callContext(t), nil)
+	eventually(t, callTimeout, func() error {
+		status, err := f.operatorClient(t, operatorKey, at).Status(callContext(t), nil)
 		if err != nil {
 			return err
 		}
@@ -159,38 +160,38 @@
 	})
 }
 
-// Callers' streams run on an engine that is told to drop their model. The order
-// must wait until they have ended whole, and no new one may begin meanwhile:
-// else streams break off in the middle.
+// An engine gets the order to unload a model while streams of that model run on it.
+// The order must wait until the streams have completed, and no new one may begin
+// meanwhile; otherwise streams are cut off.
 func TestUnloadWaitsForRunningStreams(t *testing.T) {
-	f := startFleet(t, oneZone())
-	e := &engines{fleet: f}
+	f := startFleet(t, oneZonePlan())
+	e := &endpointSet{fleet: f}
 	e.add(t, "p", "a", fleet.RolePrefill)
-	road := newSlowRoad(t)
-	decode := e.addBehind(t, road, "d", true)
+	proxy := newDelayingProxy(t)
+	decode := e.addBehindProxy(t, proxy, "d", true)
 	e.awaitServing(t)
 	held := make(chan int, 8)
-	road.mu.Lock()
-	road.onOrder = func() { held <- decode.audit(t).Held }
-	road.mu.Unlock()
+	proxy.mu.Lock()
+	proxy.onOrder = func() { held <- decode.fetchAudit(t).Held }
+	proxy.mu.Unlock()
 
 	streams := make(chan answer, 3)
 	for _, i := range f.instances {
 		go func() {
-			a, err := ask(callContext(t), i, request{prompt: "long " + i.id, maxTokens: 1500, stream: true})
+			a, err := sendCompletion(callContext(t), i, request{prompt: "long " + i.id, maxTokens: 1500, stream: true})
 			assert.Check(t, err)
 			streams <- a
 		}()
 	}
 	awaitHeld(t, 3, decode)
-	client := f.operatorAs(t, operatorKey, f.instances[0])
+	client := f.operatorClient(t, operatorKey, f.instances[0])
 	reply, err := client.Order(callContext(t), &pb.OrderEndpointRequest{OrderId: "u", EndpointId: "d", Kind: "unload", Model: "m@1"})
 	assert.NilError(t, err)
 	assert.Equal(t, reply.GetOutcome(), "done")
 	assert.Equal(t, <-held, 0)
 	for range f.instances {
 		a := <-streams
-		assert.Assert(t, a.whole(), "%+v", a.refused)
+		assert.Assert(t, a.isComplete(), "%+v", a.apiError)
 	}
 	assert.Equal(t, len(decode.Announcement().Models), 0)
 }
