--- a/internal/certs/write.go
+++ b/internal/certs/write.go
@@ -36,7 +36,7 @@
 type Options struct {
 	Folder    string
 	Instances []fleet.InstanceID // at least one
-	Validity  time.Duration      // 0: DefaultLife
+	Validity  time.Duration      // 0: DefaultValidity
 	Now       time.Time
 }
 
--- a/internal/control/limits.go
+++ b/internal/control/limits.go
@@ -5,7 +5,7 @@
 const (
 	maxNameBytes            = 160       // subtree names, IDs, authors, addresses
 	maxYAMLBytes            = 256 << 10 // one subtree
-	maxTreeBytes            = 5 << 20   // all current subtrees: a FleetState stays under rpc.MaxMessage
+	maxTreeBytes            = 5 << 20   // all current subtrees: a FleetState stays under rpc.MaxMessageBytes
 	maxClasses              = 256       // sets of permitted zones in use or recently retired
 	maxFormerClassesPerTeam = 16        // former zone classes of one team
 	maxFormerClasses        = 8192      // of all teams
--- a/internal/engine/events.go
+++ b/internal/engine/events.go
@@ -34,7 +34,7 @@
 	return &chunkReader{reader: bufio.NewReaderSize(r, readBufferBytes), maxLineBytes: maxLineBytes, attempt: attempt}
 }
 
-// next returns the next chunk. At the stream's end it returns ErrBroken: complete
+// next returns the next chunk. At the stream's end it returns ErrTruncated: complete
 // streams end with a chunk that has Finish set, after which next isn't called.
 func (r *chunkReader) next() (engineapi.Chunk, error) {
 	for {
--- a/internal/engine/idletimer.go
+++ b/internal/engine/idletimer.go
@@ -6,13 +6,12 @@
 	"time"
 )
 
-// IdleTimer is an idle timer: it calls a function when one wait has exceeded the
-// limit. Begin and End cost one atomic store each, where stopping and resetting
-// a timer for each token would cost a lock and often wake another thread. The
-// timer keeps running instead and, when it fires, checks how long the present
-// wait has lasted.
+// IdleTimer calls a function when one wait has exceeded the limit. BeginWait and
+// EndWait cost one atomic store each, where stopping and resetting a timer for
+// each token would cost a lock and often wake another thread. The timer keeps
+// running instead and, when it fires, checks how long the present wait has lasted.
 //
-// Begin, End and SetLimit are for one goroutine; another one may call Close.
+// BeginWait, EndWait and SetLimit are for one goroutine; another one may call Close.
 type IdleTimer struct {
 	epoch     time.Time
 	onTimeout func()
@@ -24,57 +23,57 @@
 
 const notWaiting = -1
 
-// NewIdleTimer returns a watch whose first wait has begun. onTimeout is called in a
+// NewIdleTimer returns a timer whose first wait has begun. onTimeout is called in a
 // goroutine of its own, at most once, when a wait has lasted for limit.
 func NewIdleTimer(limit time.Duration, onTimeout func()) *IdleTimer {
-	w := &IdleTimer{epoch: time.Now(), onTimeout: onTimeout}
-	w.limit.Store(int64(limit))
-	w.timer = time.AfterFunc(math.MaxInt64, w.check)
-	w.timer.Reset(limit)
-	return w
+	t := &IdleTimer{epoch: time.Now(), onTimeout: onTimeout}
+	t.limit.Store(int64(limit))
+	t.timer = time.AfterFunc(math.MaxInt64, t.check)
+	t.timer.Reset(limit)
+	return t
 }
 
 // BeginWait starts a wait.
-func (w *IdleTimer) BeginWait() { w.waitStart.Store(int64(time.Since(w.epoch))) }
+func (t *IdleTimer) BeginWait() { t.waitStart.Store(int64(time.Since(t.epoch))) }
 
-// EndWait ends the wait; the time until the next Begin doesn't count.
-func (w *IdleTimer) EndWait() { w.waitStart.Store(notWaiting) }
+// EndWait ends the wait; the time until the next BeginWait doesn't count.
+func (t *IdleTimer) EndWait() { t.waitStart.Store(notWaiting) }
 
 // SetLimit sets the limit and starts a wait.
-func (w *IdleTimer) SetLimit(limit time.Duration) {
-	w.limit.Store(int64(limit))
-	w.BeginWait()
-	w.setTimer(limit)
+func (t *IdleTimer) SetLimit(limit time.Duration) {
+	t.limit.Store(int64(limit))
+	t.BeginWait()
+	t.setTimer(limit)
 }
 
-// Close stops the watch for good.
-func (w *IdleTimer) Close() {
-	w.closed.Store(true)
-	w.timer.Stop()
+// Close stops the timer for good.
+func (t *IdleTimer) Close() {
+	t.closed.Store(true)
+	t.timer.Stop()
 }
 
 // check is called when the timer fires.
-func (w *IdleTimer) check() {
-	limit := time.Duration(w.limit.Load())
-	since := w.waitStart.Load()
+func (t *IdleTimer) check() {
+	limit := time.Duration(t.limit.Load())
+	since := t.waitStart.Load()
 	if since == notWaiting {
-		w.setTimer(limit)
+		t.setTimer(limit)
 		return
 	}
-	left := limit - (time.Since(w.epoch) - time.Duration(since))
+	left := limit - (time.Since(t.epoch) - time.Duration(since))
 	if left > 0 {
-		w.setTimer(left)
+		t.setTimer(left)
 		return
 	}
-	if !w.closed.Swap(true) {
-		w.onTimeout()
+	if !t.closed.Swap(true) {
+		t.onTimeout()
 	}
 }
 
-// setTimer resets the timer, unless the watch has been closed meanwhile.
-func (w *IdleTimer) setTimer(in time.Duration) {
-	w.timer.Reset(in)
-	if w.closed.Load() {
-		w.timer.Stop()
+// setTimer resets the timer, unless Close has been called meanwhile.
+func (t *IdleTimer) setTimer(in time.Duration) {
+	t.timer.Reset(in)
+	if t.closed.Load() {
+		t.timer.Stop()
 	}
 }
--- a/internal/engineapi/work.go
+++ b/internal/engineapi/work.go
@@ -120,8 +120,8 @@
 	OrderChangeRole OrderKind = "change-role"
 )
 
-// Order tells an engine to load or unload a model, or to change its role. Token
-// is a fencing token; engines that check it refuse one that is lower than the
+// Order tells an engine to load or unload a model, or to change its role. Engines
+// that check FencingToken refuse an order whose token is lower than the
 // highest that they have accepted.
 type Order struct {
 	ID           string             `json:"id"`
--- a/internal/entry/exchange.go
+++ b/internal/entry/exchange.go
@@ -74,7 +74,7 @@
 // can't be confirmed to be current, a team may have it, so the refusal is the router's.
 func (c *callerHandler) unknownTeam(x *exchange) *route.Failure {
 	if !c.opts.Source.Current(time.Now()) {
-		// Refuses returns nil if the settings have become current since the check above.
+		// EarlyRefusal returns nil if the settings have become current since the check above.
 		if failure := c.opts.Router.EarlyRefusal("", x.key); failure != nil {
 			return failure
 		}
@@ -115,7 +115,7 @@
 	return body, failure
 }
 
-// readBody reads the body within the team's size limit and Bounds.BodyTime.
+// readBody reads the body within the team's size limit and Bounds.BodyReadTimeout.
 func (c *callerHandler) readBody(x *exchange) ([]byte, *route.Failure) {
 	if failure := c.opts.Router.EarlyRefusal(x.team.Name, x.key); failure != nil {
 		return nil, failure
--- a/internal/logging/bounded.go
+++ b/internal/logging/bounded.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Limits of a Bounded writer.
+// Limits of a BoundedWriter.
 const (
 	// maxBufferedBytes limits the lines that wait for a slow reader: some 2,000 lines.
 	maxBufferedBytes = 256 << 10
--- a/internal/outcome/contract.go
+++ b/internal/outcome/contract.go
@@ -11,9 +11,9 @@
 // Key is the keyed hash of a team and a caller's key. It identifies a record.
 type Key [16]byte
 
-// Claim asks for the right to run a request. Permitted is the set of zones that the
-// settings permit the team now; a claim under other zones fails. Fresh means that the
-// key was made for this call alone, so that no earlier record of it can exist.
+// Claim asks for the right to run a request. PermittedZones is the set of zones that
+// the settings permit the team now; a claim under other zones fails. UniqueKey means
+// that the key was made for this call alone, so that no earlier record of it can exist.
 type Claim struct {
 	Key            Key
 	Team           fleet.Team
@@ -51,7 +51,7 @@
 //
 // If a team's permitted zones changed within the last two record lives, the records of
 // the former zones are consulted too, at replicas in zones that are still permitted. If
-// these are no majority, the verdict is VerdictUnknown for each key that isn't Fresh:
+// these are no majority, the verdict is VerdictUnknown for each key without UniqueKey:
 // new keys can't be told from repeats.
 type Ledger interface {
 	// Claim decides the key's record for the attempt, before the first byte is sent to
--- a/internal/standin/audit.go
+++ b/internal/standin/audit.go
@@ -22,7 +22,7 @@
 
 	// PrefillMs is the sum of used and discarded prefill work, counted when a request
 	// is freed. Work counts as used if the KV cache was transferred completely; if
-	// the decode then never started, the decode engine has a Fact with Imports but
+	// the decode then never started, the decode engine has an AttemptRecord with Imports but
 	// without Decodes.
 	PrefillMs          float64 `json:"prefill_ms"`
 	PrefillUsedMs      float64 `json:"prefill_used_ms"`
--- a/internal/standin/cacheevents.go
+++ b/internal/standin/cacheevents.go
@@ -32,7 +32,7 @@
 	return batch
 }
 
-// runEvents sends cache events every Timing.CacheLag until ctx ends. A message that
+// runEvents sends cache events every Timing.CacheEventInterval until ctx ends. A message that
 // fails is not sent again: the home detects the gap.
 func (s *Standin) runEvents(ctx context.Context) {
 	for sleep.For(ctx, s.timing.CacheEventInterval) {
--- a/internal/standin/doc.go
+++ b/internal/standin/doc.go
@@ -6,6 +6,6 @@
 //
 // Simplifications: memory is checked when a request is admitted, and grows with
 // its output without another check; a cached prefix takes no memory from
-// requests; a transfer sends the KV bytes divided by Timing.WireScale, while its
+// requests; a transfer sends the KV bytes divided by Timing.KVBytesPerWireByte, while its
 // duration is that of all KV bytes.
 package standin
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -26,7 +26,7 @@
 	Freeze                bool       `json:"freeze"`          // all processing stops, connections stay open
 	IgnoreCancels         int        `json:"ignore_cancels"`  // number of next cancels to lose
 	DropCacheEventBatches int        `json:"cache_gaps"`      // number of next batches of cache events to lose
-	LoadLagMs             int64      `json:"load_lag_ms"`     // 0: Timing.LoadLag
+	LoadLagMs             int64      `json:"load_lag_ms"`     // 0: Timing.LoadReportDelay
 	ChunkFault            ChunkFault `json:"chunk_fault"`     // in the next stream
 	FailCalls             bool       `json:"fail_calls"`      // plain calls run, then get status 500
 	AbortCalls            bool       `json:"cut_calls"`       // plain calls run, then the connection is closed
--- a/internal/standin/importkv.go
+++ b/internal/standin/importkv.go
@@ -96,7 +96,7 @@
 }
 
 // fetch reads the KV cache from the other engine. It fails when the client
-// disconnects, the attempt is cancelled, or Timing.TransferBound has passed.
+// disconnects, the attempt is cancelled, or Timing.TransferTimeout has passed.
 func (s *Standin) fetch(client context.Context, h *heldRequest, r engineapi.ImportRequest) error {
 	if r.Source == s.Address() {
 		return nil
