--- a/internal/engine/idletimer_test.go
+++ b/internal/engine/idletimer_test.go
@@ -16,34 +16,34 @@
 	"github.com/hyssopsail/hyssopsail/internal/engineapi"
 )
 
-func TestWatchCountsWaitsOnly(t *testing.T) {
+func TestIdleTimerCountsWaitsOnly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
 		var after time.Duration
-		w := NewIdleTimer(10*time.Second, func() { after = time.Since(began) })
+		timer := NewIdleTimer(10*time.Second, func() { after = time.Since(began) })
 		for range 20 {
 			time.Sleep(9 * time.Second)
-			w.EndWait()
-			time.Sleep(30 * time.Second) // nobody waits
-			w.BeginWait()
+			timer.EndWait()
+			time.Sleep(30 * time.Second) // between two waits
+			timer.BeginWait()
 		}
 		assert.Equal(t, after, time.Duration(0))
 		began = time.Now()
-		w.SetLimit(3 * time.Second)
+		timer.SetLimit(3 * time.Second)
 		time.Sleep(time.Minute)
 		synctest.Wait()
 		assert.Equal(t, after, 3*time.Second)
-		w.Close()
+		timer.Close()
 	})
 }
 
-func TestClosedWatchDoesNotFire(t *testing.T) {
+func TestClosedIdleTimerDoesNotFire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := NewIdleTimer(time.Second, func() { t.Error("called") })
-		w.EndWait()
+		timer := NewIdleTimer(time.Second, func() { t.Error("called") })
+		timer.EndWait()
 		time.Sleep(1500 * time.Millisecond)
-		w.BeginWait()
-		w.Close()
+		timer.BeginWait()
+		timer.Close()
 		time.Sleep(time.Minute)
 	})
 }
--- a/internal/standin/audit.go
+++ b/internal/standin/audit.go
@@ -22,8 +22,8 @@
 
 	// PrefillMs is the sum of used and discarded prefill work, counted when a request
 	// is freed. Work counts as used if the KV cache was transferred completely; if
-	// the decode then never started, the decode engine has an AttemptRecord with Imports but
-	// without Decodes.
+	// the decode then never started, the decode engine has an AttemptRecord with
+	// Imports but without Decodes.
 	PrefillMs          float64 `json:"prefill_ms"`
 	PrefillUsedMs      float64 `json:"prefill_used_ms"`
 	PrefillDiscardedMs float64 `json:"prefill_discarded_ms"`
@@ -73,24 +73,24 @@
 	heldChangedAt time.Time
 }
 
-func newAuditRecorder(most int) *auditRecorder {
-	return &auditRecorder{maxRecords: most, byAttempt: map[fleet.AttemptID]*AttemptRecord{}, runsByMarker: map[string]int{}}
+func newAuditRecorder(maxRecords int) *auditRecorder {
+	return &auditRecorder{maxRecords: maxRecords, byAttempt: map[fleet.AttemptID]*AttemptRecord{}, runsByMarker: map[string]int{}}
 }
 
 // record returns the record of an attempt. Past the limit a new record isn't kept.
 func (r *auditRecorder) record(zone fleet.AvailabilityZone, w engineapi.Work, marker string, now time.Time) *AttemptRecord {
-	if f, ok := r.byAttempt[w.Attempt]; ok {
-		f.EndedMs = 0
-		return f
+	if known, ok := r.byAttempt[w.Attempt]; ok {
+		known.EndedMs = 0
+		return known
 	}
-	f := &AttemptRecord{Attempt: w.Attempt, Owner: w.Owner, Zone: zone, Marker: marker, StartedMs: now.UnixMilli()}
+	record := &AttemptRecord{Attempt: w.Attempt, Owner: w.Owner, Zone: zone, Marker: marker, StartedMs: now.UnixMilli()}
 	if len(r.records) >= r.maxRecords {
 		r.audit.Unrecorded++
-		return f
+		return record
 	}
-	r.byAttempt[w.Attempt] = f
-	r.records = append(r.records, f)
-	return f
+	r.byAttempt[w.Attempt] = record
+	r.records = append(r.records, record)
+	return record
 }
 
 // countPrefillWork counts the prefill work of a request that is being freed.
@@ -151,8 +151,8 @@
 	a.Role = s.role
 	a.Leaving = s.leaving
 	a.Attempts = make([]AttemptRecord, len(s.recorder.records))
-	for n, f := range s.recorder.records {
-		a.Attempts[n] = *f
+	for n, record := range s.recorder.records {
+		a.Attempts[n] = *record
 	}
 	a.CallRuns = append([]CallRun(nil), a.CallRuns...)
 	a.Repeated = append([]string(nil), a.Repeated...)
--- a/internal/standin/cancelledset.go
+++ b/internal/standin/cancelledset.go
@@ -13,8 +13,8 @@
 	next     int
 }
 
-func newCancelledSet(most int) *cancelledSet {
-	return &cancelledSet{capacity: most, members: map[fleet.AttemptID]struct{}{}}
+func newCancelledSet(capacity int) *cancelledSet {
+	return &cancelledSet{capacity: capacity, members: map[fleet.AttemptID]struct{}{}}
 }
 
 func (s *cancelledSet) has(a fleet.AttemptID) bool {
--- a/internal/standin/prefixcache.go
+++ b/internal/standin/prefixcache.go
@@ -18,8 +18,8 @@
 	return int(t.PrefixCacheBytes / (t.KVBytesPerToken * engineapi.PrefixBlockBytes / bytesPerToken))
 }
 
-func newPrefixCache(most int) *prefixCache {
-	return &prefixCache{maxBlocks: most, blocks: map[uint64]*list.Element{}, recentlyUsed: list.New()}
+func newPrefixCache(maxBlocks int) *prefixCache {
+	return &prefixCache{maxBlocks: maxBlocks, blocks: map[uint64]*list.Element{}, recentlyUsed: list.New()}
 }
 
 // matchPrefix returns how many blocks from the start are cached, and marks them as used.
