--- a/internal/engine/check.go
+++ b/internal/engine/check.go
@@ -11,7 +11,7 @@
 // comes from another incarnation than t's.
 //
 // Failure: an endpoint dies and a new process takes over its address, or two
-// callers' answers are swapped, and a caller gets somebody else's text. Attempt
+// callers' answers are swapped, and a caller gets another caller's text. Attempt
 // IDs are random and used once, and incarnations rise at each start, so a wrong
 // answer can't match both.
 func checkAnswer(t Target, op string, want, got fleet.AttemptID, incarnation fleet.Incarnation) error {
--- a/internal/load/audit.go
+++ b/internal/load/audit.go
@@ -126,7 +126,7 @@
 }
 
 // countViolations counts a stream's requests that ran twice, or that ran although
-// their caller was told that they hadn't.
+// the answer to their caller said that they hadn't.
 func (b *combinedAudit) countViolations(r *AuditResult, run string, t *tally) {
 	runs := b.completions
 	if t.stream.Service != "" {
--- a/internal/operator/client_ask.go
+++ b/internal/operator/client_ask.go
@@ -52,7 +52,7 @@
 	return trace.Wrap(json.Unmarshal(data, out))
 }
 
-// send tries each address until one gives a conclusive reply. Every request of this
+// send tries each address until one returns a conclusive reply. Every request of this
 // client is safe to repeat: changes carry a change ID, a second init is rejected, and
 // member changes and drains state the desired end state.
 //
@@ -76,7 +76,7 @@
 	}
 }
 
-// tryAddresses sends the request to each address in turn until one gives a conclusive
+// tryAddresses sends the request to each address in turn until one returns a conclusive
 // reply. If none does, it returns the failure of each address.
 func (c *Client) tryAddresses(ctx context.Context, method, path string, body []byte, wait time.Duration) (data []byte, failures []error, err error) {
 	for _, address := range c.options.Addresses {
--- a/internal/outcome/contract.go
+++ b/internal/outcome/contract.go
@@ -52,7 +52,7 @@
 // If a team's permitted zones changed within the last two record lives, the records of
 // the former zones are consulted too, at replicas in zones that are still permitted. If
 // these are no majority, the verdict is VerdictUnknown for each key without UniqueKey:
-// new keys can't be told from repeats.
+// new keys can't be distinguished from repeats.
 type Ledger interface {
 	// Claim decides the key's record for the attempt, before the first byte is sent to
 	// an endpoint. The attempt may run only on VerdictRun, and the caller checks right
--- a/internal/outcome/model_decides_test.go
+++ b/internal/outcome/model_decides_test.go
@@ -18,7 +18,7 @@
 }
 
 // Several entries get the same request at once. If each gave up its own attempt on
-// meeting another's undecided intent and answered "in flight", nobody would run the
+// meeting another's undecided intent and answered "in flight", none would run the
 // request, and all repeats would be answered "in flight" for as long as these entries
 // live. An entry may give up only once the other's intent is decided.
 func TestModelDecides(t *testing.T) {
--- a/internal/outcome/proposer.go
+++ b/internal/outcome/proposer.go
@@ -226,7 +226,7 @@
 	return Step{Broadcast: q}
 }
 
-// lookUp asks for no promise: a lookup of a key that nobody claimed must not create a
+// lookUp asks for no promise: a lookup of an unclaimed key must not create a
 // record.
 func (p *Proposer) lookUp() Step {
 	p.phase = phaseLookup
@@ -273,7 +273,7 @@
 	}
 	// Another attempt's intent is proposed before "in flight" is answered. If a claim
 	// gave up on seeing an undecided intent, two claims could give up for each other:
-	// nobody would run the request, and repeats would be answered "in flight" for as
+	// neither would run the request, and repeats would be answered "in flight" for as
 	// long as both owners live.
 	switch {
 	case choice.bound, p.purpose == PurposeResolve && choice.record.HasDecision():
--- a/internal/outcome/service_test.go
+++ b/internal/outcome/service_test.go
@@ -82,7 +82,7 @@
 	}
 }
 
-// A caller looks up a key that nobody claimed, then an operator forbids the key. The
+// A caller looks up an unclaimed key, then an operator forbids the key. The
 // lookup must leave no record; after the tombstone no attempt may run.
 func TestForbiddenNeverRuns(t *testing.T) {
 	f := newTestFleet(t, Options{}, "a", "b", "c")
--- a/internal/outcome/zonechange_test.go
+++ b/internal/outcome/zonechange_test.go
@@ -85,7 +85,7 @@
 }
 
 // A team's zones are narrowed so far that most replicas of its former records are
-// outside. These are no longer asked. A new key can't be told from one that ran before,
+// outside. These are no longer asked. A new key can't be distinguished from one that ran,
 // so "unknown" is answered; a call with a key of its own runs.
 func TestFormerRecordsOutsideTheZones(t *testing.T) {
 	f := newFiveEntries(t, Options{})
--- a/internal/rpc/pool.go
+++ b/internal/rpc/pool.go
@@ -36,8 +36,8 @@
 }
 
 // NewPool returns a pool that presents and verifies certificates as config says. A
-// nil config means no TLS, for a network that nobody else can access. clock stamps
-// each call; it may be nil.
+// nil config means no TLS, for a network that no other party can access. clock
+// stamps each call; it may be nil.
 func NewPool(config *tls.Config, clock Clock) *Pool {
 	return &Pool{
 		tls:    config,
--- a/internal/standin/cancel_test.go
+++ b/internal/standin/cancel_test.go
@@ -46,7 +46,7 @@
 
 // A request is cancelled at each of its stages. Its memory must be freed, calls that
 // still block must end, and later work of the same attempt must be refused, or it
-// would hold memory that nobody frees.
+// would hold memory that is never freed.
 func TestCancelAtEachStage(t *testing.T) {
 	slow := fastTiming()
 	slow.PrefillBase = 1 << 40
@@ -88,7 +88,7 @@
 }
 
 // An engine loses a cancel: it closes the connection without an answer and frees
-// nothing. As the caller is gone, only the client can retry.
+// nothing. As the caller has disconnected, only the client can retry.
 func TestLostCancelIsRetried(t *testing.T) {
 	p, d := pair(t)
 	f := newFlow(p, d, "lost cancel [[tokens=100000]]")
--- a/internal/standin/crash.go
+++ b/internal/standin/crash.go
@@ -13,7 +13,7 @@
 // crashByFault ends the process if Faults.Crash is set, without notice to clients
 // or daemons, as a kill would. It writes the audit first and keeps mu locked from
 // then on, so that the file covers all that this process did. After a kill from
-// outside, wasted and used work couldn't be told apart.
+// outside, wasted and used work couldn't be distinguished.
 func (s *Standin) crashByFault() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/export.go
+++ b/internal/standin/export.go
@@ -30,7 +30,7 @@
 	complete := s.sendKV(ctx, w, int64(h.promptTokens)*s.timing.KVBytesPerToken)
 	s.endExport(h, complete)
 	if !complete {
-		panic(http.ErrAbortHandler) // the reader must not take it for complete
+		panic(http.ErrAbortHandler) // the receiver must not take it for complete
 	}
 }
 
