--- a/internal/engine/contract.go
+++ b/internal/engine/contract.go
@@ -29,7 +29,7 @@
 	// Decode returns a stream whose chunks have passed all checks.
 	Decode(ctx context.Context, t Target, gate Gate, r engineapi.DecodeRequest) (Stream, error)
 	// Cancel returns at once. The cancel is retried until it is confirmed, the
-	// endpoint's incarnation is gone, or Options.CancelTimeout has passed.
+	// endpoint's incarnation no longer runs, or Options.CancelTimeout has passed.
 	Cancel(t Target, attempt fleet.AttemptID)
 	Held(ctx context.Context, t Target) (engineapi.HeldReply, error)
 	Cache(ctx context.Context, t Target) (engineapi.CacheSnapshot, error)
@@ -51,7 +51,7 @@
 type Error struct {
 	Target   Target
 	Op       string
-	Code     engineapi.Code // empty when the endpoint gave no answer
+	Code     engineapi.Code // empty when the endpoint sent no answer
 	Sent     bool           // false: no byte of the request has been sent
 	Cooldown time.Duration  // cooldown that the endpoint asked this daemon for; 0: none
 	Err      error
