--- a/cmd/hyssopsail-standin/endpoints.go
+++ b/cmd/hyssopsail-standin/endpoints.go
@@ -42,8 +42,8 @@
 }
 
 // run serves until stopping is done, then announces the leave and finishes the
-// requests in flight, for at most maxLeaveDuration. It returns an error when that
-// is not enough.
+// requests in flight, for at most maxLeaveDuration. It returns an error if they
+// take longer.
 func (e *endpoints) run(stopping context.Context) error {
 	running, stop := context.WithCancel(context.Background())
 	defer stop()
--- a/cmd/hyssopsail/endpoints.go
+++ b/cmd/hyssopsail/endpoints.go
@@ -46,7 +46,7 @@
 	return "live"
 }
 
-// tokenChecking says whether the endpoint refuses orders with an old fencing token.
+// tokenChecking reports whether the endpoint refuses orders with an old fencing token.
 func tokenChecking(e *pb.EndpointDigest) string {
 	if e.GetChecksTokens() {
 		return "checked"
--- a/internal/certs/write.go
+++ b/internal/certs/write.go
@@ -133,11 +133,11 @@
 }
 
 func newFleetFiles(now time.Time, validity time.Duration) (*authority, []file, error) {
-	created, err := newAuthority(now, validity)
+	ca, err := newAuthority(now, validity)
 	if err != nil {
 		return nil, nil, trace.Wrap(err)
 	}
-	certificate, key, err := created.pem()
+	certificate, key, err := ca.pem()
 	if err != nil {
 		return nil, nil, trace.Wrap(err)
 	}
@@ -145,7 +145,7 @@
 	if _, err := rand.Read(secret[:]); err != nil {
 		return nil, nil, trace.Wrap(err)
 	}
-	return created, []file{
+	return ca, []file{
 		{AuthorityFile, certificate},
 		{AuthorityKeyFile, key},
 		{SecretFile, []byte(secret.Hex() + "\n")},
--- a/internal/control/change.go
+++ b/internal/control/change.go
@@ -113,6 +113,8 @@
 	return result
 }
 
+// document returns a version of a subtree's document, the current one for version 0,
+// or nil if there is none.
 func (m *Machine) document(name string, version uint64) *pb.SubtreeDocument {
 	current := m.documents[name]
 	if version == 0 || current.GetVersion() == version {
--- a/internal/coordinator/reports_test.go
+++ b/internal/coordinator/reports_test.go
@@ -22,8 +22,8 @@
 	committed  map[string]bool // endpoint IDs
 }
 
-func newSlowLeader(each time.Duration) *slowLeader {
-	return &slowLeader{perCommand: each, processor: make(chan struct{}, 1), committed: map[string]bool{}}
+func newSlowLeader(perCommand time.Duration) *slowLeader {
+	return &slowLeader{perCommand: perCommand, processor: make(chan struct{}, 1), committed: map[string]bool{}}
 }
 
 func (l *slowLeader) commit(ctx context.Context, command *pb.CatalogCommand) error {
--- a/internal/e2e/stream_test.go
+++ b/internal/e2e/stream_test.go
@@ -179,7 +179,7 @@
 		group.Go(func() { sendStreamsUntil(t, f, n, stop, failures) })
 	}
 	for n := range 4 {
-		group.Go(func() { sendSlipsUntil(t, f, n, stop, failures) })
+		group.Go(func() { sendNonIdempotentCallsUntil(t, f, n, stop, failures) })
 	}
 	for _, i := range f.instances {
 		t.Logf("%s stopping %s", time.Now().Format(time.TimeOnly), i.id)
@@ -196,7 +196,7 @@
 }
 
 // checkRunOnce checks that no service call with this marker prefix ran more than once.
-func (e *endpointSet) checkRunOnce(t *testing.T, markers string) {
+func (e *endpointSet) checkRunOnce(t *testing.T, markerPrefix string) {
 	t.Helper()
 	runs := map[string]int{}
 	for _, m := range e.all {
@@ -205,12 +205,12 @@
 		}
 	}
 	for marker, count := range runs {
-		assert.Check(t, count == 1 || !strings.HasPrefix(marker, markers), "%s ran %d times", marker, count)
+		assert.Check(t, count == 1 || !strings.HasPrefix(marker, markerPrefix), "%s ran %d times", marker, count)
 	}
 }
 
-// sendSlipsUntil sends non-idempotent calls, each once, until stop is closed.
-func sendSlipsUntil(t *testing.T, f *testFleet, worker int, stop <-chan struct{}, failures *failureLog) {
+// sendNonIdempotentCallsUntil sends non-idempotent calls, each once, until stop is closed.
+func sendNonIdempotentCallsUntil(t *testing.T, f *testFleet, worker int, stop <-chan struct{}, failures *failureLog) {
 	addresses := newAddressCache(f)
 	repeatUntilClosed(stop, func(n int) {
 		<-time.After(pollInterval)
--- a/internal/e2e/zonechange_test.go
+++ b/internal/e2e/zonechange_test.go
@@ -26,9 +26,9 @@
 	})
 }
 
-// repeatSlip repeats a non-idempotent call at the entries, each in a permitted zone,
-// until each answers with the recorded outcome. None may run it again.
-func repeatSlip(t *testing.T, entries []*instance, key, marker string) {
+// repeatCall repeats a non-idempotent call at the entries, each in a permitted zone,
+// until each answers with the recorded outcome. No entry may run the call again.
+func repeatCall(t *testing.T, entries []*instance, key, marker string) {
 	t.Helper()
 	for _, i := range entries {
 		eventually(t, callTimeout, func() error {
@@ -46,24 +46,24 @@
 
 // After a non-idempotent call has run, the operator narrows the team's permitted
 // zones and widens them again. After each change the call is repeated with the same
-// key. Its record is stored under the earlier zones, so an entry that looks only
-// where new records go would run the call a second time.
+// key. The record of the call is stored under the earlier zones, so an entry that
+// looks only where new records go would run the call a second time.
 func TestSlipRepeatedAfterItsZonesChanged(t *testing.T) {
 	f, e := startTwoZoneServiceFleet(t)
-	const slips = 16
+	const calls = 16
 	key := func(n int) string { return fmt.Sprintf("key-zones-%d", n) }
 	marker := func(n int) string { return fmt.Sprintf("slip-zones-%d", n) }
-	for n := range slips {
+	for n := range calls {
 		a := mustCallService(t, f.instances[n%3], "/once", key(n), markedBody(marker(n)))
 		assert.Equal(t, a.status, http.StatusOK, "%+v", a)
 	}
 	f.setZones(t, 1, "a")
-	for n := range slips {
-		repeatSlip(t, f.instances[:3], key(n), marker(n))
+	for n := range calls {
+		repeatCall(t, f.instances[:3], key(n), marker(n))
 	}
 	f.setZones(t, 2, "a", "b")
-	for n := range slips {
-		repeatSlip(t, f.instances, key(n), marker(n))
+	for n := range calls {
+		repeatCall(t, f.instances, key(n), marker(n))
 		assert.Equal(t, e.runCount(t, marker(n)), 1)
 	}
 }
@@ -76,9 +76,9 @@
 	sets := [][]string{{"a"}, {"a", "b"}}
 	for round := range 8 {
 		var group sync.WaitGroup
-		const slips = 4
-		answers := make([][]answer, slips)
-		for n := range slips {
+		const calls = 4
+		answers := make([][]answer, calls)
+		for n := range calls {
 			answers[n] = make([]answer, 3)
 			for at, i := range f.instances[:3] {
 				group.Go(func() {
@@ -91,7 +91,7 @@
 		}
 		f.setZones(t, uint64(round+1), sets[round%2]...)
 		group.Wait()
-		for n := range slips {
+		for n := range calls {
 			runs := e.runCount(t, fmt.Sprintf("slip-race-%d-%d", round, n))
 			assert.Assert(t, runs <= 1, "round %d: %d runs: %+v", round, runs, answers[n])
 			for _, a := range answers[n] {
--- a/internal/endpoint/core.go
+++ b/internal/endpoint/core.go
@@ -74,9 +74,9 @@
 	if !fresh {
 		return
 	}
-	was := make(map[*record]bool, len(c.endpoints))
+	wasHome := make(map[*record]bool, len(c.endpoints))
 	for _, r := range c.endpoints {
-		was[r] = c.isHome(r)
+		wasHome[r] = c.isHome(r)
 	}
 	c.view = view
 	for _, r := range c.endpoints {
@@ -87,19 +87,19 @@
 		if r.missedView && c.hadRecentGap(now, r) {
 			r.knowsAllGrants = false
 		}
-		c.homeChanged(now, r, was[r], c.isHome(r))
+		c.homeChanged(now, r, wasHome[r], c.isHome(r))
 	}
 }
 
-// homeChanged handles a change of r's home. What an earlier home knows of an
-// endpoint is no longer complete, so an endpoint that comes back is treated
-// like a new one.
-func (c *core) homeChanged(now time.Time, r *record, was, is bool) {
-	if was == is {
+// homeChanged handles a change of r's home. An earlier home's record of an
+// endpoint is no longer complete, so when this instance becomes the home, it
+// treats the endpoint like a new one.
+func (c *core) homeChanged(now time.Time, r *record, wasHome, isHome bool) {
+	if wasHome == isHome {
 		return
 	}
 	c.staticVersion++
-	if was {
+	if wasHome {
 		c.refuseAll(r, c.notHome(r))
 		c.handOver(now, r)
 		return
--- a/internal/endpoint/pollinterval_test.go
+++ b/internal/endpoint/pollinterval_test.go
@@ -24,7 +24,7 @@
 }
 
 // An operator applies many settings in a row, and each is a new state at every
-// daemon. When each made all followers poll all homes, the control traffic
+// daemon. When each change made all followers poll all homes, the control traffic
 // between daemons grew with the product of changes and followed homes.
 func TestSettingsChangesCauseNoPolls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -80,9 +80,9 @@
 
 // servicePath returns the path below the service, decoded once, so that the
 // settings' routes and the endpoint see the same path. ok is false for a path
-// that isn't clean, such as one with "." or ".." segments: it could match the
-// settings of another route than the one that the endpoint serves, so that a call
-// that must not be repeated is retried.
+// that isn't clean, such as one with "." or ".." segments: the settings of another
+// route than the one that the endpoint serves could match the path, and a
+// non-idempotent call be retried.
 func servicePath(rest string) (below string, ok bool) {
 	decoded, err := url.PathUnescape(rest)
 	if err != nil {
--- a/internal/explain/requestreport.go
+++ b/internal/explain/requestreport.go
@@ -202,6 +202,7 @@
 	return text
 }
 
+// intField returns a number field of a line, or 0 if it is missing or not a number.
 func intField(l Line, key string) int64 {
 	n, err := strconv.ParseInt(l.Get(key), 10, 64)
 	if err != nil {
--- a/internal/fleet/rendezvous.go
+++ b/internal/fleet/rendezvous.go
@@ -7,17 +7,17 @@
 )
 
 // RankInstances orders instances for key by rendezvous hashing, best first:
-// instances in zone prefer precede the others, then by hash. All processes with
-// the same instances compute the same order, and the loss of an instance moves
-// only the keys that it was first for.
-func RankInstances(key string, prefer AvailabilityZone, instances []Instance) []Instance {
-	rows := make([]rankedInstance, len(instances))
+// those in preferredZone precede the others, then by hash. All processes with the
+// same instances compute the same order, and the loss of an instance moves only
+// the keys for which that instance ranked first.
+func RankInstances(key string, preferredZone AvailabilityZone, instances []Instance) []Instance {
+	ranked := make([]rankedInstance, len(instances))
 	for n, i := range instances {
-		rows[n] = rankInstance(key, prefer, i)
+		ranked[n] = rankInstance(key, preferredZone, i)
 	}
-	sort.Slice(rows, func(a, b int) bool { return rows[a].ranksBefore(rows[b]) })
-	out := make([]Instance, len(rows))
-	for n, r := range rows {
+	sort.Slice(ranked, func(a, b int) bool { return ranked[a].ranksBefore(ranked[b]) })
+	out := make([]Instance, len(ranked))
+	for n, r := range ranked {
 		out[n] = r.instance
 	}
 	return out
@@ -30,8 +30,8 @@
 	score     uint64
 }
 
-func rankInstance(key string, prefer AvailabilityZone, i Instance) rankedInstance {
-	return rankedInstance{instance: i, preferred: i.Zone == prefer, score: rendezvousScore(key, string(i.ID))}
+func rankInstance(key string, preferredZone AvailabilityZone, i Instance) rankedInstance {
+	return rankedInstance{instance: i, preferred: i.Zone == preferredZone, score: rendezvousScore(key, string(i.ID))}
 }
 
 func (r rankedInstance) ranksBefore(o rankedInstance) bool {
--- a/internal/retrybudget/budget_test.go
+++ b/internal/retrybudget/budget_test.go
@@ -11,8 +11,8 @@
 
 func at(d time.Duration) time.Time { return begin.Add(d) }
 
-// newWarmBudget returns the budget of a process that started a minute ago and is one of a
-// number of entries.
+// newWarmBudget returns the budget of a process that started a minute ago and is one of
+// the given number of entries.
 func newWarmBudget(limits Limits, entries int) *Budget {
 	b := New(at(-time.Minute), limits)
 	b.SetEntries(at(0), entries)
--- a/internal/route/attemptfailure.go
+++ b/internal/route/attemptfailure.go
@@ -60,12 +60,12 @@
 }
 
 // attemptFailureFromError returns the failure for a failed call to an endpoint. parent
-// is the request's context; local is the call's own, which may have a shorter deadline.
+// is the request's context; callCtx is the call's own, which may have a shorter deadline.
 //
 // Only a connection that broke after bytes were sent counts as a crash. An endpoint
 // that answers with an error is alive, and one that exceeded a time limit may be slow;
 // counting these as crashes would quarantine requests that crash nothing.
-func attemptFailureFromError(parent context.Context, local context.Context, err error) *attemptFailure {
+func attemptFailureFromError(parent context.Context, callCtx context.Context, err error) *attemptFailure {
 	if cause, ok := placement.IsRefusal(err); ok {
 		return placementFailure(cause)
 	}
@@ -83,7 +83,7 @@
 	switch {
 	case parent.Err() != nil:
 		failed.cause = causeFromContext(parent)
-	case local.Err() != nil:
+	case callCtx.Err() != nil:
 		failed.cause = causeStalled
 	case failed.code != "":
 		failed.cause = causeFromCode(failed.code)
--- a/internal/route/claim.go
+++ b/internal/route/claim.go
@@ -149,9 +149,9 @@
 }
 
 func (r *Router) claimGeneration(ctx context.Context, req ModelRequest, params modelParams, f fleet.Fingerprint, claim outcome.Claim) claimDecision {
-	local, cancel := context.WithTimeout(ctx, r.bounds.LedgerTimeout)
+	ledgerCtx, cancel := context.WithTimeout(ctx, r.bounds.LedgerTimeout)
 	defer cancel()
-	verdict, record, err := r.opts.Ledger.Claim(local, claim)
+	verdict, record, err := r.opts.Ledger.Claim(ledgerCtx, claim)
 	if err != nil {
 		return claimDecision{failure: unknownOutcomeFailure()}
 	}
--- a/internal/route/decode.go
+++ b/internal/route/decode.go
@@ -17,19 +17,19 @@
 // already has.
 func (a *attempt) runDecode(ctx context.Context) *attemptFailure {
 	m := a.request
-	local, cancel := context.WithCancel(ctx)
+	streamCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	watch := engine.NewIdleTimer(m.remaining(), cancel)
 	defer watch.Close()
 	a.recordDecodeStart()
-	stream, err := m.router.opts.Engine.Decode(local, a.decode.target, m.router.grantGate(a.decode, m.gate), a.decodeRequest())
+	stream, err := m.router.opts.Engine.Decode(streamCtx, a.decode.target, m.router.grantGate(a.decode, m.gate), a.decodeRequest())
 	a.markSent(a.decode, err)
 	if err != nil {
 		m.router.recordCooldownFromError(err)
-		return a.decodeFailed(ctx, local, err)
+		return a.decodeFailed(ctx, streamCtx, err)
 	}
 	defer func() { _ = stream.Close() }()
-	return a.relayChunks(ctx, local, stream, watch)
+	return a.relayChunks(ctx, streamCtx, stream, watch)
 }
 
 func (a *attempt) recordDecodeStart() {
@@ -53,11 +53,11 @@
 }
 
 // relayChunks passes chunks to the sink until the last one.
-func (a *attempt) relayChunks(ctx, local context.Context, stream engine.Stream, watch *engine.IdleTimer) *attemptFailure {
+func (a *attempt) relayChunks(ctx, streamCtx context.Context, stream engine.Stream, watch *engine.IdleTimer) *attemptFailure {
 	for first := true; ; first = false {
 		c, err := stream.Next()
 		if err != nil {
-			return a.decodeFailed(ctx, local, err)
+			return a.decodeFailed(ctx, streamCtx, err)
 		}
 		// The time that the caller takes to read isn't counted against the engine.
 		watch.EndWait()
@@ -76,8 +76,8 @@
 }
 
 // decodeFailed returns the failure of a decode that ended with err.
-func (a *attempt) decodeFailed(ctx, local context.Context, err error) *attemptFailure {
-	failed := attemptFailureFromError(ctx, local, err)
+func (a *attempt) decodeFailed(ctx, streamCtx context.Context, err error) *attemptFailure {
+	failed := attemptFailureFromError(ctx, streamCtx, err)
 	if !failed.cause.notEndpointFault() && failed.cause != causeDeadline {
 		failed.endpoint = a.decode.target.ID
 	}
--- a/internal/route/exchange.go
+++ b/internal/route/exchange.go
@@ -22,16 +22,16 @@
 	if !c.arrivals.reserveSend() {
 		return nil, false, overBudgetFailure()
 	}
-	local, cancel := context.WithTimeout(ctx, c.params.callTime)
+	callCtx, cancel := context.WithTimeout(ctx, c.params.callTime)
 	defer cancel()
 	c.recordEvent(timeline.KindCallStart, id, h.target.ID)
 	h.maybeSent = true
-	answer, err := c.roundTrip(local, h)
+	answer, err := c.roundTrip(callCtx, h)
 	c.arrivals.recordSend(h.target.ID, err)
 	sent = !provesNotRun(err)
 	h.maybeSent = sent
 	if err != nil {
-		failed = attemptFailureFromError(ctx, local, err)
+		failed = attemptFailureFromError(ctx, callCtx, err)
 		if !failed.cause.notEndpointFault() {
 			failed.endpoint = h.target.ID
 		}
--- a/internal/route/fakes_test.go
+++ b/internal/route/fakes_test.go
@@ -21,7 +21,7 @@
 	"github.com/hyssopsail/hyssopsail/internal/timeline"
 )
 
-// Methods of quarantine.Guard, admission.Controller, schedule.Start and timeline.Recorder.
+// Methods of quarantine.Guard, admission.Controller, schedule.StartPolicy and timeline.Recorder.
 
 func (w *fakeFleet) Begin(context.Context, fleet.Fingerprint, fleet.ZoneSet, fleet.AttemptID) (pb.RunVerdict, time.Duration) {
 	w.mu.Lock()
--- a/internal/route/ids.go
+++ b/internal/route/ids.go
@@ -55,11 +55,11 @@
 }
 
 func (h hasher) modelFingerprint(r ModelRequest, m engineapi.ModelRef, output int) fleet.Fingerprint {
-	what := fmt.Sprintf("model %q %d", m, output)
-	return suspect.FingerprintOf(h.secret, string(r.Team), what, []byte(r.Prompt))
+	requested := fmt.Sprintf("model %q %d", m, output)
+	return suspect.FingerprintOf(h.secret, string(r.Team), requested, []byte(r.Prompt))
 }
 
 func (h hasher) callFingerprint(r CallRequest) fleet.Fingerprint {
-	what := fmt.Sprintf("call %q %q %q %q", r.Service, r.Method, r.Path, r.Query)
-	return suspect.FingerprintOf(h.secret, string(r.Team), what, r.Body)
+	requested := fmt.Sprintf("call %q %q %q %q", r.Service, r.Method, r.Path, r.Query)
+	return suspect.FingerprintOf(h.secret, string(r.Team), requested, r.Body)
 }
--- a/internal/route/once.go
+++ b/internal/route/once.go
@@ -73,9 +73,9 @@
 		Attempt:        id,
 		Endpoint:       h.target.ID,
 	}
-	local, cancel := context.WithTimeout(ctx, c.router.bounds.LedgerTimeout)
+	ledgerCtx, cancel := context.WithTimeout(ctx, c.router.bounds.LedgerTimeout)
 	defer cancel()
-	verdict, record, err := c.router.opts.Ledger.Claim(local, claim)
+	verdict, record, err := c.router.opts.Ledger.Claim(ledgerCtx, claim)
 	failure := decideOnce(verdict, record, err, c.req.Key != "", id, c.fingerprint)
 	if failure != nil {
 		c.router.record(timeline.Event{Kind: timeline.KindLedgerRefused, Request: c.req.ID, Team: c.req.Team, Attempt: id, Detail: string(failure.Code)})
--- a/internal/route/prefill.go
+++ b/internal/route/prefill.go
@@ -65,7 +65,7 @@
 // already has.
 func (a *attempt) runPrefill(ctx context.Context) *attemptFailure {
 	m := a.request
-	local, cancel := context.WithDeadline(ctx, m.deadline)
+	prefillCtx, cancel := context.WithDeadline(ctx, m.deadline)
 	defer cancel()
 	if a.decode == nil {
 		work, spread := m.predictPrefill()
@@ -78,7 +78,7 @@
 		return overBudgetFailure()
 	}
 	m.recordEvent(timeline.KindPrefillStart, a.id, a.prefill.target.ID)
-	reply, err := m.router.opts.Engine.Prefill(local, a.prefill.target, m.router.grantGate(a.prefill, m.gate), engineapi.PrefillRequest{
+	reply, err := m.router.opts.Engine.Prefill(prefillCtx, a.prefill.target, m.router.grantGate(a.prefill, m.gate), engineapi.PrefillRequest{
 		Work:      a.engineWork(a.prefill.target, m.remaining()),
 		Prompt:    m.req.Prompt + m.text.String(),
 		MaxTokens: m.params.maxOutputTokens - m.passedTokens,
@@ -86,18 +86,18 @@
 	m.prefillArrivals.recordSend(a.prefill.target.ID, err)
 	a.markSent(a.prefill, err)
 	if err != nil {
-		return a.prefillFailed(ctx, local, err)
+		return a.prefillFailed(ctx, prefillCtx, err)
 	}
 	m.recordEvent(timeline.KindPrefillEnd, a.id, a.prefill.target.ID)
 	a.keepKVCache(reply)
 	return nil
 }
 
-// prefillFailed returns the failure of a prefill that ended with err. It tells patience
-// that has run out from an engine that failed.
-func (a *attempt) prefillFailed(ctx, local context.Context, err error) *attemptFailure {
-	failed := attemptFailureFromError(ctx, local, err)
-	if failed.cause == causeStalled && local.Err() != nil {
+// prefillFailed returns the failure of a prefill that ended with err. If the request's
+// deadline ended it, the cause is causeDeadline and not a stalled engine.
+func (a *attempt) prefillFailed(ctx, prefillCtx context.Context, err error) *attemptFailure {
+	failed := attemptFailureFromError(ctx, prefillCtx, err)
+	if failed.cause == causeStalled && prefillCtx.Err() != nil {
 		failed.cause = causeDeadline
 	}
 	return failed
@@ -125,14 +125,14 @@
 	if a.decode != nil {
 		return nil
 	}
-	local, cancel := context.WithDeadline(ctx, a.kv.expires)
+	waitCtx, cancel := context.WithDeadline(ctx, a.kv.expires)
 	defer cancel()
-	h, failed := a.earlyGrant.wait(local)
+	h, failed := a.earlyGrant.wait(waitCtx)
 	if failed == nil {
 		a.decode = h
 		return nil
 	}
-	if ctx.Err() == nil && local.Err() != nil {
+	if ctx.Err() == nil && waitCtx.Err() != nil {
 		return &attemptFailure{cause: causeNoSlot}
 	}
 	return failed
--- a/internal/settings/check_fleet.go
+++ b/internal/settings/check_fleet.go
@@ -160,8 +160,8 @@
 	}
 	c.distinct("operators", names, "the same operator")
 	c.distinct("operators", hashes, "the same key")
-	// Operators are declared in the fleet subtree: if none may change it, none
-	// can be added again.
+	// Operators are declared in the fleet subtree: if no operator may
+	// change it, none can be added again.
 	if !fleetCovered {
 		c.fault("operators", `keep at least one operator with "fleet" or "*"`, "no operator may change the fleet subtree")
 	}
--- a/internal/suspect/fingerprint.go
+++ b/internal/suspect/fingerprint.go
@@ -15,9 +15,9 @@
 // a plain service and its route) and of its body, with the fleet's secret as the key. The
 // caller's name for an attempt is not part of it: a repeat of the same request has the same
 // fingerprint.
-func FingerprintOf(secret []byte, caller, what string, body []byte) fleet.Fingerprint {
+func FingerprintOf(secret []byte, caller, requested string, body []byte) fleet.Fingerprint {
 	mac := hmac.New(sha256.New, secret)
-	for _, field := range []string{fingerprintDomain, caller, what} {
+	for _, field := range []string{fingerprintDomain, caller, requested} {
 		var size [8]byte
 		binary.BigEndian.PutUint64(size[:], uint64(len(field)))
 		_, _ = mac.Write(size[:])
